--- a/packages/policy/src/_bad-version-limit.ts
+++ b/packages/policy/src/_bad-version-limit.ts
@@ -1,54 +1,56 @@
 import {type EffectiveConfiguration, versionKey} from '@valehitch/core';
 import {type BadVersionSettings} from './bad-version-settings.js';
-import {own} from './_own.js';
+import {ownProperty} from './_own-property.js';
 import {type QualityBook} from './quality-book.js';
 import {type QualityKey} from './quality-digest.js';
 
-/** What the limit is worked out from. */
-export type LimitOptions = {
-	readonly book: QualityBook;
+/** The inputs of `badVersionLimit`. */
+export type BadVersionLimitOptions = {
+	readonly qualityStore: QualityBook;
 	readonly configuration: EffectiveConfiguration;
 	readonly settings: BadVersionSettings;
-	/** Milliseconds since 1970. */
+	/** Unix time in milliseconds. */
 	readonly now: number;
 };
 
-/** A share of failures that any version may have before something is known of it. */
-const listedFailureShare = 0.01;
+/** The prior mean for the share of failures, used before any failures were observed. */
+const priorFailureShare = 0.01;
 const boundConfidence = 2;
-const largestLimit = 0.99;
+const maximumLimit = 0.99;
 
 /**
-Works out the mean badness up to which a version is not bad: that of the version it replaces, at the upper bound, and the tolerance; a settled version is measured against its own past, and against its listed quality with a wide tolerance until enough of its past is known.
+Computes the highest mean badness at which a version is not considered bad.
 
-@param key The version, the class and the measure.
-@param options The book, the configuration and the settings.
-@returns The limit, or undefined where the version is not configured.
+For a version in rollout, the limit is the upper confidence bound of the badness of the version it replaces, plus the tolerance. A settled version is compared with its own history. Until enough history is known, it is compared with its listed quality, with a wider tolerance.
+
+@param key The version, request class and measure.
+@param options The quality store, the configuration, the settings and the time.
+@returns The limit, or undefined if the version is not configured.
 @example
 ```ts
-badVersionLimit(key, {book, configuration, settings, now}); // 0.23
+badVersionLimit(key, {qualityStore, configuration, settings, now}); // 0.23
 ```
 */
-export function badVersionLimit(key: QualityKey, {book, configuration, settings, now}: LimitOptions): number | undefined {
-	const versions = own(configuration.document.models, key.model)?.versions;
-	const details = own(versions, key.version);
+export function badVersionLimit(key: QualityKey, {qualityStore: book, configuration, settings, now}: BadVersionLimitOptions): number | undefined {
+	const versions = ownProperty(configuration.document.models, key.model)?.versions;
+	const details = ownProperty(versions, key.version);
 	if (details === undefined) {
 		return undefined;
 	}
 
 	const isRollingOut = details.state === 'rolling-out'
-		&& own(configuration.rollouts, versionKey(key.model, key.version))?.status !== 'completed';
-	const against = isRollingOut ? details.replaces ?? key.version : key.version;
-	const listed = own(versions, against)?.quality ?? details.quality;
+		&& ownProperty(configuration.rollouts, versionKey(key.model, key.version))?.status !== 'completed';
+	const baselineVersion = isRollingOut ? details.replaces ?? key.version : key.version;
+	const priorQuality = ownProperty(versions, baselineVersion)?.quality ?? details.quality;
 	const isFailure = key.measure === 'failure';
-	const value = isFailure ? listedFailureShare : listed;
-	const known = book.estimate({...key, version: against}, {prior: {value, confidence: boundConfidence}, now});
-	const isKnown = known.weight >= settings.knownWeight;
-	if (!isKnown && against === key.version) {
-		// A short past may be the bad time itself.
-		return Math.min(largestLimit, (isFailure ? value : 1 - value) + settings.coldTolerance);
+	const value = isFailure ? priorFailureShare : priorQuality;
+	const baseline = book.estimate({...key, version: baselineVersion}, {prior: {value, confidence: boundConfidence}, now});
+	const isBaselineKnown = baseline.weight >= settings.knownWeight;
+	if (!isBaselineKnown && baselineVersion === key.version) {
+		// A short history may consist of the regression itself, so the listed value is used instead.
+		return Math.min(maximumLimit, (isFailure ? value : 1 - value) + settings.coldTolerance);
 	}
 
-	const badness = isFailure ? known.upperBound : 1 - known.lowerBound;
-	return Math.min(largestLimit, badness + (isKnown ? settings.tolerance : settings.coldTolerance));
+	const badness = isFailure ? baseline.upperBound : 1 - baseline.lowerBound;
+	return Math.min(maximumLimit, badness + (isBaselineKnown ? settings.tolerance : settings.coldTolerance));
 }
--- a/packages/policy/src/_alarm-of.ts
+++ b/packages/policy/src/_create-alarm.ts
@@ -2,30 +2,30 @@
 import {type ChangeDetector} from './change-detector.js';
 import {type VersionTarget} from './version-target.js';
 
-/** A version whose detector went off. */
-export type Alarmed = VersionTarget & {
+/** The data of an alarm: a version whose change detector reached its threshold. */
+export type AlarmDetails = VersionTarget & {
 	readonly measure: EvidenceMeasure;
 	readonly detector: ChangeDetector;
 	/** The sum of the observations, from 0 (good) to 1 (bad) each. */
 	readonly badness: number;
 	readonly count: number;
-	/** Where the observations come from, such as `this instance`. */
+	/** The origin of the observations for the reason text, such as `this instance`. */
 	readonly source: string;
 };
 
 /**
-Makes the alarm of a version that was found bad.
+Creates the alarm for a version that was found bad.
 
-@param alarmed The version and what was seen of it.
-@returns The alarm with its reason in words.
+@param details The version and its observations.
+@returns The alarm with a reason for operators.
 @example
 ```ts
 alarmOf({...target, measure: 'ratings', detector, badness: 30, count: 60, source: 'this instance'}).reason;
 ```
 */
-export function alarmOf({model, version, measure, detector, badness, count, source}: Alarmed): BadVersionAlarm {
+export function createAlarm({model, version, measure, detector, badness, count, source}: AlarmDetails): BadVersionAlarm {
 	const {evidence, threshold} = detector;
-	const name = measure === 'failures' ? 'a share of failures' : 'a mean loss of rating';
+	const measureName = measure === 'failures' ? 'failure share' : 'mean rating loss';
 	const mean = (badness / count).toFixed(3);
 	return {
 		model,
@@ -34,6 +34,6 @@
 		count: detector.count,
 		evidence,
 		threshold,
-		reason: `Got ${name} of ${mean} over ${count} observations of ${source}, worse than allowed (evidence ${evidence.toPrecision(3)}, threshold ${threshold})`,
+		reason: `The ${measureName} of ${mean} over ${count} observations of ${source} exceeds the limit (evidence ${evidence.toPrecision(3)}, threshold ${threshold})`,
 	};
 }
--- a/packages/policy/src/_evaluate-candidates.ts
+++ b/packages/policy/src/_evaluate-candidates.ts
@@ -6,94 +6,94 @@
 import {type ChooseVersionOptions} from './choose-version.js';
 import {exposure} from './exposure.js';
 import {mayDispatch} from './may-dispatch.js';
-import {own} from './_own.js';
+import {ownProperty} from './_own-property.js';
 import {qualityClass} from './quality-class.js';
 import {type QualityKey, type QualityMeasure} from './quality-digest.js';
 import {type Estimate, estimate, type Prior} from './quality-estimate.js';
 import {type VersionTarget} from './version-target.js';
 
-/** How far a candidate came: the choice takes the best `eligible` one, and in the last resort one that is `below-target` or `stopped-here`. */
-export type Standing = 'eligible' | 'below-target' | 'stopped-here' | 'out';
+/** The result of evaluating a candidate. The best `eligible` candidate is chosen, or else the best that is `below-target` or `stopped-locally`. */
+export type CandidateStatus = 'eligible' | 'below-target' | 'stopped-locally' | 'excluded';
 
-/** A candidate with its standing. */
-export type Evaluated = {
+/** A candidate and its status. */
+export type EvaluatedCandidate = {
 	readonly candidate: Candidate;
-	readonly standing: Standing;
+	readonly status: CandidateStatus;
 	readonly verdict: string;
-	/** The place in the rule's order, which breaks ties. */
+	/** The position in the rule, which breaks ties. */
 	readonly order: number;
-	/** For a version in roll-out: the key of the version that it replaces. */
+	/** For a version in rollout, the key of the version that it replaces. */
 	readonly replaces?: string;
 };
 
-/** The request and what the choice depends on. */
-export type Question = {
+/** The request and the inputs of the choice. */
+export type EvaluationContext = {
 	readonly request: ModelRequest;
 	readonly options: ChooseVersionOptions;
 };
 
 const expectedOutputTokens = 200;
-const escalationDeviation = 0.4;
+const escalationStandardDeviation = 0.4;
 
 /**
 Evaluates each version that the workspace may use under the rule.
 
-@param question The request and what the choice depends on.
-@returns The versions in the rule's order, each with its standing.
+@param context The request and the inputs of the choice.
+@returns The evaluated versions in the order of the rule.
 @example
 ```ts
 evaluateVersions({request, options});
 ```
 */
-export function evaluateVersions(question: Question): readonly Evaluated[] {
-	const {request, options: {configuration: {document}, rule}} = question;
-	const allowed = own(document.workspaces, request.workspace)?.allowed;
+export function evaluateVersions(context: EvaluationContext): readonly EvaluatedCandidate[] {
+	const {request, options: {configuration: {document}, rule}} = context;
+	const allowed = ownProperty(document.workspaces, request.workspace)?.allowed;
 	const models = request.namedModel === undefined ? rule.models : [request.namedModel];
-	const found: Evaluated[] = [];
+	const evaluated: EvaluatedCandidate[] = [];
 	for (const model of models) {
-		for (const version of own(allowed, model) ?? []) {
-			const details = own(own(document.models, model)?.versions, version);
+		for (const version of ownProperty(allowed, model) ?? []) {
+			const details = ownProperty(ownProperty(document.models, model)?.versions, version);
 			if (details !== undefined) {
-				found.push(evaluateVersion(question, {
-					model, version, details, order: found.length,
+				evaluated.push(evaluateVersion(context, {
+					model, version, details, order: evaluated.length,
 				}));
 			}
 		}
 	}
 
-	return found;
+	return evaluated;
 }
 
 /**
-Pairs versions into cascades: a cheaper one first, and a dearer one that meets the target when the answer shows a sign of the rule.
+Pairs versions into cascades: a cheaper version answers first, and a more expensive one that meets the target takes over if the answer shows an escalation sign.
 
-A streamed request and one of a session get none: bytes that have left cannot be taken back, and a session stays on its version.
+Streamed requests and requests of a session get no cascades: bytes already sent cannot be retracted, and a session stays on its version.
 
-@param question The request and what the choice depends on.
+@param context The request and the inputs of the choice.
 @param versions The evaluated versions.
 @returns The cascades in the order of their versions.
 @example
 ```ts
-evaluateCascades(question, evaluateVersions(question));
+evaluateCascades(context, evaluateVersions(context));
 ```
 */
-export function evaluateCascades(question: Question, versions: readonly Evaluated[]): readonly Evaluated[] {
-	const {request: {facts, namedModel}, options: {rule: {escalation}}} = question;
+export function evaluateCascades(context: EvaluationContext, versions: readonly EvaluatedCandidate[]): readonly EvaluatedCandidate[] {
+	const {request: {facts, namedModel}, options: {rule: {escalation}}} = context;
 	if (escalation === undefined || facts.stream || facts.session || namedModel !== undefined) {
 		return [];
 	}
 
-	const cascades: Evaluated[] = [];
-	for (const first of versions.filter(({standing}) => standing === 'eligible' || standing === 'below-target')) {
-		const dearer = versions.filter(({standing, candidate}) => standing === 'eligible' && candidate.expectedCost > first.candidate.expectedCost);
-		if (dearer.length === 0) {
+	const cascades: EvaluatedCandidate[] = [];
+	for (const first of versions.filter(({status}) => status === 'eligible' || status === 'below-target')) {
+		const costlier = versions.filter(({status, candidate}) => status === 'eligible' && candidate.expectedCost > first.candidate.expectedCost);
+		if (costlier.length === 0) {
 			continue;
 		}
 
-		const beginning = beginCascade(question, {first: first.candidate, escalation});
-		for (const second of dearer) {
-			cascades.push(evaluateCascade(beginning, {
-				second: second.candidate, qualityTarget: question.options.rule.qualityTarget, order: versions.length + cascades.length,
+		const firstStage = estimateFirstStage(context, {first: first.candidate, escalation});
+		for (const second of costlier) {
+			cascades.push(evaluateCascade(firstStage, {
+				second: second.candidate, qualityTarget: context.options.rule.qualityTarget, order: versions.length + cascades.length,
 			}));
 		}
 	}
@@ -101,16 +101,16 @@
 	return cascades;
 }
 
-type Version = VersionTarget & {
+type ConfiguredVersion = VersionTarget & {
 	readonly details: VersionConfiguration;
 	readonly order: number;
 };
 
-function evaluateVersion(question: Question, version: Version): Evaluated {
-	const {request: {facts}, options: {rule, expectedMilliseconds = () => 0}} = question;
+function evaluateVersion(context: EvaluationContext, version: ConfiguredVersion): EvaluatedCandidate {
+	const {request: {facts}, options: {rule, expectedMilliseconds = () => 0}} = context;
 	const {details, order, ...target} = version;
 	const output = facts.maxTokens > 0 ? Math.min(facts.maxTokens, expectedOutputTokens) : expectedOutputTokens;
-	const quality = estimateOf(question, {target, measure: 'rating', listed: details.quality}).lowerBound;
+	const quality = estimateMeasure(context, {target, measure: 'rating', listed: details.quality}).lowerBound;
 	const candidate: Candidate = {
 		kind: 'direct',
 		...target,
@@ -118,91 +118,92 @@
 		expectedCost: costOf(details.prices, {input: facts.promptTokens, output}),
 		expectedMilliseconds: expectedMilliseconds(target),
 	};
-	const barrier = findBarrier(question, target);
+	const exclusion = findExclusion(context, target);
 	const replaces = details.state === 'rolling-out' && details.replaces !== undefined && details.replaces !== target.version
 		? {replaces: versionKey(target.model, details.replaces)}
 		: {};
-	if (barrier !== undefined) {
+	if (exclusion !== undefined) {
 		return {
-			candidate, order, ...barrier, ...replaces,
+			candidate, order, ...exclusion, ...replaces,
 		};
 	}
 
-	const standing = quality < rule.qualityTarget ? 'below-target' : 'eligible';
+	const status = quality < rule.qualityTarget ? 'below-target' : 'eligible';
 	return {
-		candidate, order, ...replaces, standing, verdict: targetVerdict(quality, rule.qualityTarget),
+		candidate, order, ...replaces, status, verdict: targetVerdict(quality, rule.qualityTarget),
 	};
 }
 
-type Barrier = Pick<Evaluated, 'standing' | 'verdict'>;
+type Exclusion = Pick<EvaluatedCandidate, 'status' | 'verdict'>;
 
-function findBarrier({request, options}: Question, target: VersionTarget): Barrier | undefined {
+function findExclusion({request, options}: EvaluationContext, target: VersionTarget): Exclusion | undefined {
 	const {
 		configuration, isServed, isolated = false, isolatedServe, isStoppedHere, inProgress = () => 0, subject = request.id,
 	} = options;
 	const check = {
 		...target, workspace: request.workspace, isolated, ...(isolatedServe !== undefined && {isolatedServe}),
 	};
-	const permission = match(mayDispatch(configuration, check))
+	const denial = match(mayDispatch(configuration, check))
 		.with('allowed', () => undefined)
-		.with('not-allowed', () => 'the workspace may not use it')
+		.with('not-allowed', () => 'not allowed for the workspace')
 		.with('version-withdrawn', () => 'withdrawn')
-		.with('version-stopped', () => 'stopped, or its roll-out is not running')
+		.with('version-stopped', () => 'stopped, or its rollout is not running')
 		.with('isolated', () => 'this instance is isolated and the version is not settled')
 		.exhaustive();
-	if (permission !== undefined) {
-		return {standing: 'out', verdict: permission};
+	if (denial !== undefined) {
+		return {status: 'excluded', verdict: denial};
 	}
 
 	if (!isServed(target.model, target.version)) {
-		return {standing: 'out', verdict: 'no server has it loaded'};
+		return {status: 'excluded', verdict: 'no server has it loaded'};
 	}
 
-	const isRollingOut = own(own(configuration.document.models, target.model)?.versions, target.version)?.state === 'rolling-out'
-		&& own(configuration.rollouts, versionKey(target.model, target.version))?.status !== 'completed';
+	const isRollingOut = ownProperty(ownProperty(configuration.document.models, target.model)?.versions, target.version)?.state === 'rolling-out'
+		&& ownProperty(configuration.rollouts, versionKey(target.model, target.version))?.status !== 'completed';
 	if (isStoppedHere?.(target) === true) {
-		return {standing: isRollingOut ? 'out' : 'stopped-here', verdict: 'stopped by this instance as bad'};
+		return {status: isRollingOut ? 'excluded' : 'stopped-locally', verdict: 'stopped by this instance as bad'};
 	}
 
 	return isRollingOut
-		? exposureBarrier(exposure(configuration, {...target, subject, inProgress: inProgress(target)}))
+		? exposureExclusion(exposure(configuration, {...target, subject, inProgress: inProgress(target)}))
 		: undefined;
 }
 
-function exposureBarrier(verdict: ReturnType<typeof exposure>): Barrier | undefined {
+function exposureExclusion(verdict: ReturnType<typeof exposure>): Exclusion | undefined {
 	return match(verdict)
 		.with('exposed', () => undefined)
-		.with('not-running', () => ({standing: 'out' as const, verdict: 'its roll-out is not running'}))
-		.with('outside-share', () => ({standing: 'out' as const, verdict: 'outside the share of its roll-out'}))
-		.with('at-limit', () => ({standing: 'out' as const, verdict: 'its roll-out has as many requests in progress as the stage allows'}))
+		.with('not-running', () => ({status: 'excluded' as const, verdict: 'its rollout is not running'}))
+		.with('outside-share', () => ({status: 'excluded' as const, verdict: 'outside the traffic share of its rollout'}))
+		.with('at-limit', () => ({status: 'excluded' as const, verdict: 'its rollout stage has reached its limit of requests in progress'}))
 		.exhaustive();
 }
 
-type Beginning = {
+type CascadeFirstStage = {
 	readonly first: Candidate;
-	/** The lower bound of the quality of answers that show no sign. */
-	readonly accepted: number;
+	/** The lower confidence bound of the quality of accepted answers. */
+	readonly acceptedQuality: number;
 	readonly escalationShare: Estimate;
 };
 
-function beginCascade(question: Question, {first, escalation}: {readonly first: Candidate; readonly escalation: EscalationConfiguration}): Beginning {
+function estimateFirstStage(context: EvaluationContext, {first, escalation}: {readonly first: Candidate; readonly escalation: EscalationConfiguration}): CascadeFirstStage {
 	const target = {model: first.model, version: first.version};
 	return {
 		first,
-		accepted: estimateOf(question, {target, measure: 'accepted-rating', listed: escalation.acceptedQuality}).lowerBound,
-		escalationShare: estimateOf(question, {target, measure: 'escalation', listed: escalation.expectedShare}),
+		acceptedQuality: estimateMeasure(context, {target, measure: 'accepted-rating', listed: escalation.acceptedQuality}).lowerBound,
+		escalationShare: estimateMeasure(context, {target, measure: 'escalation', listed: escalation.expectedShare}),
 	};
 }
 
-type Ending = {
+type CascadeSecondStage = {
 	readonly second: Candidate;
 	readonly qualityTarget: number;
 	readonly order: number;
 };
 
-function evaluateCascade({first, accepted, escalationShare: {mean, lowerBound, upperBound}}: Beginning, {second, qualityTarget, order}: Ending): Evaluated {
-	const worstShare = second.quality > accepted ? lowerBound : upperBound;
-	const quality = ((1 - worstShare) * accepted) + (worstShare * second.quality);
+function evaluateCascade(firstStage: CascadeFirstStage, {second, qualityTarget, order}: CascadeSecondStage): EvaluatedCandidate {
+	const {first, acceptedQuality, escalationShare: {mean, lowerBound, upperBound}} = firstStage;
+	const worstShare = second.quality > acceptedQuality ? lowerBound : upperBound;
+	const quality = ((1 - worstShare) * acceptedQuality) + (worstShare * second.quality);
 	const candidate: Candidate = {
 		...first,
 		kind: 'cascade',
@@ -213,19 +214,19 @@
 		expectedMilliseconds: first.expectedMilliseconds + (mean * second.expectedMilliseconds),
 	};
 	return {
-		candidate, order, standing: quality < qualityTarget ? 'below-target' : 'eligible', verdict: targetVerdict(quality, qualityTarget),
+		candidate, order, status: quality < qualityTarget ? 'below-target' : 'eligible', verdict: targetVerdict(quality, qualityTarget),
 	};
 }
 
-type Wanted = {
+type EstimateRequest = {
 	readonly target: VersionTarget;
 	readonly measure: QualityMeasure;
 	readonly listed: number;
 };
 
-function estimateOf({request, options}: Question, {target, measure, listed}: Wanted): Estimate {
+function estimateMeasure({request, options}: EvaluationContext, {target, measure, listed}: EstimateRequest): Estimate {
 	const {rule, quality = listedQuality} = options;
-	const prior = measure === 'escalation' ? {value: listed, deviation: escalationDeviation} : {value: listed};
+	const prior = measure === 'escalation' ? {value: listed, deviation: escalationStandardDeviation} : {value: listed};
 	return quality({...target, qualityClass: qualityClass(request.workspace, rule.name), measure}, prior);
 }
 
--- a/packages/policy/src/_test-configuration.ts
+++ b/packages/policy/src/_test-configuration.ts
@@ -3,7 +3,7 @@
 } from '@valehitch/core';
 import {type VersionTarget} from './version-target.js';
 
-/** The seed of every property and stream of the tests; a failure prints it. */
+/** The seed of all property tests and random streams. Failure messages include it. */
 export const testSeed = 20_261_202;
 
 export const yard = toId<WorkspaceId>('yard');
@@ -12,32 +12,32 @@
 	return {model: toId<ModelId>(model), version: toId<VersionId>(version)};
 }
 
-export function settled(quality: number, price: number): VersionConfiguration {
+export function settledVersion(quality: number, price: number): VersionConfiguration {
 	return {state: 'settled', quality, prices: {input: price, output: price}};
 }
 
-export function rollingOut(quality: number, share: number): VersionConfiguration {
+export function rollingOutVersion(quality: number, share: number): VersionConfiguration {
 	return {
-		...settled(quality, 1), state: 'rolling-out', replaces: toId<VersionId>('1'), stages: [{share, minimumRatings: 0, minimumSeconds: 0}],
+		...settledVersion(quality, 1), state: 'rolling-out', replaces: toId<VersionId>('1'), stages: [{share, minimumRatings: 0, minimumSeconds: 0}],
 	};
 }
 
-/** A configuration with workspace `yard`, which may use all versions but those in `forbidden`; roll-outs run. */
+/** Creates a configuration with workspace `yard`, which may use all versions except those in `forbidden`. All rollouts are running. */
 export function configurationOf(models: Record<string, Record<string, VersionConfiguration>>, forbidden: readonly string[] = []): EffectiveConfiguration {
 	const allowed: Record<string, VersionId[]> = {};
 	const rollouts: Record<string, EffectiveConfiguration['rollouts'][string]> = {};
 	for (const [model, versions] of Object.entries(models)) {
 		allowed[model] = [];
 		for (const [version, {state}] of Object.entries(versions)) {
-			const found = target(model, version);
-			const key = versionKey(found.model, found.version);
+			const versionTarget = target(model, version);
+			const key = versionKey(versionTarget.model, versionTarget.version);
 			if (!forbidden.includes(key)) {
-				allowed[model].push(found.version);
+				allowed[model].push(versionTarget.version);
 			}
 
 			if (state === 'rolling-out') {
 				rollouts[key] = {
-					...found, stage: 0, status: 'running', stageStartedAt: 0,
+					...versionTarget, stage: 0, status: 'running', stageStartedAt: 0,
 				};
 			}
 		}
--- a/packages/policy/src/_test-random.ts
+++ b/packages/policy/src/_test-random.ts
@@ -5,10 +5,10 @@
 const warmUpDraws = 5;
 
 /**
-Makes a random source from a seed (Park and Miller, 1988), for tests and benches.
+Creates a seeded random source for tests and benchmarks (Park and Miller, 1988).
 
-@param seed A whole number.
-@returns The random source; the same seed gives the same numbers.
+@param seed An integer.
+@returns The random source. The same seed always gives the same numbers.
 @example
 ```ts
 const random = seededRandom(20_261_202);
--- a/packages/policy/src/bad-version-monitor.ts
+++ b/packages/policy/src/bad-version-monitor.ts
@@ -1,48 +1,48 @@
 import {
 	type EffectiveConfiguration, type InstanceId, type RolloutProgress, versionKey,
 } from '@valehitch/core';
-import {alarmOf} from './_alarm-of.js';
+import {createAlarm} from './_create-alarm.js';
 import {badVersionLimit} from './_bad-version-limit.js';
-import {own} from './_own.js';
+import {ownProperty} from './_own-property.js';
 import {type BadVersionAlarm, type EvidenceMeasure, type EvidenceReport} from './bad-version-evidence.js';
 import {type BadVersionSettingsByMeasure, defaultBadVersionSettings} from './bad-version-settings.js';
 import {ChangeDetector} from './change-detector.js';
 import {type QualityBook, type QualityObservation} from './quality-book.js';
 import {type VersionTarget} from './version-target.js';
 
-/** What a monitor works with. */
+/** Options of `BadVersionMonitor`. */
 export type BadVersionMonitorOptions = {
 	readonly instance: InstanceId;
-	/** When the instance started, in milliseconds since 1970. */
+	/** When the instance started, as Unix time in milliseconds. */
 	readonly startedAt: number;
-	/** Where observations are kept; the monitor adds them. */
+	/** The quality store to which the monitor adds observations. */
 	readonly book: QualityBook;
-	/** `defaultBadVersionSettings` unless given. */
+	/** Defaults to `defaultBadVersionSettings`. */
 	readonly settings?: BadVersionSettingsByMeasure;
 };
 
-/** When an observation comes. */
+/** The configuration and time at which an observation is made. */
 export type ObservationMoment = {
 	readonly configuration: EffectiveConfiguration;
-	/** Milliseconds since 1970. */
+	/** Unix time in milliseconds. */
 	readonly now: number;
 };
 
-type Watched = VersionTarget & {
+type MonitoredVersion = VersionTarget & {
 	readonly measure: EvidenceMeasure;
 	readonly detector: ChangeDetector;
 	badness: number;
 	/** Observations since the instance started. */
 	observations: number;
-	/** When the roll-out began that the test is about, in milliseconds since 1970. */
+	/** When the tested rollout began, as Unix time in milliseconds. */
 	rolloutStartedAt: number | undefined;
 };
 
-/** The wealth of the boldest gamblers that makes a version suspicious; one to three bad ratings in a row do. */
-const suspicion = 8;
+/** The largest bet's wealth from which a version is a suspect. One to three bad ratings in a row reach it. */
+const suspectWealth = 8;
 
 /**
-Tests the versions that this instance uses, on ratings and on failures, and sums up the evidence for the control replicas.
+Tests the versions that this instance uses on their ratings and failures, and reports the evidence to the control replicas.
 
 @example
 ```ts
@@ -55,7 +55,7 @@
 export class BadVersionMonitor {
 	readonly #options: BadVersionMonitorOptions;
 	readonly #settings: BadVersionSettingsByMeasure;
-	readonly #watched = new Map<string, Watched>();
+	readonly #monitored = new Map<string, MonitoredVersion>();
 
 	constructor(options: BadVersionMonitorOptions) {
 		this.#options = options;
@@ -63,55 +63,55 @@
 	}
 
 	/**
-	Takes an observation into the book and, but for escalations, into the test.
+	Adds an observation to the quality store and, unless it is an escalation, to the test.
 
 	@param observation The observation.
-	@param moment The configuration in force and the time.
-	@returns The alarm, once, where the version is found bad by this observation.
+	@param context The configuration in force and the time.
+	@returns The alarm, if this observation is the one that raises it.
 	*/
 	observe(observation: QualityObservation, {configuration, now}: ObservationMoment): BadVersionAlarm | undefined {
-		const {book} = this.#options;
+		const {book: qualityStore} = this.#options;
 		const measure = observation.measure === 'failure' ? 'failures' : 'ratings';
 		const limit = observation.measure === 'escalation'
 			? undefined
 			: badVersionLimit(observation, {
-				book, configuration, settings: this.#settings[measure], now,
+				qualityStore, configuration, settings: this.#settings[measure], now,
 			});
-		if (!book.add(observation) || limit === undefined) {
+		if (!qualityStore.add(observation) || limit === undefined) {
 			return undefined;
 		}
 
-		const watched = this.#watch(observation, measure);
-		const {detector} = watched;
-		const startedAt = rolloutStart(configuration, observation);
+		const monitored = this.#monitoredVersion(observation, measure);
+		const {detector} = monitored;
+		const startedAt = firstStageStartedAt(configuration, observation);
 		if (startedAt !== undefined && observation.ranAt < startedAt) {
 			return undefined;
 		}
 
-		if (startedAt !== undefined && watched.rolloutStartedAt !== startedAt) {
-			watched.rolloutStartedAt = startedAt;
+		if (startedAt !== undefined && monitored.rolloutStartedAt !== startedAt) {
+			monitored.rolloutStartedAt = startedAt;
 			detector.reset();
 		}
 
 		const wasAlarmed = detector.isAlarmed;
 		const badness = measure === 'failures' ? observation.value : 1 - observation.value;
-		watched.badness += badness;
-		watched.observations += 1;
+		monitored.badness += badness;
+		monitored.observations += 1;
 		detector.observe({badness, limit});
 		return detector.isAlarmed && !wasAlarmed
-			? alarmOf({...watched, count: watched.observations, source: 'this instance'})
+			? createAlarm({...monitored, count: monitored.observations, source: 'this instance'})
 			: undefined;
 	}
 
 	/**
-	Sums up the evidence for the control replicas.
+	Creates the evidence reports for the control replicas.
 
-	@returns A report for each version and measure.
+	@returns One report for each version and measure.
 	*/
 	reports(): readonly EvidenceReport[] {
 		const {instance, startedAt} = this.#options;
 		const reports: EvidenceReport[] = [];
-		for (const {model, version, measure, detector, badness, observations} of this.#watched.values()) {
+		for (const {model, version, measure, detector, badness, observations} of this.#monitored.values()) {
 			reports.push({
 				instance, startedAt, model, version, measure, badness, count: observations, logWealth: [...detector.logWealth],
 			});
@@ -121,59 +121,59 @@
 	}
 
 	/**
-	Finds what looks worse than allowed, though not by enough to stop it; its reports are worth sending first.
+	Finds versions that look worse than allowed, but not by enough to be stopped. Their reports should be sent first.
 
 	@returns The versions and measures, the most suspicious first.
 	*/
 	suspects(): ReadonlyArray<Pick<EvidenceReport, 'model' | 'version' | 'measure'>> {
-		return [...this.#watched.values()]
-			.filter(({detector}) => detector.boldWealth >= suspicion)
+		return [...this.#monitored.values()]
+			.filter(({detector}) => detector.boldWealth >= suspectWealth)
 			.toSorted((left, right) => right.detector.boldWealth - left.detector.boldWealth);
 	}
 
 	/**
-	Tests a version anew, after its local stop has ended.
+	Restarts the test of a version after its local stop has ended.
 
 	@param target The version.
 	*/
 	reset({model, version}: VersionTarget): void {
-		for (const watched of this.#watched.values()) {
-			if (watched.model === model && watched.version === version) {
-				watched.detector.reset();
+		for (const monitored of this.#monitored.values()) {
+			if (monitored.model === model && monitored.version === version) {
+				monitored.detector.reset();
 			}
 		}
 	}
 
 	/**
-	Drops what is kept of versions that are no longer configured.
+	Removes the state of versions that are no longer configured.
 
 	@param configuration The configuration in force.
 	*/
 	retain({document}: EffectiveConfiguration): void {
-		for (const [key, {model, version}] of this.#watched) {
-			if (own(own(document.models, model)?.versions, version) === undefined) {
-				this.#watched.delete(key);
+		for (const [key, {model, version}] of this.#monitored) {
+			if (ownProperty(ownProperty(document.models, model)?.versions, version) === undefined) {
+				this.#monitored.delete(key);
 			}
 		}
 	}
 
-	#watch({model, version}: VersionTarget, measure: EvidenceMeasure): Watched {
+	#monitoredVersion({model, version}: VersionTarget, measure: EvidenceMeasure): MonitoredVersion {
 		const key = `${versionKey(model, version)}|${measure}`;
-		const known = this.#watched.get(key);
-		if (known !== undefined) {
-			return known;
+		const existing = this.#monitored.get(key);
+		if (existing !== undefined) {
+			return existing;
 		}
 
-		const watched = {
+		const monitored = {
 			model, version, measure, detector: new ChangeDetector(this.#settings[measure].detector), badness: 0, observations: 0, rolloutStartedAt: undefined,
 		};
-		this.#watched.set(key, watched);
-		return watched;
+		this.#monitored.set(key, monitored);
+		return monitored;
 	}
 }
 
-/** When the roll-out of a version began, while it is in its first stage. */
-function rolloutStart({rollouts}: EffectiveConfiguration, {model, version}: VersionTarget): number | undefined {
-	const progress = own<string, RolloutProgress>(rollouts, versionKey(model, version));
+/** Returns when the rollout of a version began, if it is running and in its first stage. */
+function firstStageStartedAt({rollouts}: EffectiveConfiguration, {model, version}: VersionTarget): number | undefined {
+	const progress = ownProperty<string, RolloutProgress>(rollouts, versionKey(model, version));
 	return progress?.status === 'running' && progress.stage === 0 ? progress.stageStartedAt : undefined;
 }
--- a/packages/policy/src/choice.ts
+++ b/packages/policy/src/choice.ts
@@ -1,37 +1,37 @@
 import {type Micros} from '@valehitch/core';
 import {type VersionTarget} from './version-target.js';
 
-/** What is expected of a candidate. */
+/** The expected quality, cost and latency of a candidate. */
 export type Expectation = {
 	/** The lower confidence bound of its quality, from 0 to 1. */
 	readonly quality: number;
-	/** Expected cost with the chance of escalation. */
+	/** The expected cost, including the expected cost of escalation. */
 	readonly expectedCost: Micros;
-	/** Expected milliseconds to the whole answer. */
+	/** The expected time to the complete answer, in milliseconds. */
 	readonly expectedMilliseconds: number;
 };
 
-/** One version that answers alone. */
+/** A version that answers without escalation. */
 export type DirectCandidate = Expectation & VersionTarget & {readonly kind: 'direct'};
 
-/** A version that answers first, and one that takes over when the answer shows a sign of the rule. */
+/** A version that answers first, and one that takes over if the answer shows an escalation sign of the rule. */
 export type CascadeCandidate = Expectation & VersionTarget & {
 	readonly kind: 'cascade';
 	readonly escalatesTo: VersionTarget;
-	/** The share of requests expected to escalate, from 0 to 1. */
+	/** The expected share of requests that escalate, from 0 to 1. */
 	readonly escalationShare: number;
 };
 
-/** A way to serve a request; `model` and `version` answer first. */
+/** A way to serve a request. `model` and `version` identify the version that answers first. */
 export type Candidate = DirectCandidate | CascadeCandidate;
 
-/** A candidate and, in words, why it was or was not chosen; `explain` shows it. */
+/** A candidate and the reason why it was or was not chosen, as shown by `explain`. */
 export type Consideration = Candidate & {readonly verdict: string};
 
-/** The chosen candidate and what lost. */
+/** The chosen candidate and all candidates that were considered. */
 export type Choice = {
 	readonly chosen: Candidate;
-	/** Whether nothing met the quality target and the best one serves. */
+	/** Whether no candidate met the quality target and the best available one serves instead. */
 	readonly belowTarget: boolean;
 	readonly considered: readonly Consideration[];
 };
--- a/packages/policy/src/choose-version.test.ts
+++ b/packages/policy/src/choose-version.test.ts
@@ -7,7 +7,7 @@
 	chooseVersion, type ChooseVersionOptions, type Choice, estimate, exposure, mayDispatch,
 } from './mod.js';
 import {
-	configurationOf, requestOf, rollingOut, ruleOf, settled, target, testSeed, yard,
+	configurationOf, requestOf, rollingOutVersion, ruleOf, settledVersion, target, testSeed, yard,
 } from './_test-configuration.js';
 
 const versionArbitrary = fc.record({
@@ -20,13 +20,13 @@
 	signs: ['truncated'], minimumConfidence: 0.5, expectedShare: 0.3, acceptedQuality: 0.9,
 } as const;
 
-type Drawn = {state: string; quality: number; price: number; forbidden: boolean};
+type GeneratedVersion = {state: string; quality: number; price: number; forbidden: boolean};
 
-function setUp(drawn: readonly Drawn[], withCascades: boolean): ChooseVersionOptions {
+function setUp(drawn: readonly GeneratedVersion[], withCascades: boolean): ChooseVersionOptions {
 	const models: Record<string, Record<string, VersionConfiguration>> = {};
 	const forbidden: string[] = [];
 	for (const [index, {state, quality, price, forbidden: isForbidden}] of drawn.entries()) {
-		const listed = {...rollingOut(quality, 0.5), ...settled(quality, price), state: state as VersionConfiguration['state']};
+		const listed = {...rollingOutVersion(quality, 0.5), ...settledVersion(quality, price), state: state as VersionConfiguration['state']};
 		models[`m${index}`] = {1: listed};
 		if (isForbidden) {
 			forbidden.push(`m${index}@1`);
@@ -41,9 +41,9 @@
 	return chooseVersion(request, options).toMaybe().extract();
 }
 
-const drawnArbitrary = fc.array(versionArbitrary, {minLength: 1, maxLength: 8});
+const versionsArbitrary = fc.array(versionArbitrary, {minLength: 1, maxLength: 8});
 
-function isSound(drawn: readonly Drawn[], withCascades: boolean): boolean {
+function isValidChoice(drawn: readonly GeneratedVersion[], withCascades: boolean): boolean {
 	const options = setUp(drawn, withCascades);
 	const choice = chosenOf(options);
 	const usable = new Set(Object.keys(options.configuration.document.models)
@@ -62,15 +62,15 @@
 	return isAllowed && (belowTarget ? chosen.quality < 0.8 : chosen.quality >= 0.8 && isCheapest);
 }
 
-test('a chosen version is always one that may be dispatched, and nothing that meets the target is cheaper', t => {
+test('a chosen version may always be dispatched, and no version that meets the target is cheaper', t => {
 	t.notThrows(() => {
-		fc.assert(fc.property(drawnArbitrary, fc.boolean(), isSound), {seed: testSeed, numRuns: 2000});
+		fc.assert(fc.property(versionsArbitrary, fc.boolean(), isValidChoice), {seed: testSeed, numRuns: 2000});
 	});
 });
 
-test('a version that is not chosen stays so when it becomes dearer', t => {
+test('raising the price of a version that is not chosen does not change the choice', t => {
 	t.notThrows(() => {
-		fc.assert(fc.property(drawnArbitrary, fc.nat(), (drawn, picked) => {
+		fc.assert(fc.property(versionsArbitrary, fc.nat(), (drawn, picked) => {
 			const before = chosenOf(setUp(drawn, false));
 			const index = picked % drawn.length;
 			const after = chosenOf(setUp(drawn.map((found, at) => at === index ? {...found, price: found.price + 5} : found), false));
@@ -79,24 +79,24 @@
 	});
 });
 
-test('against the naive choice: never dearer where both meet the target, and it serves wherever the naive one does', t => {
+test('compared with taking the first sufficient version, the choice never costs more and serves every request that it serves', t => {
 	let cheaper = 0;
-	fc.assert(fc.property(drawnArbitrary, drawn => {
-		const naive = drawn.find(({state, quality, forbidden}) => state === 'settled' && !forbidden && quality >= 0.8);
+	fc.assert(fc.property(versionsArbitrary, drawn => {
+		const firstSufficient = drawn.find(({state, quality, forbidden}) => state === 'settled' && !forbidden && quality >= 0.8);
 		const choice = chosenOf(setUp(drawn, false));
-		if (naive === undefined || choice === undefined) {
-			return naive === undefined;
+		if (firstSufficient === undefined || choice === undefined) {
+			return firstSufficient === undefined;
 		}
 
-		const naiveCost = naive.price * 200;
-		cheaper += choice.chosen.expectedCost < naiveCost ? 1 : 0;
-		return !choice.belowTarget && choice.chosen.expectedCost <= naiveCost;
+		const firstSufficientCost = firstSufficient.price * 200;
+		cheaper += choice.chosen.expectedCost < firstSufficientCost ? 1 : 0;
+		return !choice.belowTarget && choice.chosen.expectedCost <= firstSufficientCost;
 	}), {seed: testSeed, numRuns: 1000});
-	t.true(cheaper > 50, `Got ${cheaper} of 1000 cheaper than the naive choice`);
+	t.true(cheaper > 50, `Got ${cheaper} of 1000 cheaper than the first sufficient version`);
 });
 
-test('a cascade is taken while escalation is rare, the dear version directly when it is likely, and never for streams and sessions', t => {
-	const configuration = configurationOf({small: {1: settled(0.7, 1)}, large: {1: settled(0.95, 10)}});
+test('a cascade is chosen while escalation is rare, the expensive version directly when it is likely, and no cascade for streams and sessions', t => {
+	const configuration = configurationOf({small: {1: settledVersion(0.7, 1)}, large: {1: settledVersion(0.95, 10)}});
 	const rule = ruleOf(['small', 'large'], {qualityTarget: 0.9, escalation: {...escalation, acceptedQuality: 0.93}});
 	const withShare = (share: number): ChooseVersionOptions => ({
 		configuration,
@@ -110,19 +110,19 @@
 	t.is(chosenOf(withShare(0.95))?.chosen.kind, 'direct');
 	t.is(chosenOf(withShare(0.2), requestOf('r1', {stream: true}))?.chosen.kind, 'direct');
 	t.is(chosenOf(withShare(0.2), requestOf('r1', {session: true}))?.chosen.kind, 'direct');
-	t.regex(chosenOf(withShare(0.95))?.considered.at(-1)?.verdict ?? '', /^dearer: expected cost 2100 against 2000/v);
+	t.regex(chosenOf(withShare(0.95))?.considered.at(-1)?.verdict ?? '', /^more expensive: expected cost 2100 compared with 2000/v);
 });
 
-test('a rule that prefers latency takes the faster at nearly equal cost only', t => {
-	const configuration = configurationOf({a: {1: settled(0.9, 100)}, b: {1: settled(0.9, 109)}, c: {1: settled(0.9, 120)}});
+test('a rule that prefers latency takes a faster version only at nearly equal cost', t => {
+	const configuration = configurationOf({a: {1: settledVersion(0.9, 100)}, b: {1: settledVersion(0.9, 109)}, c: {1: settledVersion(0.9, 120)}});
 	const milliseconds: Readonly<Record<string, number>> = {a: 900, b: 300, c: 100};
 	const options = {configuration, isServed: () => true, expectedMilliseconds: ({model}: {model: ModelId}) => milliseconds[model] ?? 0};
 	t.is(chosenOf({...options, rule: ruleOf(['a', 'b', 'c'])})?.chosen.model, target('a', '1').model);
 	t.is(chosenOf({...options, rule: ruleOf(['a', 'b', 'c'], {prefers: 'latency'})})?.chosen.model, target('b', '1').model);
 });
 
-test('below the target the best one serves and says so, or the rule refuses; a stop of this instance is the last resort', t => {
-	const configuration = configurationOf({a: {1: settled(0.5, 1)}, b: {1: settled(0.7, 9)}});
+test('below the target the best version serves with belowTarget set, or the rule refuses; a locally stopped version comes last', t => {
+	const configuration = configurationOf({a: {1: settledVersion(0.5, 1)}, b: {1: settledVersion(0.7, 9)}});
 	const options = {configuration, rule: ruleOf(['a', 'b']), isServed: () => true};
 	t.like(chosenOf(options), {belowTarget: true, chosen: {model: target('b', '1').model}});
 	t.is(chosenOf({...options, rule: ruleOf(['a', 'b'], {whenBelowTarget: 'refuse'})}), undefined);
@@ -133,30 +133,30 @@
 	}), 'version-stopped');
 });
 
-test('a name such as constructor is no model', t => {
-	const options = {configuration: configurationOf({a: {1: settled(0.9, 1)}}), rule: ruleOf(['a']), isServed: () => true};
+test('an inherited property name such as constructor is not a model', t => {
+	const options = {configuration: configurationOf({a: {1: settledVersion(0.9, 1)}}), rule: ruleOf(['a']), isServed: () => true};
 	const request = {...requestOf(), namedModel: toId<ModelId>('constructor')};
 	t.is(chooseVersion(request, options).swap().toMaybe().extract()?.kind, 'forbidden');
 });
 
-test('a roll-out takes its share of subjects, the same ones each time, up to its limit, and only while it runs', t => {
-	const versions = {1: settled(0.85, 1), 2: rollingOut(0.86, 0.2)};
+test('a rollout takes its share of bucketing keys, always the same ones, up to its limit, and only while it is running', t => {
+	const versions = {1: settledVersion(0.85, 1), 2: rollingOutVersion(0.86, 0.2)};
 	const configuration = configurationOf({m: versions});
 	const options = {configuration, rule: ruleOf(['m']), isServed: () => true};
-	const fresh = target('m', '2');
-	let taken = 0;
+	const newVersion = target('m', '2');
+	let newVersionCount = 0;
 	for (let index = 0; index < 5000; index += 1) {
 		const subject = `s${index}`;
-		const isFresh = chosenOf({...options, subject})?.chosen.version === fresh.version;
-		taken += isFresh ? 1 : 0;
-		const larger = configurationOf({m: {...versions, 2: rollingOut(0.86, 0.5)}});
-		t.true(!isFresh || exposure(larger, {...fresh, subject, inProgress: 0}) === 'exposed');
-		t.is(chosenOf({...options, subject}, requestOf(`other-${index}`))?.chosen.version === fresh.version, isFresh);
-		t.false(chosenOf({...options, subject, isolated: true})?.chosen.version === fresh.version);
-		t.false(chosenOf({...options, subject, inProgress: () => 32})?.chosen.version === fresh.version);
-		t.false(chosenOf({...options, subject, isStoppedHere: ({version}) => version === fresh.version})?.chosen.version === fresh.version);
-		t.false(chosenOf({...options, subject, configuration: {...configuration, rollouts: {}}})?.chosen.version === fresh.version);
+		const isNewVersion = chosenOf({...options, subject})?.chosen.version === newVersion.version;
+		newVersionCount += isNewVersion ? 1 : 0;
+		const larger = configurationOf({m: {...versions, 2: rollingOutVersion(0.86, 0.5)}});
+		t.true(!isNewVersion || exposure(larger, {...newVersion, subject, inProgress: 0}) === 'exposed');
+		t.is(chosenOf({...options, subject}, requestOf(`other-${index}`))?.chosen.version === newVersion.version, isNewVersion);
+		t.false(chosenOf({...options, subject, isolated: true})?.chosen.version === newVersion.version);
+		t.false(chosenOf({...options, subject, inProgress: () => 32})?.chosen.version === newVersion.version);
+		t.false(chosenOf({...options, subject, isStoppedHere: ({version}) => version === newVersion.version})?.chosen.version === newVersion.version);
+		t.false(chosenOf({...options, subject, configuration: {...configuration, rollouts: {}}})?.chosen.version === newVersion.version);
 	}
 
-	t.true(taken > 900 && taken < 1100, `Got ${taken} of 5000, wanted about a fifth`);
+	t.true(newVersionCount > 900 && newVersionCount < 1100, `Got ${newVersionCount} of 5000, wanted about a fifth`);
 });
--- a/packages/policy/src/choose-version.ts
+++ b/packages/policy/src/choose-version.ts
@@ -3,33 +3,33 @@
 } from '@valehitch/core';
 import {type Either, Left, Right} from 'purify-ts';
 import {type Candidate, type Choice, type Consideration} from './choice.js';
-import {evaluateCascades, type Evaluated, evaluateVersions} from './_evaluate-candidates.js';
+import {evaluateCascades, type EvaluatedCandidate, evaluateVersions} from './_evaluate-candidates.js';
 import {type QualityKey} from './quality-digest.js';
 import {type Estimate, type Prior} from './quality-estimate.js';
 import {type VersionTarget} from './version-target.js';
 
-/** What the choice depends on besides the request. */
+/** Everything besides the request that determines the choice. */
 export type ChooseVersionOptions = {
 	readonly configuration: EffectiveConfiguration;
-	/** The rule of the request. */
+	/** The policy rule that applies to the request. */
 	readonly rule: PolicyRule;
-	/** Whether some server has the version loaded and takes work. */
+	/** Checks whether any server that accepts work has the version loaded. */
 	readonly isServed: (model: ModelId, version: VersionId) => boolean;
-	/** Estimates a quality or share; the listed value unless given. */
+	/** Estimates a quality or share. Defaults to the listed value. */
 	readonly quality?: (key: QualityKey, prior: Prior) => Estimate;
-	/** Expected milliseconds to the whole answer of a version; 0 unless given. */
+	/** The expected time of a version to the complete answer, in milliseconds. Defaults to 0. */
 	readonly expectedMilliseconds?: (target: VersionTarget) => number;
-	/** Requests that this instance has in progress on a version; 0 unless given. */
+	/** The number of requests that this instance has in progress on a version. Defaults to 0. */
 	readonly inProgress?: (target: VersionTarget) => number;
-	/** Whether this instance has stopped a version as bad; never unless given. */
+	/** Checks whether this instance has stopped a version as bad. By default no version is stopped. */
 	readonly isStoppedHere?: (target: VersionTarget) => boolean;
-	/** Whether the configuration lease of this instance has run out; false unless given. */
+	/** Whether the configuration lease of this instance has expired. Defaults to false. */
 	readonly isolated?: boolean;
-	/** What an isolated instance may use; `settled` unless given. */
+	/** Which versions an isolated instance may use. Defaults to `settled`. */
 	readonly isolatedServe?: 'settled' | 'all' | 'none';
-	/** The name that decides on the share of a roll-out: the session's where there is one; the request's id unless given. */
+	/** The key that assigns the request to a rollout share: the session's, if any. Defaults to the request id. */
 	readonly subject?: string;
-	/** The share of extra cost within which a rule that prefers latency takes the faster; 0.1 unless given. */
+	/** The relative extra cost within which a rule that prefers latency takes a faster candidate. Defaults to 0.1. */
 	readonly nearlyEqualCost?: number;
 };
 
@@ -37,53 +37,53 @@
 const retryAfterMilliseconds = 1000;
 
 /**
-Chooses how to serve a request: the least expected cost whose lower confidence bound of quality meets the target, directly or as a cascade.
+Chooses how to serve a request: the candidate with the lowest expected cost whose lower confidence bound of quality meets the target, either a single version or a cascade.
 
-Ties go to the rule's order. A rule that prefers latency takes the fastest among those whose cost is nearly equal to the least.
+Ties are broken by the order in the rule. A rule that prefers latency takes the fastest candidate among those whose cost is nearly equal to the lowest.
 
 @param request The request.
-@param options The configuration in force, the rule of the request, and what is known of the versions.
-@returns The choice, or the failure that the caller is told: `forbidden` where the workspace has no version, `no-server` otherwise.
+@param options The configuration in force, the rule of the request, and the state of the versions.
+@returns The choice, or the failure for the caller: `forbidden` if no version is available to the workspace, `no-server` otherwise.
 @example
 ```ts
 chooseVersion(request, {configuration, rule, isServed: () => true});
 ```
 */
 export function chooseVersion(request: ModelRequest, options: ChooseVersionOptions): Either<Failure, Choice> {
-	const question = {request, options};
-	const versions = giveWay(evaluateVersions(question));
-	const evaluated = [...versions, ...evaluateCascades(question, versions)];
-	const eligible = evaluated.filter(({standing}) => standing === 'eligible');
+	const context = {request, options};
+	const versions = excludeReplaced(evaluateVersions(context));
+	const evaluated = [...versions, ...evaluateCascades(context, versions)];
+	const eligible = evaluated.filter(({status}) => status === 'eligible');
 	const best = cheapest(eligible, options);
 	if (best !== undefined) {
-		return Right({chosen: best.candidate, belowTarget: false, considered: considerations(evaluated, best)});
+		return Right({chosen: best.candidate, belowTarget: false, considered: describeCandidates(evaluated, best)});
 	}
 
-	const fallback = options.rule.whenBelowTarget === 'refuse' ? undefined : lastResort(versions);
+	const fallback = options.rule.whenBelowTarget === 'refuse' ? undefined : bestFallback(versions);
 	return fallback === undefined
-		? Left(noVersion(request, evaluated))
-		: Right({chosen: fallback.candidate, belowTarget: true, considered: considerations(evaluated, fallback)});
+		? Left(noVersionFailure(request, evaluated))
+		: Right({chosen: fallback.candidate, belowTarget: true, considered: describeCandidates(evaluated, fallback)});
 }
 
-/** Within the share of a roll-out the new version takes the place of the one that it replaces. */
-function giveWay(versions: readonly Evaluated[]): readonly Evaluated[] {
+/** Excludes versions that an eligible version in rollout replaces for this request. */
+function excludeReplaced(versions: readonly EvaluatedCandidate[]): readonly EvaluatedCandidate[] {
 	const replaced = new Set<string>();
-	for (const {standing, replaces} of versions) {
-		if (standing === 'eligible' && replaces !== undefined) {
+	for (const {status, replaces} of versions) {
+		if (status === 'eligible' && replaces !== undefined) {
 			replaced.add(replaces);
 		}
 	}
 
-	return versions.map(found => found.standing === 'eligible' && replaced.has(keyOf(found))
-		? {...found, standing: 'out', verdict: 'gives way to the version in roll-out that replaces it'}
-		: found);
+	return versions.map(candidate => candidate.status === 'eligible' && replaced.has(candidateKey(candidate))
+		? {...candidate, status: 'excluded', verdict: 'replaced by its version in rollout'}
+		: candidate);
 }
 
-function keyOf({candidate: {model, version}}: Evaluated): string {
+function candidateKey({candidate: {model, version}}: EvaluatedCandidate): string {
 	return versionKey(model, version);
 }
 
-function cheapest(eligible: readonly Evaluated[], {rule, nearlyEqualCost = defaultNearlyEqualCost}: ChooseVersionOptions): Evaluated | undefined {
+function cheapest(eligible: readonly EvaluatedCandidate[], {rule, nearlyEqualCost = defaultNearlyEqualCost}: ChooseVersionOptions): EvaluatedCandidate | undefined {
 	const [best] = eligible.toSorted((left, right) => left.candidate.expectedCost - right.candidate.expectedCost || left.order - right.order);
 	if (best === undefined || rule.prefers !== 'latency') {
 		return best;
@@ -98,50 +98,50 @@
 	return fastest;
 }
 
-/** The best version below the target; one that only this instance stopped comes after all others. */
-function lastResort(versions: readonly Evaluated[]): Evaluated | undefined {
+/** Returns the best version below the target. Versions that only this instance has stopped come last. */
+function bestFallback(versions: readonly EvaluatedCandidate[]): EvaluatedCandidate | undefined {
 	const [best] = versions
-		.filter(({standing}) => standing === 'below-target' || standing === 'stopped-here')
-		.toSorted((left, right) => Number(left.standing === 'stopped-here') - Number(right.standing === 'stopped-here')
+		.filter(({status}) => status === 'below-target' || status === 'stopped-locally')
+		.toSorted((left, right) => Number(left.status === 'stopped-locally') - Number(right.status === 'stopped-locally')
 			|| right.candidate.quality - left.candidate.quality
 			|| left.candidate.expectedCost - right.candidate.expectedCost
 			|| left.order - right.order);
 	return best;
 }
 
-function considerations(evaluated: readonly Evaluated[], chosen: Evaluated): readonly Consideration[] {
-	return evaluated.map(found => ({...found.candidate, verdict: verdictOf(found, chosen)}));
+function describeCandidates(evaluated: readonly EvaluatedCandidate[], chosen: EvaluatedCandidate): readonly Consideration[] {
+	return evaluated.map(evaluatedCandidate => ({...evaluatedCandidate.candidate, verdict: describeVerdict(evaluatedCandidate, chosen)}));
 }
 
-function verdictOf(found: Evaluated, chosen: Evaluated): string {
-	if (found === chosen) {
-		return found.standing === 'eligible' ? 'chosen' : `chosen as the best there is: ${found.verdict}`;
+function describeVerdict(evaluated: EvaluatedCandidate, chosen: EvaluatedCandidate): string {
+	if (evaluated === chosen) {
+		return evaluated.status === 'eligible' ? 'chosen' : `chosen as the best available: ${evaluated.verdict}`;
 	}
 
-	return found.standing === 'eligible' ? lossOf(found.candidate, chosen.candidate) : found.verdict;
+	return evaluated.status === 'eligible' ? describeRejection(evaluated.candidate, chosen.candidate) : evaluated.verdict;
 }
 
-function lossOf(lost: Candidate, won: Candidate): string {
-	const expected = `expected cost ${lost.expectedCost} against ${won.expectedCost} millionths`;
-	if (lost.expectedCost > won.expectedCost) {
-		return `dearer: ${expected}`;
+function describeRejection(rejected: Candidate, chosen: Candidate): string {
+	const expected = `expected cost ${rejected.expectedCost} compared with ${chosen.expectedCost} millionths`;
+	if (rejected.expectedCost > chosen.expectedCost) {
+		return `more expensive: ${expected}`;
 	}
 
-	return lost.expectedCost === won.expectedCost && lost.expectedMilliseconds <= won.expectedMilliseconds
-		? `as good, later in the rule's order: ${expected}`
-		: `slower at nearly equal cost: ${lost.expectedMilliseconds} against ${won.expectedMilliseconds} ms`;
+	return rejected.expectedCost === chosen.expectedCost && rejected.expectedMilliseconds <= chosen.expectedMilliseconds
+		? `same cost, later in the rule's order: ${expected}`
+		: `slower at nearly equal cost: ${rejected.expectedMilliseconds} ms compared with ${chosen.expectedMilliseconds} ms`;
 }
 
-function noVersion(request: ModelRequest, evaluated: readonly Evaluated[]): Failure {
+function noVersionFailure(request: ModelRequest, evaluated: readonly EvaluatedCandidate[]): Failure {
 	if (evaluated.length === 0) {
-		return failure('forbidden', `Got model ${request.facts.model}, wanted one that workspace ${request.workspace} may use`);
+		return failure('forbidden', `Workspace ${request.workspace} may not use any version of model ${request.facts.model}`);
 	}
 
-	const reasons = evaluated.map(({candidate, verdict}) => `${nameOf(candidate)}: ${verdict}`);
-	return failure('no-server', `Got no version that can serve the request (${reasons.join('; ')})`, {retryAfterMilliseconds});
+	const reasons = evaluated.map(({candidate, verdict}) => `${describeCandidate(candidate)}: ${verdict}`);
+	return failure('no-server', `No version can serve the request (${reasons.join('; ')})`, {retryAfterMilliseconds});
 }
 
-function nameOf(candidate: Candidate): string {
+function describeCandidate(candidate: Candidate): string {
 	return candidate.kind === 'direct'
 		? `${candidate.model} ${candidate.version}`
 		: `${candidate.model} ${candidate.version}, then ${candidate.escalatesTo.model} ${candidate.escalatesTo.version}`;
--- a/packages/policy/src/compile-condition.ts
+++ b/packages/policy/src/compile-condition.ts
@@ -26,12 +26,12 @@
 });
 
 /**
-Compiles a CEL condition and checks its types.
+Compiles and type-checks a CEL condition.
 
-The condition sees `request` with `class`, `model`, `stream`, `promptTokens`, `maxTokens` and `session`.
+The condition can access `class`, `model`, `stream`, `promptTokens`, `maxTokens` and `session` of `request`.
 
-@param expression The condition in CEL; it must give a truth value.
-@returns The condition, or what is wrong with the expression in one line. A condition that fails while it is evaluated counts as false.
+@param expression The condition in CEL. Must evaluate to a boolean.
+@returns The condition, or a one-line error message. A condition whose evaluation fails counts as false.
 @example
 ```ts
 compileCondition('request.class == "lookup" && request.promptTokens < 400');
@@ -40,11 +40,11 @@
 export function compileCondition(expression: string): Either<string, Condition> {
 	const checked = environment.check(expression);
 	if (!checked.valid) {
-		return Left(firstLine(checked.error?.message ?? 'Not a valid condition'));
+		return Left(firstLine(checked.error?.message ?? 'The condition is not valid CEL'));
 	}
 
 	if (checked.type !== 'bool') {
-		return Left(`Got a condition of type ${String(checked.type)}, wanted bool`);
+		return Left(`The condition has type ${String(checked.type)}, expected bool`);
 	}
 
 	const program = environment.parse(expression);
--- a/packages/policy/src/compile-policy.ts
+++ b/packages/policy/src/compile-policy.ts
@@ -4,22 +4,22 @@
 import {type Either, Left, Right} from 'purify-ts';
 import {compileCondition, type Condition} from './compile-condition.js';
 
-/** A policy program that is ready to run: gives the rule of a request, if one holds. */
+/** A compiled policy program. Returns the rule that applies to a request, if any. */
 export type Policy = (facts: RequestFacts) => PolicyRule | undefined;
 
-/** The policy programs of a configuration, by workspace. */
+/** The compiled policy programs of a configuration, by workspace. */
 export type Policies = ReadonlyMap<WorkspaceId, Policy>;
 
 type CompiledRule = {
 	readonly rule: PolicyRule;
-	readonly holds: Condition;
+	readonly matches: Condition;
 };
 
 /**
 Compiles the policy programs of all workspaces.
 
-@param configuration The operators' document.
-@returns The programs, or a failure that names the workspace and the rule whose condition is wrong.
+@param configuration The configuration document.
+@returns The programs, or a failure that names the workspace and the rule with the invalid condition.
 @example
 ```ts
 compilePolicies(configuration).map(policies => policies.get(workspace)?.(facts));
@@ -35,17 +35,17 @@
 				return Left(failure('invalid-configuration', `workspaces.${workspace}.policy[${index}].when: ${String(condition.extract())}`));
 			}
 
-			compiled.push({rule, holds: condition.unsafeCoerce()});
+			compiled.push({rule, matches: condition.unsafeCoerce()});
 		}
 
-		policies.set(workspace as WorkspaceId, facts => firstRule(compiled, facts));
+		policies.set(workspace as WorkspaceId, facts => firstMatchingRule(compiled, facts));
 	}
 
 	return Right(policies);
 }
 
-function firstRule(rules: readonly CompiledRule[], facts: RequestFacts): PolicyRule | undefined {
-	for (const {rule, holds} of rules) {
+function firstMatchingRule(rules: readonly CompiledRule[], facts: RequestFacts): PolicyRule | undefined {
+	for (const {rule, matches: holds} of rules) {
 		if (holds(facts)) {
 			return rule;
 		}
--- a/packages/policy/src/escalation-sign.test.ts
+++ b/packages/policy/src/escalation-sign.test.ts
@@ -11,7 +11,7 @@
 	});
 }
 
-test('an answer escalates by the signs of its rule only', t => {
+test('an answer escalates only on the signs that its rule lists', t => {
 	t.is(signOf({}), undefined);
 	t.is(signOf({finishReason: 'length'}), 'truncated');
 	t.is(signOf({finishReason: 'length'}, ['empty']), undefined);
--- a/packages/policy/src/evidence-table.ts
+++ b/packages/policy/src/evidence-table.ts
@@ -1,36 +1,36 @@
 import {type EffectiveConfiguration, type InstanceId, versionKey} from '@valehitch/core';
-import {alarmOf} from './_alarm-of.js';
+import {createAlarm} from './_create-alarm.js';
 import {
 	type BadVersionAlarm, type EvidenceMeasure, type EvidenceReport, type VersionEvidence,
 } from './bad-version-evidence.js';
 import {type BadVersionSettingsByMeasure, defaultBadVersionSettings} from './bad-version-settings.js';
 import {ChangeDetector, fixedBets} from './change-detector.js';
-import {own} from './_own.js';
+import {ownProperty} from './_own-property.js';
 import {type VersionTarget} from './version-target.js';
 
-type Latest = Pick<EvidenceReport, 'startedAt' | 'count' | 'badness' | 'logWealth'>;
+type LatestReport = Pick<EvidenceReport, 'startedAt' | 'count' | 'badness' | 'logWealth'>;
 
-type Tested = VersionTarget & {
+type VersionTest = VersionTarget & {
 	readonly measure: EvidenceMeasure;
 	readonly detector: ChangeDetector;
-	readonly latest: Map<InstanceId, Latest>;
+	readonly latest: Map<InstanceId, LatestReport>;
 	count: number;
 	badness: number;
 	alarm: BadVersionAlarm | undefined;
 };
 
-type Mark = {
+type StageBaseline = {
 	readonly stageStartedAt: number;
-	/** Ratings at the first question with that start. */
+	/** The number of ratings when the stage was first seen. */
 	readonly ratings: number;
-	/** Whether the alarm was told. */
-	isTold: boolean;
+	/** Whether the alarm was returned to the caller. */
+	isAlarmReported: boolean;
 };
 
 /**
-Adds up the evidence of all instances and tests each version on the sum; kept by the leader of the control replicas, and empty after a change of leader until the instances report again.
+Aggregates the evidence of all instances and tests each version on the total. The leader of the control replicas keeps it; after a change of leader it is empty until the instances report again.
 
-A report that comes twice or after a newer one changes nothing: of each instance and start only what is new counts.
+Only the increase over the last report of the same instance and start counts, so duplicated and outdated reports have no effect.
 
 @example
 ```ts
@@ -42,67 +42,67 @@
 */
 export class EvidenceTable {
 	readonly #settings: BadVersionSettingsByMeasure;
-	readonly #tested = new Map<string, Tested>();
-	readonly #marks = new Map<string, Mark>();
+	readonly #tests = new Map<string, VersionTest>();
+	readonly #stageBaselines = new Map<string, StageBaseline>();
 
 	/**
-	@param settings When a version counts as bad; `defaultBadVersionSettings` unless given.
+	@param settings The criteria for a bad version. Defaults to `defaultBadVersionSettings`.
 	*/
 	constructor(settings: BadVersionSettingsByMeasure = defaultBadVersionSettings) {
 		this.#settings = settings;
 	}
 
 	/**
-	Takes a report.
+	Adds a report.
 
 	@param report The sums of one instance.
-	@returns The alarm, once, where the version is found bad by this report.
+	@returns The alarm, if this report is the one that raises it.
 	*/
 	merge(report: EvidenceReport): BadVersionAlarm | undefined {
-		const tested = this.#test(report, report.measure);
-		const added = newPart(report, tested.latest.get(report.instance));
-		if (added === undefined) {
+		const test = this.#versionTest(report, report.measure);
+		const delta = reportDelta(report, test.latest.get(report.instance));
+		if (delta === undefined) {
 			return undefined;
 		}
 
 		const {startedAt, count, badness, logWealth} = report;
-		tested.latest.set(report.instance, {
+		test.latest.set(report.instance, {
 			startedAt, count, badness, logWealth,
 		});
-		tested.count += added.count;
-		tested.badness += added.badness;
-		tested.detector.advance({observations: added.count, logWealth: added.logWealth});
-		if (!tested.detector.isAlarmed || tested.alarm !== undefined) {
+		test.count += delta.count;
+		test.badness += delta.badness;
+		test.detector.advance({observations: delta.count, logWealth: delta.logWealth});
+		if (!test.detector.isAlarmed || test.alarm !== undefined) {
 			return undefined;
 		}
 
-		tested.alarm = alarmOf({...tested, source: 'all instances'});
-		return tested.alarm;
+		test.alarm = createAlarm({...test, source: 'all instances'});
+		return test.alarm;
 	}
 
 	/**
-	Gives the evidence on a version, for the steps of its roll-out. Once an alarm was told, a later start means that the version was stopped and listed anew: it is tested anew.
+	Returns the evidence on a version that decides on its rollout. After an alarm was returned, a different stage start means that the version was stopped and rolled out again, so the test restarts.
 
 	@param target The version.
-	@param stageStartedAt When the stage in force began, in milliseconds since 1970; ratings that were there at the first question with it are not counted.
-	@returns The evidence; `ratings` counts those since the stage began.
+	@param stageStartedAt When the current stage began, as Unix time in milliseconds. Ratings that were present at the first call with this value are not counted.
+	@returns The evidence. `ratings` counts the ratings since the stage began.
 	*/
 	evidence(target: VersionTarget, stageStartedAt: number): VersionEvidence {
 		const key = versionKey(target.model, target.version);
-		const earlier = this.#marks.get(key);
-		if (earlier?.isTold === true && earlier.stageStartedAt !== stageStartedAt) {
+		const earlier = this.#stageBaselines.get(key);
+		if (earlier?.isAlarmReported === true && earlier.stageStartedAt !== stageStartedAt) {
 			this.reset(target);
 		}
 
-		const ratings = this.#test(target, 'ratings');
-		const failures = this.#test(target, 'failures');
+		const ratings = this.#versionTest(target, 'ratings');
+		const failures = this.#versionTest(target, 'failures');
 		const alarm = ratings.alarm ?? failures.alarm;
-		const known = this.#marks.get(key);
-		const mark = known?.stageStartedAt === stageStartedAt ? known : {stageStartedAt, ratings: ratings.count, isTold: false};
-		mark.isTold ||= alarm !== undefined;
-		this.#marks.set(key, mark);
+		const current = this.#stageBaselines.get(key);
+		const baseline = current?.stageStartedAt === stageStartedAt ? current : {stageStartedAt, ratings: ratings.count, isAlarmReported: false};
+		baseline.isAlarmReported ||= alarm !== undefined;
+		this.#stageBaselines.set(key, baseline);
 		return {
-			ratings: ratings.count - mark.ratings,
+			ratings: ratings.count - baseline.ratings,
 			meanRating: ratings.count === 0 ? 0 : 1 - (ratings.badness / ratings.count),
 			outcomes: failures.count,
 			failureShare: failures.count === 0 ? 0 : failures.badness / failures.count,
@@ -111,44 +111,44 @@
 	}
 
 	/**
-	Begins anew for a version whose roll-out begins anew; what was reported before is not counted again.
+	Restarts the test of a version whose rollout restarts. Evidence that was reported before is not counted again.
 
 	@param target The version.
 	*/
 	reset(target: VersionTarget): void {
 		for (const measure of ['ratings', 'failures'] as const) {
-			const tested = this.#test(target, measure);
-			tested.detector.reset();
-			tested.alarm = undefined;
-			tested.count = 0;
-			tested.badness = 0;
+			const test = this.#versionTest(target, measure);
+			test.detector.reset();
+			test.alarm = undefined;
+			test.count = 0;
+			test.badness = 0;
 		}
 
-		this.#marks.delete(versionKey(target.model, target.version));
+		this.#stageBaselines.delete(versionKey(target.model, target.version));
 	}
 
 	/**
-	Drops what is kept of versions that are no longer configured.
+	Removes the state of versions that are no longer configured.
 
 	@param configuration The configuration in force.
 	*/
 	retain({document}: EffectiveConfiguration): void {
-		for (const [key, {model, version}] of this.#tested) {
-			if (own(own(document.models, model)?.versions, version) === undefined) {
-				this.#tested.delete(key);
-				this.#marks.delete(versionKey(model, version));
+		for (const [key, {model, version}] of this.#tests) {
+			if (ownProperty(ownProperty(document.models, model)?.versions, version) === undefined) {
+				this.#tests.delete(key);
+				this.#stageBaselines.delete(versionKey(model, version));
 			}
 		}
 	}
 
-	#test({model, version}: VersionTarget, measure: EvidenceMeasure): Tested {
+	#versionTest({model, version}: VersionTarget, measure: EvidenceMeasure): VersionTest {
 		const key = `${versionKey(model, version)}|${measure}`;
-		const known = this.#tested.get(key);
-		if (known !== undefined) {
-			return known;
+		const existing = this.#tests.get(key);
+		if (existing !== undefined) {
+			return existing;
 		}
 
-		const tested: Tested = {
+		const test: VersionTest = {
 			model,
 			version,
 			measure,
@@ -158,29 +158,29 @@
 			badness: 0,
 			alarm: undefined,
 		};
-		this.#tested.set(key, tested);
-		return tested;
+		this.#tests.set(key, test);
+		return test;
 	}
 }
 
-/** What a report adds to the last one of the same instance; undefined where it adds nothing or is not sound. */
-function newPart(report: EvidenceReport, known: Latest | undefined): Pick<EvidenceReport, 'count' | 'badness' | 'logWealth'> | undefined {
+/** Returns the increase over the last report of the same instance, or undefined if there is none or the report is invalid. */
+function reportDelta(report: EvidenceReport, previous: LatestReport | undefined): Pick<EvidenceReport, 'count' | 'badness' | 'logWealth'> | undefined {
 	const {startedAt, count, badness, logWealth} = report;
 	if (logWealth.length !== fixedBets.length || !logWealth.every(value => Number.isFinite(value))) {
 		return undefined;
 	}
 
-	if (known === undefined || startedAt > known.startedAt) {
+	if (previous === undefined || startedAt > previous.startedAt) {
 		return {count, badness, logWealth};
 	}
 
-	if (startedAt < known.startedAt || count <= known.count) {
+	if (startedAt < previous.startedAt || count <= previous.count) {
 		return undefined;
 	}
 
 	return {
-		count: count - known.count,
-		badness: badness - known.badness,
-		logWealth: logWealth.map((value, index) => value - (known.logWealth[index] ?? 0)),
+		count: count - previous.count,
+		badness: badness - previous.badness,
+		logWealth: logWealth.map((value, index) => value - (previous.logWealth[index] ?? 0)),
 	};
 }
--- a/packages/policy/src/exposure.ts
+++ b/packages/policy/src/exposure.ts
@@ -2,36 +2,36 @@
 import {
 	type EffectiveConfiguration, type RolloutProgress, type RolloutStage, versionKey,
 } from '@valehitch/core';
-import {own} from './_own.js';
+import {ownProperty} from './_own-property.js';
 import {type VersionTarget} from './version-target.js';
 
-/** Whether a request may go to a version in the middle of a roll-out; all but `exposed` are reasons why not. */
+/** Whether a request may go to a version in rollout. All values except `exposed` are reasons against it. */
 export type ExposureVerdict = 'exposed' | 'not-running' | 'outside-share' | 'at-limit';
 
-/** What the exposure is decided for. */
+/** The inputs of the exposure decision. */
 export type ExposureOptions = VersionTarget & {
-	/** The session, or else the request: the same one always gets the same answer within a stage. */
+	/** The session, or the request if it has no session. The same key is always assigned the same way within a stage. */
 	readonly subject: string;
-	/** Requests that this instance has in progress on the version. */
+	/** The number of requests that this instance has in progress on the version. */
 	readonly inProgress: number;
 };
 
-/** The most requests in progress on a version in roll-out, for each instance, where the stage does not say. */
+/** The default limit of requests in progress per instance on a version in rollout. */
 export const defaultMaximumInProgress = 32;
 
 const hashRange = 2 ** 32;
 
 /**
-Decides whether a new request is within the share of a roll-out's stage.
+Decides whether a new request falls within the traffic share of a rollout stage.
 
-A request inside a smaller share is inside each larger one, so that a stage that grows takes nobody off the version. Versions share no luck: the hash covers the version as well.
+A request within a smaller share is also within every larger one, so advancing a stage never moves a request off the version. The hash includes the version, so that the shares of different versions are independent.
 
 @param configuration The configuration in force.
-@param options The version, the session or request, and the requests in progress.
-@returns `exposed`, or why not.
+@param options The version, the session or request, and the number of requests in progress.
+@returns `exposed`, or the reason against it.
 @example
 ```ts
-exposure(configuration, {model, version, subject: requestId, inProgress: 3}); // 'outside-share'
+decideExposure(configuration, {model, version, bucketingKey: requestId, inProgress: 3}); // 'outside-share'
 ```
 */
 export function exposure(configuration: EffectiveConfiguration, options: ExposureOptions): ExposureVerdict {
@@ -50,24 +50,24 @@
 }
 
 /**
-Finds the stage in force of a running roll-out.
+Returns the current stage of a running rollout.
 
 @param configuration The configuration in force.
 @param target The version.
-@returns The stage, or undefined where no roll-out of the version is running.
+@returns The stage, or undefined if no rollout of the version is running.
 @example
 ```ts
 currentStage(configuration, {model, version})?.share;
 ```
 */
 export function currentStage(configuration: EffectiveConfiguration, {model, version}: VersionTarget): RolloutStage | undefined {
-	const progress = own<string, RolloutProgress>(configuration.rollouts, versionKey(model, version));
+	const progress = ownProperty<string, RolloutProgress>(configuration.rollouts, versionKey(model, version));
 	return progress?.status === 'running'
-		? own(own(configuration.document.models, model)?.versions, version)?.stages?.[progress.stage]
+		? ownProperty(ownProperty(configuration.document.models, model)?.versions, version)?.stages?.[progress.stage]
 		: undefined;
 }
 
-/** The first bytes of a SHA-256 digest as a number from 0 up to 1. */
+/** Maps a text to a uniform number in [0, 1), using the first four bytes of its SHA-256 digest. */
 function unitHash(text: string): number {
 	return createHash('sha256').update(text).digest().readUInt32BE(0) / hashRange;
 }
--- a/packages/policy/src/local-stops.ts
+++ b/packages/policy/src/local-stops.ts
@@ -1,34 +1,34 @@
 import {
 	type EffectiveConfiguration, type RolloutProgress, versionKey,
 } from '@valehitch/core';
-import {own} from './_own.js';
+import {ownProperty} from './_own-property.js';
 import {type BadVersionAlarm} from './bad-version-evidence.js';
 import {type VersionTarget} from './version-target.js';
 
 /** A version that this instance has stopped. */
 export type LocalStop = {
 	readonly alarm: BadVersionAlarm;
-	/** When it was stopped, in milliseconds since 1970. */
+	/** When the version was stopped, as Unix time in milliseconds. */
 	readonly at: number;
 };
 
-/** How long a stop lasts without the word of the control replicas. */
+/** Options of `LocalStops`. */
 export type LocalStopsOptions = {
-	/** Milliseconds after which a stop of a settled version ends, unless the control replicas stopped it for all; 10 minutes unless given. A stop of a version in roll-out does not end by time. */
+	/** Milliseconds after which the stop of a settled version ends, unless the control replicas stopped the version for all instances. Defaults to 10 minutes. The stop of a version in rollout does not expire. */
 	readonly settledStopMilliseconds?: number;
 };
 
-/** The state of the stops that changes with time. */
+/** The configuration and time against which stops are checked. */
 export type StopsMoment = {
 	readonly configuration: EffectiveConfiguration;
-	/** Milliseconds since 1970. */
+	/** Unix time in milliseconds. */
 	readonly now: number;
 };
 
 const defaultSettledStopMilliseconds = 600_000;
 
 /**
-The versions that this instance has stopped on its own, until the control replicas or an operator decide.
+The versions that this instance has stopped locally, until the control replicas or an operator decide.
 
 @example
 ```ts
@@ -44,7 +44,7 @@
 		this.#settledStopMilliseconds = settledStopMilliseconds;
 	}
 
-	/** The stops in force. */
+	/** The active stops. */
 	get current(): readonly LocalStop[] {
 		return [...this.#stops.values()];
 	}
@@ -52,33 +52,33 @@
 	/**
 	Stops a version on this instance.
 
-	@param alarm What was found.
-	@param now Milliseconds since 1970.
+	@param alarm The alarm that causes the stop.
+	@param now Unix time in milliseconds.
 	*/
 	stop(alarm: BadVersionAlarm, now: number): void {
 		this.#stops.set(versionKey(alarm.model, alarm.version), {alarm, at: now});
 	}
 
 	/**
-	Tells whether this instance has stopped a version.
+	Checks whether this instance has stopped a version.
 
 	@param target The version.
-	@returns Whether it gets no new work here.
+	@returns Whether the version receives no new work on this instance.
 	*/
 	isStopped({model, version}: VersionTarget): boolean {
 		return this.#stops.has(versionKey(model, version));
 	}
 
 	/**
-	Ends the stops that are decided: the version was withdrawn or left out, its roll-out began anew, or the stop of a settled version ran out.
+	Ends the stops that are resolved: the version was withdrawn or removed, its rollout was restarted, or the stop of a settled version expired.
 
-	@param moment The configuration in force and the time.
+	@param context The configuration in force and the time.
 	@returns The versions that are no longer stopped here.
 	*/
-	release(moment: StopsMoment): readonly VersionTarget[] {
+	release(context: StopsMoment): readonly VersionTarget[] {
 		const released: VersionTarget[] = [];
 		for (const [key, stop] of this.#stops) {
-			if (this.#isOver(stop, moment)) {
+			if (this.#hasEnded(stop, context)) {
 				this.#stops.delete(key);
 				released.push({model: stop.alarm.model, version: stop.alarm.version});
 			}
@@ -87,9 +87,9 @@
 		return released;
 	}
 
-	#isOver({alarm: {model, version}, at}: LocalStop, {configuration, now}: StopsMoment): boolean {
-		const state = own(own(configuration.document.models, model)?.versions, version)?.state ?? 'withdrawn';
-		const progress = own<string, RolloutProgress>(configuration.rollouts, versionKey(model, version));
+	#hasEnded({alarm: {model, version}, at}: LocalStop, {configuration, now}: StopsMoment): boolean {
+		const state = ownProperty(ownProperty(configuration.document.models, model)?.versions, version)?.state ?? 'withdrawn';
+		const progress = ownProperty<string, RolloutProgress>(configuration.rollouts, versionKey(model, version));
 		if (state === 'withdrawn') {
 			return true;
 		}
--- a/packages/policy/src/mod.ts
+++ b/packages/policy/src/mod.ts
@@ -1,5 +1,5 @@
 /**
-Policy programs, the choice of a model and version for a request, quality estimates, and tests for bad versions.
+Policy programs, selection of a model and version for a request, quality estimation, and statistical tests for bad versions.
 
 @module
 */
--- a/packages/policy/src/quality-class.ts
+++ b/packages/policy/src/quality-class.ts
@@ -1,11 +1,11 @@
 import {type WorkspaceId} from '@valehitch/core';
 
 /**
-Names the class of requests that share quality estimates: those that one rule of one workspace covers, so that the number of classes is bounded by the configuration and not by callers.
+Returns the name of the request class that shares quality estimates. A class covers the requests of one rule of one workspace, so the configuration, not the callers, bounds the number of classes.
 
 @param workspace The workspace.
 @param rule The name of the rule.
-@returns The class, such as `yard/lookup`.
+@returns The class name, such as `yard/lookup`.
 @example
 ```ts
 qualityClass(workspace, rule.name);
--- a/packages/policy/src/version-target.ts
+++ b/packages/policy/src/version-target.ts
@@ -1,6 +1,6 @@
 import {type ModelId, type VersionId} from '@valehitch/core';
 
-/** One version of a model, as the target of a request. */
+/** A version of a model to which a request can be sent. */
 export type VersionTarget = {
 	readonly model: ModelId;
 	readonly version: VersionId;
