--- a/packages/policy/src/bad-version-evidence.ts
+++ b/packages/policy/src/bad-version-evidence.ts
@@ -1,45 +1,45 @@
 import {type InstanceId} from '@valehitch/core';
 import {type VersionTarget} from './version-target.js';
 
-/** What a test looks at: ratings, or the share of requests that the engine itself reported as failed. */
+/** The measure under test: ratings, or the share of requests that the engine itself reported as failed. */
 export type EvidenceMeasure = 'ratings' | 'failures';
 
 /**
-What one instance has seen of one version since the instance started.
+The evidence on one version that one instance has collected since it started.
 
-Sums only grow: a later report of the same instance and start replaces the earlier one, so that a report that comes twice or late changes nothing, and sums of several instances add up.
+Sums only grow. A later report of the same instance and start replaces the earlier one, so duplicated and delayed reports have no effect, and the sums of several instances can be added.
 */
 export type EvidenceReport = VersionTarget & {
 	readonly instance: InstanceId;
-	/** When the instance started, in milliseconds since 1970: its epoch. */
+	/** When the instance started, as Unix time in milliseconds. Serves as the instance's epoch. */
 	readonly startedAt: number;
 	readonly measure: EvidenceMeasure;
-	/** Observations in the sums; orders the reports. */
+	/** The number of observations in the sums. Orders the reports of one start. */
 	readonly count: number;
-	/** The sum of the observations, from 0 (good) to 1 (bad) each. */
+	/** The sum of the badness of the observations, each from 0 (good) to 1 (bad). */
 	readonly badness: number;
-	/** For each fixed bet the logarithm of its wealth, in nats. */
+	/** The natural logarithm of the wealth of each bet in `betFractions`. */
 	readonly logWealth: readonly number[];
 };
 
-/** A version found bad. */
+/** An alarm for a version that was found bad. */
 export type BadVersionAlarm = VersionTarget & {
 	readonly measure: EvidenceMeasure;
-	/** Observations until the alarm. */
+	/** The number of observations up to the alarm. */
 	readonly count: number;
-	/** The evidence (e-value) against the version; the alarm goes off at the threshold. */
+	/** The evidence (e-value) against the version. The alarm is raised when it reaches `threshold`. */
 	readonly evidence: number;
 	readonly threshold: number;
-	/** The reason in words, for operators. */
+	/** The reason as text for operators. */
 	readonly reason: string;
 };
 
-/** The evidence on a version over all instances, for the steps of a roll-out. */
+/** The evidence on a version over all instances, which decides whether its rollout advances. */
 export type VersionEvidence = {
 	readonly ratings: number;
 	readonly meanRating: number;
 	readonly outcomes: number;
 	readonly failureShare: number;
-	/** Set once the version was found bad. */
+	/** The alarm, once the version was found bad. */
 	readonly alarm?: BadVersionAlarm;
 };
--- a/packages/policy/src/bad-version-settings.ts
+++ b/packages/policy/src/bad-version-settings.ts
@@ -1,22 +1,22 @@
 import {type ChangeDetectorOptions} from './change-detector.js';
 import {type EvidenceMeasure} from './bad-version-evidence.js';
 
-/** When a version counts as bad. */
+/** The criteria for a bad version. */
 export type BadVersionSettings = {
-	/** How much worse the mean may be than that of the version it replaces, from 0 to 1. */
+	/** How much the mean badness may exceed that of the baseline version, from 0 to 1. */
 	readonly tolerance: number;
-	/** The same, while too little is known of the replaced version. */
+	/** The tolerance used until the baseline has `minimumBaselineWeight`. */
 	readonly coldTolerance: number;
-	/** The weight of observations from which the replaced version counts as known. */
+	/** The weight of observations from which the baseline is considered reliable. */
 	readonly knownWeight: number;
-	/** The bound on false alarms. */
+	/** The bound on the false alarm rate. */
 	readonly detector: ChangeDetectorOptions;
 };
 
-/** The settings for each measure. */
+/** The bad version settings of each measure. */
 export type BadVersionSettingsByMeasure = Readonly<Record<EvidenceMeasure, BadVersionSettings>>;
 
-/** At most one false stop in 20,000 ratings and in 2 million outcomes. */
+/** The default settings, which allow at most one false stop in 20,000 ratings and one in 2 million outcomes. */
 export const defaultBadVersionSettings: BadVersionSettingsByMeasure = {
 	ratings: {
 		tolerance: 0.05, coldTolerance: 0.25, knownWeight: 50, detector: {falseAlarmShare: 0.05, horizon: 1000},
--- a/packages/policy/src/change-detector.ts
+++ b/packages/policy/src/change-detector.ts
@@ -1,37 +1,37 @@
-/** How rarely a detector may be wrong. */
+/** The false alarm bound of a detector. */
 export type ChangeDetectorOptions = {
-	/** The most false alarms, as a share, within each `horizon`; 0.01 unless given. */
+	/** The maximum probability of a false alarm within each `horizon`. Defaults to 0.01. */
 	readonly falseAlarmShare?: number;
-	/** Observations within which the share holds; 1,000 unless given. */
+	/** The number of observations to which the bound applies. Defaults to 1,000. */
 	readonly horizon?: number;
 };
 
-/** What a detector is told of one observation. */
+/** An observation for a detector. */
 export type BadnessObservation = {
-	/** From 0 (good) to 1 (bad). */
+	/** The badness, from 0 (good) to 1 (bad). */
 	readonly badness: number;
-	/** The mean badness, above 0 and below 1, up to which nothing is wrong; set before the observation was seen. */
+	/** The highest acceptable mean badness, between 0 and 1 exclusive. Must be set before the observation is known. */
 	readonly limit: number;
 };
 
-/** Observations that were summed up elsewhere. */
+/** Evidence from observations that were summed elsewhere. */
 export type SummedEvidence = {
 	readonly observations: number;
-	/** For each bet the logarithm of its wealth, in nats. */
+	/** The increase in the natural logarithm of the wealth of each bet in `betFractions`. */
 	readonly logWealth: readonly number[];
 };
 
-/** The shares of its wealth that each gambler stakes on every observation. */
+/** The fraction of its wealth that each bet stakes on every observation. */
 export const fixedBets = [0.05, 0.1, 0.2, 0.35, 0.55, 0.8] as const;
 
 const defaultFalseAlarmShare = 0.01;
 const defaultHorizon = 1000;
-const largestWealth = 1e300;
+const maximumWealth = 1e300;
 
 /**
-Tells when the mean of a stream of observations has risen above its limit, at a time not known before, however often it is looked at.
+Detects when the mean of a stream of observations rises above its limit. The time of the change need not be known in advance, and the result is valid under continuous monitoring.
 
-Gamblers with fixed bets on "worse than the limit" cannot win in the mean while that is false (testing by betting: Waudby-Smith and Ramdas, 2024); a new gambler with 1/`horizon` of a unit starts at every observation, and the evidence is the sum of their wealth (Shiryaev-Roberts e-detector: Shin, Ramdas and Rinaldo, 2024). By Doob's inequality the evidence reaches 1/`falseAlarmShare` within `horizon` observations of a good stream with a chance of at most `falseAlarmShare`. The logarithms of fixed bets add up, so that evidence of several instances does.
+Each bet stakes a fixed fraction of its wealth on "worse than the limit". While that is false, the expected wealth does not grow (testing by betting: Waudby-Smith and Ramdas, 2024). A new bet with 1/`horizon` of a unit starts at every observation, and the evidence is the mean over the fractions of the total wealth (Shiryaev-Roberts e-detector: Shin, Ramdas and Rinaldo, 2024). By Doob's inequality, the evidence reaches 1/`falseAlarmShare` within `horizon` observations of a good stream with a probability of at most `falseAlarmShare`. The logarithms of the wealth of fixed bets are additive, so the evidence of several instances can be added.
 
 @example
 ```ts
@@ -46,19 +46,19 @@
 	readonly #wealth: number[] = fixedBets.map(() => 0);
 	readonly #logWealth: number[] = fixedBets.map(() => 0);
 	#count = 0;
-	#peak = 0;
+	#maximumEvidence = 0;
 
 	constructor({falseAlarmShare = defaultFalseAlarmShare, horizon = defaultHorizon}: ChangeDetectorOptions = {}) {
 		this.threshold = 1 / falseAlarmShare;
 		this.#horizon = horizon;
 	}
 
-	/** Observations since the last reset. */
+	/** The number of observations since the last reset. */
 	get count(): number {
 		return this.#count;
 	}
 
-	/** The evidence now. */
+	/** The current evidence. */
 	get evidence(): number {
 		let sum = 0;
 		for (const wealth of this.#wealth) {
@@ -68,23 +68,23 @@
 		return sum / this.#wealth.length;
 	}
 
-	/** The wealth of the boldest gamblers, as a multiple of what one starts with: it falls back at once on good observations, and so shows what the latest ones look like. */
+	/** The wealth of the bet with the largest fraction, in multiples of its initial wealth. It drops quickly on good observations, so it reflects the most recent ones. */
 	get boldWealth(): number {
 		return (this.#wealth.at(-1) ?? 0) * this.#horizon;
 	}
 
 	/** Whether the evidence has reached the threshold since the last reset. */
 	get isAlarmed(): boolean {
-		return this.#peak >= this.threshold;
+		return this.#maximumEvidence >= this.threshold;
 	}
 
-	/** For each bet the logarithm of what a unit at the first observation has become; not touched by a reset. */
+	/** The natural logarithm of the wealth of each bet, starting from one unit at the first observation. Not affected by `reset`. */
 	get logWealth(): readonly number[] {
 		return this.#logWealth;
 	}
 
 	/**
-	Takes one observation; one whose limit is not above 0 and below 1 is passed over.
+	Adds an observation. Ignored if its limit is not strictly between 0 and 1.
 
 	@param observation The observation and the limit.
 	*/
@@ -97,36 +97,36 @@
 		this.#count += 1;
 		for (const [index, bet] of fixedBets.entries()) {
 			const growth = 1 + (bet * excess);
-			this.#grow(index, {growth, started: 1 / this.#horizon});
+			this.#updateWealth(index, {growth, added: 1 / this.#horizon});
 			this.#logWealth[index] = (this.#logWealth[index] ?? 0) + Math.log(growth);
 		}
 
-		this.#peak = Math.max(this.#peak, this.evidence);
+		this.#maximumEvidence = Math.max(this.#maximumEvidence, this.evidence);
 	}
 
 	/**
-	Takes observations that were summed up; however many, at most one unit starts with them.
+	Adds evidence that was summed elsewhere. However many observations it covers, at most one unit of initial wealth is added.
 
-	@param evidence What was added since the last time.
+	@param evidence The evidence since the previous call.
 	*/
 	advance({observations, logWealth}: SummedEvidence): void {
 		this.#count += observations;
 		for (const [index, added] of logWealth.entries()) {
-			this.#grow(index, {growth: Math.exp(added), started: Math.min(1, observations / this.#horizon)});
+			this.#updateWealth(index, {growth: Math.exp(added), added: Math.min(1, observations / this.#horizon)});
 			this.#logWealth[index] = (this.#logWealth[index] ?? 0) + added;
 		}
 
-		this.#peak = Math.max(this.#peak, this.evidence);
+		this.#maximumEvidence = Math.max(this.#maximumEvidence, this.evidence);
 	}
 
-	/** Begins anew, as for a version that is rolled out again. */
+	/** Clears the evidence, for example when the version is rolled out again. */
 	reset(): void {
 		this.#wealth.fill(0);
 		this.#count = 0;
-		this.#peak = 0;
+		this.#maximumEvidence = 0;
 	}
 
-	#grow(index: number, {growth, started}: {readonly growth: number; readonly started: number}): void {
-		this.#wealth[index] = Math.min(largestWealth, ((this.#wealth[index] ?? 0) + started) * growth);
+	#updateWealth(index: number, {growth, added: started}: {readonly growth: number; readonly added: number}): void {
+		this.#wealth[index] = Math.min(maximumWealth, ((this.#wealth[index] ?? 0) + started) * growth);
 	}
 }
--- a/packages/policy/src/decayed-sums.ts
+++ b/packages/policy/src/decayed-sums.ts
@@ -1,42 +1,44 @@
 /**
-Sums of observations whose weight halves with each half-life, by forward decay (Cormode, Shkapenyuk, Srivastava and Xu, 2009): each observation is weighed once, when it comes, against a fixed landmark, so that sums add up and late observations count by when they were made.
+Sums of observations with exponential decay, by forward decay (Cormode, Shkapenyuk, Srivastava and Xu, 2009).
+
+Each observation is weighted once, on arrival, relative to a fixed landmark. Sums can therefore be added, and late observations are weighted by when they were made.
 */
 export type DecayedSums = {
-	/** Milliseconds since 1970 at which an observation weighs 1. */
+	/** Unix time in milliseconds at which an observation has weight 1. */
 	readonly landmark: number;
-	/** Observations, not weighed; only grows. */
+	/** The unweighted number of observations. Only grows. */
 	readonly count: number;
 	readonly weight: number;
-	/** The weighed sum of the values. */
+	/** The weighted sum of the values. */
 	readonly sum: number;
-	/** The weighed sum of the squares of the values. */
+	/** The weighted sum of the squared values. */
 	readonly squares: number;
 };
 
 /** One observation. */
 export type Observation = {
 	readonly value: number;
-	/** When the observed request ran, in milliseconds since 1970. */
+	/** When the observed request ran, as Unix time in milliseconds. */
 	readonly at: number;
-	/** Milliseconds in which the weight of an observation halves. */
+	/** The half-life of an observation's weight, in milliseconds. */
 	readonly halfLife: number;
 };
 
-/** The moment to which sums are brought. */
+/** The time to which sums are decayed. */
 export type DecayOptions = {
-	/** Milliseconds since 1970. */
+	/** Unix time in milliseconds. */
 	readonly at: number;
-	/** Milliseconds. */
+	/** The half-life in milliseconds. */
 	readonly halfLife: number;
 };
 
-/** Half-lives after which the landmark moves, far from the range of a double. */
-const longestStretch = 64;
+/** The number of half-lives after which the landmark moves. Weights then stay far below the range of a double. */
+const maximumHalfLives = 64;
 
 /**
 Adds one observation.
 
-@param sums The sums so far; undefined for none.
+@param sums The sums so far, or undefined if there are none.
 @param observation The observation.
 @returns The new sums.
 @example
@@ -45,7 +47,7 @@
 ```
 */
 export function addObservation(sums: DecayedSums | undefined, {value, at, halfLife}: Observation): DecayedSums {
-	const base = sums === undefined ? emptyAt(at) : withNearLandmark(sums, {at, halfLife});
+	const base = sums === undefined ? emptySums(at) : moveOldLandmark(sums, {at, halfLife});
 	const weight = 2 ** ((at - base.landmark) / halfLife);
 	return {
 		landmark: base.landmark,
@@ -57,10 +59,10 @@
 }
 
 /**
-Brings sums to a moment: an observation made then weighs 1.
+Moves the landmark of sums to a given time, at which an observation then has weight 1.
 
 @param sums The sums.
-@param options The moment and the half-life.
+@param options The time and the half-life.
 @returns The same sums with that landmark.
 @example
 ```ts
@@ -79,18 +81,18 @@
 }
 
 /**
-Adds sums up.
+Adds sums of several sources.
 
-@param parts The sums of several sources.
-@param options The moment and the half-life.
-@returns The sums of all, brought to the moment.
+@param parts The sums of each source.
+@param options The time and the half-life.
+@returns The total, with the given time as landmark.
 @example
 ```ts
 addSums([ownSums, otherSums], {at, halfLife});
 ```
 */
 export function addSums(parts: Iterable<DecayedSums>, options: DecayOptions): DecayedSums {
-	let total = emptyAt(options.at);
+	let total = emptySums(options.at);
 	for (const part of parts) {
 		const {count, weight, sum, squares} = decayTo(part, options);
 		total = {
@@ -105,12 +107,12 @@
 	return total;
 }
 
-function emptyAt(landmark: number): DecayedSums {
+function emptySums(landmark: number): DecayedSums {
 	return {
 		landmark, count: 0, weight: 0, sum: 0, squares: 0,
 	};
 }
 
-function withNearLandmark(sums: DecayedSums, options: DecayOptions): DecayedSums {
-	return options.at - sums.landmark > longestStretch * options.halfLife ? decayTo(sums, options) : sums;
+function moveOldLandmark(sums: DecayedSums, options: DecayOptions): DecayedSums {
+	return options.at - sums.landmark > maximumHalfLives * options.halfLife ? decayTo(sums, options) : sums;
 }
--- a/packages/policy/src/quality-book.test.ts
+++ b/packages/policy/src/quality-book.test.ts
@@ -8,7 +8,7 @@
 
 const hour = 3_600_000;
 const key: QualityKey = {...target('m', '1'), qualityClass: 'yard/lookup', measure: 'rating'};
-const drawnArbitrary = fc.array(fc.record({
+const observationsArbitrary = fc.array(fc.record({
 	instance: fc.nat(3), value: fc.float({min: 0, max: 1, noNaN: true}), ranAt: fc.integer({min: 0, max: 48 * hour}),
 }), {maxLength: 40});
 
@@ -16,9 +16,9 @@
 	return new QualityBook({instance: toId<InstanceId>(name), startedAt: 1});
 }
 
-test('sums of several instances are those of one, in any order of ratings and digests, and a digest that comes twice changes nothing', t => {
+test('sums merged from several instances equal those of one instance, for any order of ratings and digests and with duplicated digests', t => {
 	t.notThrows(() => {
-		fc.assert(fc.property(drawnArbitrary, fc.array(fc.nat(), {minLength: 6, maxLength: 30}), (drawn, order) => {
+		fc.assert(fc.property(observationsArbitrary, fc.array(fc.nat(), {minLength: 6, maxLength: 30}), (drawn, order) => {
 			const together = bookOf('together');
 			const books = ['a', 'b', 'c', 'd'].map(name => bookOf(name));
 			const digests: QualityDigest[] = [];
@@ -38,14 +38,14 @@
 				merged.merge(digest);
 			}
 
-			const wanted = together.sums(key, 48 * hour);
-			const got = merged.sums(key, 48 * hour);
-			return got.count === wanted.count && Math.abs(got.weight - wanted.weight) < 1e-9 && Math.abs(got.sum - wanted.sum) < 1e-9;
+			const expected = together.sums(key, 48 * hour);
+			const actual = merged.sums(key, 48 * hour);
+			return actual.count === expected.count && Math.abs(actual.weight - expected.weight) < 1e-9 && Math.abs(actual.sum - expected.sum) < 1e-9;
 		}), {seed: testSeed, numRuns: 500});
 	});
 });
 
-test('a late rating counts by when its request ran, and old ratings fade to the listed quality', t => {
+test('a late rating is weighted by when its request ran, and estimates from old ratings decay to the listed quality', t => {
 	const book = bookOf('a');
 	book.add({...key, value: 0, ranAt: 0});
 	t.true(Math.abs(book.sums(key, 6 * hour).weight - 0.5) < 1e-9);
@@ -62,7 +62,7 @@
 	t.false(book.add({...key, value: 1.5, ranAt: 0}));
 });
 
-test('sums hold over years without overflow', t => {
+test('sums over years do not overflow', t => {
 	const book = bookOf('a');
 	for (let day = 0; day < 1000; day += 1) {
 		book.add({...key, value: 0.5, ranAt: day * 24 * hour});
@@ -71,7 +71,7 @@
 	t.true(Math.abs(book.sums(key, 999 * 24 * hour).weight - (16 / 15)) < 1e-6);
 });
 
-test('the entries stay within the bound', t => {
+test('the number of entries stays within the maximum', t => {
 	const book = new QualityBook({instance: toId<InstanceId>('a'), startedAt: 1, maximumEntries: 10});
 	for (let index = 0; index < 50; index += 1) {
 		book.add({
@@ -83,7 +83,7 @@
 	t.is(book.digest().entries.length, 10);
 });
 
-test('the sums of the others leave out the own ones and replace those before, unless a new adder knows less', t => {
+test('the aggregate of the other instances leaves out the instance itself and replaces the previous one, unless a new aggregator has less weight', t => {
 	const leader = bookOf('leader');
 	const entry = bookOf('entry');
 	const other = bookOf('other');
@@ -111,7 +111,7 @@
 	t.true(entry.sums(key, 24 * hour).weight > 1);
 });
 
-test('the listed quality holds without ratings, and the bound is below the mean with them', t => {
+test('without ratings the bounds equal the listed quality, and with ratings the mean lies between the bounds', t => {
 	t.is(estimate(undefined, {value: 0.82}).lowerBound, 0.82);
 	t.notThrows(() => {
 		fc.assert(fc.property(fc.float({min: 0, max: 1, noNaN: true}), fc.array(fc.double({min: 0, max: 1, noNaN: true}), {minLength: 1}), (value, ratings) => {
--- a/packages/policy/src/quality-book.ts
+++ b/packages/policy/src/quality-book.ts
@@ -5,14 +5,14 @@
 import {type QualityDigest, type QualityEntry, type QualityKey} from './quality-digest.js';
 import {type Estimate, estimate, type Prior} from './quality-estimate.js';
 
-/** Whose book it is and how it forgets. */
+/** Options of `QualityStore`. */
 export type QualityBookOptions = {
 	readonly instance: InstanceId;
-	/** When the instance started, in milliseconds since 1970. */
+	/** When the instance started, as Unix time in milliseconds. */
 	readonly startedAt: number;
-	/** Milliseconds in which the weight of an observation halves; 6 hours unless given. */
+	/** The half-life of an observation's weight, in milliseconds. Defaults to 6 hours. */
 	readonly halfLife?: number;
-	/** The most entries kept over all instances; 20,000 unless given. The estimate that was changed longest ago is dropped. */
+	/** The maximum number of entries over all instances. Defaults to 20,000. When it is exceeded, the least recently updated estimate is dropped. */
 	readonly maximumEntries?: number;
 };
 
@@ -20,46 +20,46 @@
 export type QualityObservation = QualityKey & {
 	/** From 0 to 1. */
 	readonly value: number;
-	/** When the observed request ran, in milliseconds since 1970. */
+	/** When the observed request ran, as Unix time in milliseconds. */
 	readonly ranAt: number;
 };
 
-/** What an estimate starts from and for when it is wanted. */
+/** The prior of an estimate and the time for which it is made. */
 export type EstimateOptions = {
 	readonly prior: Prior;
-	/** Milliseconds since 1970. */
+	/** Unix time in milliseconds. */
 	readonly now: number;
 };
 
-/** For whom sums are added up, and when. */
+/** The instance that an aggregate leaves out, and the time of the aggregate. */
 export type OthersOptions = {
 	readonly except: Pick<QualityDigest, 'instance' | 'startedAt'>;
-	/** Milliseconds since 1970. */
+	/** Unix time in milliseconds. */
 	readonly now: number;
 };
 
 type Source = Pick<QualityDigest, 'instance' | 'startedAt'>;
 
 /** The sums of one estimate, by source. */
-type Kept = {
+type StoredEstimate = {
 	readonly key: QualityKey;
 	readonly bySource: Map<string, DecayedSums>;
 };
 
 const defaultHalfLife = 21_600_000;
 const defaultMaximumEntries = 20_000;
-const leastWeight = 0.001;
+const minimumWeight = 0.001;
 const roundingMargin = 0.999;
-const othersSource = 'others';
+const aggregateSource = 'others';
 
 /**
-Quality estimates by class and version, from the observations of this instance and the digests of others.
+Quality estimates by request class and version, from the observations of this instance and the digests of other instances.
 
 @example
 ```ts
-const book = new QualityBook({instance, startedAt});
-book.add({model, version, qualityClass: 'yard/lookup', measure: 'rating', value: 0.9, ranAt});
-book.estimate(key, {prior: {value: 0.82}, now}).lowerBound;
+const store = new QualityStore({instance, startedAt});
+store.add({model, version, qualityClass: 'yard/lookup', measure: 'rating', value: 0.9, ranAt});
+store.estimate(key, {prior: {value: 0.82}, now}).lowerBound;
 ```
 */
 export class QualityBook {
@@ -67,18 +67,18 @@
 	readonly #ownSource: string;
 	readonly #halfLife: number;
 	readonly #maximumEntries: number;
-	/** By key; the order is that of the last change. */
-	readonly #kept = new Map<string, Kept>();
+	/** The estimates by key, the least recently updated first. */
+	readonly #estimates = new Map<string, StoredEstimate>();
 	#size = 0;
 
 	constructor({instance, startedAt, halfLife = defaultHalfLife, maximumEntries = defaultMaximumEntries}: QualityBookOptions) {
 		this.#source = {instance, startedAt};
-		this.#ownSource = sourceText(this.#source);
+		this.#ownSource = sourceKey(this.#source);
 		this.#halfLife = halfLife;
 		this.#maximumEntries = maximumEntries;
 	}
 
-	/** How many entries are kept. */
+	/** The number of entries. */
 	get size(): number {
 		return this.#size;
 	}
@@ -86,7 +86,7 @@
 	/**
 	Adds an observation of this instance.
 
-	@param observation The observation; one whose value is not from 0 to 1 is passed over.
+	@param observation The observation. Ignored if its value is not from 0 to 1 or its time is not finite.
 	@returns Whether it was added.
 	*/
 	add(observation: QualityObservation): boolean {
@@ -95,66 +95,66 @@
 			return false;
 		}
 
-		const earlier = this.#kept.get(keyText(observation))?.bySource.get(this.#ownSource);
-		this.#put(observation, {source: this.#ownSource, sums: addObservation(earlier, {value, at: ranAt, halfLife: this.#halfLife})});
+		const previous = this.#estimates.get(estimateKey(observation))?.bySource.get(this.#ownSource);
+		this.#store(observation, {source: this.#ownSource, sums: addObservation(previous, {value, at: ranAt, halfLife: this.#halfLife})});
 		return true;
 	}
 
 	/**
-	Takes the digest of another instance; one that came before changes nothing.
+	Merges the digest of another instance. Duplicated and outdated digests have no effect.
 
 	@param digest The digest.
-	@returns How many entries were new.
+	@returns The number of updated entries.
 	*/
 	merge(digest: QualityDigest): number {
-		const source = sourceText(digest);
+		const source = sourceKey(digest);
 		if (source === this.#ownSource) {
 			return 0;
 		}
 
-		let taken = 0;
+		let updated = 0;
 		for (const entry of digest.entries) {
-			const earlier = this.#kept.get(keyText(entry))?.bySource.get(source);
-			if (earlier === undefined || entry.sums.count > earlier.count) {
-				this.#put(entry, {source, sums: entry.sums});
-				taken += 1;
+			const previous = this.#estimates.get(estimateKey(entry))?.bySource.get(source);
+			if (previous === undefined || entry.sums.count > previous.count) {
+				this.#store(entry, {source, sums: entry.sums});
+				updated += 1;
 			}
 		}
 
-		return taken;
+		return updated;
 	}
 
 	/**
-	Takes sums over all other instances from the one that adds them up, each in place of the one taken before unless that one still weighs more; not to be mixed with `merge`.
+	Stores the sums over all other instances, as aggregated by another instance. An entry replaces the previous one unless the previous one weighs more. Must not be combined with `merge`.
 
-	@param entries What `others` gave there.
-	@param now Milliseconds since 1970.
+	@param entries The result of `aggregateExcept` on the aggregating instance.
+	@param now Unix time in milliseconds.
 	*/
 	replaceOthers(entries: Iterable<QualityEntry>, now: number): void {
 		const moment = {at: now, halfLife: this.#halfLife};
 		for (const entry of entries) {
-			const earlier = this.#kept.get(keyText(entry))?.bySource.get(othersSource);
-			if (earlier === undefined || decayTo(entry.sums, moment).weight >= decayTo(earlier, moment).weight * roundingMargin) {
-				this.#put(entry, {source: othersSource, sums: entry.sums});
+			const previous = this.#estimates.get(estimateKey(entry))?.bySource.get(aggregateSource);
+			if (previous === undefined || decayTo(entry.sums, moment).weight >= decayTo(previous, moment).weight * roundingMargin) {
+				this.#store(entry, {source: aggregateSource, sums: entry.sums});
 			}
 		}
 	}
 
 	/**
-	Adds up the sums of all instances but one, for that one.
+	Adds the sums of all instances except one, for that instance.
 
-	@param keys The entries wanted.
-	@param options The instance that gets them, and the time.
-	@returns The entries of which something is known, for `replaceOthers`.
+	@param keys The keys of the entries to return.
+	@param options The instance to leave out, and the time.
+	@returns The entries that have observations, for `replaceAggregate`.
 	*/
 	others(keys: Iterable<QualityKey>, {except, now}: OthersOptions): readonly QualityEntry[] {
-		const excepted = sourceText(except);
+		const excepted = sourceKey(except);
 		const entries: QualityEntry[] = [];
-		for (const wanted of keys) {
-			const kept = this.#kept.get(keyText(wanted));
-			const parts = [...kept?.bySource ?? []].filter(([source]) => source !== excepted).map(([, sums]) => sums);
-			if (kept !== undefined && parts.length > 0) {
-				entries.push({...kept.key, sums: addSums(parts, {at: now, halfLife: this.#halfLife})});
+		for (const key of keys) {
+			const stored = this.#estimates.get(estimateKey(key));
+			const parts = [...stored?.bySource ?? []].filter(([source]) => source !== excepted).map(([, sums]) => sums);
+			if (stored !== undefined && parts.length > 0) {
+				entries.push({...stored.key, sums: addSums(parts, {at: now, halfLife: this.#halfLife})});
 			}
 		}
 
@@ -162,18 +162,18 @@
 	}
 
 	/**
-	Gives this instance's own sums for others.
+	Returns this instance's own sums.
 
-	@param keys The entries wanted; all unless given.
+	@param keys The keys of the entries to return. Defaults to all.
 	@returns The digest.
 	*/
 	digest(keys?: Iterable<QualityKey>): QualityDigest {
 		const entries: QualityEntry[] = [];
-		for (const wanted of keys ?? [...this.#kept.values()].map(({key}) => key)) {
-			const kept = this.#kept.get(keyText(wanted));
-			const sums = kept?.bySource.get(this.#ownSource);
-			if (kept !== undefined && sums !== undefined) {
-				entries.push({...kept.key, sums});
+		for (const key of keys ?? [...this.#estimates.values()].map(({key}) => key)) {
+			const stored = this.#estimates.get(estimateKey(key));
+			const sums = stored?.bySource.get(this.#ownSource);
+			if (stored !== undefined && sums !== undefined) {
+				entries.push({...stored.key, sums});
 			}
 		}
 
@@ -181,20 +181,20 @@
 	}
 
 	/**
-	Adds up an estimate's sums over all instances.
+	Adds the sums of an estimate over all instances.
 
-	@param key The estimate.
-	@param now Milliseconds since 1970.
-	@returns The sums at that time.
+	@param key The key of the estimate.
+	@param now Unix time in milliseconds.
+	@returns The sums, decayed to the given time.
 	*/
 	sums(key: QualityKey, now: number): DecayedSums {
-		return addSums(this.#kept.get(keyText(key))?.bySource.values() ?? [], {at: now, halfLife: this.#halfLife});
+		return addSums(this.#estimates.get(estimateKey(key))?.bySource.values() ?? [], {at: now, halfLife: this.#halfLife});
 	}
 
 	/**
 	Estimates a quality or share.
 
-	@param key What is estimated.
+	@param key The key of the estimate.
 	@param options The prior and the time.
 	@returns The estimate.
 	*/
@@ -203,17 +203,17 @@
 	}
 
 	/**
-	Forgets what has lost all but a thousandth of its weight.
+	Removes entries whose weight has decayed below 0.001.
 
-	@param now Milliseconds since 1970.
-	@returns How many entries were dropped.
+	@param now Unix time in milliseconds.
+	@returns The number of removed entries.
 	*/
 	forget(now: number): number {
 		const sizeBefore = this.#size;
-		for (const [text, {bySource}] of this.#kept) {
+		for (const [text, {bySource}] of this.#estimates) {
 			for (const [source, sums] of bySource) {
-				if (decayTo(sums, {at: now, halfLife: this.#halfLife}).weight < leastWeight) {
-					this.#drop(text, source);
+				if (decayTo(sums, {at: now, halfLife: this.#halfLife}).weight < minimumWeight) {
+					this.#delete(text, source);
 				}
 			}
 		}
@@ -221,46 +221,46 @@
 		return sizeBefore - this.#size;
 	}
 
-	#put(key: QualityKey, {source, sums}: {readonly source: string; readonly sums: DecayedSums}): void {
-		const text = keyText(key);
-		const kept = this.#kept.get(text) ?? {key: keyOf(key), bySource: new Map<string, DecayedSums>()};
-		const sizeBefore = kept.bySource.size;
-		kept.bySource.set(source, sums);
-		this.#size += kept.bySource.size - sizeBefore;
-		this.#kept.delete(text);
-		this.#kept.set(text, kept);
-		for (const [oldest, {bySource}] of this.#kept) {
+	#store(key: QualityKey, {source, sums}: {readonly source: string; readonly sums: DecayedSums}): void {
+		const text = estimateKey(key);
+		const stored = this.#estimates.get(text) ?? {key: pickKey(key), bySource: new Map<string, DecayedSums>()};
+		const sizeBefore = stored.bySource.size;
+		stored.bySource.set(source, sums);
+		this.#size += stored.bySource.size - sizeBefore;
+		this.#estimates.delete(text);
+		this.#estimates.set(text, stored);
+		for (const [oldest, {bySource}] of this.#estimates) {
 			if (this.#size <= this.#maximumEntries || oldest === text) {
 				break;
 			}
 
-			this.#kept.delete(oldest);
+			this.#estimates.delete(oldest);
 			this.#size -= bySource.size;
 		}
 	}
 
-	#drop(text: string, source: string): void {
-		const bySource = this.#kept.get(text)?.bySource;
+	#delete(text: string, source: string): void {
+		const bySource = this.#estimates.get(text)?.bySource;
 		if (bySource?.delete(source) === true) {
 			this.#size -= 1;
 		}
 
 		if (bySource?.size === 0) {
-			this.#kept.delete(text);
+			this.#estimates.delete(text);
 		}
 	}
 }
 
-function keyOf({model, version, qualityClass, measure}: QualityKey): QualityKey {
+function pickKey({model, version, qualityClass, measure}: QualityKey): QualityKey {
 	return {
 		model, version, qualityClass, measure,
 	};
 }
 
-function sourceText({instance, startedAt}: Source): string {
+function sourceKey({instance, startedAt}: Source): string {
 	return `${instance}#${startedAt}`;
 }
 
-function keyText({qualityClass, model, version, measure}: QualityKey): string {
+function estimateKey({qualityClass, model, version, measure}: QualityKey): string {
 	return `${qualityClass}|${model}@${version}|${measure}`;
 }
--- a/packages/policy/src/quality-digest.ts
+++ b/packages/policy/src/quality-digest.ts
@@ -3,24 +3,28 @@
 import {type VersionTarget} from './version-target.js';
 
 /**
-What is estimated of a version in a class of requests: the ratings of its answers, the ratings of its answers that a cascade accepted, the share of its answers that a cascade escalated, and the share of its requests that failed.
+A quantity estimated for a version in a request class: the ratings of its answers, the ratings of its answers that a cascade accepted, the share of its answers that a cascade escalated, or the share of its requests that failed.
 */
 export type QualityMeasure = 'rating' | 'accepted-rating' | 'escalation' | 'failure';
 
-/** Names one estimate. */
+/** The key of an estimate. */
 export type QualityKey = VersionTarget & {
-	/** The class of requests: workspace and rule, see `qualityClass`. */
+	/** The request class, made of workspace and rule; see `qualityClass`. */
 	readonly qualityClass: string;
 	readonly measure: QualityMeasure;
 };
 
-/** The sums of one estimate. */
+/** An estimate's key and its decayed sums. */
 export type QualityEntry = QualityKey & {readonly sums: DecayedSums};
 
-/** The sums of one instance since it started; a later digest replaces an earlier one entry by entry, so that digests may come twice, late or in any order. */
+/**
+The sums that one instance has accumulated since it started.
+
+A later digest replaces an earlier one entry by entry, so digests may be duplicated, delayed or reordered.
+*/
 export type QualityDigest = {
 	readonly instance: InstanceId;
-	/** When the instance started, in milliseconds since 1970: its epoch. */
+	/** When the instance started, as Unix time in milliseconds. Serves as the instance's epoch. */
 	readonly startedAt: number;
 	readonly entries: readonly QualityEntry[];
 };
--- a/packages/policy/src/quality-estimate.ts
+++ b/packages/policy/src/quality-estimate.ts
@@ -1,27 +1,27 @@
 import {type DecayedSums} from './decayed-sums.js';
 
-/** What is known of a quality or share. */
+/** An estimate of a quality or share. */
 export type Estimate = {
 	readonly mean: number;
-	/** The standard error of the mean that comes from the observations. */
+	/** The sampling error of the mean due to the observations. */
 	readonly standardError: number;
-	/** The mean less `confidence` standard errors, at least 0. */
+	/** The mean minus `confidence` standard errors, at least 0. */
 	readonly lowerBound: number;
 	/** The mean plus `confidence` standard errors, at most 1. */
 	readonly upperBound: number;
-	/** The weight of the observations; the prior not counted. */
+	/** The weight of the observations, excluding the prior. */
 	readonly weight: number;
 };
 
-/** What was known before the first observation. */
+/** The prior of an estimate. */
 export type Prior = {
 	/** The listed value, from 0 to 1. */
 	readonly value: number;
-	/** Observations that the listed value is worth; 30 unless given. */
+	/** The number of observations that the listed value counts for. Defaults to 30. */
 	readonly weight?: number;
-	/** The standard deviation of one observation; 0.15 unless given. */
+	/** The standard deviation of one observation. Defaults to 0.15. */
 	readonly deviation?: number;
-	/** Standard errors between the mean and the bounds; 1.28 unless given, which is 90 % on one side. */
+	/** The number of standard errors between the mean and each bound. Defaults to 1.28, a one-sided confidence level of 90 %. */
 	readonly confidence?: number;
 };
 
@@ -30,12 +30,12 @@
 const defaultConfidence = 1.28;
 
 /**
-Estimates a mean from decayed sums and a prior (normal with conjugate prior; Gelman and others, 2013).
+Estimates a mean from decayed sums and a prior (normal distribution with conjugate prior; Gelman and others, 2013).
 
-The listed value is taken at the operator's word: without observations both bounds are equal to it, and the bounds widen only by the sampling error of the observations.
+The operator's listed value is trusted: without observations both bounds are equal to it, and the bounds widen only by the sampling error of the observations.
 
-@param sums The sums, brought to the present; undefined for none.
-@param prior What was known before.
+@param sums The sums, decayed to the present. Undefined if there are no observations.
+@param prior The prior.
 @returns The estimate.
 @example
 ```ts
