--- a/packages/core/src/suspension-watch.ts
+++ b/packages/core/src/suspension-watch.ts
@@ -1,66 +1,66 @@
 import {type Clock} from './clock.js';
 
-/** How a suspension is told. */
+/** Options of `SuspensionDetector`. */
 export type SuspensionWatchOptions = {
-	/** How far the time of day must run ahead of the monotonic clock between two looks, in milliseconds; 20 by default: below the drift margin of a leader's lease (30), and above what the two clocks differ by while the machine runs (a few). */
+	/** How far the wall clock must run ahead of the monotonic clock between two calls, in milliseconds. Defaults to 20, which is below the drift margin of a leader's lease (30) and above the difference of the two clocks while the machine runs (a few milliseconds). */
 	readonly threshold?: number;
 };
 
 const defaultThreshold = 20;
-/** Two readings of the monotonic clock that lie further apart, in milliseconds, say that the process was held up between them, and that the time of day beside them says nothing. */
-const longestReading = 2;
-/** After as many the next look decides. */
-const maximumReadings = 3;
+/** If two readings of the monotonic clock differ by this many milliseconds or more, the process was delayed between them, and the wall-clock reading taken in between is unusable. */
+const maximumReadingMilliseconds = 2;
+/** The number of attempts to read both clocks. If all are delayed, the next call decides. */
+const maximumReadingAttempts = 3;
 
 /**
-Tells when the machine may last have been suspended: the monotonic clock stands still then, the time of day goes on, and a lease that rests on the monotonic clock alone looks valid after its end.
+Detects when the machine may last have been suspended. During a suspension the monotonic clock stands still while the wall clock advances, so a lease that relies on the monotonic clock alone looks valid after it has expired.
 
-The runtime has no clock that counts the time of a suspension and cannot be set. A time of day that is set forward looks the same, so that whoever asks must only lose what one confirmation gives back.
+The runtime offers no clock that includes suspended time and cannot be set. Setting the wall clock forward looks the same as a suspension, so a false detection must cost the caller no more than what one confirmation restores.
 
 @example
 ```ts
-const suspension = new SuspensionWatch(clock);
-suspension.lastWake(); // minus infinity, until the machine was suspended
+const suspension = new SuspensionDetector(clock);
+suspension.lastWakeTime(); // -Infinity until the machine has been suspended
 ```
 */
 export class SuspensionWatch {
 	readonly #clock: Clock;
 	readonly #threshold: number;
-	#lead = 0;
-	#wokeAt = Number.NEGATIVE_INFINITY;
+	#offset = 0;
+	#lastWakeTime = Number.NEGATIVE_INFINITY;
 
 	constructor(clock: Clock, {threshold = defaultThreshold}: SuspensionWatchOptions = {}) {
 		this.#clock = clock;
 		this.#threshold = threshold;
-		this.#lead = this.#currentLead();
+		this.#offset = this.#measureOffset();
 	}
 
 	/**
-	Looks at the clocks.
+	Reads the clocks and updates the detector.
 
-	@returns When the machine may last have woken, in milliseconds on the monotonic clock; minus infinity for never.
+	@returns When the machine may last have woken up, in milliseconds on the monotonic clock. -Infinity if never.
 	*/
 	lastWake(): number {
-		const lead = this.#currentLead();
-		if (lead - this.#lead > this.#threshold) {
-			this.#wokeAt = this.#clock.monotonic();
+		const offset = this.#measureOffset();
+		if (offset - this.#offset > this.#threshold) {
+			this.#lastWakeTime = this.#clock.monotonic();
 		}
 
-		// A slow drift of the time of day, or a jump back, is the new measure.
-		this.#lead = lead;
-		return this.#wokeAt;
+		// The new offset is the reference from now on, so slow drift and backward jumps of the wall clock are not reported.
+		this.#offset = offset;
+		return this.#lastWakeTime;
 	}
 
-	/** How far the time of day is ahead of the monotonic clock; read again where the process was held up meanwhile, which would look like a jump. */
-	#currentLead(): number {
-		for (let reading = 0; reading < maximumReadings; reading++) {
+	/** Measures how far the wall clock is ahead of the monotonic clock. Retries if the process was delayed between the readings, which would look like a jump. */
+	#measureOffset(): number {
+		for (let attempt = 0; attempt < maximumReadingAttempts; attempt++) {
 			const before = this.#clock.monotonic();
-			const timeOfDay = this.#clock.now().getTime();
-			if (this.#clock.monotonic() - before < longestReading) {
-				return timeOfDay - before;
+			const wallClock = this.#clock.now().getTime();
+			if (this.#clock.monotonic() - before < maximumReadingMilliseconds) {
+				return wallClock - before;
 			}
 		}
 
-		return this.#lead;
+		return this.#offset;
 	}
 }
