--- a/packages/core/src/announcement.ts
+++ b/packages/core/src/announcement.ts
@@ -4,40 +4,40 @@
 	type ModelId, type ServerId, type ServiceId, type VersionId, type ZoneId,
 } from './ids.js';
 
-/** A version of a model that an engine has loaded. */
+/** A version of a model that a model engine has loaded. */
 export type LoadedVersion = {
 	readonly model: ModelId;
 	readonly version: VersionId;
 };
 
-/** What a backend server says of itself, at first and at each renewal. */
+/** The state that a backend server reports about itself, when it registers and at every renewal. */
 export type Announcement = {
 	readonly server: ServerId;
 	readonly zone: ZoneId;
 	readonly kind: 'engine' | 'service';
-	/** The base address, such as `http://127.0.0.1:9001`. */
+	/** The base URL, such as `http://127.0.0.1:9001`. */
 	readonly address: string;
-	/** For an engine: the versions it has loaded. */
+	/** The versions that a model engine has loaded. */
 	readonly models: readonly LoadedVersion[];
-	/** For a plain service: its name. */
+	/** The name of a plain service. */
 	readonly service?: ServiceId | undefined;
-	/** Requests it works on at the same time. */
+	/** The maximum number of concurrent requests. */
 	readonly capacity: number;
-	/** Requests it works on now, by its own count. */
+	/** The number of requests in progress, as counted by the server. */
 	readonly active: number;
-	/** Whether it refuses an order with an old fencing number. */
+	/** Whether the server rejects orders with an outdated fencing number. */
 	readonly checksFencing: boolean;
-	/** Whether it is in graceful shutdown and wants no new work. */
+	/** Whether the server is shutting down gracefully and accepts no new work. */
 	readonly shuttingDown: boolean;
-	/** Numbers the announcements of one start of a server, so that a late one is told from a new one. */
+	/** The sequence number within one start of the server, which identifies delayed announcements. */
 	readonly sequence: number;
-	/** When the server started, in milliseconds since 1970; a later start outdates the earlier one. */
+	/** When the server started, as Unix time in milliseconds. A later start supersedes an earlier one. */
 	readonly startedAt: number;
 };
 
 const name = z.string().min(1).max(128);
 
-/** The schema of an announcement; unknown fields are refused. */
+/** The schema of an announcement. Unknown fields are rejected. */
 export const announcementSchema: z.ZodType<Announcement> = typedSchema<Announcement>(z.strictObject({
 	server: name,
 	zone: name,
--- a/packages/core/src/bill.ts
+++ b/packages/core/src/bill.ts
@@ -3,7 +3,7 @@
 } from './ids.js';
 import {type Micros, type TokenUsage} from './money.js';
 
-/** One attempt on a bill. */
+/** One attempt of a request, as itemized on its bill. */
 export type BillLine = {
 	readonly server: ServerId;
 	readonly model?: ModelId;
@@ -11,32 +11,32 @@
 	readonly service?: ServiceId;
 	readonly usage: TokenUsage;
 	readonly cost: Micros;
-	/** Why the attempt was made. */
+	/** The reason for the attempt. */
 	readonly purpose: 'first' | 'retry' | 'hedge' | 'escalation' | 'resume';
 };
 
-/** Numbers the bills of one run of an instance without gaps, so that the ledger knows each with little memory. */
+/** The origin of a bill. Sequence numbers have no gaps within one run of an instance, so the ledger can detect duplicates with little memory. */
 export type BillOrigin = {
-	/** When the instance started, in milliseconds since 1970. */
+	/** When the instance started, as Unix time in milliseconds. */
 	readonly startedAt: number;
-	/** Counts the bills that this run of the instance opened, from 1; never given twice. */
+	/** The number of the bill among those opened by this run of the instance, from 1. Never reused. */
 	readonly sequence: number;
 };
 
-/** How a request ended. */
+/** The outcome of a billed request. */
 export type BillOutcome = 'answered' | 'failed' | 'cancelled' | 'unknown';
 
-/** The bill of one request; the ledger holds each once, keyed by workspace and request. */
+/** The bill of one request. The ledger stores each bill once, keyed by workspace and request. */
 export type Bill = {
 	readonly workspace: WorkspaceId;
 	readonly request: RequestId;
 	/** The instance that served the request. */
 	readonly instance: InstanceId;
-	/** Given when the bill is opened and the same on every copy; without it the ledger remembers the bill for a short while only. */
+	/** Assigned when the bill is opened and identical on every copy. Without it, the ledger detects duplicates of the bill for a short time only. */
 	readonly origin?: BillOrigin | undefined;
 	readonly lines: readonly BillLine[];
 	readonly total: Micros;
 	readonly outcome: BillOutcome;
-	/** When it was settled, in milliseconds since 1970. */
+	/** When the bill was settled, as Unix time in milliseconds. */
 	readonly settledAt: number;
 };
--- a/packages/core/src/brand.ts
+++ b/packages/core/src/brand.ts
@@ -1,5 +1,5 @@
 /**
-A value of a plain type that carries a name, so that two kinds of id cannot be mixed up.
+A primitive type with a nominal tag, so that two kinds of ids cannot be confused.
 
 @example
 ```ts
--- a/packages/core/src/clock.ts
+++ b/packages/core/src/clock.ts
@@ -1,5 +1,5 @@
 /**
-The two clocks a module may ask for; passed in, so that tests can set them.
+The wall clock and the monotonic clock. Passed as a dependency so that tests can control time.
 
 @example
 ```ts
@@ -7,11 +7,11 @@
 ```
 */
 export type Clock = {
-	/** The wall-clock time; may jump. */
+	/** Returns the wall-clock time, which may jump. */
 	readonly now: () => Date;
-	/** Milliseconds since an arbitrary start; never goes back. Leases and timeouts use it. */
+	/** Returns the milliseconds since an arbitrary origin. Never goes back. Used for leases and timeouts. */
 	readonly monotonic: () => number;
 };
 
-/** A source of random numbers, each from 0 (included) to 1 (excluded). */
+/** A source of random numbers in [0, 1). */
 export type RandomSource = () => number;
--- a/packages/core/src/configuration.ts
+++ b/packages/core/src/configuration.ts
@@ -5,30 +5,30 @@
 } from './ids.js';
 import {type Prices} from './money.js';
 
-/** Where a version stands: settled, in the middle of a roll-out, or withdrawn. */
+/** The state of a version: settled, being rolled out, or withdrawn. */
 export type VersionState = 'settled' | 'rolling-out' | 'withdrawn';
 
-/** One stage of a roll-out. */
+/** One stage of a rollout. */
 export type RolloutStage = {
-	/** The share of the model's new requests, above 0 and up to 1. */
+	/** The share of the model's new requests, greater than 0 and at most 1. */
 	readonly share: number;
-	/** Ratings that must have come before the next stage. */
+	/** The number of ratings required before the next stage. */
 	readonly minimumRatings: number;
-	/** Seconds that the stage lasts at least. */
+	/** The minimum duration of the stage in seconds. */
 	readonly minimumSeconds: number;
-	/** The most requests that one instance has in progress on the version; 32 unless given. */
+	/** The maximum number of requests that one instance has in progress on the version. Defaults to 32. */
 	readonly maximumInProgress?: number | undefined;
 };
 
 /** One version of a model. */
 export type VersionConfiguration = {
 	readonly state: VersionState;
-	/** The listed quality, from 0 to 1; what ratings say replaces it in time. */
+	/** The listed quality, from 0 to 1, which ratings gradually override. */
 	readonly quality: number;
 	readonly prices: Prices;
-	/** The version that a roll-out replaces. */
+	/** The version that a rollout replaces. */
 	readonly replaces?: VersionId | undefined;
-	/** The stages of the roll-out. */
+	/** The stages of the rollout. */
 	readonly stages?: readonly RolloutStage[] | undefined;
 };
 
@@ -45,45 +45,45 @@
 
 /** One plain service. */
 export type ServiceConfiguration = {
-	/** Calls that may be repeated, besides GET, HEAD and OPTIONS. */
+	/** Calls that may be repeated, in addition to GET, HEAD and OPTIONS. */
 	readonly repeatable: readonly ServiceCall[];
-	/** Units of account for a call. */
+	/** The price per call in units of account. */
 	readonly pricePerCall: number;
 };
 
-/** A sign in an answer that it is not good enough: cut off at the token limit, refused, without text, or of low confidence by the engine's own word. */
+/** A sign that an answer is not good enough: truncated at the token limit, refused, empty, or of low confidence as reported by the engine. */
 export type EscalationSign = 'truncated' | 'refused' | 'empty' | 'low-confidence';
 
-/** When a cheaper version may answer first and a dearer one takes over. */
+/** When a cheaper version may answer first and a more expensive one takes over. */
 export type EscalationConfiguration = {
-	/** The signs; any one of them escalates. */
+	/** The signs that trigger escalation; one is enough. */
 	readonly signs: readonly EscalationSign[];
-	/** The confidence, from 0 to 1, below which an answer counts as of low confidence. */
+	/** The confidence, from 0 to 1, below which an answer counts as low-confidence. */
 	readonly minimumConfidence: number;
-	/** The share of answers expected to escalate, from 0 to 1; what is seen replaces it in time. */
+	/** The expected share of answers that escalate, from 0 to 1, which observations gradually override. */
 	readonly expectedShare: number;
-	/** The listed quality, from 0 to 1, of first answers that show no sign; what ratings say replaces it in time. */
+	/** The listed quality, from 0 to 1, of first answers without a sign, which ratings gradually override. */
 	readonly acceptedQuality: number;
 };
 
-/** One rule of a policy program; the first whose condition holds decides. */
+/** A rule of a policy program. The first rule whose condition holds applies. */
 export type PolicyRule = {
 	readonly name: string;
-	/** A CEL condition on `request`; a rule without one always holds. */
+	/** A CEL condition on `request`. A rule without one always applies. */
 	readonly when?: string | undefined;
-	/** The models that may serve such requests; order breaks ties. */
+	/** The models that may serve the request. Their order breaks ties. */
 	readonly models: readonly ModelId[];
-	/** The quality wanted, from 0 to 1. */
+	/** The required quality, from 0 to 1. */
 	readonly qualityTarget: number;
-	/** Milliseconds from arrival to the last byte. */
+	/** The maximum time from arrival to the last byte, in milliseconds. */
 	readonly deadlineMilliseconds: number;
-	/** The priority handed to the engine; lower is sooner. */
+	/** The priority passed to the engine. Lower values are served first. */
 	readonly priority: number;
-	/** What decides between versions of nearly equal cost; `cost` unless given. */
+	/** The criterion between versions of nearly equal cost. Defaults to `cost`. */
 	readonly prefers?: 'cost' | 'latency' | undefined;
-	/** What happens when no version meets the quality target: the best one serves, or the request is refused; `serve` unless given. */
+	/** Whether the best version serves or the request is refused if no version meets the quality target. Defaults to `serve`. */
 	readonly whenBelowTarget?: 'serve' | 'refuse' | undefined;
-	/** When cascades are allowed; none unless given. */
+	/** The escalation settings of cascades. Without them, cascades are disabled. */
 	readonly escalation?: EscalationConfiguration | undefined;
 };
 
@@ -91,7 +91,7 @@
 export type WorkspaceConfiguration = {
 	/** SHA-256 digests of the workspace's keys, in hexadecimal. */
 	readonly keyDigests: readonly string[];
-	/** The workspace's weight in sharing capacity. */
+	/** The weight of the workspace in capacity sharing. */
 	readonly weight: number;
 	/** The models and versions that the workspace may use. */
 	readonly allowed: Readonly<Record<ModelId, readonly VersionId[]>>;
@@ -99,27 +99,27 @@
 	readonly policy: readonly PolicyRule[];
 };
 
-/** The document that operators apply. */
+/** The configuration document that operators apply. */
 export type Configuration = {
 	readonly models: Readonly<Record<ModelId, ModelConfiguration>>;
 	readonly services: Readonly<Record<ServiceId, ServiceConfiguration>>;
 	readonly workspaces: Readonly<Record<WorkspaceId, WorkspaceConfiguration>>;
 };
 
-/** Where a roll-out stands in the replicated state. */
+/** The progress of a rollout in the replicated state. */
 export type RolloutProgress = {
 	readonly model: ModelId;
 	readonly version: VersionId;
-	/** The index of the stage in force. */
+	/** The index of the current stage. */
 	readonly stage: number;
 	readonly status: 'running' | 'stopped' | 'completed';
-	/** When the stage began, in milliseconds since 1970. */
+	/** When the current stage began, as Unix time in milliseconds. */
 	readonly stageStartedAt: number;
-	/** Why it was stopped. */
+	/** The reason why the rollout was stopped. */
 	readonly reason?: string;
 };
 
-/** The configuration in force: the operators' document and the roll-outs' progress, under one revision. */
+/** The configuration in force: the configuration document and the progress of rollouts, under one revision. */
 export type EffectiveConfiguration = {
 	readonly revision: Revision;
 	readonly document: Configuration;
@@ -128,13 +128,13 @@
 };
 
 const idPattern = /^[a-z\d][a-z\d._\-]{0,63}$/v;
-const idText = z.string().regex(idPattern, 'Wanted 1 to 64 of a to z, 0 to 9, dot, dash and underscore, starting with a letter or digit');
-const share = z.number().min(0).max(1);
+const idText = z.string().regex(idPattern, 'Expected 1 to 64 characters from a to z, 0 to 9, dot, dash and underscore, starting with a letter or digit');
+const fraction = z.number().min(0).max(1);
 const price = z.number().min(0).max(1_000_000);
 
 const versionSchema = z.strictObject({
 	state: z.enum(['settled', 'rolling-out', 'withdrawn']).default('settled'),
-	quality: share,
+	quality: fraction,
 	prices: z.strictObject({input: price, output: price}),
 	replaces: idText.optional(),
 	stages: z.array(z.strictObject({
@@ -147,16 +147,16 @@
 
 const escalationSchema = z.strictObject({
 	signs: z.array(z.enum(['truncated', 'refused', 'empty', 'low-confidence'])).min(1).max(4),
-	minimumConfidence: share.default(0.5),
-	expectedShare: share.default(0.3),
-	acceptedQuality: share,
+	minimumConfidence: fraction.default(0.5),
+	expectedShare: fraction.default(0.3),
+	acceptedQuality: fraction,
 });
 
 const ruleSchema = z.strictObject({
 	name: idText,
 	when: z.string().max(4000).optional(),
 	models: z.array(idText).min(1).max(64),
-	qualityTarget: share,
+	qualityTarget: fraction,
 	deadlineMilliseconds: z.int().min(1).max(3_600_000).default(60_000),
 	priority: z.int().min(0).max(9).default(5),
 	prefers: z.enum(['cost', 'latency']).optional(),
@@ -165,7 +165,7 @@
 });
 
 const workspaceSchema = z.strictObject({
-	keyDigests: z.array(z.string().regex(/^[a-f\d]{64}$/v, 'Wanted a SHA-256 digest of 64 hexadecimal digits')).max(16).default([]),
+	keyDigests: z.array(z.string().regex(/^[a-f\d]{64}$/v, 'Expected a SHA-256 digest of 64 hexadecimal digits')).max(16).default([]),
 	weight: z.number().gt(0).max(1000).default(1),
 	allowed: z.record(idText, z.array(idText)).default({}),
 	services: z.array(idText).default([]),
@@ -174,13 +174,13 @@
 
 const serviceSchema = z.strictObject({
 	repeatable: z.array(z.strictObject({
-		method: z.string().regex(/^[A-Z]{1,16}$/v, 'Wanted an HTTP method in capitals'),
+		method: z.string().regex(/^[A-Z]{1,16}$/v, 'Expected an HTTP method in upper case'),
 		path: z.string().startsWith('/').max(512),
 	})).default([]),
 	pricePerCall: price.default(0),
 });
 
-/** The schema of the operators' document; unknown fields are refused. */
+/** The schema of the configuration document. Unknown fields are rejected. */
 export const configurationSchema: z.ZodType<Configuration> = typedSchema<Configuration>(z.strictObject({
 	models: z.record(idText, z.strictObject({versions: z.record(idText, versionSchema)})).default({}),
 	services: z.record(idText, serviceSchema).default({}),
@@ -188,7 +188,7 @@
 }));
 
 /**
-The key under which a version of a model is kept in maps.
+Returns the map key of a version of a model.
 
 @param model The model.
 @param version The version.
@@ -202,5 +202,5 @@
 	return `${model}@${version}`;
 }
 
-/** The configuration before any was committed. */
+/** The configuration before any has been committed. */
 export const emptyConfiguration: Configuration = {models: {}, services: {}, workspaces: {}};
--- a/packages/core/src/error-kinds.ts
+++ b/packages/core/src/error-kinds.ts
@@ -1,17 +1,17 @@
-/** Whether the request reached a back end: never, surely, or not known. */
+/** Whether the request ran on a backend server: it did not, it did, or this is not known. */
 export type Outcome = 'notRun' | 'ran' | 'unknown';
 
-/** The answer that belongs to one kind of error. */
+/** The response to one kind of error. */
 export type ErrorAnswer = {
 	/** The HTTP status code. */
 	readonly status: number;
 	/** Whether the request ran. */
 	readonly outcome: Outcome;
-	/** A title for the problem details; the same for every error of the kind. */
+	/** The problem details title, the same for all errors of the kind. */
 	readonly title: string;
 };
 
-/** The closed list of error kinds, each with its answer; docs/API.md shows the same table. */
+/** All error kinds and their responses. The table in docs/API.md is generated from this. */
 export const errorAnswers = {
 	'malformed-request': {status: 400, outcome: 'notRun', title: 'The request is malformed'},
 	'request-quarantined': {status: 400, outcome: 'unknown', title: 'Backend servers end when they run the request'},
@@ -43,5 +43,5 @@
 	'deadline-exceeded-after-dispatch': {status: 504, outcome: 'unknown', title: 'The deadline passed after the request was sent'},
 } as const satisfies Record<string, ErrorAnswer>;
 
-/** One kind of the closed list of errors. */
+/** An error kind. */
 export type ErrorKind = keyof typeof errorAnswers;
--- a/packages/core/src/failure.test.ts
+++ b/packages/core/src/failure.test.ts
@@ -2,9 +2,9 @@
 import {errorAnswers} from './error-kinds.js';
 import {failure, outcomeOf} from './failure.js';
 
-test('a failure has the outcome of its kind unless it says otherwise', t => {
-	t.is(outcomeOf(failure('no-server', 'Got none')), 'notRun');
-	t.is(outcomeOf(failure('no-server', 'Got none', {outcome: 'unknown'})), 'unknown');
+test('a failure has the outcome of its kind unless it specifies another', t => {
+	t.is(outcomeOf(failure('no-server', 'No server')), 'notRun');
+	t.is(outcomeOf(failure('no-server', 'No server', {outcome: 'unknown'})), 'unknown');
 });
 
 test('every kind has an error status and a title without a full stop', t => {
--- a/packages/core/src/failure.ts
+++ b/packages/core/src/failure.ts
@@ -1,15 +1,15 @@
 import {errorAnswers, type ErrorKind, type Outcome} from './error-kinds.js';
 
-/** A failure with its kind, what was got and wanted, and when to come back. */
+/** A failure with its kind, a message, and an optional retry delay. */
 export type Failure = {
 	readonly kind: ErrorKind;
-	/** What was got and what was wanted. */
+	/** The error message. */
 	readonly message: string;
-	/** Whether the request ran, where it differs from the answer table of the kind. */
+	/** Whether the request ran, if that differs from the outcome of the kind. */
 	readonly outcome?: Outcome;
-	/** Milliseconds after which a new try can succeed. */
+	/** Milliseconds after which a retry can succeed. */
 	readonly retryAfterMilliseconds?: number;
-	/** Further members for the answer, such as the current revision. */
+	/** Additional members of the response body, such as the current revision. */
 	readonly details?: Readonly<Record<string, unknown>>;
 };
 
@@ -17,15 +17,15 @@
 export type FailureOptions = Omit<Failure, 'kind' | 'message'>;
 
 /**
-Makes a failure.
+Creates a failure.
 
-@param kind The kind, from the closed list.
-@param message What was got and wanted, in sentence case and without a full stop.
+@param kind The error kind.
+@param message The error message, in sentence case and without a full stop.
 @param options The optional members.
 @returns The failure.
 @example
 ```ts
-failure('no-server', 'Got no server for tag-small 1.0, wanted one that is not shutting down');
+failure('no-server', 'No server for tag-small 1.0 accepts work');
 ```
 */
 export function failure(kind: ErrorKind, message: string, options: FailureOptions = {}): Failure {
@@ -33,13 +33,13 @@
 }
 
 /**
-Tells whether the request of a failure ran.
+Returns whether the request of a failure ran.
 
 @param failed The failure.
-@returns The outcome of the failure, or else that of its kind.
+@returns The outcome of the failure, or that of its kind if it specifies none.
 @example
 ```ts
-outcomeOf(failure('no-server', 'Got none')); // 'notRun'
+outcomeOf(failure('no-server', 'No server is available')); // 'notRun'
 ```
 */
 export function outcomeOf(failed: Failure): Outcome {
--- a/packages/core/src/hybrid-clock.ts
+++ b/packages/core/src/hybrid-clock.ts
@@ -1,20 +1,20 @@
 import {type Clock} from './clock.js';
 
-/** A time stamp that follows cause and effect over processes: wall clock first, then a counter. */
+/** A timestamp that respects causality across processes. Ordered by wall-clock time, then by counter. */
 export type HybridTimestamp = {
-	/** Milliseconds since 1970. */
+	/** Unix time in milliseconds. */
 	readonly wall: number;
 	readonly counter: number;
 };
 
 /**
-A hybrid logical clock (Kulkarni and others, 2014): close to the wall clock, and later than every stamp that was seen.
+A hybrid logical clock (Kulkarni and others, 2014). Its timestamps are close to the wall clock and later than every observed timestamp.
 
 @example
 ```ts
-const stamps = new HybridClock(clock);
-stamps.observe(stampFromPeer);
-const stamp = stamps.next();
+const clock = new HybridClock(systemClock);
+clock.observe(timestampFromPeer);
+const timestamp = clock.next();
 ```
 */
 export class HybridClock {
@@ -26,9 +26,9 @@
 	}
 
 	/**
-	Makes the stamp of the next event.
+	Creates the timestamp of the next event.
 
-	@returns A stamp later than all before and all that were observed.
+	@returns A timestamp later than all previous and all observed ones.
 	*/
 	next(): HybridTimestamp {
 		const wall = this.#clock.now().getTime();
@@ -39,9 +39,9 @@
 	}
 
 	/**
-	Takes note of a stamp of another process.
+	Advances the clock to a timestamp of another process.
 
-	@param stamp The stamp that came with a message.
+	@param stamp The timestamp received with a message.
 	*/
 	observe(stamp: HybridTimestamp): void {
 		if (compareTimestamps(stamp, this.#last) > 0) {
@@ -51,14 +51,14 @@
 }
 
 /**
-Compares two stamps.
+Compares two timestamps, for sorting.
 
 @param left One stamp.
 @param right The other.
-@returns Below 0 if the left is earlier, above 0 if it is later, 0 if they are equal.
+@returns A negative number if the left one is earlier, a positive number if it is later, 0 if they are equal.
 @example
 ```ts
-stamps.sort(compareTimestamps);
+timestamps.sort(compareTimestamps);
 ```
 */
 export function compareTimestamps(left: HybridTimestamp, right: HybridTimestamp): number {
--- a/packages/core/src/ids.ts
+++ b/packages/core/src/ids.ts
@@ -1,35 +1,35 @@
 import {type Brand} from './brand.js';
 
-/** Names one running daemon; unique in a deployment. */
+/** Identifies one running daemon. Unique within a deployment. */
 export type InstanceId = Brand<string, 'InstanceId'>;
-/** Names an availability zone. */
+/** Identifies an availability zone. */
 export type ZoneId = Brand<string, 'ZoneId'>;
-/** Names a workspace, the unit of permission and of billing. */
+/** Identifies a workspace, the unit of authorization and billing. */
 export type WorkspaceId = Brand<string, 'WorkspaceId'>;
-/** Names a model. */
+/** Identifies a model. */
 export type ModelId = Brand<string, 'ModelId'>;
-/** Names a version of a model; unique within its model. */
+/** Identifies a version of a model. Unique within its model. */
 export type VersionId = Brand<string, 'VersionId'>;
-/** Names a plain service. */
+/** Identifies a plain service. */
 export type ServiceId = Brand<string, 'ServiceId'>;
-/** Names one backend server: a model engine or an instance of a plain service. */
+/** Identifies one backend server: a model engine or an instance of a plain service. */
 export type ServerId = Brand<string, 'ServerId'>;
-/** Names one arrival of a request; the ledger is keyed by it. */
+/** Identifies one received request. The ledger is keyed by it. */
 export type RequestId = Brand<string, 'RequestId'>;
-/** Names what a caller asks, the same for each of its tries. */
+/** Identifies the content of a caller's request. The same for each of its retries. */
 export type RequestFingerprint = Brand<string, 'RequestFingerprint'>;
-/** Names one change of an operator, so that a resend can be told from a new change. */
+/** Identifies one change by an operator, so that a resent change can be distinguished from a new one. */
 export type ChangeId = Brand<string, 'ChangeId'>;
-/** Numbers the configurations in the order in which they were committed; the first is 1. */
+/** The number of a configuration in commit order, starting at 1. */
 export type Revision = Brand<number, 'Revision'>;
 
 /**
-Marks a string as an id of the wanted kind.
+Converts a string to a branded id.
 
-The caller has checked the text, for instance with a schema.
+The string is not validated; the caller must have checked it, for example with a schema.
 
-@param text The id as text.
-@returns The same text, branded.
+@param text The id as a string.
+@returns The same string, branded.
 @example
 ```ts
 const zone = toId<ZoneId>('prairie-south-a');
@@ -40,9 +40,9 @@
 }
 
 /**
-Marks a number as a revision.
+Converts a number to a revision.
 
-@param number A whole number from 0; 0 means that nothing was committed yet.
+@param number A non-negative integer. 0 means that no configuration has been committed.
 @returns The same number, branded.
 @example
 ```ts
--- a/packages/core/src/mod.ts
+++ b/packages/core/src/mod.ts
@@ -1,5 +1,5 @@
 /**
-Ids, error kinds and their answers, clocks, money, and the typed records that the other packages share.
+Ids, error kinds, clocks, money, and the record types that the other packages share.
 
 @module
 */
--- a/packages/core/src/money.test.ts
+++ b/packages/core/src/money.test.ts
@@ -9,7 +9,7 @@
 });
 
 testProp(
-	'a sum does not depend on the order',
+	'a sum is independent of the order of its amounts',
 	[fc.array(fc.nat({max: 1_000_000_000}))],
 	(t, amounts) => {
 		const micros = amounts as Micros[];
--- a/packages/core/src/money.ts
+++ b/packages/core/src/money.ts
@@ -1,48 +1,48 @@
 import {type Brand} from './brand.js';
 
-/** An amount of money in millionths of the unit of account, a whole number. */
+/** An amount of money in millionths of the unit of account. Always an integer. */
 export type Micros = Brand<number, 'Micros'>;
 
-const tokensPerPricedUnit = 1_000_000;
-/** Keeps an amount that is whole but for floating-point error from being rounded up. */
+const tokensPerPriceUnit = 1_000_000;
+/** Prevents an integer amount with floating-point error from being rounded up. */
 const roundingTolerance = 1e-9;
 
-/** What a version charges, in units of account for a million tokens. */
+/** The prices of a version, in units of account per million tokens. */
 export type Prices = {
 	readonly input: number;
 	readonly output: number;
 };
 
-/** How many tokens an attempt used. */
+/** The numbers of tokens that an attempt used. */
 export type TokenUsage = {
 	readonly input: number;
 	readonly output: number;
 };
 
 /**
-Works out the cost of an attempt, rounded up to a whole millionth.
+Calculates the cost of an attempt, rounded up to a whole millionth.
 
-@param prices Units of account for a million tokens.
-@param usage Tokens read and written.
+@param prices The prices in units of account per million tokens.
+@param usage The numbers of input and output tokens.
 @returns The cost in millionths of the unit of account.
 @example
 ```ts
-costOf({input: 0.5, output: 2}, {input: 100, output: 10}); // 70
+calculateCost({input: 0.5, output: 2}, {input: 100, output: 10}); // 70
 ```
 */
 export function costOf(prices: Prices, usage: TokenUsage): Micros {
-	const micros = ((prices.input * usage.input) + (prices.output * usage.output)) * 1_000_000 / tokensPerPricedUnit;
+	const micros = ((prices.input * usage.input) + (prices.output * usage.output)) * 1_000_000 / tokensPerPriceUnit;
 	return Math.max(0, Math.ceil(micros - roundingTolerance)) as Micros;
 }
 
 /**
-Adds amounts of money.
+Returns the sum of amounts of money.
 
 @param amounts The amounts in millionths.
 @returns Their sum in millionths.
 @example
 ```ts
-sumOf([costOf(prices, first), costOf(prices, second)]);
+sumAmounts([calculateCost(prices, first), calculateCost(prices, second)]);
 ```
 */
 export function sumOf(amounts: Iterable<Micros>): Micros {
--- a/packages/core/src/recent-map.test.ts
+++ b/packages/core/src/recent-map.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import {RecentMap} from './recent-map.js';
 
-test('the least recently used entry goes first', t => {
+test('the least recently used entry is evicted first', t => {
 	const recent = new RecentMap<string, number>(2);
 	recent.set('a', 1);
 	recent.set('b', 2);
@@ -12,7 +12,7 @@
 	t.is(recent.peek('a'), 1);
 });
 
-test('an entry that is only looked at does not count as used', t => {
+test('peeking at an entry does not count as use', t => {
 	const recent = new RecentMap<string, number>(1);
 	t.is(recent.touch('a', () => 1), 1);
 	t.is(recent.peek('a'), 1);
--- a/packages/core/src/recent-map.ts
+++ b/packages/core/src/recent-map.ts
@@ -1,58 +1,58 @@
 /**
-A map that holds a bounded number of entries, the least recently used going first.
+A map of bounded size that evicts the least recently used entry.
 
 @example
 ```ts
-const recent = new RecentMap<string, number>(2);
-recent.touch('a', () => 1);
+const cache = new LruMap<string, number>(2);
+cache.getOrCreate('a', () => 1);
 ```
 */
 export class RecentMap<Key, Value> {
-	readonly #maximum: number;
+	readonly #maximumSize: number;
 	readonly #entries = new Map<Key, Value>();
 
 	/**
-	@param maximum The most entries that are held.
+	@param maximumSize The maximum number of entries.
 	*/
-	constructor(maximum: number) {
-		this.#maximum = maximum;
+	constructor(maximumSize: number) {
+		this.#maximumSize = maximumSize;
 	}
 
-	/** How many entries are held. */
+	/** The number of entries. */
 	get size(): number {
 		return this.#entries.size;
 	}
 
 	/**
-	Reads an entry without counting that as use.
+	Returns an entry without counting this as use.
 
 	@param key The key.
-	@returns The value; undefined where there is none.
+	@returns The value, or undefined if there is none.
 	*/
 	peek(key: Key): Value | undefined {
 		return this.#entries.get(key);
 	}
 
 	/**
-	Holds a value, as the most recently used.
+	Sets an entry and marks it as the most recently used.
 
 	@param key The key.
-	@param value The value; it replaces the one before.
+	@param value The value, which replaces any previous one.
 	*/
 	set(key: Key, value: Value): void {
 		this.#entries.delete(key);
 		this.#entries.set(key, value);
 		const oldest = this.#entries.keys().next();
-		if (this.#entries.size > this.#maximum && !oldest.done) {
+		if (this.#entries.size > this.#maximumSize && !oldest.done) {
 			this.#entries.delete(oldest.value);
 		}
 	}
 
 	/**
-	Reads an entry as the most recently used, and makes it where there is none.
+	Returns an entry, creating it if there is none, and marks it as the most recently used.
 
 	@param key The key.
-	@param create Makes the value.
+	@param create Creates the value.
 	@returns The value.
 	*/
 	touch(key: Key, create: () => Value): Value {
--- a/packages/core/src/request.ts
+++ b/packages/core/src/request.ts
@@ -1,26 +1,26 @@
 import {type ModelId, type RequestId, type WorkspaceId} from './ids.js';
 
-/** What a policy program may ask about a request. */
+/** The properties of a request that the conditions of a policy program can access. */
 export type RequestFacts = {
-	/** The class the caller gave in the header `Valehitch-Class`, or an empty text. */
+	/** The value of the header `Valehitch-Class`, or an empty string. */
 	readonly class: string;
-	/** The model the caller named, or `auto`. */
+	/** The requested model, or `auto`. */
 	readonly model: string;
 	/** Whether the answer is streamed. */
 	readonly stream: boolean;
-	/** An estimate of the prompt's tokens. */
+	/** The estimated number of prompt tokens. */
 	readonly promptTokens: number;
-	/** The most tokens the caller wants, or 0 where it did not say. */
+	/** The maximum number of output tokens that the caller requests, or 0 if it sets no limit. */
 	readonly maxTokens: number;
 	/** Whether the request belongs to a session. */
 	readonly session: boolean;
 };
 
-/** One request to a model, as it arrived. */
+/** A request to a model, as received. */
 export type ModelRequest = {
 	readonly id: RequestId;
 	readonly workspace: WorkspaceId;
 	readonly facts: RequestFacts;
-	/** The model that the caller insists on; undefined when the policy chooses. */
+	/** The model that the caller requires. Undefined if the policy chooses. */
 	readonly namedModel?: ModelId;
 };
--- a/packages/core/src/timeline-event.ts
+++ b/packages/core/src/timeline-event.ts
@@ -1,7 +1,7 @@
 import {type HybridTimestamp} from './hybrid-clock.js';
 import {type InstanceId, type ZoneId} from './ids.js';
 
-/** The closed list of event names on the time line. */
+/** All event names of the timeline. */
 export const timelineEventNames = [
 	'instance-started',
 	'instance-stopping',
@@ -35,10 +35,10 @@
 	'order-answered',
 ] as const;
 
-/** The name of an event on the time line. */
+/** The name of a timeline event. */
 export type TimelineEventName = typeof timelineEventNames[number];
 
-/** What an event is about; filters work on these. */
+/** The subject of an event, by which events can be filtered. */
 export type TimelineSubject = {
 	readonly requestId?: string;
 	readonly changeId?: string;
@@ -48,11 +48,11 @@
 	readonly server?: string;
 	readonly revision?: number;
 	readonly term?: number;
-	/** Further facts in plain values. */
+	/** Additional properties as primitive values. */
 	readonly details?: Readonly<Record<string, string | number | boolean | undefined>>;
 };
 
-/** One event on the time line over all processes. */
+/** An event on the timeline across all processes. */
 export type TimelineEvent = TimelineSubject & {
 	readonly event: TimelineEventName;
 	readonly stamp: HybridTimestamp;
--- a/packages/core/src/typed-schema.ts
+++ b/packages/core/src/typed-schema.ts
@@ -1,9 +1,9 @@
 import {type z} from 'zod';
 
 /**
-Names the type that a schema gives, with branded ids in place of plain strings.
+Casts a schema to the type of its output, with branded ids in place of plain strings.
 
-The schema is the check; this only tells the compiler what was checked.
+The cast performs no validation of its own; the schema must produce the shape of `Value`.
 
 @param schema A schema whose output has the shape of `Value`.
 @returns The same schema.
