--- a/packages/membership/src/configuration-relay.test.ts
+++ b/packages/membership/src/configuration-relay.test.ts
@@ -3,7 +3,7 @@
 import {
 	type InstanceId, toId, toRevision, type ZoneId,
 } from '@valehitch/core';
-import {ConfigurationRelay, type LeaseGrant, type LeaseQuestion} from './configuration-relay.js';
+import {ConfigurationRelay, type LeaseResponse} from './configuration-relay.js';
 import {InForceTracker} from './in-force-tracker.js';
 
 const seed = 43;
@@ -13,23 +13,23 @@
 const leaderLeaseMilliseconds = 40;
 const zones = ['zone-a', 'zone-b', 'zone-c'].map(name => toId<ZoneId>(name));
 
-const steps = makeSteps({
-	mostNode: nodes - 1, mostThere: 30, mostBack: 60, mostWait: 40, adopts: fc.boolean(), lost: fc.boolean(),
+const steps = createSteps({
+	maximumNode: nodes - 1, maximumRequestDelay: 30, maximumResponseDelay: 60, maximumWait: 40, adopts: fc.boolean(), lost: fc.boolean(),
 });
-/** Few nodes, fast links and hardly any loss, so that parents change all the time and are released. */
-const denseSteps = makeSteps({
-	mostNode: 3, mostThere: 6, mostBack: 6, mostWait: 12, adopts: mostly(true), lost: mostly(false), size: 'max',
+/** Few nodes, short delays and little message loss, so that children change parents frequently and former parents are released. */
+const frequentMoveSteps = createSteps({
+	maximumNode: 3, maximumRequestDelay: 6, maximumResponseDelay: 6, maximumWait: 12, adopts: mostly(true), lost: mostly(false), size: 'max',
 });
 
-const suspendedSteps = makeSteps({
-	mostNode: 3, mostThere: 6, mostBack: 6, mostWait: 12, adopts: mostly(true), lost: mostly(false), size: 'max', suspends: true,
+const suspendedSteps = createSteps({
+	maximumNode: 3, maximumRequestDelay: 6, maximumResponseDelay: 6, maximumWait: 12, adopts: mostly(true), lost: mostly(false), size: 'max', suspends: true,
 });
 
 type StepsOptions = {
-	readonly mostNode: number;
-	readonly mostThere: number;
-	readonly mostBack: number;
-	readonly mostWait: number;
+	readonly maximumNode: number;
+	readonly maximumRequestDelay: number;
+	readonly maximumResponseDelay: number;
+	readonly maximumWait: number;
 	readonly adopts: fc.Arbitrary<boolean>;
 	readonly lost: fc.Arbitrary<boolean>;
 	readonly size?: 'max';
@@ -40,14 +40,14 @@
 	return fc.nat(9).map(drawn => (drawn > 0) === value);
 }
 
-function makeSteps({
-	mostNode, mostThere, mostBack, mostWait, adopts, lost, size, suspends,
+function createSteps({
+	maximumNode: mostNode, maximumRequestDelay: mostThere, maximumResponseDelay: mostBack, maximumWait: mostWait, adopts, lost, size, suspends,
 }: StepsOptions) {
 	const nodeIndex = fc.nat(mostNode);
 	return fc.array(fc.oneof(
 		{
 			weight: 8, arbitrary: fc.record({
-				type: fc.constant('exchange' as const), child: nodeIndex, parent: nodeIndex, there: fc.nat(mostThere), back: fc.nat(mostBack), lost, adopts,
+				type: fc.constant('exchange' as const), child: nodeIndex, parent: nodeIndex, requestDelay: fc.nat(mostThere), responseDelay: fc.nat(mostBack), lost, adopts,
 			}),
 		},
 		{weight: 4, arbitrary: fc.record({type: fc.constant('wait' as const), milliseconds: fc.nat(mostWait)})},
@@ -59,23 +59,23 @@
 	), {minLength: 60, maxLength: 250, ...(size !== undefined && {size})});
 }
 
-type Step = ReturnType<typeof makeSteps> extends fc.Arbitrary<Array<infer One>> ? One : never;
+type Step = ReturnType<typeof createSteps> extends fc.Arbitrary<Array<infer One>> ? One : never;
 
-/** Runs relays on one true time line; each node's clock has its own start and rate. */
-class Trial {
+/** Runs relays against one reference timeline. Each node's clock has its own origin and rate. */
+class Simulation {
 	now = 0;
-	/** How often a revision was found in force while an earlier one still had a lease somewhere before. */
-	found = 0;
-	/** How often a former parent was released. */
-	released = 0;
+	/** How often a revision was found to be in force everywhere. */
+	confirmedCount = 0;
+	/** How often a release changed the minimum revisions of a former parent. */
+	releasedCount = 0;
 	readonly #relays: ConfigurationRelay[] = [];
-	/** How long each machine was suspended in all. */
-	readonly #slept: number[] = [];
-	/** When each woke last, by its own clock. */
-	readonly #wokeAt: number[] = [];
+	/** The total time that each machine was suspended. */
+	readonly #suspendedMilliseconds: number[] = [];
+	/** When each machine last woke up, on its own clock. */
+	readonly #lastWakeTimes: number[] = [];
 	readonly #messages: Array<{readonly at: number; readonly deliver: () => void}> = [];
-	readonly #views = new Map<number, {readonly revision: number; readonly until: number}>();
-	#hasGoneBack = false;
+	readonly #leaderViews = new Map<number, {readonly revision: number; readonly until: number}>();
+	#hasRevisionDecreased = false;
 	#incarnation = 0;
 	#committed = 1;
 	#leader = 0;
@@ -84,10 +84,10 @@
 
 	constructor() {
 		for (let index = 0; index < nodes; index++) {
-			this.#relays.push(this.#make(index));
+			this.#relays.push(this.#createRelay(index));
 		}
 
-		this.#tracker = this.#lead();
+		this.#tracker = this.#startLeadership();
 	}
 
 	run(step: Step): void {
@@ -125,24 +125,24 @@
 				if (this.now >= this.#leaderUntil) {
 					this.#leader = step.node;
 					this.#leaderUntil = this.now + leaderLeaseMilliseconds;
-					this.#tracker = this.#lead();
+					this.#tracker = this.#startLeadership();
 				}
 
 				break;
 			}
 
 			case 'suspend': {
-				// Nothing arrives anywhere meanwhile.
-				this.#slept[step.node] = (this.#slept[step.node] ?? 0) + step.milliseconds;
+				// No messages are delivered during the suspension.
+				this.#suspendedMilliseconds[step.node] = (this.#suspendedMilliseconds[step.node] ?? 0) + step.milliseconds;
 				this.now += step.milliseconds;
-				this.#wokeAt[step.node] = this.#clock(step.node);
+				this.#lastWakeTimes[step.node] = this.#clock(step.node);
 				break;
 			}
 
 			case 'restart': {
 				if (step.node !== this.#leader) {
-					this.#relays[step.node] = this.#make(step.node);
-					this.#views.delete(step.node);
+					this.#relays[step.node] = this.#createRelay(step.node);
+					this.#leaderViews.delete(step.node);
 				}
 
 				break;
@@ -150,89 +150,90 @@
 		}
 	}
 
-	/** The rule that must always hold: what the leader calls in force is in force wherever a lease is valid. */
+	/** Checks the invariant: a revision that the leader reports as in force is in force on every node with a valid lease. */
 	violation(): string | undefined {
-		if (this.#hasGoneBack) {
-			return 'a revision went back';
+		if (this.#hasRevisionDecreased) {
+			return 'the revision of a node decreased';
 		}
 
-		this.#refresh();
+		this.#renewLeaders();
 		if (this.now < this.#leaderUntil) {
 			const answer = this.#tracker.look({revision: toRevision(this.#committed), now: this.#clock(this.#leader), zones});
-			this.found += answer.complete ? 1 : 0;
+			this.confirmedCount += answer.complete ? 1 : 0;
 		}
 
-		const behind = this.#relays.findIndex((relay, index) => relay.isLeaseValid(this.#clock(index)) && relay.revision < this.#tracker.inForce);
-		return behind === -1 ? undefined : `node ${behind} may serve by ${this.#relays[behind]?.revision} while ${this.#tracker.inForce} is in force at ${this.now}`;
+		const staleNode = this.#relays.findIndex((relay, index) => relay.isLeaseValid(this.#clock(index)) && relay.revision < this.#tracker.inForce);
+		return staleNode === -1 ? undefined : `node ${staleNode} may serve under revision ${this.#relays[staleNode]?.revision} while revision ${this.#tracker.inForce} is in force at ${this.now}`;
 	}
 
 	#relay(index: number): ConfigurationRelay {
 		return this.#relays[index]!;
 	}
 
-	#make(index: number): ConfigurationRelay {
+	#createRelay(index: number): ConfigurationRelay {
 		return new ConfigurationRelay({
 			instance: toId<InstanceId>(`node-${index}`), zone: zones[index % zones.length]!, incarnation: ++this.#incarnation, leaseMilliseconds,
-			suspension: {lastWake: () => this.#wokeAt[index] ?? Number.NEGATIVE_INFINITY},
+			suspension: {lastWake: () => this.#lastWakeTimes[index] ?? Number.NEGATIVE_INFINITY},
 		});
 	}
 
-	/** The monotonic clock of a node: another start, up to 0.4 % slower or faster, and still while the machine is suspended. */
+	/** Returns the monotonic clock of a node. It has its own origin, runs up to 0.4 % slower or faster, and stands still while the machine is suspended. */
 	#clock(index: number, at: number = this.now): number {
-		return (1000 * index) + ((at - (this.#slept[index] ?? 0)) * (1 + ((index - 2.5) * 0.0016)));
+		return (1000 * index) + ((at - (this.#suspendedMilliseconds[index] ?? 0)) * (1 + ((index - 2.5) * 0.0016)));
 	}
 
-	#lead(): InForceTracker {
+	#startLeadership(): InForceTracker {
 		const relay = this.#relay(this.#leader);
 		relay.adopt(toRevision(this.#committed));
 		return new InForceTracker({relay, leaseMilliseconds, leaderSince: this.#clock(this.#leader)});
 	}
 
-	/** Has the leader renew its own lease, and every former leader try to by what it knew last. */
-	#refresh(): void {
+	/** Renews the lease of the leader, and lets every former leader try to renew with the last state it knew. */
+	#renewLeaders(): void {
 		if (this.now < this.#leaderUntil) {
 			this.#relay(this.#leader).adopt(toRevision(this.#committed));
-			this.#views.set(this.#leader, {revision: this.#committed, until: this.#leaderUntil});
+			this.#leaderViews.set(this.#leader, {revision: this.#committed, until: this.#leaderUntil});
 		}
 
-		for (const [index, {revision, until}] of this.#views) {
+		for (const [index, {revision, until}] of this.#leaderViews) {
 			this.#relay(index).renewAsLeader({revision: toRevision(revision), validUntil: this.#clock(index, until)}, this.#clock(index));
 		}
 	}
 
-	#exchange({child, parent, there, back, lost, adopts}: Step & {type: 'exchange'}): void {
-		const asker = this.#relay(child);
-		const sentAt = this.#clock(child);
-		const question = asker.question(sentAt, toId<InstanceId>(`node-${parent}`));
-		this.#send(there, () => {
-			this.#refresh();
-			const grant = this.#relay(parent).answer(question, this.#clock(parent));
-			const held = this.#relay(parent).revision;
+	#exchange({child: childIndex, parent, requestDelay, responseDelay, lost, adopts}: Step & {type: 'exchange'}): void {
+		const childRelay = this.#relay(childIndex);
+		const sentAt = this.#clock(childIndex);
+		const request = childRelay.question(sentAt, toId<InstanceId>(`node-${parent}`));
+		this.#send(requestDelay, () => {
+			this.#renewLeaders();
+			const grant = this.#relay(parent).answer(request, this.#clock(parent));
+			const parentRevision = this.#relay(parent).revision;
 			if (!lost && grant !== undefined) {
-				this.#send(back, () => {
-					this.#take(child, {
-						asker, question, sentAt, grant, held: adopts ? held : toRevision(0), releaseTakes: there,
+				this.#send(responseDelay, () => {
+					this.#receive(childIndex, {
+						childRelay, question: request, sentAt, grant, parentRevision: adopts ? parentRevision : toRevision(0), releaseDelay: requestDelay,
 					});
 				});
 			}
 		});
 	}
 
-	#take(child: number, answer: {asker: ConfigurationRelay; question: LeaseQuestion; sentAt: number; grant: LeaseGrant; held: number; releaseTakes: number}): void {
-		if (this.#relay(child) === answer.asker) {
-			const before = answer.asker.revision;
-			answer.asker.adopt(toRevision(answer.held));
-			answer.asker.take(answer);
-			for (const [former, release] of answer.asker.takeReleases()) {
-				this.#send(answer.releaseTakes, () => {
+	#receive(child: number, response: LeaseResponse & {childRelay: ConfigurationRelay; parentRevision: number; releaseDelay: number}): void {
+		const {childRelay, parentRevision, releaseDelay} = response;
+		if (this.#relay(child) === childRelay) {
+			const previousRevision = childRelay.revision;
+			childRelay.adopt(toRevision(parentRevision));
+			childRelay.take(response);
+			for (const [former, release] of childRelay.takeReleases()) {
+				this.#send(releaseDelay, () => {
 					const relay = this.#relay(indexOf(former));
-					const before = JSON.stringify(relay.confirmed(this.#clock(indexOf(former))));
+					const confirmedBefore = JSON.stringify(relay.confirmed(this.#clock(indexOf(former))));
 					relay.release(release);
-					this.released += JSON.stringify(relay.confirmed(this.#clock(indexOf(former)))) === before ? 0 : 1;
+					this.releasedCount += JSON.stringify(relay.confirmed(this.#clock(indexOf(former)))) === confirmedBefore ? 0 : 1;
 				});
 			}
 
-			this.#hasGoneBack ||= answer.asker.revision < before;
+			this.#hasRevisionDecreased ||= childRelay.revision < previousRevision;
 		}
 	}
 
@@ -261,63 +262,63 @@
 	return Number(instance.slice('node-'.length));
 }
 
-function check(arbitrary: typeof steps, runs: number): {readonly found: number; readonly released: number} {
-	const counts = {found: 0, released: 0};
-	fc.assert(fc.property(arbitrary, taken => {
-		const trial = new Trial();
-		for (const step of taken) {
-			trial.run(step);
-			const violation = trial.violation();
+function check(arbitrary: typeof steps, runs: number): {readonly confirmedCount: number; readonly releasedCount: number} {
+	const counts = {confirmedCount: 0, releasedCount: 0};
+	fc.assert(fc.property(arbitrary, generatedSteps => {
+		const simulation = new Simulation();
+		for (const step of generatedSteps) {
+			simulation.run(step);
+			const violation = simulation.violation();
 			if (violation !== undefined) {
 				throw new Error(violation);
 			}
 		}
 
-		counts.found += trial.found;
-		counts.released += trial.released;
+		counts.confirmedCount += simulation.confirmedCount;
+		counts.releasedCount += simulation.releasedCount;
 	}), {seed, numRuns: runs});
 	return counts;
 }
 
-test('a revision that the leader calls in force is in force wherever a lease is valid', t => {
-	const {found} = check(steps, 3000);
-	t.log(`${found} times in force`);
-	t.true(found > 1000);
+test('a revision that the leader reports as in force is in force on every instance with a valid lease', t => {
+	const {confirmedCount} = check(steps, 3000);
+	t.log(`${confirmedCount} times in force`);
+	t.true(confirmedCount > 1000);
 });
 
-test('the same while children move between parents and release the former ones', t => {
-	const {found, released} = check(denseSteps, 5000);
-	t.log(`${found} times in force, ${released} releases that changed what was confirmed`);
-	t.true(found > 1000);
-	t.true(released > 1000);
+test('the invariant holds while children change parents and release the former ones', t => {
+	const {confirmedCount, releasedCount} = check(frequentMoveSteps, 5000);
+	t.log(`${confirmedCount} times in force, ${releasedCount} releases that changed what was confirmed`);
+	t.true(confirmedCount > 1000);
+	t.true(releasedCount > 1000);
 });
 
-test('the same while machines are suspended', t => {
-	const {found} = check(suspendedSteps, 5000);
-	t.log(`${found} times in force`);
-	t.true(found > 100);
+test('the invariant holds while machines are suspended', t => {
+	const {confirmedCount} = check(suspendedSteps, 5000);
+	t.log(`${confirmedCount} times in force`);
+	t.true(confirmedCount > 100);
 });
 
-test('a lease counts from when the question was sent, and an answer to an earlier question is passed over', t => {
-	const make = (name: string): ConfigurationRelay => new ConfigurationRelay({
+test('a lease is counted from when its request was sent, and a response to an earlier request is ignored', t => {
+	const createRelay = (name: string): ConfigurationRelay => new ConfigurationRelay({
 		instance: toId<InstanceId>(name), zone: zones[0]!, incarnation: 1, leaseMilliseconds, suspension: neverSuspended,
 	});
-	const leader = make('leader');
+	const leader = createRelay('leader');
 	leader.adopt(toRevision(1));
 	leader.renewAsLeader({revision: toRevision(1), validUntil: 1}, 0);
-	const child = make('child');
+	const child = createRelay('child');
 	child.adopt(toRevision(1));
-	const question = child.question(5000, toId<InstanceId>('leader'));
-	const grant = leader.answer(question, 20)!;
+	const request = child.question(5000, toId<InstanceId>('leader'));
+	const grant = leader.answer(request, 20)!;
 	t.is(grant.remainingMilliseconds, 80);
-	t.true(child.take({question, sentAt: 5000, grant}));
+	t.true(child.take({question: request, sentAt: 5000, grant}));
 	t.true(child.isLeaseValid(5079));
 	t.false(child.isLeaseValid(5080));
 	child.question(5010, toId<InstanceId>('leader'));
-	t.false(child.take({question, sentAt: 5000, grant}));
+	t.false(child.take({question: request, sentAt: 5000, grant}));
 });
 
-const relayAt = (name: string, revision: number): ConfigurationRelay => {
+const createRelayAt = (name: string, revision: number): ConfigurationRelay => {
 	const relay = new ConfigurationRelay({
 		instance: toId<InstanceId>(name), zone: zones[0]!, incarnation: 1, leaseMilliseconds, suspension: neverSuspended,
 	});
@@ -325,72 +326,72 @@
 	return relay;
 };
 
-type Asked = {readonly parent: ConfigurationRelay; readonly name: string; readonly at: number};
+type LeaseRequestOptions = {readonly parent: ConfigurationRelay; readonly name: string; readonly at: number};
 
-/** Asks a parent, puts its revision in force and takes the lease; gives the releases that follow. */
-function ask(asker: ConfigurationRelay, {parent, name, at}: Asked): ReturnType<ConfigurationRelay['takeReleases']> {
-	const question = asker.question(at, toId<InstanceId>(name));
-	const grant = parent.answer(question, at);
+/** Requests a lease from a parent, puts its revision in force and accepts the grant. Returns the resulting releases. */
+function requestLease(child: ConfigurationRelay, {parent, name, at}: LeaseRequestOptions): ReturnType<ConfigurationRelay['takeReleases']> {
+	const request = child.question(at, toId<InstanceId>(name));
+	const grant = parent.answer(request, at);
 	if (grant !== undefined) {
-		asker.adopt(grant.revision);
-		asker.take({question, sentAt: at, grant});
+		child.adopt(grant.revision);
+		child.take({question: request, sentAt: at, grant});
 	}
 
-	return asker.takeReleases();
+	return child.takeReleases();
 }
 
-function lowestOf(relay: ConfigurationRelay, now: number): number {
+function lowestRevision(relay: ConfigurationRelay, now: number): number {
 	return Math.min(...relay.confirmed(now).map(({revision}) => revision));
 }
 
-test('a former parent counts a moved child no longer once the new parent covers it, but counts one that asked again', t => {
-	const [leader, former, child] = [relayAt('leader', 1), relayAt('former', 1), relayAt('child', 1)];
+test('a former parent stops tracking a moved child once the new parent covers it, but tracks one that sent a later request', t => {
+	const [leader, former, child] = [createRelayAt('leader', 1), createRelayAt('former', 1), createRelayAt('child', 1)];
 	leader.renewAsLeader({revision: toRevision(1), validUntil: 1}, 0);
-	ask(former, {parent: leader, name: 'leader', at: 0});
-	t.deepEqual(ask(child, {parent: former, name: 'former', at: 1}), []);
-	const [release] = ask(child, {parent: leader, name: 'leader', at: 2});
+	requestLease(former, {parent: leader, name: 'leader', at: 0});
+	t.deepEqual(requestLease(child, {parent: former, name: 'former', at: 1}), []);
+	const [release] = requestLease(child, {parent: leader, name: 'leader', at: 2});
 	t.is(release?.[0], toId<InstanceId>('former'));
 	former.adopt(toRevision(2));
-	t.is(lowestOf(former, 3), 1);
+	t.is(lowestRevision(former, 3), 1);
 	former.release(release![1]);
-	t.is(lowestOf(former, 3), 2);
-	ask(child, {parent: former, name: 'former', at: 4});
+	t.is(lowestRevision(former, 3), 2);
+	requestLease(child, {parent: former, name: 'former', at: 4});
 	former.release(release![1]);
-	t.is(lowestOf(former, 5), 1);
+	t.is(lowestRevision(former, 5), 1);
 });
 
-test('a former parent is kept while something below is behind the new parent, which may have confirmed its revision already', t => {
-	const [leader, granter, child, below] = [relayAt('leader', 1), relayAt('granter', 1), relayAt('child', 1), relayAt('below', 1)];
+test('a former parent is not released while a descendant is behind the new parent, which may have confirmed its revision already', t => {
+	const [leader, granter, child, below] = [createRelayAt('leader', 1), createRelayAt('granter', 1), createRelayAt('child', 1), createRelayAt('below', 1)];
 	leader.renewAsLeader({revision: toRevision(1), validUntil: 1}, 0);
-	ask(child, {parent: leader, name: 'leader', at: 0});
-	ask(below, {parent: child, name: 'child', at: 1});
+	requestLease(child, {parent: leader, name: 'leader', at: 0});
+	requestLease(below, {parent: child, name: 'child', at: 1});
 	leader.adopt(toRevision(2));
 	leader.renewAsLeader({revision: toRevision(2), validUntil: 3}, 2);
-	ask(granter, {parent: leader, name: 'leader', at: 3});
-	ask(granter, {parent: leader, name: 'leader', at: 4});
-	t.deepEqual(ask(child, {parent: granter, name: 'granter', at: 5}), []);
-	t.is(lowestOf(leader, 6), 1);
+	requestLease(granter, {parent: leader, name: 'leader', at: 3});
+	requestLease(granter, {parent: leader, name: 'leader', at: 4});
+	t.deepEqual(requestLease(child, {parent: granter, name: 'granter', at: 5}), []);
+	t.is(lowestRevision(leader, 6), 1);
 	t.true(below.isLeaseValid(6));
-	ask(below, {parent: child, name: 'child', at: 7});
-	ask(below, {parent: child, name: 'child', at: 8});
-	t.deepEqual(ask(child, {parent: granter, name: 'granter', at: 9}).map(([name]) => name), [toId<InstanceId>('leader')]);
+	requestLease(below, {parent: child, name: 'child', at: 7});
+	requestLease(below, {parent: child, name: 'child', at: 8});
+	t.deepEqual(requestLease(child, {parent: granter, name: 'granter', at: 9}).map(([name]) => name), [toId<InstanceId>('leader')]);
 });
 
-test('a lease from before a suspension is neither used nor passed on, and the answer to a question from before it is not taken', t => {
-	let wokeAt = Number.NEGATIVE_INFINITY;
-	const leader = relayAt('leader', 1);
+test('a lease from before a suspension is neither used nor passed on, and the response to a request from before it is rejected', t => {
+	let lastWakeTime = Number.NEGATIVE_INFINITY;
+	const leader = createRelayAt('leader', 1);
 	leader.renewAsLeader({revision: toRevision(1), validUntil: 1}, 0);
 	const child = new ConfigurationRelay({
-		instance: toId<InstanceId>('child'), zone: zones[0]!, incarnation: 1, leaseMilliseconds, suspension: {lastWake: () => wokeAt},
+		instance: toId<InstanceId>('child'), zone: zones[0]!, incarnation: 1, leaseMilliseconds, suspension: {lastWake: () => lastWakeTime},
 	});
-	ask(child, {parent: leader, name: 'leader', at: 0});
+	requestLease(child, {parent: leader, name: 'leader', at: 0});
 	t.true(child.isLeaseValid(10));
-	const question = child.question(11, toId<InstanceId>('leader'));
-	const grant = leader.answer(question, 11)!;
-	wokeAt = 12;
+	const request = child.question(11, toId<InstanceId>('leader'));
+	const grant = leader.answer(request, 11)!;
+	lastWakeTime = 12;
 	t.false(child.isLeaseValid(12));
-	t.is(child.answer(relayAt('below', 1).question(13, toId<InstanceId>('child')), 13), undefined);
-	t.false(child.take({question, sentAt: 11, grant}));
-	ask(child, {parent: leader, name: 'leader', at: 14});
+	t.is(child.answer(createRelayAt('below', 1).question(13, toId<InstanceId>('child')), 13), undefined);
+	t.false(child.take({question: request, sentAt: 11, grant}));
+	requestLease(child, {parent: leader, name: 'leader', at: 14});
 	t.true(child.isLeaseValid(15));
 });
--- a/packages/membership/src/configuration-relay.ts
+++ b/packages/membership/src/configuration-relay.ts
@@ -2,121 +2,129 @@
 	type InstanceId, type Revision, type SuspensionWatch, toRevision, type ZoneId,
 } from '@valehitch/core';
 
-/** The lowest revision that any lease of a zone may still run under. */
+/** The lowest revision under which any valid lease of a zone may still run. */
 export type ZoneMinimum = {
 	readonly zone: ZoneId;
 	readonly revision: Revision;
 };
 
-/** Asks a parent for a configuration lease. */
+/** A request to a parent for a configuration lease. */
 export type LeaseQuestion = {
 	readonly instance: InstanceId;
-	/** Tells two starts of one instance apart. */
+	/** Distinguishes different starts of an instance. */
 	readonly incarnation: number;
-	/** Numbers the questions of one start; an answer to an earlier one is passed over. */
+	/** The request number within one start. Responses to earlier requests are ignored. */
 	readonly number: number;
-	/** What the asker and all that it granted leases to confirm. */
+	/** The lowest revision by zone, over the requester and all instances to which it granted leases. */
 	readonly confirmed: readonly ZoneMinimum[];
 };
 
-/** Tells a former parent that the leases it granted need not be counted any longer. */
+/** Informs a former parent that it need no longer track the leases it granted. */
 export type LeaseRelease = {
 	readonly instance: InstanceId;
 	readonly incarnation: number;
-	/** The last question that it covers; a later one to the same parent counts anew. */
+	/** The last request covered. A later request to the same parent is tracked again. */
 	readonly number: number;
 };
 
-/** A lease that is passed down. */
+/** A lease granted by a parent to a child. */
 export type LeaseGrant = {
-	/** The revision that the asker must have in force to use the lease. */
+	/** The revision that the requester must have in force to use the lease. */
 	readonly revision: Revision;
-	/** How long the granter's own lease still ran when it answered; counts from when the asker sent the question. */
+	/** The remaining time of the granter's own lease when it responded. Counted from when the request was sent. */
 	readonly remainingMilliseconds: number;
 };
 
-/** The leader's right to grant, as it stands now. */
+/** A lease request and the grant that a parent returned. */
+export type LeaseResponse = {
+	readonly question: LeaseQuestion;
+	/** When the request was sent, on the monotonic clock. */
+	readonly sentAt: number;
+	readonly grant: LeaseGrant;
+};
+
+/** The current lease of the leader, which allows it to grant leases. */
 export type LeaderView = {
 	/** The newest committed revision. */
 	readonly revision: Revision;
-	/** Until when the leader's own lease runs, on the monotonic clock. */
+	/** When the leader's own lease expires, on the monotonic clock. */
 	readonly validUntil: number;
 };
 
-/** What a relay needs. */
+/** Options of `ConfigurationRelay`. */
 export type ConfigurationRelayOptions = {
 	readonly instance: InstanceId;
 	readonly zone: ZoneId;
 	readonly incarnation: number;
-	/** The length of a lease that the leader grants. */
+	/** The duration of a lease that the leader grants. */
 	readonly leaseMilliseconds: number;
-	/** The monotonic clock stands still while the machine is suspended, and leases end meanwhile all the same. */
+	/** Detects suspensions of the machine, during which the monotonic clock stands still but leases expire. */
 	readonly suspension: Pick<SuspensionWatch, 'lastWake'>;
 };
 
-type Outstanding = {
-	readonly minima: readonly ZoneMinimum[];
-	/** The last question that was answered. */
+type OutstandingLease = {
+	readonly revisions: readonly ZoneMinimum[];
+	/** The number of the last answered request. */
 	readonly number: number;
-	/** When the last lease granted to the asker has run out, on the monotonic clock. */
+	/** When the last lease granted to the child expires, on the monotonic clock. */
 	readonly expiresAt: number;
 };
 
-/** The share by which a lease is shortened, for clocks that run at unlike rates. */
-const driftAllowance = 0.01;
+/** The fraction by which a received lease is shortened to allow for different clock rates. */
+const clockDriftAllowance = 0.01;
 
 /**
-The configuration leases of one instance: its own one, and those that it granted.
+The configuration leases of one instance: its own lease and the leases that it granted.
 
-Soundness: a lease is used only with a revision at least that of its grant; a grant carries the granter's own revision; a
-revision never goes back on an instance. So each outstanding lease under revision r is below a chain of granters each of which
-counts at most r for it until it has run out (Gray and Cheriton, 1989, for leases).
+Safety: a lease is used only with a revision at least as high as that of its grant, a grant carries the granter's own revision, and the
+revision of an instance never decreases. For every outstanding lease under revision r there is therefore a chain of granters, each of
+which reports at most r for the lease until it expires (leases: Gray and Cheriton, 1989).
 
-A former parent is released once a new one covers all that it counted: the new lease ends no earlier than any the asker had, and
-everything below the asker is at the new granter's revision at least. The granter reports a higher revision of its own only together
-with what the asker confirmed, and until then the chain above it counts its lower one.
+A former parent is released once a new parent covers everything that it tracked: the new lease expires no earlier than any previous
+lease of the child, and all descendants of the child have at least the new granter's revision. The granter reports a higher revision
+of its own only together with the revisions confirmed by the child. Until then, the chain above it reports its lower one.
 
 @example
 ```ts
-const question = relay.question(now, parent);
-const {grant} = await ask(parent, question);
-relay.take({question, sentAt, grant});
-for (const [former, release] of relay.takeReleases()) { ... }
+const request = relay.createRequest(now, parent);
+const {grant} = await requestLease(parent, request);
+relay.acceptGrant({request, sentAt, grant});
+for (const [formerParent, release] of relay.drainReleases()) { ... }
 ```
 */
 export class ConfigurationRelay {
 	readonly #options: ConfigurationRelayOptions;
-	readonly #outstanding = new Map<string, Outstanding>();
-	/** The parents that may count leases for this instance. */
-	readonly #asked = new Set<InstanceId>();
+	readonly #outstanding = new Map<string, OutstandingLease>();
+	/** The parents that may be tracking leases of this instance. */
+	readonly #askedParents = new Set<InstanceId>();
 	readonly #releases: Array<readonly [InstanceId, LeaseRelease]> = [];
 	#parent: InstanceId | undefined;
 	#revision = toRevision(0);
-	/** Until when the own lease runs, on the monotonic clock. */
-	#leasedUntil = Number.NEGATIVE_INFINITY;
-	/** When the question for it was sent, or the leader renewed it. */
-	#leasedAt = Number.NEGATIVE_INFINITY;
-	#lastQuestion = 0;
+	/** When the instance's own lease expires, on the monotonic clock. */
+	#leaseExpiresAt = Number.NEGATIVE_INFINITY;
+	/** When the lease was requested, or renewed by the leader, on the monotonic clock. */
+	#leaseRequestedAt = Number.NEGATIVE_INFINITY;
+	#lastRequestNumber = 0;
 
 	constructor(options: ConfigurationRelayOptions) {
 		this.#options = options;
 	}
 
-	/** The revision in force here. */
+	/** The revision in force on this instance. */
 	get revision(): Revision {
 		return this.#revision;
 	}
 
-	/** Until when the own lease runs, on the monotonic clock; minus infinity where the machine was suspended since it was asked for. */
+	/** When the instance's own lease expires, on the monotonic clock. -Infinity if the machine was suspended since the lease was requested. */
 	get validUntil(): number {
-		return this.#leasedAt < this.#options.suspension.lastWake() ? Number.NEGATIVE_INFINITY : this.#leasedUntil;
+		return this.#leaseRequestedAt < this.#options.suspension.lastWake() ? Number.NEGATIVE_INFINITY : this.#leaseExpiresAt;
 	}
 
 	/**
-	Puts a revision in force; one that is not higher changes nothing.
+	Puts a revision in force, unless it is not higher than the current one.
 
 	@param revision The revision.
-	@returns Whether it was higher.
+	@returns Whether the revision was higher.
 	*/
 	adopt(revision: Revision): boolean {
 		if (revision <= this.#revision) {
@@ -128,7 +136,7 @@
 	}
 
 	/**
-	Tells whether the own lease is valid.
+	Checks whether the instance's own lease is valid.
 
 	@param now The monotonic time.
 	*/
@@ -137,30 +145,30 @@
 	}
 
 	/**
-	Makes the next question to a parent; answers to earlier ones are passed over from now on.
+	Creates the next request to a parent. Responses to earlier requests are ignored from now on.
 
 	@param now The monotonic time.
 	@param parent The parent.
-	@returns The question.
+	@returns The request.
 	*/
 	question(now: number, parent: InstanceId): LeaseQuestion {
 		const {instance, incarnation} = this.#options;
-		this.#asked.add(parent);
+		this.#askedParents.add(parent);
 		this.#parent = parent;
 		return {
-			instance, incarnation, number: ++this.#lastQuestion, confirmed: this.confirmed(now),
+			instance, incarnation, number: ++this.#lastRequestNumber, confirmed: this.confirmed(now),
 		};
 	}
 
 	/**
-	Answers a question, with a lease where this instance can grant one.
+	Handles a lease request from a child. Grants a lease if this instance's own lease is valid.
 
-	@param question The question.
+	@param request The request.
 	@param now The monotonic time.
-	@returns The grant; undefined where the own lease has run out.
+	@returns The grant, or undefined if the own lease has expired.
 	*/
-	answer(question: LeaseQuestion, now: number): LeaseGrant | undefined {
-		const key = keyOf(question);
+	answer(request: LeaseQuestion, now: number): LeaseGrant | undefined {
+		const key = leaseKey(request);
 		const {validUntil} = this;
 		const expiresAt = Math.max(validUntil, this.#outstanding.get(key)?.expiresAt ?? Number.NEGATIVE_INFINITY);
 		if (now >= expiresAt) {
@@ -168,17 +176,17 @@
 			return undefined;
 		}
 
-		this.#outstanding.set(key, {minima: question.confirmed, number: question.number, expiresAt});
+		this.#outstanding.set(key, {revisions: request.confirmed, number: request.number, expiresAt});
 		return now < validUntil ? {revision: this.#revision, remainingMilliseconds: validUntil - now} : undefined;
 	}
 
 	/**
-	Counts the leases of a former child no longer, unless it asked again since.
+	Stops tracking the leases of a former child, unless it has sent a later request.
 
-	@param release What the child said.
+	@param release The child's release.
 	*/
 	release(release: LeaseRelease): void {
-		const key = keyOf(release);
+		const key = leaseKey(release);
 		const outstanding = this.#outstanding.get(key);
 		if (outstanding !== undefined && outstanding.number <= release.number) {
 			this.#outstanding.delete(key);
@@ -186,66 +194,66 @@
 	}
 
 	/**
-	Takes the answer to a question.
+	Handles the response to a lease request.
 
-	@param answer The question, when it was sent on the monotonic clock, and the grant.
-	@returns Whether the lease was taken; not for an earlier question, for one from before the machine was suspended, or where the granted revision is not in force here yet.
+	@param response The request, when it was sent on the monotonic clock, and the grant.
+	@returns Whether the lease was accepted. It is rejected if the request is not the latest one, if it was sent before the machine was last suspended, or if the granted revision is not in force on this instance yet.
 	*/
-	take({question, sentAt, grant}: {readonly question: LeaseQuestion; readonly sentAt: number; readonly grant: LeaseGrant}): boolean {
-		const isStale = question.number !== this.#lastQuestion || sentAt < this.#options.suspension.lastWake();
+	take({question: request, sentAt, grant}: LeaseResponse): boolean {
+		const isStale = request.number !== this.#lastRequestNumber || sentAt < this.#options.suspension.lastWake();
 		if (isStale || grant.revision > this.#revision) {
 			return false;
 		}
 
-		const validUntil = sentAt + (grant.remainingMilliseconds * (1 - driftAllowance));
-		if (validUntil >= this.validUntil && question.confirmed.every(({revision}) => revision >= grant.revision)) {
-			this.#releaseFormer();
+		const validUntil = sentAt + (grant.remainingMilliseconds * (1 - clockDriftAllowance));
+		if (validUntil >= this.validUntil && request.confirmed.every(({revision}) => revision >= grant.revision)) {
+			this.#releaseFormerParents();
 		}
 
-		this.#lease(validUntil, sentAt);
+		this.#extendLease(validUntil, sentAt);
 		return true;
 	}
 
 	/**
-	Gives the former parents that the lease taken last covers, and forgets them.
+	Returns the releases for former parents that the last accepted lease covers, and clears them.
 
-	@returns Whom to send which release.
+	@returns Pairs of a former parent and the release to send to it.
 	*/
 	takeReleases(): Array<readonly [InstanceId, LeaseRelease]> {
 		return this.#releases.splice(0);
 	}
 
 	/**
-	Renews the own lease on the leader itself.
+	Renews the instance's own lease if it is the leader.
 
-	@param leader The leader's view.
+	@param leader The leader's lease.
 	@param now The monotonic time.
-	@returns Whether it was renewed; not where the leader's lease has run out or its revision is not in force here yet.
+	@returns Whether the lease was renewed. It is not renewed if the leader's lease has expired or its revision is not in force on this instance yet.
 	*/
 	renewAsLeader(leader: LeaderView, now: number): boolean {
 		if (now >= leader.validUntil || leader.revision > this.#revision) {
 			return false;
 		}
 
-		this.#lease(now + this.#options.leaseMilliseconds, now);
+		this.#extendLease(now + this.#options.leaseMilliseconds, now);
 		return true;
 	}
 
 	/**
-	The lowest revision by zone that the own lease or one granted here may still run under.
+	Returns the lowest revision by zone under which the instance's own lease or a lease it granted may still run.
 
 	@param now The monotonic time.
-	@returns One entry for each zone, the own one included.
+	@returns One entry for each zone, including the instance's own.
 	*/
 	confirmed(now: number): ZoneMinimum[] {
 		const lowest = new Map<ZoneId, Revision>([[this.#options.zone, this.#revision]]);
-		for (const [key, {minima, expiresAt}] of this.#outstanding) {
+		for (const [key, {revisions, expiresAt}] of this.#outstanding) {
 			if (now >= expiresAt) {
 				this.#outstanding.delete(key);
 				continue;
 			}
 
-			for (const {zone, revision} of minima) {
+			for (const {zone, revision} of revisions) {
 				lowest.set(zone, toRevision(Math.min(revision, lowest.get(zone) ?? revision)));
 			}
 		}
@@ -253,22 +261,22 @@
 		return [...lowest].map(([zone, revision]) => ({zone, revision}));
 	}
 
-	#lease(until: number, askedAt: number): void {
-		this.#leasedUntil = Math.max(this.validUntil, until);
-		this.#leasedAt = Math.max(this.#leasedAt, askedAt);
+	#extendLease(expiresAt: number, requestedAt: number): void {
+		this.#leaseExpiresAt = Math.max(this.validUntil, expiresAt);
+		this.#leaseRequestedAt = Math.max(this.#leaseRequestedAt, requestedAt);
 	}
 
-	#releaseFormer(): void {
+	#releaseFormerParents(): void {
 		const {instance, incarnation} = this.#options;
-		for (const former of this.#asked) {
-			if (former !== this.#parent) {
-				this.#asked.delete(former);
-				this.#releases.push([former, {instance, incarnation, number: this.#lastQuestion}]);
+		for (const formerParent of this.#askedParents) {
+			if (formerParent !== this.#parent) {
+				this.#askedParents.delete(formerParent);
+				this.#releases.push([formerParent, {instance, incarnation, number: this.#lastRequestNumber}]);
 			}
 		}
 	}
 }
 
-function keyOf({instance, incarnation}: Pick<LeaseQuestion, 'instance' | 'incarnation'>): string {
+function leaseKey({instance, incarnation}: Pick<LeaseQuestion, 'instance' | 'incarnation'>): string {
 	return `${instance}/${incarnation}`;
 }
--- a/packages/membership/src/in-force-tracker.ts
+++ b/packages/membership/src/in-force-tracker.ts
@@ -1,30 +1,30 @@
 import {type Revision, toRevision, type ZoneId} from '@valehitch/core';
 import {type ConfigurationRelay} from './configuration-relay.js';
 
-/** Whether a revision is in force everywhere, and where not. */
+/** Whether a revision is in force everywhere, and the zones where it may not be. */
 export type InForceAnswer = {
 	readonly complete: boolean;
 	/** The zones with a lease that may still run under an earlier revision. */
 	readonly waitingFor: readonly ZoneId[];
 };
 
-/** What a tracker needs. */
+/** Options of `InForceTracker`. */
 export type InForceTrackerOptions = {
 	readonly relay: ConfigurationRelay;
-	/** The length of a lease that the leader grants. */
+	/** The duration of a lease that the leader grants. */
 	readonly leaseMilliseconds: number;
 	/** When this instance became leader, on the monotonic clock. */
 	readonly leaderSince: number;
 };
 
 /**
-Tells, on the leader, which revision is in force on every instance that may still serve new work.
+Tracks, on the leader, which revision is in force on every instance that may still serve new work.
 
-A new leader does not know the leases that the former one granted; it waits until all of them have run out.
+A new leader does not know the leases that its predecessor granted, so it waits until all of them have expired.
 
 @example
 ```ts
-tracker.look({revision, now, zones}).complete;
+tracker.check({revision, now, zones}).complete;
 ```
 */
 export class InForceTracker {
@@ -35,16 +35,16 @@
 		this.#options = options;
 	}
 
-	/** The highest revision that was found in force everywhere. */
+	/** The highest revision known to be in force everywhere. */
 	get inForce(): Revision {
 		return this.#inForce;
 	}
 
 	/**
-	Looks whether a revision is in force everywhere.
+	Checks whether a revision is in force everywhere.
 
-	@param question The revision, the monotonic time, and all zones that are known.
-	@returns Whether it is, and which zones are still out.
+	@param options The revision, the monotonic time, and all known zones.
+	@returns Whether the revision is in force, and the zones that are still missing.
 	*/
 	look({revision, now, zones}: {readonly revision: Revision; readonly now: number; readonly zones: readonly ZoneId[]}): InForceAnswer {
 		if (revision <= this.#inForce) {
@@ -56,7 +56,7 @@
 			return {complete: false, waitingFor: zones};
 		}
 
-		const waitingFor = relay.confirmed(now).filter(minimum => minimum.revision < revision).map(({zone}) => zone);
+		const waitingFor = relay.confirmed(now).filter(confirmed => confirmed.revision < revision).map(({zone}) => zone);
 		if (waitingFor.length === 0) {
 			this.#inForce = revision;
 		}
