--- a/packages/membership/src/digest-link.ts
+++ b/packages/membership/src/digest-link.ts
@@ -1,104 +1,104 @@
 import {type Digest} from './digest.js';
 
-/** What one side of a link says to the other about a digest. */
+/** A message with the changes of one side of an exchange. */
 export type DigestPart<Item> = {
-	/** Tells two starts of the sender apart. */
+	/** Distinguishes different starts of the sender. */
 	readonly incarnation: number;
-	/** The sender's change after which the records begin. */
+	/** The sender's change number after which the records begin. */
 	readonly since: number;
-	/** The sender's last change that the records reach. */
+	/** The sender's last change number that the records cover. */
 	readonly change: number;
 	readonly records: ReadonlyArray<readonly [string, Item]>;
-	/** The incarnation and the change of the receiver that the sender holds. */
+	/** The receiver's incarnation and change number up to which the sender has received its changes. */
 	readonly held: readonly [incarnation: number, change: number];
-	/** The hash over all records of the sender; only while the receiver's state is not known. */
+	/** The hash over all records of the sender. Only present while the receiver's state is unknown. */
 	readonly hash?: number | undefined;
 };
 
-/** What a link needs. */
+/** Options of `DigestExchange`. */
 export type DigestLinkOptions<Item> = {
 	readonly digest: Digest<Item>;
 	readonly incarnation: number;
-	/** The neighbour. */
+	/** The name of the peer. */
 	readonly peer: string;
 };
 
 /**
-One side of the exchange of a digest with a neighbour: only what changed goes over, and what got lost goes again.
+One side of a digest exchange with a peer. Only changes are sent, and lost changes are sent again.
 
-Each side says which change of the other it holds. After a new start of either side the hashes are compared first, and all
-records go over only where they differ.
+Each side acknowledges the change number up to which it has received the other's changes. After a restart of either side, hashes are
+compared first, and all records are sent only if the hashes differ.
 
 @example
 ```ts
-const reply = await ask(peer, link.outgoing());
-link.incoming(reply);
+const reply = await sendTo(peer, exchange.createMessage());
+exchange.receive(reply);
 ```
 */
 export class DigestLink<Item> {
 	readonly #options: DigestLinkOptions<Item>;
-	#held: readonly [incarnation: number, change: number] = [0, 0];
-	/** The own change that the peer holds; undefined while it is not known. */
-	#confirmed: number | undefined;
+	#receivedUpTo: readonly [incarnation: number, change: number] = [0, 0];
+	/** The change number up to which the peer has received this side's changes. Undefined while unknown. */
+	#peerChange: number | undefined;
 
 	constructor(options: DigestLinkOptions<Item>) {
 		this.#options = options;
 	}
 
-	/** Whether the neighbour holds every change. */
+	/** Whether the peer has received all changes. */
 	get isSettled(): boolean {
-		return this.#confirmed === this.#options.digest.change;
+		return this.#peerChange === this.#options.digest.change;
 	}
 
-	/** What to say to the neighbour next. */
+	/** Creates the next message to the peer. */
 	outgoing(): DigestPart<Item> {
 		const {digest, incarnation} = this.#options;
-		const known = this.#confirmed;
+		const peerChange = this.#peerChange;
 		return {
 			incarnation,
-			since: known ?? 0,
+			since: peerChange ?? 0,
 			change: digest.change,
-			records: known === undefined ? [] : digest.since(known, {except: this.#source(this.#held[0])}),
-			held: this.#held,
-			...(known === undefined && {hash: digest.hash}),
+			records: peerChange === undefined ? [] : digest.since(peerChange, {except: this.#source(this.#receivedUpTo[0])}),
+			held: this.#receivedUpTo,
+			...(peerChange === undefined && {hash: digest.hash}),
 		};
 	}
 
 	/**
-	Takes what the neighbour said.
+	Merges a message from the peer.
 
-	@param part What it said.
-	@returns The keys of the records that were news here.
+	@param message The message.
+	@returns The keys of the records that changed.
 	*/
-	incoming(part: DigestPart<Item>): string[] {
+	incoming(message: DigestPart<Item>): string[] {
 		const {digest, incarnation} = this.#options;
-		const isSame = part.hash !== undefined && part.hash === digest.hash;
-		const [heldIncarnation, heldChange] = part.held;
+		const hasEqualRecords = message.hash !== undefined && message.hash === digest.hash;
+		const [heldIncarnation, heldChange] = message.held;
 		if (heldIncarnation === incarnation) {
-			this.#confirmed = Math.min(heldChange, digest.change);
+			this.#peerChange = Math.min(heldChange, digest.change);
 		} else {
-			this.#confirmed = isSame ? digest.change : 0;
+			this.#peerChange = hasEqualRecords ? digest.change : 0;
 		}
 
-		const news: string[] = [];
-		for (const [key, item] of part.records) {
-			if (digest.merge(key, {item, source: this.#source(part.incarnation)})) {
-				news.push(key);
+		const changedKeys: string[] = [];
+		for (const [key, item] of message.records) {
+			if (digest.merge(key, {item, source: this.#source(message.incarnation)})) {
+				changedKeys.push(key);
 			}
 		}
 
-		this.#held = [part.incarnation, this.#heldAfter(part, isSame)];
-		return news;
+		this.#receivedUpTo = [message.incarnation, this.#receivedAfter(message, hasEqualRecords)];
+		return changedKeys;
 	}
 
-	/** The sender's change that is held after a part; not beyond a gap, such as after a new start of this side. */
-	#heldAfter(part: DigestPart<Item>, isSame: boolean): number {
-		const before = this.#held[0] === part.incarnation ? this.#held[1] : 0;
-		const [heldIncarnation] = part.held;
-		// What came from an earlier start of this side is left out of the records, though this start does not hold it.
-		const leavesOutMore = heldIncarnation !== 0 && heldIncarnation !== this.#options.incarnation;
-		const hasGap = part.hash !== undefined || part.since > before || leavesOutMore;
-		return hasGap && !isSame ? before : Math.max(before, part.change);
+	/** Returns the change number up to which the sender's changes are held after a message. Does not advance across a gap, such as after a restart of this side. */
+	#receivedAfter(message: DigestPart<Item>, hasEqualRecords: boolean): number {
+		const previous = this.#receivedUpTo[0] === message.incarnation ? this.#receivedUpTo[1] : 0;
+		const [heldIncarnation] = message.held;
+		// The sender omits records that came from an earlier start of this side, although this start does not have them.
+		const omitsRecords = heldIncarnation !== 0 && heldIncarnation !== this.#options.incarnation;
+		const hasGap = message.hash !== undefined || message.since > previous || omitsRecords;
+		return hasGap && !hasEqualRecords ? previous : Math.max(previous, message.change);
 	}
 
 	#source(incarnation: number): string {
--- a/packages/membership/src/digest.test.ts
+++ b/packages/membership/src/digest.test.ts
@@ -85,7 +85,7 @@
 		type: fc.constant('write' as const), at: fc.nat(nodes - 1), key: fc.nat(5), value: fc.nat(50),
 	}),
 	fc.record({
-		type: fc.constant('exchange' as const), at: fc.nat(nodes - 1), with: fc.nat(nodes - 1), loses: fc.constantFrom('none', 'question', 'answer'),
+		type: fc.constant('exchange' as const), at: fc.nat(nodes - 1), with: fc.nat(nodes - 1), loss: fc.constantFrom('none', 'request', 'response'),
 	}),
 	fc.record({type: fc.constant('restart' as const), at: fc.nat(nodes - 1)}),
 ), {minLength: 20, maxLength: 80});
@@ -106,38 +106,38 @@
 	}
 }
 
-test('neighbours that exchange only what changed hold the same in the end, through losses and restarts', t => {
-	fc.assert(fc.property(steps, taken => {
+test('peers that exchange only changes converge to the same records despite message loss and restarts', t => {
+	fc.assert(fc.property(steps, generatedSteps => {
 		let incarnation = 1;
-		const all = Array.from({length: nodes}, () => new Node(incarnation++));
-		const node = (index: number): Node => all[index]!;
-		const exchange = (child: number, parent: number, loses: string): void => {
-			const question = node(child).link(parent).outgoing();
-			if (loses === 'question') {
+		const allNodes = Array.from({length: nodes}, () => new Node(incarnation++));
+		const node = (index: number): Node => allNodes[index]!;
+		const exchange = (child: number, parent: number, loss: string): void => {
+			const request = node(child).link(parent).outgoing();
+			if (loss === 'request') {
 				return;
 			}
 
-			node(parent).link(child).incoming(question);
-			const answer = node(parent).link(child).outgoing();
-			if (loses !== 'answer') {
-				node(child).link(parent).incoming(answer);
+			node(parent).link(child).incoming(request);
+			const response = node(parent).link(child).outgoing();
+			if (loss !== 'response') {
+				node(child).link(parent).incoming(response);
 			}
 		};
 
-		for (const step of taken) {
+		for (const step of generatedSteps) {
 			if (step.type === 'write') {
 				node(step.at).digest.merge(`key-${step.key}`, {item: step.value});
 			} else if (step.type === 'restart') {
-				all[step.at] = new Node(incarnation++);
+				allNodes[step.at] = new Node(incarnation++);
 			} else if (step.at !== step.with) {
-				exchange(step.at, step.with, step.loses);
+				exchange(step.at, step.with, step.loss);
 			}
 		}
 
-		const union = new Map<string, number>();
-		for (const {digest} of all) {
+		const expected = new Map<string, number>();
+		for (const {digest} of allNodes) {
 			for (const [key, value] of digest.entries()) {
-				union.set(key, Math.max(value, union.get(key) ?? 0));
+				expected.set(key, Math.max(value, expected.get(key) ?? 0));
 			}
 		}
 
@@ -147,8 +147,8 @@
 			}
 		}
 
-		for (const {digest} of all) {
-			t.deepEqual(Object.fromEntries(digest.entries()), Object.fromEntries(union));
+		for (const {digest} of allNodes) {
+			t.deepEqual(Object.fromEntries(digest.entries()), Object.fromEntries(expected));
 			t.is(digest.hash, node(0).digest.hash);
 		}
 
--- a/packages/membership/src/digest.ts
+++ b/packages/membership/src/digest.ts
@@ -1,36 +1,36 @@
 import {hashRange, hashText} from './zone-tree.js';
 
-/** Joins two records under one key: commutative, associative and idempotent; gives `known` itself where the other brings nothing new. */
+/** Joins two records with the same key. Must be commutative, associative and idempotent, and must return `known` itself if `next` adds nothing. */
 export type Join<Item> = (known: Item, next: Item) => Item;
 
-/** What a digest needs. */
+/** Options of `Digest`. */
 export type DigestOptions<Item> = {
 	readonly join: Join<Item>;
-	/** A text that differs for records that differ. */
+	/** Serializes a record. Different records must give different strings. */
 	readonly print: (item: Item) => string;
 };
 
-type Held<Item> = {
+type StoredRecord<Item> = {
 	readonly item: Item;
-	/** The number of the change that brought the record here. */
+	/** The number of the last change of the record on this instance. */
 	readonly change: number;
-	/** The neighbour, and its start, that it came from. */
+	/** The peer, including its incarnation, from which the record was received. */
 	readonly source: string | undefined;
 	readonly hash: number;
 };
 
 /**
-Records with versions, and the numbers of the changes that brought them here; neighbours exchange what changed since a number.
+Replicated records, numbered by their last local change. Peers exchange the changes after a given number.
 
 @example
 ```ts
 digest.merge('engine-a', {item});
-digest.since(12, {except: 'entry-b'});
+digest.changesSince(12, {except: 'entry-b'});
 ```
 */
 export class Digest<Item> {
 	readonly #options: DigestOptions<Item>;
-	readonly #held = new Map<string, Held<Item>>();
+	readonly #records = new Map<string, StoredRecord<Item>>();
 	#change = 0;
 	#hash = 0;
 
@@ -43,62 +43,62 @@
 		return this.#change;
 	}
 
-	/** A hash over all records, whatever their order. */
+	/** A hash over all records, independent of their order. */
 	get hash(): number {
 		return this.#hash;
 	}
 
 	/**
-	Joins a record with the one that is held.
+	Joins a record with the stored one.
 
 	@param key The record's key.
-	@param news The record, and the neighbour that it came from.
-	@returns Whether anything changed.
+	@param update The record, and the peer that sent it.
+	@returns Whether the stored record changed.
 	*/
 	merge(key: string, {item, source}: {readonly item: Item; readonly source?: string}): boolean {
-		const known = this.#held.get(key);
-		const joined = known === undefined ? item : this.#options.join(known.item, item);
-		if (known?.item === joined) {
+		const existing = this.#records.get(key);
+		const joined = existing === undefined ? item : this.#options.join(existing.item, item);
+		if (existing?.item === joined) {
 			return false;
 		}
 
 		const hash = hashText(`${key}=${this.#options.print(joined)}`);
-		this.#hash = (this.#hash + hashRange + hash - (known?.hash ?? 0)) % hashRange;
-		// Deleted first, so that the last changes stand at the end.
-		this.#held.delete(key);
-		this.#held.set(key, {
+		this.#hash = (this.#hash + hashRange + hash - (existing?.hash ?? 0)) % hashRange;
+		// Deleting first moves the entry to the end, so that the map is ordered by change number.
+		this.#records.delete(key);
+		this.#records.set(key, {
 			item: joined, change: ++this.#change, source: joined === item ? source : undefined, hash,
 		});
 		return true;
 	}
 
 	/**
-	Forgets a record.
+	Deletes a record.
 
 	@param key The record's key.
 	*/
 	forget(key: string): void {
-		this.#hash = (this.#hash + hashRange - (this.#held.get(key)?.hash ?? 0)) % hashRange;
-		this.#held.delete(key);
+		this.#hash = (this.#hash + hashRange - (this.#records.get(key)?.hash ?? 0)) % hashRange;
+		this.#records.delete(key);
 	}
 
-	/** The record under a key. */
+	/** Returns the record with a key. */
 	get(key: string): Item | undefined {
-		return this.#held.get(key)?.item;
+		return this.#records.get(key)?.item;
 	}
 
-	/** All records with their keys. */
+	/** Iterates over all records with their keys. */
 	* entries(): Generator<[string, Item]> {
-		for (const [key, {item}] of this.#held) {
+		for (const [key, {item}] of this.#records) {
 			yield [key, item];
 		}
 	}
 
 	/**
-	The records that changed after a change.
+	Returns the records that changed after a change number.
 
-	@param change The number of the change; 0 gives all.
-	@param options `except`: a source whose records are left out, since it holds them.
+	@param change The change number. 0 returns all records.
+	@param options `except`: a source whose records are omitted, since it already has them.
 	@returns The records with their keys.
 	*/
 	since(change: number, options: {readonly except?: string} = {}): Array<[string, Item]> {
@@ -107,9 +107,9 @@
 		}
 
 		const changed: Array<[string, Item]> = [];
-		for (const [key, held] of this.#held) {
-			if (held.change > change && (options.except === undefined || held.source !== options.except)) {
-				changed.push([key, held.item]);
+		for (const [key, record] of this.#records) {
+			if (record.change > change && (options.except === undefined || record.source !== options.except)) {
+				changed.push([key, record.item]);
 			}
 		}
 
--- a/packages/membership/src/failure-detector.ts
+++ b/packages/membership/src/failure-detector.ts
@@ -1,113 +1,113 @@
 import {type InstanceId} from '@valehitch/core';
 
-/** What a detector needs. */
+/** Options of `FailureDetector`. */
 export type FailureDetectorOptions = {
-	/** Milliseconds of silence after which an instance is suspected. */
+	/** Milliseconds without a message after which an instance is suspected. */
 	readonly suspectMilliseconds: number;
-	/** Milliseconds between the suspicion and the verdict, in which the instance may answer it. */
+	/** Milliseconds from the suspicion until the instance is considered lost, during which it may refute the suspicion. */
 	readonly lostMilliseconds: number;
-	/** How many times longer an instance of another zone may be silent; 6 by default. */
+	/** The factor by which the times are longer for an instance of another zone. Defaults to 6. */
 	readonly otherZoneFactor?: number;
 };
 
-/** An instance that is watched. */
+/** An instance to monitor. */
 export type Watched = {
 	readonly instance: InstanceId;
-	/** The sequence of its record; a higher one answers a suspicion. */
+	/** The sequence number of the instance's record. A higher one refutes a suspicion. */
 	readonly sequence: number;
 	readonly sameZone: boolean;
 };
 
-/** What the detector concludes. */
+/** A failure that the detector found. */
 export type Verdict = {
 	readonly instance: InstanceId;
 	readonly state: 'suspect' | 'lost';
 };
 
-type Watch = {
-	heardAt: number;
+type InstanceStatus = {
+	lastMessageAt: number;
 	sequence: number;
 	suspectedAt: number | undefined;
 };
 
-/** How many times longer an instance of another zone may be silent where the options name nothing. */
+/** The default of `otherZoneFactor`. */
 export const defaultOtherZoneFactor = 6;
 
 /**
-Watches for silence: an instance is suspected first, and lost only when it does not answer the suspicion.
+Detects silent instances. An instance is suspected first, and considered lost only if it does not refute the suspicion.
 
 @example
 ```ts
-detector.heard(instance, now);
-for (const {instance, state} of detector.judge(watched, now)) { ... }
+detector.recordMessage(instance, now);
+for (const {instance, state} of detector.check(instances, now)) { ... }
 ```
 */
 export class FailureDetector {
 	readonly #options: FailureDetectorOptions;
-	readonly #watches = new Map<InstanceId, Watch>();
+	readonly #statuses = new Map<InstanceId, InstanceStatus>();
 
 	constructor(options: FailureDetectorOptions) {
 		this.#options = options;
 	}
 
 	/**
-	Notes a word of an instance.
+	Records a message from an instance, which refutes a suspicion.
 
 	@param instance The instance.
 	@param now The monotonic time.
 	*/
 	heard(instance: InstanceId, now: number): void {
-		const watch = this.#watches.get(instance);
-		if (watch !== undefined) {
-			watch.heardAt = now;
-			watch.suspectedAt = undefined;
+		const status = this.#statuses.get(instance);
+		if (status !== undefined) {
+			status.lastMessageAt = now;
+			status.suspectedAt = undefined;
 		}
 	}
 
 	/**
-	Judges the instances that are watched; a new one counts as heard now.
+	Checks the monitored instances. The silence of a new instance is counted from this call.
 
-	@param watched All instances to watch.
+	@param instances All instances to monitor.
 	@param now The monotonic time.
-	@returns What is new.
+	@returns The failures found by this call.
 	*/
-	judge(watched: readonly Watched[], now: number): Verdict[] {
-		const instances = new Set(watched.map(({instance}) => instance));
-		for (const instance of this.#watches.keys()) {
-			if (!instances.has(instance)) {
-				this.#watches.delete(instance);
+	judge(instances: readonly Watched[], now: number): Verdict[] {
+		const monitored = new Set(instances.map(({instance}) => instance));
+		for (const instance of this.#statuses.keys()) {
+			if (!monitored.has(instance)) {
+				this.#statuses.delete(instance);
 			}
 		}
 
-		const verdicts: Verdict[] = [];
-		for (const one of watched) {
-			const state = this.#judgeOne(one, now);
+		const failures: Verdict[] = [];
+		for (const monitoredInstance of instances) {
+			const state = this.#checkInstance(monitoredInstance, now);
 			if (state !== undefined) {
-				verdicts.push({instance: one.instance, state});
+				failures.push({instance: monitoredInstance.instance, state});
 			}
 		}
 
-		return verdicts;
+		return failures;
 	}
 
-	#judgeOne({instance, sequence, sameZone}: Watched, now: number): Verdict['state'] | undefined {
+	#checkInstance({instance, sequence, sameZone}: Watched, now: number): Verdict['state'] | undefined {
 		const {suspectMilliseconds, lostMilliseconds, otherZoneFactor = defaultOtherZoneFactor} = this.#options;
-		const watch = this.#watches.get(instance);
-		if (watch === undefined || watch.sequence < sequence) {
-			this.#watches.set(instance, {heardAt: now, sequence, suspectedAt: undefined});
+		const status = this.#statuses.get(instance);
+		if (status === undefined || status.sequence < sequence) {
+			this.#statuses.set(instance, {lastMessageAt: now, sequence, suspectedAt: undefined});
 			return undefined;
 		}
 
 		const factor = sameZone ? 1 : otherZoneFactor;
-		if (watch.suspectedAt === undefined) {
-			if (now - watch.heardAt < suspectMilliseconds * factor) {
+		if (status.suspectedAt === undefined) {
+			if (now - status.lastMessageAt < suspectMilliseconds * factor) {
 				return undefined;
 			}
 
-			watch.suspectedAt = now;
+			status.suspectedAt = now;
 			return 'suspect';
 		}
 
-		return now - watch.suspectedAt >= lostMilliseconds * factor ? 'lost' : undefined;
+		return now - status.suspectedAt >= lostMilliseconds * factor ? 'lost' : undefined;
 	}
 }
--- a/packages/membership/src/load-record.ts
+++ b/packages/membership/src/load-record.ts
@@ -1,14 +1,14 @@
-/** The load of a backend server, in steps, as the digests carry it; the start in seconds since 1970, to be short. */
+/** The load step of a backend server, as replicated in the digests. The start is in Unix seconds to keep the record short. */
 export type LoadRecord = readonly [startedAt: number, sequence: number, step: number];
 
-/** The number of steps from idle to full. */
+/** The number of load steps from idle to full. */
 export const loadSteps = 8;
 
 /**
-Puts a load into a step, so that small changes are no news.
+Quantizes a load into steps, so that small changes are not propagated.
 
-@param work The requests in progress and the capacity, above 0.
-@returns A step from 0 (idle) to 8 (full or more); only an idle server has step 0.
+@param work The number of requests in progress and the capacity, which must be positive.
+@returns A step from 0 (idle) to 8 (full or overloaded). Only an idle server has step 0.
 @example
 ```ts
 toLoadStep({active: 3, capacity: 8}); // 3
@@ -19,11 +19,11 @@
 }
 
 /**
-Joins two loads of one server: the later word wins.
+Joins two load records of one server. The later one wins.
 
-@param known The one that is held.
-@param next The other one.
-@returns The later one; `known` where they say the same.
+@param known The stored record.
+@param next The other record.
+@returns The later record, or `known` if they are equal.
 @example
 ```ts
 joinLoads([1, 1, 3], [1, 2, 4]); // [1, 2, 4]
--- a/packages/membership/src/may-serve.test.ts
+++ b/packages/membership/src/may-serve.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import {mayServe} from './may-serve.js';
 
-test('with a lease all but stopped and withdrawn versions are served; without one the setting decides', t => {
+test('with a lease all versions except stopped and withdrawn ones are served, and without one the setting decides', t => {
 	const states = ['settled', 'plain-service', 'rolling-out', 'stopped', 'withdrawn'] as const;
 	const served = (leaseValid: boolean, serve: 'settled' | 'all' | 'none'): readonly string[] =>
 		states.filter(versionState => mayServe({leaseValid, serve, versionState}));
--- a/packages/membership/src/may-serve.ts
+++ b/packages/membership/src/may-serve.ts
@@ -1,24 +1,24 @@
-/** What an instance still serves once its configuration lease ran out. */
+/** What an instance may serve after its configuration lease has expired. */
 export type IsolatedServing = 'settled' | 'all' | 'none';
 
-/** What `mayServe` decides on. */
+/** The inputs of `mayServe`. */
 export type MayServeOptions = {
 	/** Whether the instance's configuration lease is valid. */
 	readonly leaseValid: boolean;
 	/** The setting `isolation.serve`. */
 	readonly serve: IsolatedServing;
-	/** The state of the version in the last configuration; `plain-service` for a call to a plain service. */
+	/** The state of the version in the last known configuration, or `plain-service` for a call to a plain service. */
 	readonly versionState: 'settled' | 'rolling-out' | 'stopped' | 'withdrawn' | 'plain-service';
 };
 
 /**
-Tells whether new work may go to a version.
+Checks whether a version may receive new work.
 
-With a valid lease the last configuration is the newest, so only withdrawn and stopped versions are out. Without one a version
-in the middle of a roll-out may have been withdrawn meanwhile, so it gets new work only under `all`.
+With a valid lease the last known configuration is current, so only withdrawn and stopped versions are excluded. Without a valid lease,
+a version in rollout may have been withdrawn in the meantime, so it receives new work only with the setting `all`.
 
 @param options The lease, the setting and the version's state.
-@returns Whether it may get new work.
+@returns Whether the version may receive new work.
 @example
 ```ts
 mayServe({leaseValid: false, serve: 'settled', versionState: 'rolling-out'}); // false
--- a/packages/membership/src/member-record.ts
+++ b/packages/membership/src/member-record.ts
@@ -1,37 +1,37 @@
 import {type InstanceId, type ZoneId} from '@valehitch/core';
 
-/** Where a daemon stands: at work, in a planned stop, not heard of for a while, or given up. */
+/** The state of a daemon: running, shutting down as planned, suspected after silence, or considered lost. */
 export type MemberState = 'joined' | 'draining' | 'suspect' | 'lost';
 
-/** A daemon as the digests carry it. */
+/** A daemon's record, as replicated in the digests. */
 export type MemberRecord = {
 	readonly instance: InstanceId;
 	readonly zone: ZoneId;
 	readonly region: string;
-	/** Where its peers' port is. */
+	/** The host of the port for peers. */
 	readonly host: string;
 	readonly port: number;
-	/** When it started, in milliseconds since 1970; a later start outdates the earlier one. */
+	/** When the daemon started, as Unix time in milliseconds. A later start supersedes an earlier one. */
 	readonly startedAt: number;
-	/** Numbers what one start says of itself; raised to answer a suspicion. */
+	/** The sequence number of the record within one start. Increased to refute a suspicion. */
 	readonly sequence: number;
 	readonly state: MemberState;
-	/** The daemon that it asks, and that watches it. */
+	/** The daemon from which this one requests leases, and which monitors it. */
 	readonly parent?: InstanceId | undefined;
 };
 
-const memberStateRanks: Readonly<Record<MemberState, number>> = {
+const memberStateOrder: Readonly<Record<MemberState, number>> = {
 	joined: 0, draining: 1, suspect: 2, lost: 3,
 };
 
 /**
-Joins two records of one daemon: the later start wins, then the higher sequence, then the graver state.
+Joins two records of one daemon. The later start wins, then the higher sequence number, then the more severe state.
 
-A daemon that finds itself suspected or lost answers with a higher sequence (SWIM: Das, Gupta and Motivala, 2002).
+A daemon that is suspected or considered lost refutes this with a higher sequence number (SWIM: Das, Gupta and Motivala, 2002).
 
-@param known The record that is held.
-@param next The other one.
-@returns The one that wins; `known` where they say the same.
+@param known The stored record.
+@param next The other record.
+@returns The winning record, or `known` if they are equal.
 @example
 ```ts
 joinMembers(known, {...known, state: 'suspect'}).state; // 'suspect'
@@ -40,20 +40,20 @@
 export function joinMembers(known: MemberRecord, next: MemberRecord): MemberRecord {
 	const order = next.startedAt - known.startedAt
 		|| next.sequence - known.sequence
-		|| memberStateRanks[next.state] - memberStateRanks[known.state]
+		|| memberStateOrder[next.state] - memberStateOrder[known.state]
 		|| compareTexts(JSON.stringify(next), JSON.stringify(known));
 	return order > 0 ? next : known;
 }
 
 /**
-Compares two texts by code units.
+Compares two strings by code units, for sorting.
 
-@param left The one.
-@param right The other.
-@returns Below 0, 0 or above 0.
+@param left The first string.
+@param right The second string.
+@returns A negative number, 0 or a positive number.
 @example
 ```ts
-compareTexts('a', 'b'); // -1
+compareStrings('a', 'b'); // -1
 ```
 */
 export function compareTexts(left: string, right: string): number {
--- a/packages/membership/src/mod.ts
+++ b/packages/membership/src/mod.ts
@@ -1,5 +1,5 @@
 /**
-Who is there: backend servers and daemons, their failure detection, the digests that spread it, and configuration leases.
+Membership of backend servers and daemons, failure detection, replication of member records by digests, and configuration leases.
 
 @module
 */
--- a/packages/membership/src/parent-candidates.test.ts
+++ b/packages/membership/src/parent-candidates.test.ts
@@ -6,7 +6,7 @@
 import {defaultFanOut} from './zone-tree.js';
 
 const seed = 47;
-const deepestOf53 = 3;
+const maximumDepth = 3;
 
 function member(index: number, zone: string): MemberRecord {
 	return {
@@ -14,7 +14,7 @@
 	};
 }
 
-test('in one view each instance reaches the leader, none has more children than the fan-out, and the leader has only roots', t => {
+test('with identical views every instance reaches the leader, none has more children than the fan-out, and the leader serves only zone roots', t => {
 	fc.assert(fc.property(fc.integer({min: 1, max: 53}), fc.integer({min: 1, max: 7}), (size, zoneCount) => {
 		const members = Array.from({length: zoneCount * size}, (_, index) => member(index, `zone-${index % zoneCount}`));
 		const leader = members[0]?.instance ?? toId<InstanceId>('');
@@ -36,18 +36,18 @@
 
 		for (const {instance} of members) {
 			let steps = 0;
-			let at = instance;
-			while (at !== leader && steps <= deepestOf53 + 1) {
-				at = parents.get(at) ?? at;
+			let current = instance;
+			while (current !== leader && steps <= maximumDepth + 1) {
+				current = parents.get(current) ?? current;
 				steps++;
 			}
 
-			t.is(at, leader);
+			t.is(current, leader);
 		}
 	}), {seed, numRuns: 60});
 });
 
-test('an instance that knows nobody asks the control instances, its own zone and region first', t => {
+test('an instance without known peers prefers control instances of its own zone, then of its own region', t => {
 	const self = member(1, 'zone-a');
 	const far = {...member(9, 'zone-c'), region: 'south', state: 'lost' as const};
 	const near = {...member(8, 'zone-b'), state: 'lost' as const};
--- a/packages/membership/src/parent-candidates.ts
+++ b/packages/membership/src/parent-candidates.ts
@@ -2,33 +2,33 @@
 import {type MemberRecord} from './member-record.js';
 import {ancestorsInTree, defaultFanOut, hashText} from './zone-tree.js';
 
-/** An instance that the settings name as having the control role. */
+/** An instance with the control role, as listed in the settings. */
 export type ControlSeed = {
 	readonly instance: InstanceId;
 	readonly zone: ZoneId;
 };
 
-/** What `parentCandidates` works on. */
+/** The inputs of `parentCandidates`. */
 export type ParentCandidatesOptions = {
 	readonly self: MemberRecord;
 	readonly members: readonly MemberRecord[];
-	/** The control instances of the settings. */
+	/** The control instances listed in the settings. */
 	readonly seeds: readonly ControlSeed[];
-	/** The leader, where it is known. */
+	/** The leader, if known. */
 	readonly leader?: InstanceId | undefined;
-	/** The most children of one instance in a zone; 4 by default. */
+	/** The maximum number of children of one instance in a zone. Defaults to 4. */
 	readonly fanOut?: number;
 };
 
 /**
-The instances that one may ask, the best first.
+Returns the instances from which an instance may request leases, in order of preference.
 
-Inside a zone these are the ancestors in its relay tree. The root, and whoever is left by all its ancestors, goes on with the
-leader, the other control instances and the other zones' roots, the own zone and the own region first. The leader itself stands
-outside its zone's tree.
+Within a zone, these are the ancestors of the instance in the zone's relay tree. They are followed by the leader, the other control
+instances and the roots of other zones, which serve the root and any instance whose ancestors all fail. Control instances are ordered
+by own zone and then own region, and other roots by own region. The leader itself is not part of its zone's tree.
 
-@param options The own record and what is known of the others.
-@returns The instances without the own one; none twice.
+@param options The instance's own record and the known state of the others.
+@returns The instances, without duplicates and without the instance itself.
 @example
 ```ts
 const [parent] = parentCandidates({self, members, seeds, leader});
@@ -36,22 +36,22 @@
 */
 export function parentCandidates({self, members, seeds, leader, fanOut = defaultFanOut}: ParentCandidatesOptions): InstanceId[] {
 	const usable = members.filter(({state}) => state === 'joined');
-	// The leader has all zones' roots to answer already.
-	const own = usable.filter(({zone, instance}) => zone === self.zone && instance !== leader).map(({instance}) => instance);
-	const ancestors = ancestorsInTree({instances: own, self: self.instance, fanOut});
-	const exits = [
+	// The leader already serves the roots of all zones.
+	const zoneInstances = usable.filter(({zone, instance}) => zone === self.zone && instance !== leader).map(({instance}) => instance);
+	const ancestors = ancestorsInTree({instances: zoneInstances, self: self.instance, fanOut});
+	const fallbacks = [
 		...(leader === undefined ? [] : [leader]),
 		...orderSeeds(seeds, {self, members}),
-		...otherRoots(usable, self),
+		...otherZoneRoots(usable, self),
 	];
-	const candidates = new Set([...ancestors, ...exits]);
+	const candidates = new Set([...ancestors, ...fallbacks]);
 	candidates.delete(self.instance);
 	return [...candidates];
 }
 
-type Surroundings = {readonly self: MemberRecord; readonly members: readonly MemberRecord[]};
+type MemberView = {readonly self: MemberRecord; readonly members: readonly MemberRecord[]};
 
-function orderSeeds(seeds: readonly ControlSeed[], {self, members}: Surroundings): InstanceId[] {
+function orderSeeds(seeds: readonly ControlSeed[], {self, members}: MemberView): InstanceId[] {
 	const regions = new Map(members.map(({zone, region}) => [zone, region]));
 	const distance = ({zone}: ControlSeed): number => {
 		if (zone === self.zone) {
@@ -61,14 +61,14 @@
 		return regions.get(zone) === self.region ? 1 : 2;
 	};
 
-	// Each instance has an order of its own among equals, so that not all ask the same one at a start.
+	// Control instances at equal distance are ordered differently on each instance, so that not all request from the same one at startup.
 	const preference = ({instance}: ControlSeed): number => hashText(`${self.instance}/${instance}`);
 	return seeds
 		.toSorted((left, right) => distance(left) - distance(right) || preference(left) - preference(right))
 		.map(({instance}) => instance);
 }
 
-function otherRoots(usable: readonly MemberRecord[], self: MemberRecord): InstanceId[] {
+function otherZoneRoots(usable: readonly MemberRecord[], self: MemberRecord): InstanceId[] {
 	const roots = new Map<ZoneId, MemberRecord>();
 	for (const member of usable) {
 		const known = roots.get(member.zone);
--- a/packages/membership/src/server-record.ts
+++ b/packages/membership/src/server-record.ts
@@ -1,23 +1,23 @@
 import {type Announcement, type InstanceId} from '@valehitch/core';
 import {compareTexts} from './member-record.js';
 
-/** Where a backend server stands: takes work, shuts down, or is given up. */
+/** The state of a backend server: accepting work, shutting down, or considered lost. */
 export type ServerState = 'joined' | 'draining' | 'lost';
 
-/** A backend server as the digests carry it. */
+/** A backend server's record, as replicated in the digests. */
 export type ServerRecord = {
 	readonly announcement: Announcement;
-	/** The daemon that the server renews its announcement with, and that judges its silence. */
+	/** The daemon to which the server renews its announcement, and which detects its silence. */
 	readonly holder: InstanceId;
-	/** Whether the holder missed its renewals. */
+	/** Whether the holder found the server lost because its renewals stopped. */
 	readonly lost: boolean;
 };
 
 /**
-Tells where a server stands.
+Returns the state of a server.
 
 @param record The record.
-@returns The state; lost before draining.
+@returns The state. `lost` takes precedence over `draining`.
 @example
 ```ts
 serverState(record); // 'joined'
@@ -32,22 +32,22 @@
 }
 
 /**
-Joins two records of one server: the later start wins, then the higher sequence, then the lost one.
+Joins two records of one server. The later start wins, then the higher sequence number, then the record that is lost.
 
-A server that shut down stays so until a later start, whatever comes late; one that was lost returns only with a later word.
+Once a server is shutting down, it remains so until a later start, even if older records arrive later. A lost server returns only with a later announcement.
 
-@param known The record that is held.
-@param next The other one.
-@returns The joined record; `known` itself where the other brings nothing new.
+@param known The stored record.
+@param next The other record.
+@returns The joined record, or `known` itself if `next` adds nothing.
 @example
 ```ts
 joinServers(known, {...known, lost: true}).lost; // true
 ```
 */
 export function joinServers(known: ServerRecord, next: ServerRecord): ServerRecord {
-	const starts = next.announcement.startedAt - known.announcement.startedAt;
-	if (starts !== 0) {
-		return starts > 0 ? next : known;
+	const startDifference = next.announcement.startedAt - known.announcement.startedAt;
+	if (startDifference !== 0) {
+		return startDifference > 0 ? next : known;
 	}
 
 	const winner = compareRecords(next, known) > 0 ? next : known;
@@ -58,32 +58,32 @@
 }
 
 /**
-Tells whether others must hear of a record, or whether only its sequence and load differ from what they know.
+Checks whether a record must be propagated, or differs from the known one only in its sequence number and load.
 
-@param known What the others know.
-@param next The record.
-@returns Whether it says anything new.
+@param known The record that the other instances have.
+@param next The new record.
+@returns Whether the difference is significant.
 @example
 ```ts
-saysMore(known, {...known, holder}); // true
+hasSignificantChange(known, {...known, holder}); // true
 ```
 */
 export function saysMore(known: ServerRecord, next: ServerRecord): boolean {
-	return printSteady(known) !== printSteady(next);
+	return serializeSignificant(known) !== serializeSignificant(next);
 }
 
 function compareRecords(left: ServerRecord, right: ServerRecord): number {
 	return left.announcement.sequence - right.announcement.sequence
 		|| Number(left.lost) - Number(right.lost)
-		|| compareTexts(printBut(left, {shuttingDown: false}), printBut(right, {shuttingDown: false}));
+		|| compareTexts(serializeWith(left, {shuttingDown: false}), serializeWith(right, {shuttingDown: false}));
 }
 
-function printSteady(record: ServerRecord): string {
-	return printBut(record, {sequence: 0, active: 0});
+function serializeSignificant(record: ServerRecord): string {
+	return serializeWith(record, {sequence: 0, active: 0});
 }
 
-function printBut(record: ServerRecord, replaced: Partial<Announcement>): string {
+function serializeWith(record: ServerRecord, overrides: Partial<Announcement>): string {
 	const {announcement} = record;
-	const fields = Object.entries({...announcement, ...replaced}).toSorted(([left], [right]) => compareTexts(left, right));
+	const fields = Object.entries({...announcement, ...overrides}).toSorted(([left], [right]) => compareTexts(left, right));
 	return JSON.stringify([record.holder, record.lost, fields]);
 }
--- a/packages/membership/src/server-table.ts
+++ b/packages/membership/src/server-table.ts
@@ -6,39 +6,39 @@
 } from './server-record.js';
 import {loadSteps, toLoadStep} from './load-record.js';
 
-/** A backend server as this instance knows it; one object for as long as the server is known. */
+/** A backend server known to this instance. The object remains the same for as long as the server is known. */
 export type KnownServer = {
 	announcement: Announcement;
-	/** Whether it takes work, shuts down, or is given up. */
+	/** Whether the server accepts work, is shutting down, or is considered lost. */
 	state: ServerState;
-	/** The daemon that the server renews its announcement with. */
+	/** The daemon to which the server renews its announcement. */
 	holder: InstanceId;
-	/** The share of its capacity in use, from 0 to 1, as it was reported last. */
+	/** The fraction of the capacity in use, from 0 to 1, as last reported. */
 	load: number;
-	/** When the last announcement or record came, on the monotonic clock. */
+	/** When the last announcement or record was received, on the monotonic clock. */
 	seenAt: number;
-	/** Requests of this instance that are in progress there. */
+	/** The number of requests of this instance that are in progress on the server. */
 	inFlight: number;
 };
 
-/** What the table needs. */
+/** Options of `ServerTable`. */
 export type ServerTableOptions = {
 	readonly clock: Clock;
 	readonly zone: ZoneId;
-	/** Milliseconds without an announcement after which a server is taken out. */
+	/** Milliseconds without an announcement after which a server is considered lost. */
 	readonly expiryMilliseconds: number;
-	/** This instance, the holder of what is announced here; `local` by default. */
+	/** This instance, which is the holder of servers announced to it. Defaults to `local`. */
 	readonly instance?: InstanceId;
-	/** Tells whether the holder of a server is lost; never by default. */
+	/** Checks whether the holder of a server is lost. By default no holder is lost. */
 	readonly isLost?: (holder: InstanceId) => boolean;
 };
 
 /**
-The backend servers that announced themselves, here or elsewhere.
+The backend servers that have announced themselves to this or another instance.
 
 @example
 ```ts
-table.take(announcement);
+table.announce(announcement);
 const server = table.chooseEngine(model, version, new Set());
 ```
 */
@@ -53,10 +53,10 @@
 	}
 
 	/**
-	Takes an announcement made to this instance, unless a later one is known.
+	Adds an announcement made to this instance, unless a later one is known.
 
 	@param announcement The announcement.
-	@returns Whether it was news.
+	@returns Whether the table changed.
 	*/
 	take(announcement: Announcement): boolean {
 		const known = this.#servers.get(announcement.server);
@@ -68,39 +68,39 @@
 	}
 
 	/**
-	Puts in a record that a digest brought.
+	Merges a record received through a digest.
 
 	@param record The record.
-	@returns Whether it was news.
+	@returns Whether the table changed.
 	*/
 	put(record: ServerRecord): boolean {
 		const {announcement: {server}} = record;
 		const known = this.#servers.get(server);
-		const before = known === undefined ? undefined : toRecord(known);
-		const joined = before === undefined ? record : joinServers(before, record);
-		if (joined === before) {
+		const previous = known === undefined ? undefined : toRecord(known);
+		const joined = previous === undefined ? record : joinServers(previous, record);
+		if (joined === previous) {
 			return false;
 		}
 
 		const {announcement, holder} = joined;
-		const seen = {
+		const update = {
 			announcement, holder, state: serverState(joined), seenAt: this.#options.clock.monotonic(),
 		};
 		if (known === undefined) {
-			this.#servers.set(server, {...seen, load: toLoadStep(announcement) / loadSteps, inFlight: 0});
+			this.#servers.set(server, {...update, load: toLoadStep(announcement) / loadSteps, inFlight: 0});
 		} else {
-			// In place, so that a request in progress counts down the same object.
-			Object.assign(known, seen);
+			// Updated in place, so that requests in progress decrement the counter of the same object.
+			Object.assign(known, update);
 		}
 
 		return true;
 	}
 
 	/**
-	The record of a server for the digests.
+	Returns the record of a server, for the digests.
 
 	@param server The server.
-	@returns The record, or undefined where the server is not known.
+	@returns The record, or undefined if the server is not known.
 	*/
 	record(server: ServerId): ServerRecord | undefined {
 		const known = this.#servers.get(server);
@@ -108,10 +108,10 @@
 	}
 
 	/**
-	Notes the load of a server.
+	Sets the load of a server.
 
 	@param server The server.
-	@param step The step, from 0 to 8.
+	@param step The load step, from 0 to 8.
 	*/
 	setLoad(server: ServerId, step: number): void {
 		const known = this.#servers.get(server);
@@ -121,9 +121,9 @@
 	}
 
 	/**
-	Gives up the servers that are held here and whose renewals stopped.
+	Marks the servers held by this instance as lost whose renewals have stopped.
 
-	@returns The servers that were given up just now.
+	@returns The servers that were marked by this call.
 	*/
 	expire(): KnownServer[] {
 		const expired: KnownServer[] = [];
@@ -138,7 +138,7 @@
 	}
 
 	/**
-	Forgets a server for good.
+	Removes a server permanently.
 
 	@param server The server.
 	*/
@@ -146,42 +146,42 @@
 		this.#servers.delete(server);
 	}
 
-	/** The servers that are there, those that shut down included; one whose holder is lost is left out until it is announced elsewhere. */
+	/** Returns the servers that are not lost, including those shutting down. A server whose renewals stopped and whose holder is lost is omitted until it is announced elsewhere. */
 	current(): KnownServer[] {
 		return [...this.#servers.values()].filter(known => known.state !== 'lost' && !this.#isOrphaned(known));
 	}
 
-	/** Whether an engine has the version loaded and takes work. */
+	/** Checks whether any engine that accepts work has the version loaded. */
 	isServed(model: ModelId, version: VersionId): boolean {
 		return this.current().some(server => serves(server, model, version));
 	}
 
 	/**
-	Chooses the engine with the least work per capacity, the own zone first.
+	Chooses the engine with the least work relative to its capacity, preferring the instance's own zone.
 
-	@param wanted The version.
-	@param excluded Servers that were tried already.
-	@returns The engine, or undefined where there is none.
+	@param target The version.
+	@param excluded The servers that were already tried.
+	@returns The engine, or undefined if there is none.
 	*/
-	chooseEngine(wanted: {readonly model: ModelId; readonly version: VersionId}, excluded: ReadonlySet<ServerId>): KnownServer | undefined {
-		return this.#least(this.current().filter(server => serves(server, wanted.model, wanted.version)), excluded);
+	chooseEngine(target: {readonly model: ModelId; readonly version: VersionId}, excluded: ReadonlySet<ServerId>): KnownServer | undefined {
+		return this.#leastLoaded(this.current().filter(server => serves(server, target.model, target.version)), excluded);
 	}
 
 	/**
 	Chooses an instance of a plain service.
 
 	@param service The service.
-	@param excluded Servers that were tried already.
-	@returns The instance, or undefined where there is none.
+	@param excluded The servers that were already tried.
+	@returns The instance, or undefined if there is none.
 	*/
 	chooseService(service: ServiceId, excluded: ReadonlySet<ServerId>): KnownServer | undefined {
-		return this.#least(this.current().filter(({announcement, state}) => announcement.service === service && state === 'joined'), excluded);
+		return this.#leastLoaded(this.current().filter(({announcement, state}) => announcement.service === service && state === 'joined'), excluded);
 	}
 
-	#least(servers: readonly KnownServer[], excluded: ReadonlySet<ServerId>): KnownServer | undefined {
+	#leastLoaded(servers: readonly KnownServer[], excluded: ReadonlySet<ServerId>): KnownServer | undefined {
 		let best: KnownServer | undefined;
 		for (const server of servers) {
-			if (!excluded.has(server.announcement.server) && (best === undefined || this.#weight(server) < this.#weight(best))) {
+			if (!excluded.has(server.announcement.server) && (best === undefined || this.#loadScore(server) < this.#loadScore(best))) {
 				best = server;
 			}
 		}
@@ -198,9 +198,9 @@
 		return this.#isSilent(known) && (known.holder === this.#instance || isLost(known.holder));
 	}
 
-	#weight({announcement, inFlight}: KnownServer): number {
-		const foreignZone = announcement.zone === this.#options.zone ? 0 : 1;
-		return (inFlight / announcement.capacity) + foreignZone;
+	#loadScore({announcement, inFlight}: KnownServer): number {
+		const zonePenalty = announcement.zone === this.#options.zone ? 0 : 1;
+		return (inFlight / announcement.capacity) + zonePenalty;
 	}
 }
 
--- a/packages/membership/src/zone-tree.ts
+++ b/packages/membership/src/zone-tree.ts
@@ -1,26 +1,26 @@
 import {type InstanceId} from '@valehitch/core';
 
-/** What `ancestorsInTree` works on. */
+/** The inputs of `ancestorsInTree`. */
 export type ZoneTreeOptions = {
-	/** The zone's instances that are not lost, in any order; the own one may be missing. */
+	/** The instances of the zone that are not lost, in any order. The instance itself may be missing. */
 	readonly instances: readonly InstanceId[];
 	readonly self: InstanceId;
-	/** The most children of one instance; 4 by default. */
+	/** The maximum number of children of one instance. Defaults to 4. */
 	readonly fanOut?: number;
 };
 
-/** The most children of one instance where the options name none. */
+/** The default of `fanOut`. */
 export const defaultFanOut = 4;
 
 /**
-Places an instance in the relay tree of its zone and gives its ancestors, the parent first and the root last.
+Returns the ancestors of an instance in the relay tree of its zone, from the parent to the root.
 
-The instances are ordered by a hash of their names; the one at index i has the one at (i - 1) / fan-out as its parent. Each
-instance computes this from its own view; two views that differ give trees that differ, which is harmless since all that goes
-over a link carries its version.
+Instances are ordered by a hash of their names, and the parent of the one at index i is the one at index floor((i - 1) / fan-out). Each
+instance computes the tree from its own view. Different views give different trees, which is harmless, because all data sent over a
+link carries its version.
 
 @param options The instances and the fan-out.
-@returns The ancestors; none for the root.
+@returns The ancestors. Empty for the root.
 @example
 ```ts
 const [parent] = ancestorsInTree({instances, self});
@@ -43,7 +43,7 @@
 	return ancestors;
 }
 
-const hashStart = 0x81_1C_9D_C5;
+const hashSeed = 0x81_1C_9D_C5;
 /** 2^32 divided by the golden ratio, odd. */
 const hashMultiplier = 0x9E_37_79_B1;
 
@@ -51,17 +51,17 @@
 export const hashRange = 0x01_00_00_00_00;
 
 /**
-A 32-bit hash of a text, by multiplicative hashing (Knuth, 1973), so that names that differ at the end spread.
+Returns a 32-bit hash of a string, by multiplicative hashing (Knuth, 1973), which spreads names that differ only at the end.
 
-@param text The text.
-@returns A whole number from 0 to 4294967295.
+@param text The string.
+@returns An integer from 0 to 4294967295.
 @example
 ```ts
-hashText('entry-a');
+hashString('entry-a');
 ```
 */
 export function hashText(text: string): number {
-	let hash = hashStart;
+	let hash = hashSeed;
 	for (const character of text) {
 		hash = Math.imul(hash + (character.codePointAt(0) ?? 0), hashMultiplier);
 	}
