--- a/packages/policy/src/_bad-version-limit.ts
+++ b/packages/policy/src/_bad-version-limit.ts
@@ -31,7 +31,7 @@
 badVersionLimit(key, {qualityStore, configuration, settings, now}); // 0.23
 ```
 */
-export function badVersionLimit(key: QualityKey, {qualityStore: book, configuration, settings, now}: BadVersionLimitOptions): number | undefined {
+export function badVersionLimit(key: QualityKey, {qualityStore, configuration, settings, now}: BadVersionLimitOptions): number | undefined {
 	const versions = ownProperty(configuration.document.models, key.model)?.versions;
 	const details = ownProperty(versions, key.version);
 	if (details === undefined) {
@@ -44,7 +44,7 @@
 	const priorQuality = ownProperty(versions, baselineVersion)?.quality ?? details.quality;
 	const isFailure = key.measure === 'failure';
 	const value = isFailure ? priorFailureShare : priorQuality;
-	const baseline = book.estimate({...key, version: baselineVersion}, {prior: {value, confidence: boundConfidence}, now});
+	const baseline = qualityStore.estimate({...key, version: baselineVersion}, {prior: {value, confidence: boundConfidence}, now});
 	const isBaselineKnown = baseline.weight >= settings.knownWeight;
 	if (!isBaselineKnown && baselineVersion === key.version) {
 		// A short history may consist of the regression itself, so the listed value is used instead.
--- a/packages/policy/src/bad-version.test.ts
+++ b/packages/policy/src/bad-version.test.ts
@@ -69,7 +69,7 @@
 	}
 
 	t.log(`${alarms} false alarms in 2,000 streams from seed ${testSeed}`);
-	t.true(alarms / 2000 < 0.01, `Got ${alarms} false alarms in 2,000 streams from seed ${testSeed}, wanted fewer than 20`);
+	t.true(alarms / 2000 < 0.01, `${alarms} false alarms in 2,000 streams from seed ${testSeed}, expected fewer than 20`);
 });
 
 test('a rollout as good as the version it replaces is stopped in fewer than 1 % of 2,000 streams of ratings or failures', t => {
@@ -82,7 +82,7 @@
 	}
 
 	t.log(`${alarms} false alarms in 2,000 streams from seed ${testSeed}`);
-	t.true(alarms / 2000 < 0.01, `Got ${alarms} false alarms in 2,000 streams from seed ${testSeed}, wanted fewer than 20`);
+	t.true(alarms / 2000 < 0.01, `${alarms} false alarms in 2,000 streams from seed ${testSeed}, expected fewer than 20`);
 });
 
 test('a version that is bad from the start or regresses later is always found within 100 observations', t => {
@@ -101,7 +101,7 @@
 	}
 
 	t.log(`Detected after at most ${worst} observations of the version over 800 streams from seed ${testSeed}`);
-	t.true(worst <= 100, `Got ${worst}, wanted at most 100 observations in each stream from seed ${testSeed}`);
+	t.true(worst <= 100, `Detected after ${worst} observations, expected at most 100 in each stream from seed ${testSeed}`);
 });
 
 function reportsOf(name: string, values: readonly number[]): readonly EvidenceReport[] {
@@ -217,7 +217,7 @@
 	t.true(first < 100);
 	t.is(observationsUntilAlarm(100, 50), 100);
 	const second = observationsUntilAlarm(100, 150);
-	t.true(second > 5 && second < 100, `Got an alarm after ${second} observations`);
+	t.true(second > 5 && second < 100, `Alarm raised after ${second} observations, expected 6 to 99`);
 });
 
 test('a settled version that regresses before its history is known is detected against its listed quality', t => {
@@ -234,7 +234,7 @@
 			count += 1;
 		}
 
-		t.is(count, 100, `Got a false alarm after ${count} ratings from seed ${testSeed + stream}`);
+		t.is(count, 100, `False alarm after ${count} ratings from seed ${testSeed + stream}`);
 		let found = 1;
 		while (found < 100 && observe(count + found, 0.3) === undefined) {
 			found += 1;
@@ -244,7 +244,7 @@
 	}
 
 	t.log(`Detected after at most ${worst} ratings over 200 streams from seed ${testSeed}`);
-	t.true(worst < 40, `Got ${worst} ratings until the alarm, wanted fewer than 40 from seed ${testSeed}`);
+	t.true(worst < 40, `Detected after ${worst} ratings, expected fewer than 40 from seed ${testSeed}`);
 });
 
 test('a good version is rarely a suspect, and a regressed version becomes one within a few ratings', t => {
@@ -275,6 +275,6 @@
 
 	const share = suspected / (50 * ratings);
 	t.log(`A suspect at ${share.toFixed(4)} of the good ratings, and after at most ${worst} bad ones, from seed ${testSeed}`);
-	t.true(share < 0.1, `Got ${share}, wanted less than 0.1 from seed ${testSeed}`);
-	t.true(worst <= 5, `Got ${worst} ratings, wanted at most 5 from seed ${testSeed}`);
+	t.true(share < 0.1, `Suspect at a share of ${share}, expected less than 0.1 from seed ${testSeed}`);
+	t.true(worst <= 5, `Suspect after ${worst} bad ratings, expected at most 5 from seed ${testSeed}`);
 });
--- a/packages/policy/src/change-detector.ts
+++ b/packages/policy/src/change-detector.ts
@@ -126,7 +126,7 @@
 		this.#maximumEvidence = 0;
 	}
 
-	#updateWealth(index: number, {growth, added: started}: {readonly growth: number; readonly added: number}): void {
-		this.#wealth[index] = Math.min(maximumWealth, ((this.#wealth[index] ?? 0) + started) * growth);
+	#updateWealth(index: number, {growth, added}: {readonly growth: number; readonly added: number}): void {
+		this.#wealth[index] = Math.min(maximumWealth, ((this.#wealth[index] ?? 0) + added) * growth);
 	}
 }
--- a/packages/policy/src/choose-version.test.ts
+++ b/packages/policy/src/choose-version.test.ts
@@ -92,7 +92,7 @@
 		cheaper += choice.chosen.expectedCost < firstSufficientCost ? 1 : 0;
 		return !choice.belowTarget && choice.chosen.expectedCost <= firstSufficientCost;
 	}), {seed: testSeed, numRuns: 1000});
-	t.true(cheaper > 50, `Got ${cheaper} of 1000 cheaper than the first sufficient version`);
+	t.true(cheaper > 50, `${cheaper} of 1000 choices cheaper than the first sufficient version, expected more than 50`);
 });
 
 test('a cascade is chosen while escalation is rare, the expensive version directly when it is likely, and no cascade for streams and sessions', t => {
@@ -158,5 +158,5 @@
 		t.false(chosenOf({...options, subject, configuration: {...configuration, rollouts: {}}})?.chosen.version === newVersion.version);
 	}
 
-	t.true(newVersionCount > 900 && newVersionCount < 1100, `Got ${newVersionCount} of 5000, wanted about a fifth`);
+	t.true(newVersionCount > 900 && newVersionCount < 1100, `${newVersionCount} of 5000 requests on the new version, expected about a fifth`);
 });
--- a/packages/policy/src/evidence-table.ts
+++ b/packages/policy/src/evidence-table.ts
@@ -89,8 +89,8 @@
 	*/
 	evidence(target: VersionTarget, stageStartedAt: number): VersionEvidence {
 		const key = versionKey(target.model, target.version);
-		const earlier = this.#stageBaselines.get(key);
-		if (earlier?.isAlarmReported === true && earlier.stageStartedAt !== stageStartedAt) {
+		const previous = this.#stageBaselines.get(key);
+		if (previous?.isAlarmReported === true && previous.stageStartedAt !== stageStartedAt) {
 			this.reset(target);
 		}
 
--- a/packages/policy/src/quality-book.test.ts
+++ b/packages/policy/src/quality-book.test.ts
@@ -7,120 +7,120 @@
 import {target, testSeed} from './_test-configuration.js';
 
 const hour = 3_600_000;
-const key: QualityKey = {...target('m', '1'), qualityClass: 'yard/lookup', measure: 'rating'};
+const estimateKey: QualityKey = {...target('m', '1'), qualityClass: 'yard/lookup', measure: 'rating'};
 const observationsArbitrary = fc.array(fc.record({
 	instance: fc.nat(3), value: fc.float({min: 0, max: 1, noNaN: true}), ranAt: fc.integer({min: 0, max: 48 * hour}),
 }), {maxLength: 40});
 
-function bookOf(name: string): QualityBook {
+function createStore(name: string): QualityBook {
 	return new QualityBook({instance: toId<InstanceId>(name), startedAt: 1});
 }
 
 test('sums merged from several instances equal those of one instance, for any order of ratings and digests and with duplicated digests', t => {
 	t.notThrows(() => {
 		fc.assert(fc.property(observationsArbitrary, fc.array(fc.nat(), {minLength: 6, maxLength: 30}), (drawn, order) => {
-			const together = bookOf('together');
-			const books = ['a', 'b', 'c', 'd'].map(name => bookOf(name));
+			const together = createStore('together');
+			const stores = ['a', 'b', 'c', 'd'].map(name => createStore(name));
 			const digests: QualityDigest[] = [];
 			for (const {instance, value, ranAt} of drawn) {
-				books[instance]?.add({...key, value, ranAt});
-				digests.push(...books.map(book => book.digest()));
+				stores[instance]?.add({...estimateKey, value, ranAt});
+				digests.push(...stores.map(store => store.digest()));
 			}
 
 			for (const {value, ranAt} of drawn.toReversed()) {
-				together.add({...key, value, ranAt});
+				together.add({...estimateKey, value, ranAt});
 			}
 
-			const merged = bookOf('merged');
-			const late = order.map(index => digests[index % Math.max(1, digests.length)] ?? bookOf('none').digest());
-			const newest = books.map(book => book.digest());
+			const merged = createStore('merged');
+			const late = order.map(index => digests[index % Math.max(1, digests.length)] ?? createStore('none').digest());
+			const newest = stores.map(store => store.digest());
 			for (const digest of [...late, ...newest, ...late.toReversed()]) {
 				merged.merge(digest);
 			}
 
-			const expected = together.sums(key, 48 * hour);
-			const actual = merged.sums(key, 48 * hour);
+			const expected = together.sums(estimateKey, 48 * hour);
+			const actual = merged.sums(estimateKey, 48 * hour);
 			return actual.count === expected.count && Math.abs(actual.weight - expected.weight) < 1e-9 && Math.abs(actual.sum - expected.sum) < 1e-9;
 		}), {seed: testSeed, numRuns: 500});
 	});
 });
 
 test('a late rating is weighted by when its request ran, and estimates from old ratings decay to the listed quality', t => {
-	const book = bookOf('a');
-	book.add({...key, value: 0, ranAt: 0});
-	t.true(Math.abs(book.sums(key, 6 * hour).weight - 0.5) < 1e-9);
+	const store = createStore('a');
+	store.add({...estimateKey, value: 0, ranAt: 0});
+	t.true(Math.abs(store.sums(estimateKey, 6 * hour).weight - 0.5) < 1e-9);
 	for (let index = 0; index < 200; index += 1) {
-		book.add({...key, value: 0.3, ranAt: hour});
+		store.add({...estimateKey, value: 0.3, ranAt: hour});
 	}
 
 	const prior = {value: 0.9};
-	t.true(book.estimate(key, {prior, now: hour}).lowerBound < 0.4);
-	t.true(book.estimate(key, {prior, now: 100 * hour}).lowerBound > 0.88);
-	t.is(book.forget(1000 * hour), 1);
-	t.is(book.size, 0);
-	t.false(book.add({...key, value: Number.NaN, ranAt: 0}));
-	t.false(book.add({...key, value: 1.5, ranAt: 0}));
+	t.true(store.estimate(estimateKey, {prior, now: hour}).lowerBound < 0.4);
+	t.true(store.estimate(estimateKey, {prior, now: 100 * hour}).lowerBound > 0.88);
+	t.is(store.forget(1000 * hour), 1);
+	t.is(store.size, 0);
+	t.false(store.add({...estimateKey, value: Number.NaN, ranAt: 0}));
+	t.false(store.add({...estimateKey, value: 1.5, ranAt: 0}));
 });
 
 test('sums over years do not overflow', t => {
-	const book = bookOf('a');
+	const store = createStore('a');
 	for (let day = 0; day < 1000; day += 1) {
-		book.add({...key, value: 0.5, ranAt: day * 24 * hour});
+		store.add({...estimateKey, value: 0.5, ranAt: day * 24 * hour});
 	}
 
-	t.true(Math.abs(book.sums(key, 999 * 24 * hour).weight - (16 / 15)) < 1e-6);
+	t.true(Math.abs(store.sums(estimateKey, 999 * 24 * hour).weight - (16 / 15)) < 1e-6);
 });
 
 test('the number of entries stays within the maximum', t => {
-	const book = new QualityBook({instance: toId<InstanceId>('a'), startedAt: 1, maximumEntries: 10});
+	const store = new QualityBook({instance: toId<InstanceId>('a'), startedAt: 1, maximumEntries: 10});
 	for (let index = 0; index < 50; index += 1) {
-		book.add({
-			...key, qualityClass: `yard/${index}`, value: 1, ranAt: 0,
+		store.add({
+			...estimateKey, qualityClass: `yard/${index}`, value: 1, ranAt: 0,
 		});
 	}
 
-	t.is(book.size, 10);
-	t.is(book.digest().entries.length, 10);
+	t.is(store.size, 10);
+	t.is(store.digest().entries.length, 10);
 });
 
 test('the aggregate of the other instances leaves out the instance itself and replaces the previous one, unless a new aggregator has less weight', t => {
-	const leader = bookOf('leader');
-	const entry = bookOf('entry');
-	const other = bookOf('other');
+	const leader = createStore('leader');
+	const entry = createStore('entry');
+	const other = createStore('other');
 	const except = {instance: toId<InstanceId>('entry'), startedAt: 1};
-	for (const book of [entry, other]) {
-		book.add({...key, value: 0.5, ranAt: 0});
-		book.add({...key, value: 0.5, ranAt: 0});
-		leader.merge(book.digest());
+	for (const store of [entry, other]) {
+		store.add({...estimateKey, value: 0.5, ranAt: 0});
+		store.add({...estimateKey, value: 0.5, ranAt: 0});
+		leader.merge(store.digest());
 	}
 
 	for (let round = 0; round < 3; round += 1) {
-		entry.replaceOthers(leader.others([key], {except, now: 0}), 0);
-		t.is(entry.sums(key, 0).count, 4);
+		entry.replaceOthers(leader.others([estimateKey], {except, now: 0}), 0);
+		t.is(entry.sums(estimateKey, 0).count, 4);
 	}
 
-	const newLeader = bookOf('new-leader');
-	newLeader.add({...key, value: 0.5, ranAt: 0});
-	entry.replaceOthers(newLeader.others([key], {except, now: 0}), 0);
-	t.is(entry.sums(key, 0).count, 4);
-	entry.replaceOthers(newLeader.others([key], {except, now: 0}), 24 * hour);
-	t.is(entry.sums(key, 0).count, 4);
-	newLeader.add({...key, value: 0.5, ranAt: 24 * hour});
-	entry.replaceOthers(newLeader.others([key], {except, now: 24 * hour}), 24 * hour);
-	t.is(entry.sums(key, 24 * hour).count, 4);
-	t.true(entry.sums(key, 24 * hour).weight > 1);
+	const newLeader = createStore('new-leader');
+	newLeader.add({...estimateKey, value: 0.5, ranAt: 0});
+	entry.replaceOthers(newLeader.others([estimateKey], {except, now: 0}), 0);
+	t.is(entry.sums(estimateKey, 0).count, 4);
+	entry.replaceOthers(newLeader.others([estimateKey], {except, now: 0}), 24 * hour);
+	t.is(entry.sums(estimateKey, 0).count, 4);
+	newLeader.add({...estimateKey, value: 0.5, ranAt: 24 * hour});
+	entry.replaceOthers(newLeader.others([estimateKey], {except, now: 24 * hour}), 24 * hour);
+	t.is(entry.sums(estimateKey, 24 * hour).count, 4);
+	t.true(entry.sums(estimateKey, 24 * hour).weight > 1);
 });
 
 test('without ratings the bounds equal the listed quality, and with ratings the mean lies between the bounds', t => {
 	t.is(estimate(undefined, {value: 0.82}).lowerBound, 0.82);
 	t.notThrows(() => {
 		fc.assert(fc.property(fc.float({min: 0, max: 1, noNaN: true}), fc.array(fc.double({min: 0, max: 1, noNaN: true}), {minLength: 1}), (value, ratings) => {
-			const book = bookOf('a');
+			const store = createStore('a');
 			for (const rating of ratings) {
-				book.add({...key, value: rating, ranAt: 0});
+				store.add({...estimateKey, value: rating, ranAt: 0});
 			}
 
-			const {lowerBound, mean, upperBound} = book.estimate(key, {prior: {value}, now: 0});
+			const {lowerBound, mean, upperBound} = store.estimate(estimateKey, {prior: {value}, now: 0});
 			return lowerBound >= 0 && lowerBound <= mean && mean <= upperBound && upperBound <= 1;
 		}), {seed: testSeed});
 	});
