--- a/packages/core/src/suspension-watch.ts
+++ b/packages/core/src/suspension-watch.ts
@@ -20,7 +20,7 @@
 @example
 ```ts
 const suspension = new SuspensionDetector(clock);
-suspension.lastWakeTime(); // -Infinity until the machine has been suspended
+suspension.lastWake(); // -Infinity until the machine has been suspended
 ```
 */
 export class SuspensionWatch {
--- a/packages/policy/src/_evaluate-candidates.ts
+++ b/packages/policy/src/_evaluate-candidates.ts
@@ -138,7 +138,7 @@
 
 function findExclusion({request, options}: EvaluationContext, target: VersionTarget): Exclusion | undefined {
 	const {
-		configuration, isServed, isolated = false, isolatedServe, isStoppedHere, inProgress = () => 0, subject = request.id,
+		configuration, isServed, isolated = false, isolatedServe, isStoppedHere: isStoppedLocally, inProgress = () => 0, subject: bucketingKey = request.id,
 	} = options;
 	const check = {
 		...target, workspace: request.workspace, isolated, ...(isolatedServe !== undefined && {isolatedServe}),
@@ -160,12 +160,12 @@
 
 	const isRollingOut = ownProperty(ownProperty(configuration.document.models, target.model)?.versions, target.version)?.state === 'rolling-out'
 		&& ownProperty(configuration.rollouts, versionKey(target.model, target.version))?.status !== 'completed';
-	if (isStoppedHere?.(target) === true) {
+	if (isStoppedLocally?.(target) === true) {
 		return {status: isRollingOut ? 'excluded' : 'stopped-locally', verdict: 'stopped by this instance as bad'};
 	}
 
 	return isRollingOut
-		? exposureExclusion(exposure(configuration, {...target, subject, inProgress: inProgress(target)}))
+		? exposureExclusion(exposure(configuration, {...target, subject: bucketingKey, inProgress: inProgress(target)}))
 		: undefined;
 }
 
--- a/packages/policy/src/choose-version.test.ts
+++ b/packages/policy/src/choose-version.test.ts
@@ -116,25 +116,25 @@
 test('a rule that prefers latency takes a faster version only at nearly equal cost', t => {
 	const configuration = configurationOf({a: {1: settledVersion(0.9, 100)}, b: {1: settledVersion(0.9, 109)}, c: {1: settledVersion(0.9, 120)}});
 	const milliseconds: Readonly<Record<string, number>> = {a: 900, b: 300, c: 100};
-	const options = {configuration, isServed: () => true, expectedMilliseconds: ({model}: {model: ModelId}) => milliseconds[model] ?? 0};
+	const options: Omit<ChooseVersionOptions, 'rule'> = {configuration, isServed: () => true, expectedMilliseconds: ({model}) => milliseconds[model] ?? 0};
 	t.is(chosenOf({...options, rule: ruleOf(['a', 'b', 'c'])})?.chosen.model, target('a', '1').model);
 	t.is(chosenOf({...options, rule: ruleOf(['a', 'b', 'c'], {prefers: 'latency'})})?.chosen.model, target('b', '1').model);
 });
 
 test('below the target the best version serves with belowTarget set, or the rule refuses; a locally stopped version comes last', t => {
 	const configuration = configurationOf({a: {1: settledVersion(0.5, 1)}, b: {1: settledVersion(0.7, 9)}});
-	const options = {configuration, rule: ruleOf(['a', 'b']), isServed: () => true};
+	const options: ChooseVersionOptions = {configuration, rule: ruleOf(['a', 'b']), isServed: () => true};
 	t.like(chosenOf(options), {belowTarget: true, chosen: {model: target('b', '1').model}});
 	t.is(chosenOf({...options, rule: ruleOf(['a', 'b'], {whenBelowTarget: 'refuse'})}), undefined);
-	const isStoppedHere = ({model}: {model: ModelId}): boolean => model === toId<ModelId>('b');
-	t.like(chosenOf({...options, isStoppedHere}), {belowTarget: true, chosen: {model: target('a', '1').model}});
+	const isStoppedLocally = ({model}: {model: ModelId}): boolean => model === toId<ModelId>('b');
+	t.like(chosenOf({...options, isStoppedHere: isStoppedLocally}), {belowTarget: true, chosen: {model: target('a', '1').model}});
 	t.is(mayDispatch(configuration, {
-		...target('b', '1'), workspace: yard, isolated: false, isStoppedHere,
+		...target('b', '1'), workspace: yard, isolated: false, isStoppedHere: isStoppedLocally,
 	}), 'version-stopped');
 });
 
 test('an inherited property name such as constructor is not a model', t => {
-	const options = {configuration: configurationOf({a: {1: settledVersion(0.9, 1)}}), rule: ruleOf(['a']), isServed: () => true};
+	const options: ChooseVersionOptions = {configuration: configurationOf({a: {1: settledVersion(0.9, 1)}}), rule: ruleOf(['a']), isServed: () => true};
 	const request = {...requestOf(), namedModel: toId<ModelId>('constructor')};
 	t.is(chooseVersion(request, options).swap().toMaybe().extract()?.kind, 'forbidden');
 });
@@ -142,20 +142,20 @@
 test('a rollout takes its share of bucketing keys, always the same ones, up to its limit, and only while it is running', t => {
 	const versions = {1: settledVersion(0.85, 1), 2: rollingOutVersion(0.86, 0.2)};
 	const configuration = configurationOf({m: versions});
-	const options = {configuration, rule: ruleOf(['m']), isServed: () => true};
+	const options: ChooseVersionOptions = {configuration, rule: ruleOf(['m']), isServed: () => true};
 	const newVersion = target('m', '2');
 	let newVersionCount = 0;
 	for (let index = 0; index < 5000; index += 1) {
-		const subject = `s${index}`;
-		const isNewVersion = chosenOf({...options, subject})?.chosen.version === newVersion.version;
+		const bucketingKey = `s${index}`;
+		const isNewVersion = chosenOf({...options, subject: bucketingKey})?.chosen.version === newVersion.version;
 		newVersionCount += isNewVersion ? 1 : 0;
 		const larger = configurationOf({m: {...versions, 2: rollingOutVersion(0.86, 0.5)}});
-		t.true(!isNewVersion || exposure(larger, {...newVersion, subject, inProgress: 0}) === 'exposed');
-		t.is(chosenOf({...options, subject}, requestOf(`other-${index}`))?.chosen.version === newVersion.version, isNewVersion);
-		t.false(chosenOf({...options, subject, isolated: true})?.chosen.version === newVersion.version);
-		t.false(chosenOf({...options, subject, inProgress: () => 32})?.chosen.version === newVersion.version);
-		t.false(chosenOf({...options, subject, isStoppedHere: ({version}) => version === newVersion.version})?.chosen.version === newVersion.version);
-		t.false(chosenOf({...options, subject, configuration: {...configuration, rollouts: {}}})?.chosen.version === newVersion.version);
+		t.true(!isNewVersion || exposure(larger, {...newVersion, subject: bucketingKey, inProgress: 0}) === 'exposed');
+		t.is(chosenOf({...options, subject: bucketingKey}, requestOf(`other-${index}`))?.chosen.version === newVersion.version, isNewVersion);
+		t.false(chosenOf({...options, subject: bucketingKey, isolated: true})?.chosen.version === newVersion.version);
+		t.false(chosenOf({...options, subject: bucketingKey, inProgress: () => 32})?.chosen.version === newVersion.version);
+		t.false(chosenOf({...options, subject: bucketingKey, isStoppedHere: ({version}) => version === newVersion.version})?.chosen.version === newVersion.version);
+		t.false(chosenOf({...options, subject: bucketingKey, configuration: {...configuration, rollouts: {}}})?.chosen.version === newVersion.version);
 	}
 
 	t.true(newVersionCount > 900 && newVersionCount < 1100, `${newVersionCount} of 5000 requests on the new version, expected about a fifth`);
--- a/packages/policy/src/choose-version.ts
+++ b/packages/policy/src/choose-version.ts
@@ -33,7 +33,7 @@
 	readonly nearlyEqualCost?: number;
 };
 
-const defaultNearlyEqualCost = 0.1;
+const defaultLatencyCostTolerance = 0.1;
 const retryAfterMilliseconds = 1000;
 
 /**
@@ -83,13 +83,13 @@
 	return versionKey(model, version);
 }
 
-function cheapest(eligible: readonly EvaluatedCandidate[], {rule, nearlyEqualCost = defaultNearlyEqualCost}: ChooseVersionOptions): EvaluatedCandidate | undefined {
+function cheapest(eligible: readonly EvaluatedCandidate[], {rule, nearlyEqualCost: latencyCostTolerance = defaultLatencyCostTolerance}: ChooseVersionOptions): EvaluatedCandidate | undefined {
 	const [best] = eligible.toSorted((left, right) => left.candidate.expectedCost - right.candidate.expectedCost || left.order - right.order);
 	if (best === undefined || rule.prefers !== 'latency') {
 		return best;
 	}
 
-	const limit = best.candidate.expectedCost * (1 + nearlyEqualCost);
+	const limit = best.candidate.expectedCost * (1 + latencyCostTolerance);
 	const [fastest] = eligible
 		.filter(({candidate}) => candidate.expectedCost <= limit)
 		.toSorted((left, right) => left.candidate.expectedMilliseconds - right.candidate.expectedMilliseconds
--- a/packages/policy/src/exposure.ts
+++ b/packages/policy/src/exposure.ts
@@ -35,14 +35,14 @@
 ```
 */
 export function exposure(configuration: EffectiveConfiguration, options: ExposureOptions): ExposureVerdict {
-	const {model, version, subject, inProgress} = options;
+	const {model, version, subject: bucketingKey, inProgress} = options;
 	const key = versionKey(model, version);
 	const stage = currentStage(configuration, {model, version});
 	if (stage === undefined) {
 		return 'not-running';
 	}
 
-	if (unitHash(`${key}/${subject}`) >= stage.share) {
+	if (unitHash(`${key}/${bucketingKey}`) >= stage.share) {
 		return 'outside-share';
 	}
 
--- a/packages/policy/src/may-dispatch.ts
+++ b/packages/policy/src/may-dispatch.ts
@@ -55,13 +55,13 @@
 
 function checkInstanceState(options: MayDispatchOptions, isSettled: boolean): DispatchVerdict {
 	const {
-		model, version, isolated, isolatedServe = 'settled', isStoppedHere = () => false, belowTarget = false,
+		model, version, isolated, isolatedServe = 'settled', isStoppedHere: isStoppedLocally = () => false, belowTarget = false,
 	} = options;
 	if (isolated && !servesWhileIsolated(isolatedServe, isSettled)) {
 		return 'isolated';
 	}
 
-	return isStoppedHere({model, version}) && !(isSettled && belowTarget) ? 'version-stopped' : 'allowed';
+	return isStoppedLocally({model, version}) && !(isSettled && belowTarget) ? 'version-stopped' : 'allowed';
 }
 
 function servesWhileIsolated(serve: 'settled' | 'all' | 'none', isSettled: boolean): boolean {
