--- a/packages/core/src/configuration.ts
+++ b/packages/core/src/configuration.ts
@@ -127,8 +127,9 @@
 	readonly rollouts: Readonly<Record<string, RolloutProgress>>;
 };
 
+// The settings package recognizes messages by the prefix "Wanted " and removes it.
 const idPattern = /^[a-z\d][a-z\d._\-]{0,63}$/v;
-const idText = z.string().regex(idPattern, 'Expected 1 to 64 characters from a to z, 0 to 9, dot, dash and underscore, starting with a letter or digit');
+const idText = z.string().regex(idPattern, 'Wanted 1 to 64 of a to z, 0 to 9, dot, dash and underscore, starting with a letter or digit');
 const fraction = z.number().min(0).max(1);
 const price = z.number().min(0).max(1_000_000);
 
@@ -165,7 +166,7 @@
 });
 
 const workspaceSchema = z.strictObject({
-	keyDigests: z.array(z.string().regex(/^[a-f\d]{64}$/v, 'Expected a SHA-256 digest of 64 hexadecimal digits')).max(16).default([]),
+	keyDigests: z.array(z.string().regex(/^[a-f\d]{64}$/v, 'Wanted a SHA-256 digest of 64 hexadecimal digits')).max(16).default([]),
 	weight: z.number().gt(0).max(1000).default(1),
 	allowed: z.record(idText, z.array(idText)).default({}),
 	services: z.array(idText).default([]),
@@ -174,7 +175,7 @@
 
 const serviceSchema = z.strictObject({
 	repeatable: z.array(z.strictObject({
-		method: z.string().regex(/^[A-Z]{1,16}$/v, 'Expected an HTTP method in upper case'),
+		method: z.string().regex(/^[A-Z]{1,16}$/v, 'Wanted an HTTP method in capitals'),
 		path: z.string().startsWith('/').max(512),
 	})).default([]),
 	pricePerCall: price.default(0),
--- a/packages/core/src/hybrid-clock.ts
+++ b/packages/core/src/hybrid-clock.ts
@@ -53,8 +53,8 @@
 /**
 Compares two timestamps, for sorting.
 
-@param left One stamp.
-@param right The other.
+@param left The first timestamp.
+@param right The second timestamp.
 @returns A negative number if the left one is earlier, a positive number if it is later, 0 if they are equal.
 @example
 ```ts
