--- a/packages/membership/src/configuration-relay.ts
+++ b/packages/membership/src/configuration-relay.ts
@@ -165,7 +165,7 @@
 
 	@param request The request.
 	@param now The monotonic time.
-	@returns The grant, or undefined if the own lease has expired.
+	@returns The grant, or undefined if the instance's own lease has expired.
 	*/
 	answer(request: LeaseQuestion, now: number): LeaseGrant | undefined {
 		const key = leaseKey(request);
--- a/packages/membership/src/server-table.ts
+++ b/packages/membership/src/server-table.ts
@@ -121,7 +121,7 @@
 	}
 
 	/**
-	Marks the servers held by this instance as lost whose renewals have stopped.
+	Marks servers of which this instance is the holder as lost if their renewals have stopped.
 
 	@returns The servers that were marked by this call.
 	*/
@@ -146,7 +146,7 @@
 		this.#servers.delete(server);
 	}
 
-	/** Returns the servers that are not lost, including those shutting down. A server whose renewals stopped and whose holder is lost is omitted until it is announced elsewhere. */
+	/** Returns the servers that are not lost, including those shutting down. A server whose renewals stopped is omitted until it is announced again if this instance is its holder or its holder is lost. */
 	current(): KnownServer[] {
 		return [...this.#servers.values()].filter(known => known.state !== 'lost' && !this.#isOrphaned(known));
 	}
