--- a/packages/routing/src/_end-request.ts
+++ b/packages/routing/src/_end-request.ts
@@ -1,17 +1,17 @@
 import {
 	type BillOutcome, type ErrorKind, type Failure, failure, type Outcome,
 } from '@valehitch/core';
-import {type RequestChange} from './_request-change.js';
+import {type RequestTransition} from './_request-transition.js';
 import {type AttemptLine, type CallerAction, type ClaimOutcome} from './request-action.js';
 import {type AttemptState} from './request-state.js';
 
-const nothing = {input: 0, output: 0};
+const noUsage = {input: 0, output: 0};
 
 /**
-Tells whether the request ran, from all its attempts.
+Derives the outcome of the request from its attempts.
 
 @param attempts The attempts.
-@returns `notRun` only where every attempt is proven not to have run.
+@returns `ran` if any attempt ran, `notRun` only if every attempt is proven not to have run, `unknown` otherwise.
 */
 export function outcomeOfAttempts(attempts: readonly AttemptState[]): Outcome {
 	const sent = attempts.filter(({status, outcome}) => status !== 'choosing' && outcome !== 'notRun');
@@ -23,100 +23,100 @@
 }
 
 /**
-Settles the bill, where one was opened or may have been; does so once.
+Settles the bill if one was opened or may have been opened. Later calls have no effect.
 
-@param change The step.
+@param transition The transition in progress.
 @param outcome How the request ended.
 */
-export function settleBill(change: RequestChange, outcome: BillOutcome): void {
-	const {bill} = change.state;
+export function settleBill(transition: RequestTransition, outcome: BillOutcome): void {
+	const {bill} = transition.state;
 	if (bill === 'opening' || bill === 'open') {
-		change.set({bill: 'settled'});
-		change.act({type: 'settle-bill', outcome, lines: linesOf(change.state.attempts)});
+		transition.update({bill: 'settled'});
+		transition.emit({type: 'settle-bill', outcome, lines: billLinesOf(transition.state.attempts)});
 	}
 }
 
 /**
-Settles the claim, where one was taken or may have been; does so once.
+Settles the claim if one was taken or may have been taken. Later calls have no effect.
 
-@param change The step.
+@param transition The transition in progress.
 @param outcome How the claim ends.
 */
-export function settleClaim(change: RequestChange, outcome: ClaimOutcome): void {
-	const {claim} = change.state;
+export function settleClaim(transition: RequestTransition, outcome: ClaimOutcome): void {
+	const {claim} = transition.state;
 	if (claim === 'pending' || claim === 'taken') {
-		change.set({claim: 'settled'});
-		change.act({type: 'settle-claim', outcome});
+		transition.update({claim: 'settled'});
+		transition.emit({type: 'settle-claim', outcome});
 	}
 }
 
 /**
-Ends the request: cancels what is live, settles, and tells the caller.
+Ends the request: cancels its live attempts, settles the bill and the claim, and answers the caller.
 
-@param change The step.
-@param options How it ended and the last action towards the caller, where there is one.
+@param transition The transition in progress.
+@param options How the request ended, and the final action for the caller if there is one.
 */
-export function endRequest(change: RequestChange, {outcome, last}: EndRequestOptions): void {
-	change.cancelOthers();
-	settleBill(change, outcome);
-	settleClaim(change, outcomeOfAttempts(change.state.attempts) === 'notRun' ? 'released' : 'unknown');
-	clearTimers(change);
-	if (last !== undefined) {
-		change.tell(last);
+export function endRequest(transition: RequestTransition, {outcome, finalAction}: EndRequestOptions): void {
+	transition.cancelOthers();
+	settleBill(transition, outcome);
+	settleClaim(transition, outcomeOfAttempts(transition.state.attempts) === 'notRun' ? 'released' : 'unknown');
+	clearTimers(transition);
+	if (finalAction !== undefined) {
+		transition.emitToCaller(finalAction);
 	}
 
-	change.set({stage: 'ended'});
+	transition.update({stage: 'ended'});
 }
 
 /** How a request ends. */
 export type EndRequestOptions = {
 	readonly outcome: BillOutcome;
-	readonly last?: CallerAction;
+	readonly finalAction?: CallerAction;
 };
 
 /**
-Refuses the request with a failure that says truly whether it ran.
+Refuses the request and reports whether it ran.
 
-@param change The step.
-@param failed The failure; its outcome is replaced by that of the attempts.
+@param transition The transition in progress.
+@param reason The failure; its outcome is replaced by the combined outcome of the attempts.
 */
-export function refuseRequest(change: RequestChange, failed: Failure): void {
-	const ran = outcomeOfAttempts(change.state.attempts);
-	endRequest(change, {
-		outcome: ran === 'unknown' ? 'unknown' : 'failed',
-		last: {type: 'refuse', failure: {...failed, outcome: ran}, partial: change.state.delivered > 0},
+export function refuseRequest(transition: RequestTransition, reason: Failure): void {
+	const outcome = outcomeOfAttempts(transition.state.attempts);
+	endRequest(transition, {
+		outcome: outcome === 'unknown' ? 'unknown' : 'failed',
+		finalAction: {type: 'refuse', failure: {...reason, outcome}, partial: transition.state.delivered > 0},
 	});
 }
 
 /**
-Gives up on the request after its attempts came to nothing.
+Refuses the request after its attempts failed, with a failure kind that follows from their outcome.
 
-@param change The step.
-@param options What happened, and when to come back.
+@param transition The transition in progress.
+@param options The message for the caller, and when the caller may retry.
 */
-export function giveUp(change: RequestChange, {message, retryAfterMilliseconds}: GiveUpOptions): void {
-	const kind = giveUpKinds[outcomeOfAttempts(change.state.attempts)];
-	refuseRequest(change, failure(kind, message, kind === 'no-server' ? {retryAfterMilliseconds} : {}));
+export function giveUp(transition: RequestTransition, {message, retryAfterMilliseconds}: GiveUpOptions): void {
+	const kind = failureKindByOutcome[outcomeOfAttempts(transition.state.attempts)];
+	refuseRequest(transition, failure(kind, message, kind === 'no-server' ? {retryAfterMilliseconds} : {}));
 }
 
-/** What is said when a request is given up on. */
+/** The options of `giveUp`. */
 export type GiveUpOptions = {
 	readonly message: string;
 	readonly retryAfterMilliseconds: number;
 };
 
-const giveUpKinds = {
+const failureKindByOutcome = {
 	notRun: 'no-server',
 	ran: 'backend-failed',
 	unknown: 'outcome-unknown',
 } as const satisfies Record<Outcome, ErrorKind>;
 
-function linesOf(attempts: readonly AttemptState[]): AttemptLine[] {
+function billLinesOf(attempts: readonly AttemptState[]): AttemptLine[] {
 	const lines: AttemptLine[] = [];
 	for (const {number, server, target, purpose, outcome, usage} of attempts) {
 		if (server !== undefined) {
 			lines.push({
-				attempt: number, server, target, purpose, outcome, usage: outcome === 'ran' ? usage : nothing,
+				attempt: number, server, target, purpose, outcome, usage: outcome === 'ran' ? usage : noUsage,
 			});
 		}
 	}
@@ -124,14 +124,14 @@
 	return lines;
 }
 
-function clearTimers(change: RequestChange): void {
-	const {plan, comingBack} = change.state;
-	change.act({type: 'clear-timer', timer: 'deadline'});
+function clearTimers(transition: RequestTransition): void {
+	const {plan, comingBack} = transition.state;
+	transition.emit({type: 'clear-timer', timer: 'deadline'});
 	if (plan.hedge !== undefined) {
-		change.act({type: 'clear-timer', timer: 'hedge'});
+		transition.emit({type: 'clear-timer', timer: 'hedge'});
 	}
 
 	if (comingBack) {
-		change.act({type: 'clear-timer', timer: 'come-back'});
+		transition.emit({type: 'clear-timer', timer: 'come-back'});
 	}
 }
--- /dev/null
+++ b/packages/routing/src/_handle-external-event.ts
@@ -0,0 +1,129 @@
+import {failure} from '@valehitch/core';
+import {match} from 'ts-pattern';
+import {endRequest, outcomeOfAttempts, refuseRequest} from './_end-request.js';
+import {type RequestTransition} from './_request-transition.js';
+import {
+	abandonTarget, hasAttemptsLeft, retryServerSelection, startAttempt,
+} from './_start-attempt.js';
+import {type RequestTarget} from './request-plan.js';
+import {type RequestTimer, type SurroundingsEvent} from './request-event.js';
+
+/**
+Handles an event from outside the request's own attempts, such as a timer or a configuration change.
+
+@param transition The transition in progress.
+@param event The event.
+*/
+export function handleExternalEvent(transition: RequestTransition, event: SurroundingsEvent): void {
+	match(event)
+		.with({type: 'timer'}, ({timer}) => {
+			handleTimer(transition, timer);
+		})
+		.with({type: 'permission-lost'}, ({target}) => {
+			handlePermissionLost(transition, target);
+		})
+		.with({type: 'server-draining'}, ({server}) => {
+			transition.excludeServer(server);
+		})
+		.with({type: 'caller-left'}, () => {
+			handleCallerLeft(transition);
+		})
+		.with({type: 'bill-settled'}, () => {
+			finishAnswer(transition);
+		})
+		.with({type: 'instance-stopping'}, () => {
+			transition.update({stopping: true});
+		})
+		.exhaustive();
+}
+
+function handleTimer(transition: RequestTransition, timer: RequestTimer): void {
+	match(timer)
+		.with('deadline', () => {
+			handleDeadline(transition);
+		})
+		.with('hedge', () => {
+			hedgeIfSlow(transition);
+		})
+		.with('come-back', () => {
+			retryServerSelection(transition);
+		})
+		.exhaustive();
+}
+
+function handleDeadline(transition: RequestTransition): void {
+	const {attempts, plan} = transition.state;
+	const kind = outcomeOfAttempts(attempts) === 'notRun' ? 'deadline-exceeded' : 'deadline-exceeded-after-dispatch';
+	refuseRequest(transition, failure(kind, `The answer was not complete by the deadline at ${plan.deadline} ms`));
+}
+
+function hedgeIfSlow(transition: RequestTransition): void {
+	const {plan, stage, hedged, stopping} = transition.state;
+	const [slow, ...others] = transition.liveAttempts;
+	if (plan.hedge === undefined || slow?.status !== 'sent' || others.length > 0) {
+		return;
+	}
+
+	if (stage !== 'running' || !plan.repeatable || hedged || transition.permissionLost || stopping || !hasAttemptsLeft(transition)) {
+		return;
+	}
+
+	const {prefillMilliseconds, decodeMilliseconds} = plan.hedge;
+	const hedgeAt = slow.progressAt + (slow.received > slow.resumeFrom ? decodeMilliseconds : prefillMilliseconds);
+	if (transition.now < hedgeAt) {
+		transition.emit({type: 'set-timer', timer: 'hedge', at: hedgeAt});
+		return;
+	}
+
+	if (slow.target.type === 'version' || transition.state.delivered === 0) {
+		transition.update({hedged: true});
+		startAttempt(transition, 'hedge');
+	}
+}
+
+function handlePermissionLost(transition: RequestTransition, target: RequestTarget): void {
+	const {plan, stage} = transition.state;
+	transition.disallowTarget(target);
+	if (!transition.permissionLost) {
+		return;
+	}
+
+	if (stage === 'waiting') {
+		transition.emit({type: 'clear-timer', timer: 'come-back'});
+		transition.update({stage: 'running', comingBack: false});
+	}
+
+	if (transition.state.stage === 'running') {
+		abandonTarget(transition);
+		return;
+	}
+
+	const isPreparing = stage === 'admitting' || stage === 'claiming' || stage === 'opening';
+	if (isPreparing && plan.session === 'token') {
+		abandonTarget(transition);
+	}
+}
+
+function handleCallerLeft(transition: RequestTransition): void {
+	const {plan, attempts, stage} = transition.state;
+	const mayHaveRun = outcomeOfAttempts(attempts) !== 'notRun';
+	transition.update({callerLeft: true});
+	if (plan.finishWithoutCaller === true && mayHaveRun && stage !== 'ended') {
+		return;
+	}
+
+	endRequest(transition, {outcome: 'cancelled'});
+}
+
+function finishAnswer(transition: RequestTransition): void {
+	const {stage, leader} = transition.state;
+	if (stage !== 'settling' || leader === undefined) {
+		return;
+	}
+
+	if (transition.buffersAnswer) {
+		transition.emitToCaller({type: 'forward-held', attempt: leader});
+	}
+
+	endRequest(transition, {outcome: 'answered', finalAction: {type: 'finish-answer', attempt: leader}});
+}
--- a/packages/routing/src/_start-attempt.ts
+++ b/packages/routing/src/_start-attempt.ts
@@ -2,29 +2,29 @@
 import {
 	giveUp, type GiveUpOptions, outcomeOfAttempts, refuseRequest,
 } from './_end-request.js';
-import {type RequestChange} from './_request-change.js';
+import {type RequestTransition} from './_request-transition.js';
 import {type AttemptPurpose} from './request-action.js';
 import {type RequestPlan} from './request-plan.js';
 import {type AttemptState} from './request-state.js';
 
 const defaultMaximumAttempts = 4;
-const nothing = {input: 0, output: 0};
+const noUsage = {input: 0, output: 0};
 
 /**
-Begins an attempt by asking for a server.
+Creates an attempt and requests a server for it.
 
-@param change The step.
+@param transition The transition in progress.
 @param purpose Why the attempt is made.
-@param options Whether it draws on the budget of its purpose.
+@param options Whether the attempt is charged to the budget of its purpose.
 */
-export function startAttempt(change: RequestChange, purpose: AttemptPurpose, {budgeted = true}: StartAttemptOptions = {}): void {
-	change.set({stage: 'running'});
-	if (change.permissionLost) {
-		stopForPermission(change);
+export function startAttempt(transition: RequestTransition, purpose: AttemptPurpose, {budgeted = true}: StartAttemptOptions = {}): void {
+	transition.update({stage: 'running'});
+	if (transition.permissionLost) {
+		abandonTarget(transition);
 		return;
 	}
 
-	const {nextAttempt, target, attempts, delivered} = change.state;
+	const {nextAttempt, target, attempts, delivered} = transition.state;
 	const attempt: AttemptState = {
 		number: nextAttempt,
 		purpose,
@@ -37,166 +37,172 @@
 		server: undefined,
 		resumeFrom: delivered,
 		received: delivered,
-		progressAt: change.now,
-		usage: nothing,
+		progressAt: transition.now,
+		usage: noUsage,
 	};
-	change.set({nextAttempt: nextAttempt + 1, attempts: [...attempts, attempt]});
-	chooseServer(change, attempt);
+	transition.update({nextAttempt: nextAttempt + 1, attempts: [...attempts, attempt]});
+	chooseServer(transition, attempt);
 }
 
-/** How an attempt begins. */
+/** The options of `startAttempt`. */
 export type StartAttemptOptions = {
-	/** Whether it draws on the budget of its purpose; true by default. */
+	/** Whether the attempt is charged to the retry or hedge budget; true by default. */
 	readonly budgeted?: boolean;
 };
 
 /**
-Asks for a server for an attempt, without those that were tried or are in use for this request.
+Requests a server for an attempt. Servers that this request has tried, is using or must avoid are excluded.
 
-@param change The step.
+@param transition The transition in progress.
 @param attempt The attempt.
 */
-export function chooseServer(change: RequestChange, {
+export function chooseServer(transition: RequestTransition, {
 	number, purpose, target, budgeted,
 }: AttemptState): void {
-	const excluded = [...change.state.draining, ...change.state.tried];
-	for (const {server} of change.live) {
+	const excluded = [...transition.state.draining, ...transition.state.tried];
+	for (const {server} of transition.liveAttempts) {
 		if (server !== undefined) {
 			excluded.push(server);
 		}
 	}
 
-	change.act({
+	transition.emit({
 		type: 'choose-server', attempt: number, purpose, target, excluded, budgeted,
 	});
 }
 
-/** What to say when the request is given up on, and how the next attempt is made. */
-export type TryAgainOptions = GiveUpOptions & StartAttemptOptions & {
-	/** Why it is made; by default as the state of the request says. */
+/** How the next attempt is made, and how the request is refused if none is possible. */
+export type RetryOptions = GiveUpOptions & StartAttemptOptions & {
+	/** The purpose of the next attempt; derived from the state of the request by default. */
 	readonly purpose?: AttemptPurpose;
 };
 
 /**
-Tries again after an attempt came to nothing or fell silent, unless another one is active, where that is allowed and safe; else waits or gives up.
+Starts another attempt after one failed or stalled, if a retry is allowed and safe; otherwise waits for a server or gives up.
 
-@param change The step.
-@param options What follows.
+Does nothing while another attempt is active.
+
+@param transition The transition in progress.
+@param options How the next attempt is made, and how the request is refused if none is possible.
 */
-export function tryAgain(change: RequestChange, {purpose, budgeted = true, ...options}: TryAgainOptions): void {
-	if (change.active.length > 0) {
+export function retryOrGiveUp(transition: RequestTransition, {purpose, budgeted = true, ...options}: RetryOptions): void {
+	if (transition.activeAttempts.length > 0) {
 		return;
 	}
 
-	if (change.permissionLost) {
-		stopForPermission(change);
+	if (transition.permissionLost) {
+		abandonTarget(transition);
 		return;
 	}
 
-	if (mayTryAgain(change) && !hasTooManyUnreachable(change)) {
-		startAttempt(change, purpose ?? purposeOfNext(change), {budgeted});
+	if (mayRetry(transition) && !hasReachedConnectionLimit(transition)) {
+		startAttempt(transition, purpose ?? nextPurpose(transition), {budgeted});
 		return;
 	}
 
-	waitOrGiveUp(change, options);
+	waitOrGiveUp(transition, options);
 }
 
 /**
-Waits until servers are asked again, where the caller could not get the answer by coming again; else gives up, unless an attempt that fell silent may still go on.
+Schedules another server selection if the caller could not obtain the answer with a retry of its own; otherwise gives up.
+
+Does nothing while an attempt is active, and does not give up while a stalled attempt may still continue.
 
-@param change The step.
-@param options What to say when the request is given up on.
+@param transition The transition in progress.
+@param options How the request is refused.
 */
-export function waitOrGiveUp(change: RequestChange, options: GiveUpOptions): void {
-	if (change.active.length > 0) {
+export function waitOrGiveUp(transition: RequestTransition, options: GiveUpOptions): void {
+	if (transition.activeAttempts.length > 0) {
 		return;
 	}
 
-	const {plan, comingBack, stopping} = change.state;
-	const hasLive = change.live.length > 0;
+	const {plan, comingBack, stopping} = transition.state;
+	const hasLive = transition.liveAttempts.length > 0;
 	const wait = Math.min(plan.comeBackMilliseconds ?? 0, options.retryAfterMilliseconds);
-	const isInTime = wait > 0 && change.now + wait < plan.deadline;
-	if (!isInTime || stopping || !isWorthWaiting(change) || !mayTryAgain(change)) {
+	const fitsDeadline = wait > 0 && transition.now + wait < plan.deadline;
+	if (!fitsDeadline || stopping || !isWorthWaiting(transition) || !mayRetry(transition)) {
 		if (!hasLive) {
-			giveUp(change, options);
+			giveUp(transition, options);
 		}
 
 		return;
 	}
 
-	change.set({stage: hasLive ? 'running' : 'waiting'});
+	transition.update({stage: hasLive ? 'running' : 'waiting'});
 	if (!comingBack) {
-		change.set({comingBack: true});
-		change.act({type: 'set-timer', timer: 'come-back', at: change.now + wait});
+		transition.update({comingBack: true});
+		transition.emit({type: 'set-timer', timer: 'come-back', at: transition.now + wait});
 	}
 }
 
-/** Whether a server that is back later saves the request: what did not run is refused at once, so that its caller can come again, and what a server says has failed would fail again. */
-function isWorthWaiting({state: {attempts, delivered, reportedFailure}}: RequestChange): boolean {
+/**
+Tells whether the request gains anything by waiting for a server. A request that did not run is refused at once, since its caller can retry it safely. One that a server has reported as failed would fail again.
+*/
+function isWorthWaiting({state: {attempts, delivered, reportedFailure}}: RequestTransition): boolean {
 	return delivered > 0 || (!reportedFailure && outcomeOfAttempts(attempts) !== 'notRun');
 }
 
 /**
-Asks for a server once more after a wait, unless an attempt is active again; servers that were passed over may be asked again.
+Selects a server again when the scheduled wait is over, unless an attempt is active. Servers that were tried before are eligible again.
 
-@param change The step.
+@param transition The transition in progress.
 */
-export function comeBack(change: RequestChange): void {
-	change.set({comingBack: false});
-	const isWaiting = change.state.stage === 'waiting' || change.state.stage === 'running';
-	if (!isWaiting || change.active.length > 0) {
+export function retryServerSelection(transition: RequestTransition): void {
+	transition.update({comingBack: false});
+	const isWaiting = transition.state.stage === 'waiting' || transition.state.stage === 'running';
+	if (!isWaiting || transition.activeAttempts.length > 0) {
 		return;
 	}
 
-	change.set({tried: [], unreachable: 0});
-	tryAgain(change, {message: 'Got no server that can take the request', retryAfterMilliseconds: change.state.plan.comeBackMilliseconds ?? 0});
+	transition.update({tried: [], unreachable: 0});
+	retryOrGiveUp(transition, {message: 'No server is available for the request', retryAfterMilliseconds: transition.state.plan.comeBackMilliseconds ?? 0});
 }
 
 /**
-Stops sending to the target that gets no new work: another version where nothing ran and no session holds it, else the end.
+Stops attempts on a target that is no longer allowed. Requests another version if nothing ran and no session is bound to the target; otherwise ends the request once no attempt is live.
 
-@param change The step.
+@param transition The transition in progress.
 */
-export function stopForPermission(change: RequestChange): void {
-	for (const {number, status} of change.live) {
+export function abandonTarget(transition: RequestTransition): void {
+	for (const {number, status} of transition.liveAttempts) {
 		if (status === 'choosing') {
-			change.removeAttempt(number);
+			transition.removeAttempt(number);
 		}
 	}
 
-	const {plan, target, attempts} = change.state;
-	if (change.live.length > 0) {
+	const {plan, target, attempts} = transition.state;
+	if (transition.liveAttempts.length > 0) {
 		return;
 	}
 
 	if (outcomeOfAttempts(attempts) !== 'notRun') {
-		giveUp(change, {message: `Got no whole answer, and ${nameOf(target)} takes no new work any more`, retryAfterMilliseconds: 0});
+		giveUp(transition, {message: `The answer is incomplete and ${formatTarget(target)} no longer accepts requests`, retryAfterMilliseconds: 0});
 		return;
 	}
 
 	if (plan.session !== 'none') {
-		refuseRequest(change, failure('session-ended', `Got a session on ${nameOf(target)}, which takes no new work any more; wanted a new session`));
+		refuseRequest(transition, failure('session-ended', `The session is bound to ${formatTarget(target)}, which no longer accepts requests; start a new session`));
 		return;
 	}
 
-	change.set({stage: 'planning'});
-	change.act({type: 'choose-version', lost: target});
+	transition.update({stage: 'planning'});
+	transition.emit({type: 'choose-version', lost: target});
 }
 
 /**
-Tells whether the target may get another attempt.
+Tells whether the attempt limit allows another attempt on the current target. Attempts whose connection never opened do not count.
 
-@param change The step.
-@returns Whether the number of attempts allows it.
+@param transition The transition in progress.
+@returns Whether another attempt is allowed.
 */
-export function hasAttemptsLeft({state}: RequestChange): boolean {
+export function hasAttemptsLeft({state}: RequestTransition): boolean {
 	const {plan, target, attempts} = state;
-	const made = attempts.filter(attempt => attempt.target === target && attempt.server !== undefined && !attempt.unsent).length;
-	return made < maximumAttemptsOf(plan);
+	const attemptCount = attempts.filter(attempt => attempt.target === target && attempt.server !== undefined && !attempt.unsent).length;
+	return attemptCount < maximumAttemptsOf(plan);
 }
 
-/** Bounds how many servers that cannot be reached hold a request up before it is refused or waits. */
-function hasTooManyUnreachable({state: {plan, unreachable}}: RequestChange): boolean {
+/** Limits how many unreachable servers are tried before the request waits or is refused. */
+function hasReachedConnectionLimit({state: {plan, unreachable}}: RequestTransition): boolean {
 	return unreachable >= maximumAttemptsOf(plan);
 }
 
@@ -204,9 +210,9 @@
 	return maximumAttempts;
 }
 
-function mayTryAgain(change: RequestChange): boolean {
-	const {plan, target, attempts, delivered} = change.state;
-	if (!hasAttemptsLeft(change) || change.now >= plan.deadline) {
+function mayRetry(transition: RequestTransition): boolean {
+	const {plan, target, attempts, delivered} = transition.state;
+	if (!hasAttemptsLeft(transition) || transition.now >= plan.deadline) {
 		return false;
 	}
 
@@ -217,7 +223,7 @@
 	return delivered === 0 || target.type === 'version';
 }
 
-function purposeOfNext({state}: RequestChange): AttemptPurpose {
+function nextPurpose({state}: RequestTransition): AttemptPurpose {
 	if (state.delivered > 0) {
 		return 'resume';
 	}
@@ -225,6 +231,6 @@
 	return state.attempts.length > 0 ? 'retry' : 'first';
 }
 
-function nameOf(target: AttemptState['target']): string {
+function formatTarget(target: AttemptState['target']): string {
 	return target.type === 'version' ? `${target.model} ${target.version}` : target.service;
 }
--- a/packages/routing/src/mod.ts
+++ b/packages/routing/src/mod.ts
@@ -1,5 +1,5 @@
 /**
-The life of a request: admission, server choice, retries, hedges, sessions and what the caller is told.
+Request routing: admission control, server selection, retries, hedged requests, sessions and responses to the caller.
 
 @module
 */
--- a/packages/routing/src/request-action.ts
+++ b/packages/routing/src/request-action.ts
@@ -7,10 +7,10 @@
 /** Why an attempt is made. */
 export type AttemptPurpose = BillLine['purpose'];
 
-/** How a claim ends: with an answer, surely not run, or not known. */
+/** How a claim ends: with a stored answer, released because the request did not run, or with an unknown outcome. */
 export type ClaimOutcome = 'done' | 'released' | 'unknown';
 
-/** One attempt as its line of the bill; the adapter puts the price to it. */
+/** One attempt as a line of the bill; the adapter adds the price. */
 export type AttemptLine = {
 	readonly attempt: number;
 	readonly server: ServerId;
@@ -21,7 +21,7 @@
 	readonly usage: TokenUsage;
 };
 
-/** What is to be done before a server is chosen. */
+/** The actions that precede the choice of a server. */
 export type PreparationAction
 	/** Answered by `admitted` or `admission-refused`. */
 	= | {readonly type: 'request-admission'}
@@ -29,16 +29,16 @@
 		| {readonly type: 'pin-session'; readonly target: RequestTarget}
 		/** Answered by `claim-answered`. */
 		| {readonly type: 'take-claim'}
-		/** Ends the claim; kept and sent again until acknowledged. A release may follow a take that was not answered. */
+		/** Ends the claim; the adapter stores it and resends it until it is acknowledged. A release may follow a `take-claim` that was not answered. */
 		| {readonly type: 'settle-claim'; readonly outcome: ClaimOutcome}
 		/** Answered by `bill-opened` or `bill-not-possible`. */
 		| {readonly type: 'open-bill'}
-		/** Answered by `bill-settled`; kept and sent again until acknowledged, also after the request ended. */
+		/** Answered by `bill-settled`; the adapter stores it and resends it until it is acknowledged, even after the end of the request. */
 		| {readonly type: 'settle-bill'; readonly outcome: BillOutcome; readonly lines: readonly AttemptLine[]}
 		/** Answered by `version-chosen` or `no-version`. */
 		| {readonly type: 'choose-version'; readonly lost: RequestTarget};
 
-/** Check permission, version state and drain state now; then send, or answer `dispatch-denied`. */
+/** Checks that the target is still allowed and the server is not draining, then sends the request or answers `dispatch-denied`. */
 export type DispatchAttempt = {
 	readonly type: 'dispatch';
 	readonly attempt: number;
@@ -46,42 +46,42 @@
 	readonly target: RequestTarget;
 	readonly purpose: AttemptPurpose;
 	readonly resumeFrom: number;
-	/** Whether it opens a connection of its own. */
+	/** Whether a new connection is opened instead of reusing one. */
 	readonly freshConnection: boolean;
 };
 
-/** What is to be done about attempts. */
+/** The actions on attempts. */
 export type AttemptAction
-	/** Answered by `server-chosen` or `no-server`; the budget of the purpose is asked here where `budgeted` says so. */
+	/** Answered by `server-chosen` or `no-server`; if `budgeted` is set, the budget of the purpose is charged here. */
 	= | {readonly type: 'choose-server'; readonly attempt: number; readonly purpose: AttemptPurpose; readonly target: RequestTarget; readonly excluded: readonly ServerId[]; readonly budgeted: boolean}
 		| DispatchAttempt
-		/** Destroy the connection; nothing of the attempt is wanted any more. */
+		/** Destroys the connection and discards the rest of the attempt. */
 		| {readonly type: 'cancel-attempt'; readonly attempt: number}
 		/** Answered by `attempt-judged`. */
 		| {readonly type: 'judge-attempt'; readonly attempt: number};
 
-/** What is to be done towards the caller; the last of them is `finish-answer`, `replay-answer` or `refuse`, or none where the caller left. */
+/** The actions that write to the caller. The final one is `finish-answer`, `replay-answer` or `refuse`; there is none if the caller has left. */
 export type CallerAction
-	/** Write the piece of the event in hand to the caller. */
+	/** Writes the piece of the current event to the caller. */
 	= | {readonly type: 'forward-piece'; readonly attempt: number; readonly offset: number}
-		/** Keep the piece of the event in hand. */
+		/** Buffers the piece of the current event. */
 		| {readonly type: 'hold-piece'; readonly attempt: number; readonly offset: number}
-		/** Write all the pieces held of the attempt to the caller. */
+		/** Writes all buffered pieces of the attempt to the caller. */
 		| {readonly type: 'forward-held'; readonly attempt: number}
-		/** Forget the pieces held of the attempt. */
+		/** Discards the buffered pieces of the attempt. */
 		| {readonly type: 'drop-held'; readonly attempt: number}
-		/** Write the end of the answer, which is whole. */
+		/** Writes the end of the complete answer. */
 		| {readonly type: 'finish-answer'; readonly attempt: number}
-		/** Answer with what the claim kept. */
+		/** Answers with the answer that the claim stored. */
 		| {readonly type: 'replay-answer'}
-		/** Answer with the failure; where part of an answer went out, end the connection so that the part cannot be taken for a whole. */
+		/** Answers with the failure. If `partial` is set, part of an answer was already written, so the connection is closed to keep the caller from taking it for a complete one. */
 		| {readonly type: 'refuse'; readonly failure: Failure; readonly partial: boolean};
 
-/** What is to be done about timers. */
+/** The actions on timers. */
 export type TimerAction
-	/** The time is in milliseconds on the monotonic clock; a timer that is set again moves. */
+	/** The time is in milliseconds on the monotonic clock; setting a timer again replaces its time. */
 	= | {readonly type: 'set-timer'; readonly timer: RequestTimer; readonly at: number}
 		| {readonly type: 'clear-timer'; readonly timer: RequestTimer};
 
-/** The closed list of actions in the life of a request. */
+/** Every action that a request can emit. */
 export type RequestAction = PreparationAction | AttemptAction | CallerAction | TimerAction;
--- a/packages/routing/src/request-life.ts
+++ b/packages/routing/src/request-life.ts
@@ -1,19 +1,19 @@
-import {RequestChange} from './_request-change.js';
-import {takeAttemptEvent} from './_take-attempt-event.js';
-import {takePreparation} from './_take-preparation.js';
-import {takeSurroundings} from './_take-surroundings.js';
+import {RequestTransition} from './_request-transition.js';
+import {handleAttemptEvent} from './_handle-attempt-event.js';
+import {handlePreparationEvent} from './_handle-preparation-event.js';
+import {handleExternalEvent} from './_handle-external-event.js';
 import {type RequestAction} from './request-action.js';
 import {type PreparationEvent, type RequestEvent, type SurroundingsEvent} from './request-event.js';
 import {type RequestPlan} from './request-plan.js';
 import {type RequestState} from './request-state.js';
 
-/** A state and what is to be done, in this order. */
+/** The state after an event, and the actions to carry out in order. */
 export type RequestStep = {
 	readonly state: RequestState;
 	readonly actions: readonly RequestAction[];
 };
 
-/** What happened, and when. */
+/** The options of `stepRequest`. */
 export type StepRequestOptions = {
 	readonly event: RequestEvent;
 	/** Milliseconds on the monotonic clock. */
@@ -21,10 +21,10 @@
 };
 
 /**
-Begins the life of a request.
+Creates the initial state of a request.
 
-@param plan What is settled about the request.
-@returns The first state, and the actions that ask for admission and set the deadline.
+@param plan The properties of the request that are fixed before it starts.
+@returns The initial state, and the actions that request admission and set the deadline timer.
 @example
 ```ts
 const {state, actions} = startRequest(plan);
@@ -63,11 +63,11 @@
 }
 
 /**
-Takes one event in the life of a request; after the end, events change nothing.
+Applies one event to the state of a request. Events after the end of the request are ignored.
 
-@param state The state before.
+@param state The current state.
 @param options The event and the time.
-@returns The state after and the actions to carry out, in their order.
+@returns The new state and the actions to carry out, in order.
 @example
 ```ts
 const {state, actions} = stepRequest(before, {event: {type: 'admitted'}, now: clock.monotonic()});
@@ -78,22 +78,22 @@
 		return {state, actions: []};
 	}
 
-	const change = new RequestChange(state, now);
+	const transition = new RequestTransition(state, now);
 	if ('attempt' in event) {
-		takeAttemptEvent(change, event);
-	} else if (isSurroundings(event)) {
-		takeSurroundings(change, event);
+		handleAttemptEvent(transition, event);
+	} else if (isExternalEvent(event)) {
+		handleExternalEvent(transition, event);
 	} else {
-		takePreparation(change, event);
+		handlePreparationEvent(transition, event);
 	}
 
-	return {state: change.state, actions: change.actions};
+	return {state: transition.state, actions: transition.actions};
 }
 
-const surroundingTypes: ReadonlySet<string> = new Set<SurroundingsEvent['type']>([
+const externalEventTypes: ReadonlySet<string> = new Set<SurroundingsEvent['type']>([
 	'timer', 'permission-lost', 'server-draining', 'caller-left', 'bill-settled', 'instance-stopping',
 ]);
 
-function isSurroundings(event: PreparationEvent | SurroundingsEvent): event is SurroundingsEvent {
-	return surroundingTypes.has(event.type);
+function isExternalEvent(event: PreparationEvent | SurroundingsEvent): event is SurroundingsEvent {
+	return externalEventTypes.has(event.type);
 }
--- a/packages/routing/src/request-state.ts
+++ b/packages/routing/src/request-state.ts
@@ -2,72 +2,72 @@
 import {type AttemptPurpose} from './request-action.js';
 import {type RequestPlan, type RequestTarget} from './request-plan.js';
 
-/** Where a request stands. */
+/** The stage of a request. */
 export type RequestStage = 'admitting' | 'pinning' | 'claiming' | 'opening' | 'planning' | 'running' | 'waiting' | 'judging' | 'settling' | 'ended';
 
-/** Where an attempt stands; only an attempt that is `sent` can still give pieces. */
-export type AttemptStatus = 'choosing' | 'sent' | 'over';
+/** The status of an attempt; only an attempt that is `sent` can receive pieces of an answer. */
+export type AttemptStatus = 'choosing' | 'sent' | 'ended';
 
 /** One attempt of a request. */
 export type AttemptState = {
 	readonly number: number;
 	readonly purpose: AttemptPurpose;
-	/** Whether it draws on the budget of its purpose. */
+	/** Whether it is charged to the retry or hedge budget. */
 	readonly budgeted: boolean;
 	readonly target: RequestTarget;
 	readonly status: AttemptStatus;
-	/** Whether it ran; `unknown` from the dispatch until the server says so. */
+	/** Whether it ran; `unknown` from the dispatch until the server responds. */
 	readonly outcome: Outcome;
-	/** Whether nothing has come of it for too long; it is kept, since it may still go on. */
+	/** Whether it has stalled; it stays open, since its server may still resume. */
 	readonly silent: boolean;
 	/** Whether its connection never opened. */
 	readonly unsent: boolean;
-	/** The server, once one was chosen. */
+	/** The server; undefined until one is chosen. */
 	readonly server: ServerId | undefined;
-	/** The offset at which it began. */
+	/** The offset in the answer at which it starts. */
 	readonly resumeFrom: number;
-	/** The offset up to which its pieces came without a gap. */
+	/** The offset up to which its pieces have arrived without a gap. */
 	readonly received: number;
-	/** When the last piece came, or else it was dispatched, in milliseconds on the monotonic clock. */
+	/** When the last piece arrived, or when it was dispatched if none has, in milliseconds on the monotonic clock. */
 	readonly progressAt: number;
 	readonly usage: TokenUsage;
 };
 
-/** The state of one request; a plain value, replaced at every step. */
+/** The immutable state of one request; each event yields a new one. */
 export type RequestState = {
 	readonly plan: RequestPlan;
 	readonly stage: RequestStage;
 	readonly target: RequestTarget;
-	/** Whether the answer of the target is judged before the caller sees any of it. */
+	/** Whether the answer of the target is judged before any of it is forwarded to the caller. */
 	readonly judged: boolean;
-	/** A claim is `settled` when its outcome was sent, or when it is another request's. */
+	/** The claim on the idempotency key; `settled` once its outcome was sent, or if another request holds it. */
 	readonly claim: 'none' | 'pending' | 'taken' | 'settled';
 	readonly bill: 'none' | 'opening' | 'open' | 'settled';
-	/** The attempts that were dispatched, and those whose server is being chosen. */
+	/** The attempts that were dispatched, and those that wait for a server. */
 	readonly attempts: readonly AttemptState[];
 	/** The number of the next attempt. */
 	readonly nextAttempt: number;
-	/** How many chosen servers the check right before the dispatch turned down. */
+	/** The number of dispatches that were denied because the chosen server was shutting down or gone. */
 	readonly denials: number;
-	/** Servers that get no attempt of this request any more, since they are shutting down or gone. */
+	/** Servers that are shutting down or gone, and get no further attempts of this request. */
 	readonly draining: readonly ServerId[];
-	/** Servers on which an attempt came to nothing; they may be asked again after a wait. */
+	/** Servers on which an attempt failed or stalled; they become eligible again after a wait. */
 	readonly tried: readonly ServerId[];
-	/** Whether a kept connection broke under the request, so that its further attempts open connections of their own. */
+	/** Whether further attempts open new connections, since a reused connection broke under the request. */
 	readonly freshConnection: boolean;
-	/** The attempt whose pieces make up the answer; undefined before its first piece. */
+	/** The number of the attempt that provides the answer; undefined until its first piece is forwarded or it completes. */
 	readonly leader: number | undefined;
-	/** Bytes of the answer that the caller has. */
+	/** The bytes of the answer that were forwarded to the caller. */
 	readonly delivered: number;
-	/** Targets that get no new work of this request. */
+	/** Targets that get no new attempts of this request. */
 	readonly lost: readonly RequestTarget[];
-	/** Whether the one hedge was asked for. */
+	/** Whether the hedge was started; a request has at most one. */
 	readonly hedged: boolean;
-	/** Whether a timer is set after which servers are asked again. */
+	/** Whether the `come-back` timer is set, which triggers another server selection. */
 	readonly comingBack: boolean;
-	/** Connections that did not open since servers were last asked again. */
+	/** The number of connections that failed to open since the last server retry. */
 	readonly unreachable: number;
-	/** Whether a server said that the request ran and failed, so that it would fail again. */
+	/** Whether a server reported that the request ran and failed, so that it would fail again. */
 	readonly reportedFailure: boolean;
 	readonly stopping: boolean;
 	readonly callerLeft: boolean;
