--- a/packages/routing/src/_drain-rate.ts
+++ b/packages/routing/src/_drain-rate.ts
@@ -1,48 +1,48 @@
 const intervalMilliseconds = 1000;
-const latestWeight = 0.3;
-/** Longer than that between two releases the servers did not work, or their requests are so long that these say more than the rate. */
-const haltMilliseconds = 2000;
-/** Servers come, go and recover within seconds. */
-const validMilliseconds = 5000;
+const smoothingFactor = 0.3;
+/** A longer gap between two releases means that the servers stalled, or that their requests are so long that service times predict the wait better than the rate. */
+const maximumReleaseGapMilliseconds = 2000;
+/** How long a measured rate is valid: servers join, leave and recover within seconds. */
+const validityMilliseconds = 5000;
 
-/** The tokens a millisecond that a full pool works off, as a mean in which recent intervals weigh more. */
+/** The throughput of a saturated pool in tokens per millisecond, as an exponential moving average over intervals. */
 export class DrainRate {
 	#rate = 0;
 	#measuredAt = Number.NEGATIVE_INFINITY;
-	#countedAt = Number.NEGATIVE_INFINITY;
-	#since: number | undefined;
+	#recordedAt = Number.NEGATIVE_INFINITY;
+	#intervalStartedAt: number | undefined;
 	#tokens = 0;
 
-	/** Tokens a millisecond, or 0 where nothing is known of the last seconds. */
-	perMillisecond(now: number): number {
-		return now - this.#measuredAt <= validMilliseconds ? this.#rate : 0;
+	/** Returns the rate in tokens per millisecond, or 0 if none was measured in the last seconds. */
+	tokensPerMillisecond(now: number): number {
+		return now - this.#measuredAt <= validityMilliseconds ? this.#rate : 0;
 	}
 
-	/** Counts tokens that were worked off while others waited. */
-	count(tokens: number, now: number): void {
-		if (now - this.#countedAt > haltMilliseconds) {
-			this.pause();
+	/** Records completed tokens; to be called only while other requests are queued. */
+	record(tokens: number, now: number): void {
+		if (now - this.#recordedAt > maximumReleaseGapMilliseconds) {
+			this.restartInterval();
 		}
 
-		this.#countedAt = now;
-		this.#since ??= now;
+		this.#recordedAt = now;
+		this.#intervalStartedAt ??= now;
 		this.#tokens += tokens;
-		const elapsed = now - this.#since;
+		const elapsed = now - this.#intervalStartedAt;
 		if (elapsed < intervalMilliseconds) {
 			return;
 		}
 
 		const latest = this.#tokens / elapsed;
-		const known = this.perMillisecond(now);
-		this.#rate = known === 0 ? latest : known + (latestWeight * (latest - known));
+		const previous = this.tokensPerMillisecond(now);
+		this.#rate = previous === 0 ? latest : previous + (smoothingFactor * (latest - previous));
 		this.#measuredAt = now;
-		this.#since = now;
+		this.#intervalStartedAt = now;
 		this.#tokens = 0;
 	}
 
-	/** Begins a new interval: time in which nothing waits says how much is asked, and not how much can be done. */
-	pause(): void {
-		this.#since = undefined;
+	/** Discards the current interval: while nothing is queued, the throughput reflects the demand and not the capacity. */
+	restartInterval(): void {
+		this.#intervalStartedAt = undefined;
 		this.#tokens = 0;
 	}
 }
--- a/packages/routing/src/_start-heap.ts
+++ b/packages/routing/src/_start-time-heap.ts
@@ -1,7 +1,7 @@
 import {type WorkspaceQueue} from './_workspace-queue.js';
 
-/** A binary heap of the workspaces with waiting requests, the earliest start time first. */
-export class StartHeap {
+/** A binary heap of the workspaces with queued requests, the earliest virtual start time first. */
+export class StartTimeHeap {
 	readonly #items: WorkspaceQueue[] = [];
 
 	get first(): WorkspaceQueue | undefined {
@@ -12,8 +12,8 @@
 		return this.#items.length;
 	}
 
-	/** Puts a workspace in its place, whether or not it is in the heap. */
-	place(item: WorkspaceQueue): void {
+	/** Inserts a workspace, or restores its position after its start time has changed. */
+	insertOrUpdate(item: WorkspaceQueue): void {
 		if (item.heapIndex === -1) {
 			item.heapIndex = this.#items.length;
 			this.#items.push(item);
@@ -33,7 +33,7 @@
 
 		last.heapIndex = index;
 		this.#items[index] = last;
-		this.place(last);
+		this.insertOrUpdate(last);
 	}
 
 	#siftUp(item: WorkspaceQueue): void {
@@ -60,15 +60,15 @@
 		}
 	}
 
-	#swap(one: WorkspaceQueue, other: WorkspaceQueue): void {
-		const index = one.heapIndex;
-		one.heapIndex = other.heapIndex;
-		other.heapIndex = index;
-		this.#items[one.heapIndex] = one;
-		this.#items[other.heapIndex] = other;
+	#swap(first: WorkspaceQueue, second: WorkspaceQueue): void {
+		const index = first.heapIndex;
+		first.heapIndex = second.heapIndex;
+		second.heapIndex = index;
+		this.#items[first.heapIndex] = first;
+		this.#items[second.heapIndex] = second;
 	}
 }
 
-function isBefore(one: WorkspaceQueue, other: WorkspaceQueue): boolean {
-	return one.start < other.start || (one.start === other.start && one.since < other.since);
+function isBefore(first: WorkspaceQueue, second: WorkspaceQueue): boolean {
+	return first.startTime < second.startTime || (first.startTime === second.startTime && first.arrival < second.arrival);
 }
--- a/packages/routing/src/_workspace-queue.ts
+++ b/packages/routing/src/_workspace-queue.ts
@@ -1,26 +1,26 @@
 import {type RequestId, type WorkspaceId} from '@valehitch/core';
 import {type AdmissionRequest} from './admission-request.js';
 
-/** The waiting requests of one workspace, by priority and then by arrival, and its place in the order of start times. */
+/** The queued requests of one workspace, ordered by priority and then by arrival, with its virtual times for fair queueing. */
 export class WorkspaceQueue {
 	readonly workspace: WorkspaceId;
 	weight: number;
 	/** The virtual time at which the next request starts. */
-	start = 0;
-	/** The virtual time at which the last started request ends. */
-	finish = 0;
-	/** When it began to wait, as a number that rises; it breaks ties. */
-	since = 0;
-	/** The index in the heap, or -1 while nothing waits. */
+	startTime = 0;
+	/** The virtual time at which the last admitted request finishes. */
+	finishTime = 0;
+	/** A sequence number assigned when the queue becomes non-empty; breaks ties between equal start times. */
+	arrival = 0;
+	/** The index in the heap, or -1 while the queue is empty. */
 	heapIndex = -1;
-	/** Tokens of the waiting requests. */
-	cost = 0;
-	/** How many requests wait. */
-	count = 0;
-	/** How many requests were admitted and are not released. */
+	/** The tokens of the queued requests. */
+	queuedCost = 0;
+	/** The number of queued requests. */
+	length = 0;
+	/** The number of requests that were admitted and not yet released. */
 	inFlight = 0;
-	readonly #waiting: Array<Map<RequestId, AdmissionRequest> | undefined> = [];
-	readonly #costs: number[] = [];
+	readonly #requestsByPriority: Array<Map<RequestId, AdmissionRequest> | undefined> = [];
+	readonly #costByPriority: number[] = [];
 
 	constructor(workspace: WorkspaceId, weight: number) {
 		this.workspace = workspace;
@@ -29,17 +29,17 @@
 
 	push(request: AdmissionRequest): void {
 		const {priority, id, cost} = request;
-		const queue = this.#waiting[priority] ?? new Map<RequestId, AdmissionRequest>();
+		const queue = this.#requestsByPriority[priority] ?? new Map<RequestId, AdmissionRequest>();
 		queue.set(id, request);
-		this.#waiting[priority] = queue;
-		this.#costs[priority] = (this.#costs[priority] ?? 0) + cost;
-		this.cost += cost;
-		this.count++;
+		this.#requestsByPriority[priority] = queue;
+		this.#costByPriority[priority] = (this.#costByPriority[priority] ?? 0) + cost;
+		this.queuedCost += cost;
+		this.length++;
 	}
 
-	/** The request that starts next: the lowest priority number, and the earliest of those. */
+	/** Returns the next request: the earliest one of the lowest priority number. */
 	peek(): AdmissionRequest | undefined {
-		for (const queue of this.#waiting) {
+		for (const queue of this.#requestsByPriority) {
 			const next = queue?.values().next();
 			if (next?.done === false) {
 				return next.value;
@@ -49,25 +49,25 @@
 		return undefined;
 	}
 
-	/** Takes a request out. */
+	/** Removes a request; returns whether it was queued. */
 	remove({id, priority, cost}: AdmissionRequest): boolean {
-		if (this.#waiting[priority]?.delete(id) !== true) {
+		if (this.#requestsByPriority[priority]?.delete(id) !== true) {
 			return false;
 		}
 
-		this.#costs[priority] = (this.#costs[priority] ?? 0) - cost;
-		this.cost -= cost;
-		this.count--;
+		this.#costByPriority[priority] = (this.#costByPriority[priority] ?? 0) - cost;
+		this.queuedCost -= cost;
+		this.length--;
 		return true;
 	}
 
-	/** Tokens that start before a new request of the priority. */
+	/** Returns the queued tokens of the given priority and of all that precede it. */
 	costAhead(priority: number): number {
-		let ahead = 0;
-		for (let sooner = 0; sooner <= priority; sooner++) {
-			ahead += this.#costs[sooner] ?? 0;
+		let costAhead = 0;
+		for (let level = 0; level <= priority; level++) {
+			costAhead += this.#costByPriority[level] ?? 0;
 		}
 
-		return ahead;
+		return costAhead;
 	}
 }
--- a/packages/routing/src/admission.test.ts
+++ b/packages/routing/src/admission.test.ts
@@ -17,7 +17,7 @@
 	return toId<WorkspaceId>(`w${index}`);
 }
 
-/** Start-time fair queueing by the book: looks through everything at each step. */
+/** A reference implementation of start-time fair queueing that scans all requests at each step. */
 class NaiveAdmission {
 	readonly admitted = new Map<RequestId, AdmissionRequest>();
 	#waiting: AdmissionRequest[] = [];
@@ -119,9 +119,9 @@
 	}), {seed, numRuns: 500, includeErrorInReport: true});
 });
 
-test('shares tokens within the bound of fair queueing, and starves no one', t => {
-	const crowd = fc.array(fc.record({weight: fc.integer({min: 1, max: 9}), largest: fc.integer({min: 1, max: 500})}), {minLength: 2, maxLength: 10});
-	fc.assert(fc.property(crowd, fc.integer({min: 1, max: 1_000_000}), (workspaces, start) => {
+test('shares tokens within the bound of fair queueing, without starvation', t => {
+	const anyWorkspaces = fc.array(fc.record({weight: fc.integer({min: 1, max: 9}), largest: fc.integer({min: 1, max: 500})}), {minLength: 2, maxLength: 10});
+	fc.assert(fc.property(anyWorkspaces, fc.integer({min: 1, max: 1_000_000}), (workspaces, start) => {
 		const admission = new Admission({capacity: 1, maximumWaiting: never});
 		const served = workspaces.map(() => 0);
 		const requests = new Map<RequestId, {readonly index: number; readonly cost: number}>();
@@ -158,7 +158,7 @@
 	}), {seed, numRuns: 60, includeErrorInReport: true});
 });
 
-test('refuses only what does not fit the deadline or the queue, and says when to come back', t => {
+test('refuses only requests that exceed the deadline or the queue limit, and tells when to retry', t => {
 	const admission = new Admission({capacity: 100, maximumWaiting: 4});
 	t.is(admission.offer(requestOf(0), 0).type, 'admitted');
 	t.is(admission.offer(requestOf(1), 0).type, 'queued');
@@ -172,8 +172,8 @@
 	t.is(late.type === 'refused' && late.failure.kind, 'overloaded');
 	t.is(late.type === 'refused' && late.failure.retryAfterMilliseconds, 500);
 	t.is(admission.offer(requestOf(5), 1000).type, 'queued');
-	const greedy = admission.offer(requestOf(6), 1000);
-	t.is(greedy.type === 'refused' && greedy.failure.kind, 'limit-reached');
+	const overLimit = admission.offer(requestOf(6), 1000);
+	t.is(overLimit.type === 'refused' && overLimit.failure.kind, 'limit-reached');
 	t.is(admission.offer(requestOf(7, {workspace: workspaceOf(2)}), 1000).type, 'queued', 'there is room for another workspace');
 });
 
@@ -192,31 +192,32 @@
 	t.is(admission.inProgress, 0);
 });
 
-// A rate that is measured while nothing waits is no limit of the servers.
-test('what a few requests at a time were worked off is not taken for what the servers can do', t => {
+// Throughput that is measured while nothing is queued reflects the demand; used as a capacity, it would refuse requests that the servers can handle.
+test('the throughput of an unsaturated pool is not taken for its capacity', t => {
 	const admission = new Admission({capacity: 1000});
 	const serviceMilliseconds = 500;
 	let now = 0;
 	for (let id = 0; id < 20; id++) {
 		t.is(admission.offer(requestOf(id, {serviceMilliseconds}), now).type, 'admitted');
 		now += serviceMilliseconds;
-		// Two at a time, so that the busy period never ends.
+		// Two requests overlap, so that the busy period never ends.
 		if (id > 0) {
 			admission.release(toId(`r${id - 1}`), {tokens: 100, now});
 		}
 	}
 
-	const rush = Array.from({length: 29}, (_, index) => admission.offer(requestOf(100 + index, {serviceMilliseconds, deadline: now + 3000}), now));
-	t.deepEqual(rush.filter(({type}) => type === 'refused'), []);
+	const burst = Array.from({length: 29}, (_, index) => admission.offer(requestOf(100 + index, {serviceMilliseconds, deadline: now + 3000}), now));
+	t.deepEqual(burst.filter(({type}) => type === 'refused'), []);
 });
 
-test('a rate from before a halt of the servers is not taken for what they can do after it', t => {
+// Such a rate would refuse requests for waits that do not occur.
+test('a rate measured before or across a stall of the servers is not used after it', t => {
 	const admission = new Admission({capacity: 100});
 	const serviceMilliseconds = 100;
 	let now = 0;
 	let id = 0;
 	admission.offer(requestOf(id, {serviceMilliseconds}), now);
-	const work = (milliseconds: number) => {
+	const completeAfter = (milliseconds: number) => {
 		t.is(admission.offer(requestOf(id + 1, {serviceMilliseconds}), now).type, 'queued');
 		now += milliseconds;
 		admission.release(toId(`r${id}`), {tokens: 100, now});
@@ -224,12 +225,12 @@
 	};
 
 	for (let turn = 0; turn < 40; turn++) {
-		work(serviceMilliseconds);
+		completeAfter(serviceMilliseconds);
 	}
 
-	work(6000);
-	work(serviceMilliseconds);
-	// Ten stand before it, of 100 ms each.
-	const rush = Array.from({length: 10}, (_, index) => admission.offer(requestOf(1000 + index, {serviceMilliseconds, deadline: now + 2000}), now));
-	t.deepEqual(rush.filter(({type}) => type === 'refused'), []);
+	completeAfter(6000);
+	completeAfter(serviceMilliseconds);
+	// At most ten requests of 100 ms each are ahead.
+	const burst = Array.from({length: 10}, (_, index) => admission.offer(requestOf(1000 + index, {serviceMilliseconds, deadline: now + 2000}), now));
+	t.deepEqual(burst.filter(({type}) => type === 'refused'), []);
 });
--- a/packages/routing/src/admission.ts
+++ b/packages/routing/src/admission.ts
@@ -2,29 +2,29 @@
 	type Failure, failure, type RequestId, type WorkspaceId,
 } from '@valehitch/core';
 import {DrainRate} from './_drain-rate.js';
-import {StartHeap} from './_start-heap.js';
+import {StartTimeHeap} from './_start-time-heap.js';
 import {WorkspaceQueue} from './_workspace-queue.js';
 import {
 	type AdmissionAnswer, type AdmissionOptions, type AdmissionRequest, type ReleaseOptions,
 } from './admission-request.js';
 
-type Admitted = {
+type AdmittedRequest = {
 	readonly queue: WorkspaceQueue;
 	readonly cost: number;
 };
 
-const leastRetryAfterMilliseconds = 100;
-const unknownRetryAfterMilliseconds = 1000;
+const minimumRetryAfterMilliseconds = 100;
+const defaultRetryAfterMilliseconds = 1000;
 
 /**
-Shares the capacity of a pool among workspaces by tokens, in proportion to their weights, with a bounded queue.
+Shares the token capacity of a server pool among workspaces in proportion to their weights, with a bounded queue.
 
-The order is that of start-time fair queueing (Goyal, Vin and Cheng, 1997), with the estimated cost put right when the real usage is known. A workspace may fill as much of the queue as is still free, so that there is always room for another (the dynamic threshold of Choudhury and Hahne, 1998). Each call takes time in the logarithm of the workspaces that wait.
+Requests are admitted in the order of start-time fair queueing (Goyal, Vin and Cheng, 1997); the estimated cost of a request is corrected once its actual usage is known. A workspace may queue at most as many requests as there are free slots left, so that there is always room for other workspaces (the dynamic threshold of Choudhury and Hahne, 1998). Each call takes logarithmic time in the number of workspaces with queued requests.
 
 @example
 ```ts
-const admission = new Admission({capacity: 100_000});
-const answer = admission.offer(request, now);
+const admission = new AdmissionController({capacity: 100_000});
+const decision = admission.offer(request, now);
 for (const id of admission.release(request.id, {tokens: 812, now})) {
 	admit(id);
 }
@@ -34,55 +34,55 @@
 	readonly #maximumWaiting: number;
 	readonly #queues = new Map<WorkspaceId, WorkspaceQueue>();
 	readonly #waiting = new Map<RequestId, AdmissionRequest>();
-	readonly #admitted = new Map<RequestId, Admitted>();
-	readonly #heap = new StartHeap();
-	readonly #rate = new DrainRate();
+	readonly #admitted = new Map<RequestId, AdmittedRequest>();
+	readonly #startTimeHeap = new StartTimeHeap();
+	readonly #drainRate = new DrainRate();
 	#capacity: number;
 	#inProgress = 0;
 	#waitingCost = 0;
 	#waitingWeight = 0;
 	#virtualTime = 0;
-	#waits = 0;
+	#lastArrival = 0;
 
 	constructor({capacity, maximumWaiting = 1024}: AdmissionOptions) {
 		this.#capacity = capacity;
 		this.#maximumWaiting = maximumWaiting;
 	}
 
-	/** How many requests wait. */
+	/** The number of queued requests. */
 	get waiting(): number {
 		return this.#waiting.size;
 	}
 
-	/** How many workspaces are kept track of. */
+	/** The number of tracked workspaces. */
 	get workspaces(): number {
 		return this.#queues.size;
 	}
 
-	/** Tokens in progress, by their estimates. */
+	/** The estimated tokens of the requests in progress. */
 	get inProgress(): number {
 		return this.#inProgress;
 	}
 
 	/**
-	Asks for admission.
+	Admits, queues or refuses a request.
 
 	@param request The request.
 	@param now Milliseconds on the monotonic clock.
-	@returns Admitted; queued, with the expected wait; or refused, with the time after which the queue will be short enough.
+	@returns The decision: admitted; queued, with the expected wait; or refused, with the time after which a retry may succeed.
 	*/
 	offer(request: AdmissionRequest, now: number): AdmissionAnswer {
-		const queue = this.#queueOf(request);
-		const free = this.#maximumWaiting - this.#waiting.size;
-		this.#wait(queue, request);
-		// It may come before one that is too large for what is left of the capacity.
-		if (this.#admitWhatFits().length > 0) {
+		const queue = this.#getQueue(request);
+		const freeSlots = this.#maximumWaiting - this.#waiting.size;
+		this.#enqueue(queue, request);
+		// The new request can overtake a queued one that is too large for the remaining capacity.
+		if (this.#admitWhileCapacityLasts().length > 0) {
 			return {type: 'admitted'};
 		}
 
 		const waitMilliseconds = this.#expectedWait(queue, request, now);
-		const refusal = refusalOf(request, {
-			waitMilliseconds, now, free, others: queue.count - 1,
+		const refusal = findRefusal(request, {
+			waitMilliseconds, now, freeSlots, queuedOfWorkspace: queue.length - 1,
 		});
 		if (refusal !== undefined) {
 			this.leave(request.id);
@@ -93,11 +93,11 @@
 	}
 
 	/**
-	Ends an admitted request.
+	Releases the capacity of an admitted request.
 
 	@param id The request.
-	@param options Its real tokens, and the time.
-	@returns The requests that are admitted in its place, in their order.
+	@param options The tokens that it actually used, and the time.
+	@returns The requests that are admitted in its place, in order.
 	*/
 	release(id: RequestId, {tokens, now}: ReleaseOptions): RequestId[] {
 		const admitted = this.#admitted.get(id);
@@ -109,22 +109,22 @@
 		this.#admitted.delete(id);
 		this.#inProgress -= cost;
 		queue.inFlight--;
-		this.#measure(tokens, now);
-		this.#correct(queue, tokens - cost);
-		const next = this.#admitWhatFits();
-		this.#forgetIdle(queue);
+		this.#recordThroughput(tokens, now);
+		this.#chargeDifference(queue, tokens - cost);
+		const next = this.#admitWhileCapacityLasts();
+		this.#deleteIfIdle(queue);
 		if (this.#admitted.size === 0) {
-			this.#restWhenIdle();
+			this.#resetWhenIdle();
 		}
 
 		return next;
 	}
 
 	/**
-	Takes a waiting request out, since its caller left or its deadline passed.
+	Removes a queued request, since its caller left or its deadline passed.
 
 	@param id The request.
-	@returns The requests that are admitted because it stood before them, in their order.
+	@returns The queued requests that it was blocking and that are admitted now, in order.
 	*/
 	leave(id: RequestId): RequestId[] {
 		const request = this.#waiting.get(id);
@@ -133,47 +133,47 @@
 			return [];
 		}
 
-		this.#takeOut(queue, request);
-		if (queue.count === 0) {
-			this.#heap.remove(queue);
+		this.#dequeue(queue, request);
+		if (queue.length === 0) {
+			this.#startTimeHeap.remove(queue);
 			this.#waitingWeight -= queue.weight;
 		}
 
-		this.#forgetIdle(queue);
-		return this.#admitWhatFits();
+		this.#deleteIfIdle(queue);
+		return this.#admitWhileCapacityLasts();
 	}
 
 	/**
-	Changes the capacity, after servers came or went.
+	Changes the capacity, after servers joined or left.
 
-	@param capacity Tokens that may be in progress at once.
-	@returns The requests that are admitted now, in their order.
+	@param capacity The tokens that may be in progress at once.
+	@returns The requests that are admitted now, in order.
 	*/
 	setCapacity(capacity: number): RequestId[] {
 		this.#capacity = capacity;
-		return this.#admitWhatFits();
+		return this.#admitWhileCapacityLasts();
 	}
 
-	/** Counts what was worked off, where the pool is full. */
-	#measure(tokens: number, now: number): void {
+	/** Measures the throughput while the pool is saturated, that is, while requests are queued. */
+	#recordThroughput(tokens: number, now: number): void {
 		if (this.#waiting.size > 0) {
-			this.#rate.count(tokens, now);
+			this.#drainRate.record(tokens, now);
 		} else {
-			this.#rate.pause();
+			this.#drainRate.restartInterval();
 		}
 	}
 
-	/** Ends a busy period: what was had in it gives no one an advantage. */
-	#restWhenIdle(): void {
+	/** Ends a busy period by resetting the virtual time, so that past usage does not affect the next one. */
+	#resetWhenIdle(): void {
 		if (this.#waiting.size === 0) {
 			this.#queues.clear();
 			this.#virtualTime = 0;
 		}
 	}
 
-	#queueOf({workspace, weight}: AdmissionRequest): WorkspaceQueue {
+	#getQueue({workspace, weight}: AdmissionRequest): WorkspaceQueue {
 		const known = this.#queues.get(workspace) ?? new WorkspaceQueue(workspace, weight);
-		if (known.count > 0) {
+		if (known.length > 0) {
 			this.#waitingWeight += weight - known.weight;
 		}
 
@@ -182,88 +182,88 @@
 		return known;
 	}
 
-	/** A request that is larger than the whole capacity runs alone. */
+	/** Tells whether a request fits into the remaining capacity. One larger than the total capacity runs alone. */
 	#hasRoomFor(cost: number): boolean {
 		return this.#inProgress === 0 ? this.#capacity > 0 : this.#inProgress + cost <= this.#capacity;
 	}
 
-	#start(queue: WorkspaceQueue, {id, cost}: AdmissionRequest): void {
-		this.#virtualTime = Math.max(this.#virtualTime, queue.start);
-		queue.finish = queue.start + (cost / queue.weight);
-		queue.start = queue.finish;
+	#admit(queue: WorkspaceQueue, {id, cost}: AdmissionRequest): void {
+		this.#virtualTime = Math.max(this.#virtualTime, queue.startTime);
+		queue.finishTime = queue.startTime + (cost / queue.weight);
+		queue.startTime = queue.finishTime;
 		queue.inFlight++;
 		this.#inProgress += cost;
 		this.#admitted.set(id, {queue, cost});
 	}
 
-	#wait(queue: WorkspaceQueue, request: AdmissionRequest): void {
-		if (queue.count === 0) {
-			queue.start = Math.max(this.#virtualTime, queue.finish);
-			queue.since = ++this.#waits;
+	#enqueue(queue: WorkspaceQueue, request: AdmissionRequest): void {
+		if (queue.length === 0) {
+			queue.startTime = Math.max(this.#virtualTime, queue.finishTime);
+			queue.arrival = ++this.#lastArrival;
 			this.#waitingWeight += queue.weight;
 		}
 
 		queue.push(request);
 		this.#waiting.set(request.id, request);
 		this.#waitingCost += request.cost;
-		this.#heap.place(queue);
+		this.#startTimeHeap.insertOrUpdate(queue);
 	}
 
-	#takeOut(queue: WorkspaceQueue, request: AdmissionRequest): void {
+	#dequeue(queue: WorkspaceQueue, request: AdmissionRequest): void {
 		queue.remove(request);
 		this.#waiting.delete(request.id);
 		this.#waitingCost -= request.cost;
 	}
 
-	#admitWhatFits(): RequestId[] {
+	#admitWhileCapacityLasts(): RequestId[] {
 		const admitted: RequestId[] = [];
 		for (;;) {
-			const queue = this.#heap.first;
+			const queue = this.#startTimeHeap.first;
 			const request = queue?.peek();
 			if (queue === undefined || request === undefined || !this.#hasRoomFor(request.cost)) {
 				return admitted;
 			}
 
-			this.#takeOut(queue, request);
-			this.#start(queue, request);
+			this.#dequeue(queue, request);
+			this.#admit(queue, request);
 			admitted.push(request.id);
-			this.#moveOn(queue);
+			this.#updateHeap(queue);
 		}
 	}
 
-	#moveOn(queue: WorkspaceQueue): void {
-		if (queue.count > 0) {
-			this.#heap.place(queue);
+	#updateHeap(queue: WorkspaceQueue): void {
+		if (queue.length > 0) {
+			this.#startTimeHeap.insertOrUpdate(queue);
 			return;
 		}
 
-		this.#heap.remove(queue);
+		this.#startTimeHeap.remove(queue);
 		this.#waitingWeight -= queue.weight;
 	}
 
-	/** Charges what the estimate missed, so that a workspace gains nothing by low estimates. */
-	#correct(queue: WorkspaceQueue, missed: number): void {
-		queue.finish += missed / queue.weight;
-		if (queue.count > 0) {
-			queue.start += missed / queue.weight;
-			this.#heap.place(queue);
+	/** Charges the difference between the actual and the estimated cost, so that a workspace gains nothing from low estimates. */
+	#chargeDifference(queue: WorkspaceQueue, difference: number): void {
+		queue.finishTime += difference / queue.weight;
+		if (queue.length > 0) {
+			queue.startTime += difference / queue.weight;
+			this.#startTimeHeap.insertOrUpdate(queue);
 		}
 	}
 
-	/** The lesser of the wait behind its own workspace at its share, and that behind everything. */
+	/** The expected wait: behind the requests of its own workspace at that workspace's share of the throughput, or behind all queued requests, whichever is shorter. */
 	#expectedWait(queue: WorkspaceQueue, {priority, weight, serviceMilliseconds}: AdmissionRequest, now: number): number {
-		// Where the rate is not known, what is in progress is taken to last as long as the request itself will.
-		const rate = this.#rate.perMillisecond(now) || this.#inProgress / serviceMilliseconds;
+		// Without a measured rate, the requests in progress are assumed to take as long as this request.
+		const rate = this.#drainRate.tokensPerMillisecond(now) || this.#inProgress / serviceMilliseconds;
 		if (!Number.isFinite(rate) || rate === 0) {
 			return 0;
 		}
 
-		const ownShare = queue.costAhead(priority) * this.#waitingWeight / weight;
-		return Math.min(ownShare, this.#waitingCost) / rate;
+		const costAtOwnShare = queue.costAhead(priority) * this.#waitingWeight / weight;
+		return Math.min(costAtOwnShare, this.#waitingCost) / rate;
 	}
 
-	#forgetIdle(queue: WorkspaceQueue): void {
-		if (queue.count === 0 && queue.inFlight === 0 && queue.finish <= this.#virtualTime) {
+	#deleteIfIdle(queue: WorkspaceQueue): void {
+		if (queue.length === 0 && queue.inFlight === 0 && queue.finishTime <= this.#virtualTime) {
 			this.#queues.delete(queue.workspace);
 		}
 	}
@@ -272,25 +272,25 @@
 type RefusalOptions = {
 	readonly waitMilliseconds: number;
 	readonly now: number;
-	/** Free places in the queue before the request came. */
-	readonly free: number;
-	/** Waiting requests of its workspace. */
-	readonly others: number;
+	/** Free queue slots before the request was offered. */
+	readonly freeSlots: number;
+	/** Queued requests of the workspace, without this one. */
+	readonly queuedOfWorkspace: number;
 };
 
-function refusalOf({workspace, deadline, serviceMilliseconds}: AdmissionRequest, {waitMilliseconds, now, free, others}: RefusalOptions): Failure | undefined {
-	const late = now + waitMilliseconds + serviceMilliseconds - deadline;
-	if (late > 0) {
-		const retryAfterMilliseconds = Math.ceil(Math.max(leastRetryAfterMilliseconds, Math.min(late, waitMilliseconds)));
-		const left = Math.max(0, Math.ceil(deadline - now));
-		const message = `Got a wait of ${Math.ceil(waitMilliseconds)} ms and ${Math.ceil(serviceMilliseconds)} ms of work, wanted them within ${left} ms`;
+function findRefusal({workspace, deadline, serviceMilliseconds}: AdmissionRequest, {waitMilliseconds, now, freeSlots, queuedOfWorkspace}: RefusalOptions): Failure | undefined {
+	const overrun = now + waitMilliseconds + serviceMilliseconds - deadline;
+	if (overrun > 0) {
+		const retryAfterMilliseconds = Math.ceil(Math.max(minimumRetryAfterMilliseconds, Math.min(overrun, waitMilliseconds)));
+		const remaining = Math.max(0, Math.ceil(deadline - now));
+		const message = `The expected wait of ${Math.ceil(waitMilliseconds)} ms and processing time of ${Math.ceil(serviceMilliseconds)} ms exceed the ${remaining} ms left until the deadline`;
 		return failure('overloaded', message, {retryAfterMilliseconds});
 	}
 
-	if (others < free) {
+	if (queuedOfWorkspace < freeSlots) {
 		return undefined;
 	}
 
-	const message = `Got ${others} waiting requests of workspace ${workspace}, wanted fewer than ${Math.max(1, free)}`;
-	return failure('limit-reached', message, {retryAfterMilliseconds: Math.ceil(waitMilliseconds) || unknownRetryAfterMilliseconds});
+	const message = `Workspace ${workspace} has ${queuedOfWorkspace} queued requests, but must have fewer than ${Math.max(1, freeSlots)} to queue another`;
+	return failure('limit-reached', message, {retryAfterMilliseconds: Math.ceil(waitMilliseconds) || defaultRetryAfterMilliseconds});
 }
