--- a/packages/routing/src/fingerprint-request.test.ts
+++ b/packages/routing/src/fingerprint-request.test.ts
@@ -7,7 +7,7 @@
 	workspace: 'mills' as WorkspaceId, method: 'POST', host: 'desk.example', target: '/drafts/7', body: Buffer.from('draft'),
 };
 
-test('the same request has the same fingerprint, and one that differs in anything the caller asks has another', t => {
+test('equal requests have the same fingerprint, and a difference in any property changes it', t => {
 	const fingerprint = fingerprintRequest(request);
 	t.is(fingerprintRequest({...request, body: Buffer.from('draft')}), fingerprint);
 	const others: readonly FingerprintedRequest[] = [
@@ -21,6 +21,6 @@
 	t.is(new Set([fingerprint, ...others.map(other => fingerprintRequest(other))]).size, others.length + 1);
 });
 
-test('a fingerprint shows nothing of the request', t => {
+test('a fingerprint is a hash of 32 hexadecimal digits', t => {
 	t.regex(fingerprintRequest(request), /^[\da-f]{32}$/v);
 });
--- a/packages/routing/src/fingerprint-request.ts
+++ b/packages/routing/src/fingerprint-request.ts
@@ -1,27 +1,27 @@
 import {createHash} from 'node:crypto';
 import {type RequestFingerprint, toId, type WorkspaceId} from '@valehitch/core';
 
-/** What makes two arrivals the same request, whichever instance they come to. */
+/** The properties that identify a request across retries and instances. */
 export type FingerprintedRequest = {
-	/** The workspace that asks; undefined on routes that need no key. */
+	/** The workspace of the caller; undefined on routes that need no API key. */
 	readonly workspace: WorkspaceId | undefined;
 	readonly method: string;
 	readonly host: string;
-	/** The path with the query. */
+	/** The path and query. */
 	readonly target: string;
 	readonly body: Uint8Array;
 };
 
-/** 128 bits: two requests with one fingerprint cannot be found on purpose. */
+/** 128 bits, so that two requests with the same fingerprint cannot be constructed in practice. */
 const fingerprintCharacters = 32;
 
 /**
-Names a request by what its caller asks, so that it is known again under another request id and at another instance.
+Computes a fingerprint of a request from its content, so that it is recognized under another request id and at another instance.
 
-A caller's further tries have ids of their own. The name is a hash (SHA-256), which tells nothing of the body in logs and messages, but confirms a body that somebody guesses.
+A caller's retries have different request ids. The fingerprint is a truncated SHA-256 hash: it does not reveal the body in logs and messages, but it confirms a guess of the body.
 
-@param request What the caller asks.
-@returns The name.
+@param request The request.
+@returns The fingerprint, as 32 hexadecimal digits.
 @example
 ```ts
 fingerprintRequest({workspace, method: 'POST', host: 'desk.example', target: '/drafts/7', body});
@@ -29,7 +29,7 @@
 */
 export function fingerprintRequest({workspace, method, host, target, body}: FingerprintedRequest): RequestFingerprint {
 	const hash = createHash('sha256');
-	// The head ends where its JSON ends, so that no body continues another request's head.
+	// JSON delimits the head unambiguously, so the start of a body cannot be mistaken for a part of the head.
 	hash.update(JSON.stringify([workspace ?? null, method, host, target]));
 	hash.update(body);
 	return toId<RequestFingerprint>(hash.digest('hex').slice(0, fingerprintCharacters));
--- a/packages/routing/src/hedge-policy.ts
+++ b/packages/routing/src/hedge-policy.ts
@@ -2,7 +2,7 @@
 import {type HedgeDelays} from './request-plan.js';
 import {type AttemptStage, type StageHistory} from './stage-history.js';
 
-/** What the delays of a request depend on. */
+/** The properties of a request that determine its hedge delays. */
 export type HedgedRequest = {
 	readonly model: ModelId;
 	readonly version: VersionId;
@@ -11,29 +11,29 @@
 
 /** When an attempt counts as slow. */
 export type HedgePolicyOptions = {
-	/** The share of attempts that are faster than one that counts as slow; 0.95 by default. */
+	/** The quantile of the latency history above which an attempt counts as slow; 0.95 by default. */
 	readonly share?: number;
-	/** The least delay in milliseconds, so that jitter is no reason to hedge; 20 by default. */
+	/** The minimum delay in milliseconds, so that jitter does not trigger hedges; 20 by default. */
 	readonly minimumMilliseconds?: number;
 };
 
 /** The options of `hedgeDelays`. */
 export type HedgeDelaysOptions = HedgePolicyOptions & {
-	/** The history, with the stages under `stageKey`; a cancelled attempt is recorded with the time it had. */
+	/** The latency history, keyed by `stageKey`; a cancelled attempt is recorded with the time until its cancellation. */
 	readonly history: StageHistory;
 };
 
-// An answer has hundreds of gaps, so a gap is slow only far out in the tail.
-const gapsOfAnswer = 200;
+// An answer has hundreds of gaps between pieces, so only a gap far out in the tail counts as slow.
+const gapsPerAnswer = 200;
 const decodeFactor = 2;
 
 /**
-Works out when a second attempt is due, from the history of each stage of the version.
+Computes the delays after which a hedge is sent, from the latency history of each stage of the version.
 
-Comparing a stage only with its own history tells a slow attempt from one in a slow stage (after Chen, Zhang, Guo and Deng, 2010); docs/design/retries-and-hedges.md has the measurement, and what of the paper it did not support.
+Comparing a stage only with its own history distinguishes a slow attempt from one in a slow stage (after Chen, Zhang, Guo and Deng, 2010). docs/design/retries-and-hedges.md has the measurements, and the parts of the paper that they did not confirm.
 
 @param request The request.
-@param options The history, and when an attempt counts as slow.
+@param options The latency history, and when an attempt counts as slow.
 @returns The delays, or undefined while there is too little history.
 @example
 ```ts
@@ -44,19 +44,19 @@
 	const {history, share = 0.95, minimumMilliseconds = 20} = options;
 	const stage: AttemptStage = request.streamed ? 'prefill' : 'whole';
 	const key = stageKey(request);
-	const late = history.quantile(key, {stage, share});
-	if (late === undefined) {
+	const slowPrefill = history.quantile(key, {stage, share});
+	if (slowPrefill === undefined) {
 		return undefined;
 	}
 
-	const prefillMilliseconds = Math.max(minimumMilliseconds, late);
-	const gap = history.quantile(key, {stage: 'decode', share: gapShare(share)}) ?? 0;
-	// A second attempt has to read the whole prompt again before it can take over.
+	const prefillMilliseconds = Math.max(minimumMilliseconds, slowPrefill);
+	const gap = history.quantile(key, {stage: 'decode', share: gapQuantile(share)}) ?? 0;
+	// A hedge has to process the whole prompt again before it can take over.
 	return {prefillMilliseconds, decodeMilliseconds: Math.max(prefillMilliseconds, decodeFactor * gap)};
 }
 
 /**
-Names the history that the stages of a request belong to.
+Returns the key of a request's latency history.
 
 @param request The request.
 @returns The key for `StageHistory`.
@@ -69,6 +69,6 @@
 	return versionKey(model, version);
 }
 
-function gapShare(share: number): number {
-	return 1 - ((1 - share) / gapsOfAnswer);
+function gapQuantile(share: number): number {
+	return 1 - ((1 - share) / gapsPerAnswer);
 }
--- a/packages/routing/src/outlier-ejection.test.ts
+++ b/packages/routing/src/outlier-ejection.test.ts
@@ -20,7 +20,7 @@
 	return 0;
 }
 
-test('never ejects more than the share', t => {
+test('never ejects more than the maximum share of servers', t => {
 	const outcome = fc.record({server: fc.nat(9), failed: fc.boolean(), elapsed: fc.nat(20)});
 	fc.assert(fc.property(fc.array(outcome, {minLength: 200, maxLength: 400}), outcomes => {
 		const ejection = new OutlierEjection();
@@ -33,7 +33,7 @@
 	}), {seed, numRuns: 200, includeErrorInReport: true});
 });
 
-test('ejects after five failures in a row, and for twice as long each time', t => {
+test('ejects after five consecutive failures, and doubles the duration each time', t => {
 	const ejection = new OutlierEjection();
 	t.is(failUntilEjected(ejection, 0), 5);
 	t.true(ejection.isEjected(one, 4999));
@@ -43,7 +43,7 @@
 	t.false(ejection.isEjected(one, 15_000));
 });
 
-test('forgets a server that is well again, and starts anew with it', t => {
+test('forgets a recovered server and its earlier ejections', t => {
 	const ejection = new OutlierEjection();
 	failUntilEjected(ejection, 0);
 	for (let answers = 0; answers < 30; answers++) {
--- a/packages/routing/src/outlier-ejection.ts
+++ b/packages/routing/src/outlier-ejection.ts
@@ -2,30 +2,30 @@
 
 /** When a server is ejected, and for how long. */
 export type OutlierEjectionOptions = {
-	/** The weight of the latest outcome in the failure rate; 0.2 by default. */
+	/** The weight of the latest outcome in the moving average of the failure rate; 0.2 by default. */
 	readonly weight?: number;
-	/** The failure rate at which a server is ejected; 0.6 by default, which five failures in a row reach. */
+	/** The failure rate at which a server is ejected; 0.6 by default, which five consecutive failures reach. */
 	readonly threshold?: number;
-	/** The first ejection in milliseconds; each further one doubles; 5000 by default. */
+	/** The duration of the first ejection in milliseconds, which doubles with each further one; 5000 by default. */
 	readonly baseMilliseconds?: number;
-	/** The longest ejection in milliseconds; 300,000 by default. */
+	/** The maximum duration of an ejection in milliseconds; 300,000 by default. */
 	readonly maximumMilliseconds?: number;
-	/** The largest share of the servers that may be ejected at once; 0.3 by default. */
+	/** The maximum share of the servers that may be ejected at once; 0.3 by default. */
 	readonly maximumShare?: number;
 };
 
 type ServerHealth = {
 	failureRate: number;
 	ejections: number;
-	/** Until when it is ejected; 0 for not. */
+	/** When the latest ejection ends; 0 if there was none. */
 	ejectedUntil: number;
 };
 
-const rateAfterReturn = 0.5;
-const forgottenRate = 0.01;
+const failureRateAfterEjection = 0.5;
+const recoveredFailureRate = 0.01;
 
 /**
-Ejects servers whose requests fail, for a time that doubles with each ejection, and never more than a share of all.
+Ejects servers whose requests fail, for a duration that doubles with each ejection, up to a maximum share of all servers.
 
 @example
 ```ts
@@ -44,31 +44,31 @@
 		};
 	}
 
-	/** How many servers have a failure on record. */
+	/** The number of servers with recent failures or ejections. */
 	get size(): number {
 		return this.#servers.size;
 	}
 
 	/**
-	Takes the outcome of one request.
+	Records the outcome of one request.
 
 	@param server The server.
-	@param options Whether the request failed by the server's fault, the time, and how many servers there are.
-	@returns Whether the server was ejected now.
+	@param options Whether the request failed through a fault of the server, the time, and the number of servers.
+	@returns Whether this outcome ejected the server.
 	*/
 	record(server: ServerId, {failed, now, servers}: RecordOutcomeOptions): boolean {
 		const health = this.#servers.get(server) ?? {failureRate: 0, ejections: 0, ejectedUntil: 0};
 		const {weight, threshold} = this.#options;
 		health.failureRate += weight * ((failed ? 1 : 0) - health.failureRate);
 		if (!failed) {
-			this.#recover(server, now);
+			this.#deleteIfRecovered(server, now);
 			return false;
 		}
 
 		this.#servers.set(server, health);
-		// The sum of the weights is a fraction, so it is compared with a margin.
+		// The failure rate accumulates rounding errors, so it is compared with a margin.
 		const isOutlier = health.failureRate >= threshold - Number.EPSILON;
-		if (!isOutlier || this.isEjected(server, now) || !this.#hasRoom(now, servers)) {
+		if (!isOutlier || this.isEjected(server, now) || !this.#canEject(now, servers)) {
 			return false;
 		}
 
@@ -81,14 +81,14 @@
 
 	@param server The server.
 	@param now Milliseconds on the monotonic clock.
-	@returns Whether it gets no requests now.
+	@returns Whether it gets no requests at present.
 	*/
 	isEjected(server: ServerId, now: number): boolean {
 		return (this.#servers.get(server)?.ejectedUntil ?? 0) > now;
 	}
 
 	/**
-	Forgets a server that is gone.
+	Forgets a server that has left.
 
 	@param server The server.
 	*/
@@ -100,18 +100,18 @@
 		const {baseMilliseconds, maximumMilliseconds} = this.#options;
 		health.ejectedUntil = now + Math.min(maximumMilliseconds, baseMilliseconds * (2 ** health.ejections));
 		health.ejections++;
-		// One failure after the return ejects it again, and a few good answers clear it.
-		health.failureRate = rateAfterReturn;
+		// After its return, a single failure ejects the server again unless a few successes precede it.
+		health.failureRate = failureRateAfterEjection;
 	}
 
-	#recover(server: ServerId, now: number): void {
+	#deleteIfRecovered(server: ServerId, now: number): void {
 		const health = this.#servers.get(server);
-		if (health !== undefined && health.failureRate < forgottenRate && health.ejectedUntil <= now) {
+		if (health !== undefined && health.failureRate < recoveredFailureRate && health.ejectedUntil <= now) {
 			this.#servers.delete(server);
 		}
 	}
 
-	#hasRoom(now: number, servers: number): boolean {
+	#canEject(now: number, servers: number): boolean {
 		let ejected = 0;
 		for (const {ejectedUntil} of this.#servers.values()) {
 			ejected += ejectedUntil > now ? 1 : 0;
@@ -126,6 +126,6 @@
 	readonly failed: boolean;
 	/** Milliseconds on the monotonic clock. */
 	readonly now: number;
-	/** How many servers there are. */
+	/** The number of servers. */
 	readonly servers: number;
 };
--- a/packages/routing/src/retry-budget.test.ts
+++ b/packages/routing/src/retry-budget.test.ts
@@ -4,22 +4,22 @@
 
 const seed = 20_261_202;
 
-test('allows no more further attempts than the share of the traffic, the floor and the burst', t => {
+test('allows no more additional attempts than the ratio, the minimum rate and the burst permit', t => {
 	fc.assert(fc.property(fc.array(fc.record({isRetry: fc.boolean(), elapsed: fc.nat(50)}), {maxLength: 500, size: 'max'}), steps => {
 		const budget = new RetryBudget({share: 0.1, floorPerSecond: 0.2, burst: 10});
 		let now = 0;
 		let first = 0;
-		let further = 0;
+		let additional = 0;
 		for (const {isRetry, elapsed} of steps) {
 			now += elapsed;
 			if (isRetry) {
-				further += budget.withdraw('key', now) ? 1 : 0;
+				additional += budget.withdraw('key', now) ? 1 : 0;
 			} else {
 				first++;
 				budget.deposit('key', now);
 			}
 
-			t.true(further <= 1 + (0.1 * first) + (0.2 * now / 1000) + 1e-9);
+			t.true(additional <= 1 + (0.1 * first) + (0.2 * now / 1000) + 1e-9);
 		}
 	}), {seed, numRuns: 300, includeErrorInReport: true});
 });
--- a/packages/routing/src/retry-budget.ts
+++ b/packages/routing/src/retry-budget.ts
@@ -1,14 +1,14 @@
 import {RecentMap} from '@valehitch/core';
 
-/** How much a budget allows. */
+/** The limits of a retry budget. */
 export type RetryBudgetOptions = {
-	/** Further attempts for each first attempt; 0.1 by default. */
+	/** The additional attempts allowed per first attempt; 0.1 by default. */
 	readonly share?: number;
-	/** Further attempts a second that are allowed without any traffic; 0.2 by default. */
+	/** The additional attempts allowed per second without any traffic; 0.2 by default. */
 	readonly floorPerSecond?: number;
-	/** The most attempts that can be saved up; 10 by default. */
+	/** The maximum number of additional attempts that can accumulate; 10 by default. */
 	readonly burst?: number;
-	/** The most keys that are kept, the least recently used going first; 4096 by default. */
+	/** The maximum number of keys; the least recently used one is evicted first; 4096 by default. */
 	readonly maximumKeys?: number;
 };
 
@@ -20,13 +20,13 @@
 const millisecondsPerSecond = 1000;
 
 /**
-A budget of further attempts for each key, as a share of the first attempts: a token bucket that traffic fills.
+Limits the additional attempts per key to a ratio of the first attempts, with a token bucket that first attempts refill.
 
-Retries and hedges have a budget each, keyed by workspace and version, so that a failing version cannot multiply its own traffic.
+Retries and hedges have separate budgets, keyed by workspace and version, so that a failing version cannot multiply its own traffic.
 
 @example
 ```ts
-const retries = new RetryBudget({share: 0.1});
+const retries = new RetryBudget({ratio: 0.1});
 retries.deposit('mills/tag-small@1.0', now);
 retries.withdraw('mills/tag-small@1.0', now);
 ```
@@ -42,13 +42,13 @@
 		this.#buckets = new RecentMap(this.#options.maximumKeys);
 	}
 
-	/** How many keys are kept. */
+	/** The number of tracked keys. */
 	get size(): number {
 		return this.#buckets.size;
 	}
 
 	/**
-	Counts a first attempt.
+	Records a first attempt.
 
 	@param key The workspace and version.
 	@param now Milliseconds on the monotonic clock.
@@ -59,11 +59,11 @@
 	}
 
 	/**
-	Asks for a further attempt.
+	Requests an additional attempt, and charges it to the budget if it is allowed.
 
 	@param key The workspace and version.
 	@param now Milliseconds on the monotonic clock.
-	@returns Whether the budget allows it; if so, it is used up.
+	@returns Whether the attempt is allowed.
 	*/
 	withdraw(key: string, now: number): boolean {
 		const bucket = this.#bucketOf(key, now);
--- a/packages/routing/src/retry-window.test.ts
+++ b/packages/routing/src/retry-window.test.ts
@@ -9,39 +9,39 @@
 
 type Counted = {
 	readonly at: number;
-	readonly isFurther: boolean;
+	readonly isAdditional: boolean;
 };
 
-/** By how much the further attempts of the window that ends at a time exceed the bound. */
+/** Returns by how much the additional attempts in the window that ends at a given time exceed the limit. */
 function excessIn(counted: readonly Counted[], end: number): number {
 	const inWindow = counted.filter(({at}) => at > end - windowMilliseconds && at <= end);
-	const further = inWindow.filter(({isFurther}) => isFurther).length;
-	return further - (share * (inWindow.length - further)) - slack;
+	const additional = inWindow.filter(({isAdditional}) => isAdditional).length;
+	return additional - (share * (inWindow.length - additional)) - slack;
 }
 
-test('in every window that ends with a further attempt, those are a share of the first ones and the slack', t => {
-	fc.assert(fc.property(fc.array(fc.record({isFurther: fc.boolean(), elapsed: fc.nat(80)}), {maxLength: 400, size: 'max'}), steps => {
+test('in every window that ends with an additional attempt, the ratio and the minimum limit the additional attempts', t => {
+	fc.assert(fc.property(fc.array(fc.record({isAdditional: fc.boolean(), elapsed: fc.nat(80)}), {maxLength: 400, size: 'max'}), steps => {
 		const budget = new RetryWindow({share, slack, windowMilliseconds});
 		const counted: Counted[] = [];
 		let now = 0;
-		for (const {isFurther, elapsed} of steps) {
+		for (const {isAdditional, elapsed} of steps) {
 			now += elapsed;
-			if (!isFurther) {
+			if (!isAdditional) {
 				budget.deposit('key', now);
-				counted.push({at: now, isFurther});
+				counted.push({at: now, isAdditional});
 				continue;
 			}
 
 			if (budget.withdraw('key', now)) {
-				counted.push({at: now, isFurther});
+				counted.push({at: now, isAdditional});
 			}
 		}
 
-		t.deepEqual(counted.filter(({at, isFurther}) => isFurther && excessIn(counted, at) > 0), []);
+		t.deepEqual(counted.filter(({at, isAdditional}) => isAdditional && excessIn(counted, at) > 0), []);
 	}), {seed, numRuns: 300, includeErrorInReport: true});
 });
 
-test('what was not used is there at once when many requests lose their server together', t => {
+test('the unused budget is available at once when many requests lose their server together', t => {
 	const budget = new RetryWindow({share, slack: 0, windowMilliseconds});
 	for (let now = 0; now < 900; now += 10) {
 		budget.deposit('key', now);
--- a/packages/routing/src/retry-window.ts
+++ b/packages/routing/src/retry-window.ts
@@ -1,118 +1,118 @@
 import {RecentMap} from '@valehitch/core';
 
-/** How much a window allows. */
+/** The limits of a windowed retry budget. */
 export type RetryWindowOptions = {
-	/** Further attempts for each first attempt of the window; 0.1 by default. */
+	/** The additional attempts allowed per first attempt in the window; 0.1 by default. */
 	readonly share?: number;
-	/** Further attempts in the window that are allowed without any traffic; 2 by default. */
+	/** The additional attempts allowed per window without any traffic; 2 by default. */
 	readonly slack?: number;
 	/** The length of the window in milliseconds; 10,000 by default. */
 	readonly windowMilliseconds?: number;
-	/** The most keys that are kept, the least recently used going first; 4096 by default. */
+	/** The maximum number of keys; the least recently used one is evicted first; 4096 by default. */
 	readonly maximumKeys?: number;
 };
 
-/** The attempts of one slot of time. */
-type Slot = {
-	/** The number of the slot since the origin of the clock. */
+/** The attempts of one time slot. */
+type TimeSlot = {
+	/** The index of the slot, counted from the origin of the clock. */
 	number: number;
-	first: number;
-	further: number;
+	initial: number;
+	additional: number;
 };
 
-/** The window moves on in steps of this part of it. */
-const slotsOfWindow = 20;
+/** The window slides in steps of one slot. */
+const slotsPerWindow = 20;
 
 /**
-A budget of further attempts for each key: in any window of time, a share of the first attempts of that window.
+Limits the additional attempts per key to a ratio of the first attempts in a sliding time window.
 
-Unlike a bucket of tokens, what quiet traffic did not use in the window is there at once when a server is lost with many requests, and the bound holds all the same. Further attempts are counted over one slot more than the window and first ones over no more than it, so that the bound holds for every window that ends with a further attempt.
+Unlike with a token bucket, the whole unused budget of the window is available at once when a server is lost with many requests, while the limit still holds. Additional attempts are counted over one slot more than the window, and first attempts over at most the window, so that the limit holds for every window that ends with an additional attempt.
 
 @example
 ```ts
-const retries = new RetryWindow({share: 0.1, slack: 5});
+const retries = new WindowedRetryBudget({ratio: 0.1, minimumPerWindow: 5});
 retries.deposit('tag-small', now);
 retries.withdraw('tag-small', now);
 ```
 */
 export class RetryWindow {
 	readonly #options: Required<RetryWindowOptions>;
-	readonly #keys: RecentMap<string, readonly Slot[]>;
+	readonly #slotsByKey: RecentMap<string, readonly TimeSlot[]>;
 
 	constructor(options: RetryWindowOptions = {}) {
 		this.#options = {
 			share: 0.1, slack: 2, windowMilliseconds: 10_000, maximumKeys: 4096, ...options,
 		};
-		this.#keys = new RecentMap(this.#options.maximumKeys);
+		this.#slotsByKey = new RecentMap(this.#options.maximumKeys);
 	}
 
-	/** How many keys are kept. */
+	/** The number of tracked keys. */
 	get size(): number {
-		return this.#keys.size;
+		return this.#slotsByKey.size;
 	}
 
 	/**
-	Counts a first attempt.
+	Records a first attempt.
 
-	@param key What the attempts belong to.
+	@param key The key of the budget, such as a model.
 	@param now Milliseconds on the monotonic clock.
 	*/
 	deposit(key: string, now: number): void {
-		this.#currentSlot(key, now).first++;
+		this.#currentSlot(key, now).initial++;
 	}
 
 	/**
-	Asks for a further attempt.
+	Requests an additional attempt, and records it if it is allowed.
 
-	@param key What the attempts belong to.
+	@param key The key of the budget, such as a model.
 	@param now Milliseconds on the monotonic clock.
-	@returns Whether the window allows it; if so, it is counted.
+	@returns Whether the attempt is allowed.
 	*/
 	withdraw(key: string, now: number): boolean {
 		const current = this.#currentSlot(key, now);
-		const isAllowed = this.#hasRoom(key, current);
+		const isAllowed = this.#allowsAdditional(key, current);
 		if (isAllowed) {
-			current.further++;
+			current.additional++;
 		}
 
 		return isAllowed;
 	}
 
 	/**
-	Tells whether a further attempt is allowed, without counting it.
+	Tells whether an additional attempt is allowed, without recording it.
 
-	@param key What the attempts belong to.
+	@param key The key of the budget, such as a model.
 	@param now Milliseconds on the monotonic clock.
-	@returns Whether the window allows it.
+	@returns Whether the attempt would be allowed.
 	*/
 	allows(key: string, now: number): boolean {
-		return this.#hasRoom(key, this.#currentSlot(key, now));
+		return this.#allowsAdditional(key, this.#currentSlot(key, now));
 	}
 
-	#hasRoom(key: string, current: Slot): boolean {
+	#allowsAdditional(key: string, current: TimeSlot): boolean {
 		const {share, slack} = this.#options;
-		let first = 0;
-		let further = 0;
-		for (const slot of this.#keys.peek(key) ?? []) {
-			first += slot.number > current.number - slotsOfWindow ? slot.first : 0;
-			further += slot.further;
+		let initial = 0;
+		let additional = 0;
+		for (const slot of this.#slotsByKey.peek(key) ?? []) {
+			initial += slot.number > current.number - slotsPerWindow ? slot.initial : 0;
+			additional += slot.additional;
 		}
 
-		return further + 1 <= (share * first) + slack;
+		return additional + 1 <= (share * initial) + slack;
 	}
 
-	/** The slot of this time; slots that no window reaches any more are dropped. */
-	#currentSlot(key: string, now: number): Slot {
+	/** Returns the current slot, creating it if needed, and deletes slots that no window covers any more. */
+	#currentSlot(key: string, now: number): TimeSlot {
 		const {windowMilliseconds} = this.#options;
-		const number = Math.floor(now * slotsOfWindow / windowMilliseconds);
-		const slots = (this.#keys.peek(key) ?? []).filter(slot => slot.number >= number - slotsOfWindow);
+		const number = Math.floor(now * slotsPerWindow / windowMilliseconds);
+		const slots = (this.#slotsByKey.peek(key) ?? []).filter(slot => slot.number >= number - slotsPerWindow);
 		const last = slots.at(-1);
-		const current = last?.number === number ? last : {number, first: 0, further: 0};
+		const current = last?.number === number ? last : {number, initial: 0, additional: 0};
 		if (current !== last) {
 			slots.push(current);
 		}
 
-		this.#keys.set(key, slots);
+		this.#slotsByKey.set(key, slots);
 
 		return current;
 	}
--- a/packages/routing/src/stage-history.test.ts
+++ b/packages/routing/src/stage-history.test.ts
@@ -44,7 +44,7 @@
 	t.is(history.size, 5);
 });
 
-test('a second attempt is due after the p95 of the stage', t => {
+test('a hedge is due after the p95 of the stage', t => {
 	const history = new StageHistory();
 	t.is(hedgeDelays({...version, streamed: true}, {history}), undefined);
 	for (let index = 1; index <= 100; index++) {
--- a/packages/routing/src/suspect-book.test.ts
+++ b/packages/routing/src/suspect-book.test.ts
@@ -6,63 +6,63 @@
 const start = 1_700_000_000_000;
 const minute = 60_000;
 
-/** A book in which processes ended under a request, a second apart. */
-function bookWith(processes: readonly string[], book = new SuspectBook()): SuspectBook {
+/** Creates a registry with the exits of the given processes during one request, a second apart. */
+function registryWith(processes: readonly string[], registry = new SuspectBook()): SuspectBook {
 	for (const [index, process] of processes.entries()) {
-		book.noteEnd(fingerprint, {process, at: start + (index * 1000)});
+		registry.noteEnd(fingerprint, {process, at: start + (index * 1000)});
 	}
 
-	return book;
+	return registry;
 }
 
-test('a request is quarantined once three processes ended under it, and each process counts once', t => {
-	const standings = [[], ['a'], ['a', 'a'], ['a', 'b'], ['a', 'b', 'a'], ['a', 'b', 'c']].map(processes => bookWith(processes).standing(fingerprint, start + minute));
+test('a request is quarantined after three processes exited during it, each counted once', t => {
+	const standings = [[], ['a'], ['a', 'a'], ['a', 'b'], ['a', 'b', 'a'], ['a', 'b', 'c']].map(processes => registryWith(processes).standing(fingerprint, start + minute));
 	t.deepEqual(standings, ['unknown', 'suspect', 'suspect', 'doubtful', 'doubtful', 'quarantined']);
-	t.is(bookWith(['a', 'b', 'c']).standing('f2' as RequestFingerprint, start), 'unknown');
+	t.is(registryWith(['a', 'b', 'c']).standing('f2' as RequestFingerprint, start), 'unknown');
 });
 
-test('a whole answer clears the ends before it, and none after it', t => {
-	const book = bookWith(['a', 'b', 'c']);
-	t.true(book.clear(fingerprint));
-	t.false(book.clear(fingerprint));
-	t.is(book.standing(fingerprint, start + minute), 'unknown');
-	book.noteEnd(fingerprint, {process: 'd', at: start + minute});
-	t.is(book.standing(fingerprint, start + minute), 'suspect');
-	t.false(book.clear('f2' as RequestFingerprint));
+test('a complete answer clears the exits before it, but none after it', t => {
+	const registry = registryWith(['a', 'b', 'c']);
+	t.true(registry.clear(fingerprint));
+	t.false(registry.clear(fingerprint));
+	t.is(registry.standing(fingerprint, start + minute), 'unknown');
+	registry.noteEnd(fingerprint, {process: 'd', at: start + minute});
+	t.is(registry.standing(fingerprint, start + minute), 'suspect');
+	t.false(registry.clear('f2' as RequestFingerprint));
 });
 
-test('books become alike by merging, in any order and as often as wanted', t => {
-	const one = bookWith(['a', 'b']);
-	const other = bookWith(['b', 'c']);
+test('registries converge by merging in any order and any number of times', t => {
+	const one = registryWith(['a', 'b']);
+	const other = registryWith(['b', 'c']);
 	other.clear(fingerprint);
-	const third = bookWith(['d']);
-	const [forth, back] = [new SuspectBook(), new SuspectBook()];
+	const third = registryWith(['d']);
+	const [forward, backward] = [new SuspectBook(), new SuspectBook()];
 	for (const {records} of [one, other, third, one]) {
-		forth.merge(records);
+		forward.merge(records);
 	}
 
 	for (const {records} of [third, one, one, other]) {
-		back.merge(records);
+		backward.merge(records);
 	}
 
-	const ends = (book: SuspectBook) => book.get(fingerprint)?.ends.map(({process, isCleared}) => `${process} ${isCleared}`).toSorted();
-	t.deepEqual(ends(forth), ['a false', 'b true', 'c true', 'd false']);
-	t.deepEqual(ends(back), ends(forth));
-	t.deepEqual(forth.merge(back.records), []);
+	const ends = (registry: SuspectBook) => registry.get(fingerprint)?.ends.map(({process, isCleared}) => `${process} ${isCleared}`).toSorted();
+	t.deepEqual(ends(forward), ['a false', 'b true', 'c true', 'd false']);
+	t.deepEqual(ends(backward), ends(forward));
+	t.deepEqual(forward.merge(backward.records), []);
 });
 
-test('others are told of a request with two ends, and of all that follows for it', t => {
-	const book = bookWith(['a']);
-	t.deepEqual(book.told, []);
-	bookWith(['b'], book);
-	const {cursor} = book;
-	t.deepEqual(book.told.map(({ends}) => ends.length), [2]);
-	t.deepEqual(book.changedSince(cursor), []);
-	book.clear(fingerprint);
-	t.deepEqual(book.changedSince(cursor).map(({ends}) => ends.every(({isCleared}) => isCleared)), [true]);
+test('a record is shared from two exits on, with all its later changes', t => {
+	const registry = registryWith(['a']);
+	t.deepEqual(registry.told, []);
+	registryWith(['b'], registry);
+	const {cursor} = registry;
+	t.deepEqual(registry.told.map(({ends}) => ends.length), [2]);
+	t.deepEqual(registry.changedSince(cursor), []);
+	registry.clear(fingerprint);
+	t.deepEqual(registry.changedSince(cursor).map(({ends}) => ends.every(({isCleared}) => isCleared)), [true]);
 });
 
-test('others are told of a request that was cleared before this book was filled', t => {
+test('a record that was cleared before it was restored is shared', t => {
 	const cleared = new SuspectBook();
 	for (const process of ['a', 'b', 'c']) {
 		cleared.noteEnd(fingerprint, {process, at: 0});
@@ -77,37 +77,37 @@
 	t.is(other.standing(fingerprint, 0), 'unknown');
 });
 
-test('a quarantine ends after ten minutes, and one further end within the hour brings the next', t => {
-	const book = bookWith(['a', 'b', 'c', 'd']);
-	t.is(book.standing(fingerprint, start + (9 * minute)), 'quarantined');
-	t.is(book.standing(fingerprint, start + (11 * minute)), 'doubtful');
-	book.noteEnd(fingerprint, {process: 'e', at: start + (11 * minute)});
-	t.is(book.standing(fingerprint, start + (11 * minute)), 'quarantined');
-	t.is(book.standing(fingerprint, start + (22 * minute)), 'doubtful');
-	t.is(book.standing(fingerprint, start + (72 * minute)), 'unknown');
-	book.forget(start + (72 * minute));
-	t.true(book.isEmpty);
+test('a quarantine ends after ten minutes, and one more exit within the hour starts another', t => {
+	const registry = registryWith(['a', 'b', 'c', 'd']);
+	t.is(registry.standing(fingerprint, start + (9 * minute)), 'quarantined');
+	t.is(registry.standing(fingerprint, start + (11 * minute)), 'doubtful');
+	registry.noteEnd(fingerprint, {process: 'e', at: start + (11 * minute)});
+	t.is(registry.standing(fingerprint, start + (11 * minute)), 'quarantined');
+	t.is(registry.standing(fingerprint, start + (22 * minute)), 'doubtful');
+	t.is(registry.standing(fingerprint, start + (72 * minute)), 'unknown');
+	registry.forget(start + (72 * minute));
+	t.true(registry.isEmpty);
 });
 
-test('a flood of new requests does not push out one that is proven', t => {
-	const book = bookWith(['a', 'b', 'c'], new SuspectBook({capacity: 8}));
+test('many new suspects do not evict a quarantined request', t => {
+	const registry = registryWith(['a', 'b', 'c'], new SuspectBook({capacity: 8}));
 	for (let index = 0; index < 100; index++) {
-		book.noteEnd(`other ${index}` as RequestFingerprint, {process: `p${index}`, at: start + minute});
+		registry.noteEnd(`other ${index}` as RequestFingerprint, {process: `p${index}`, at: start + minute});
 	}
 
-	t.is(book.records.length, 8);
-	t.is(book.standing(fingerprint, start + minute), 'quarantined');
+	t.is(registry.records.length, 8);
+	t.is(registry.standing(fingerprint, start + minute), 'quarantined');
 });
 
-test('the ends that are held of one request are bounded, the newest stay', t => {
-	const book = bookWith(Array.from({length: 40}, (_, index) => `p${index}`));
-	t.is(book.get(fingerprint)?.ends.length, 8);
-	t.is(book.get(fingerprint)?.ends.at(-1)?.process, 'p39');
-	t.false(book.noteEnd(fingerprint, {process: 'p0', at: start}));
+test('the number of exits per request is limited to the latest ones', t => {
+	const registry = registryWith(Array.from({length: 40}, (_, index) => `p${index}`));
+	t.is(registry.get(fingerprint)?.ends.length, 8);
+	t.is(registry.get(fingerprint)?.ends.at(-1)?.process, 'p39');
+	t.false(registry.noteEnd(fingerprint, {process: 'p0', at: start}));
 });
 
-/** The same numbers each time, from 0 to 1 (Park and Miller, 1988). */
-function repeatedRandom(): () => number {
+/** Returns a deterministic generator of numbers from 0 to 1 (Park and Miller, 1988). */
+function seededRandom(): () => number {
 	let state = 1;
 	return () => {
 		state = state * 48_271 % 2_147_483_647;
@@ -115,53 +115,54 @@
 	};
 }
 
-/** The requests that a server had when it ended in a deployment of 18 engines: at most. */
+/** The largest number of requests that were in progress on a server at its exit, in a deployment of 18 engines. */
 const requestsPerServer = 18;
 
-/** The share of the requests beside a deadly one that are refused with it, over many deadly ones; each is sent on at random as long as its servers end. */
-function refusedBesideDeadly(servers: number): number {
-	const random = repeatedRandom();
+/** Returns the share of the innocent requests beside a crashing one that are quarantined with it, over many simulated crashing requests. Each request is retried on a random server while its servers exit. */
+function innocentQuarantinedShare(servers: number): number {
+	const random = seededRandom();
 	const waves = 2000;
-	let refused = 0;
+	let quarantined = 0;
 	for (let wave = 0; wave < waves; wave++) {
-		const book = new SuspectBook();
-		let beside = Array.from({length: requestsPerServer}, (_, index) => `beside ${index}` as RequestFingerprint);
-		for (let end = 0; end < 3; end++) {
-			const deadlyAt = Math.floor(random() * servers);
-			// All of them are at the first server; those that are not at the next one are answered there.
-			beside = beside.filter(() => end === 0 || Math.floor(random() * servers) === deadlyAt);
-			for (const known of [fingerprint, ...beside]) {
-				book.noteEnd(known, {process: `${end}`, at: start});
+		const registry = new SuspectBook();
+		let innocent = Array.from({length: requestsPerServer}, (_, index) => `innocent ${index}` as RequestFingerprint);
+		for (let exit = 0; exit < 3; exit++) {
+			const crashingAt = Math.floor(random() * servers);
+			// All of them are on the first server; those that are retried on another server than the crashing request are answered there.
+			innocent = innocent.filter(() => exit === 0 || Math.floor(random() * servers) === crashingAt);
+			for (const known of [fingerprint, ...innocent]) {
+				registry.noteEnd(known, {process: `${exit}`, at: start});
 			}
 		}
 
-		refused += book.records.filter(record => record.fingerprint !== fingerprint && book.standing(record.fingerprint, start) === 'quarantined').length;
+		quarantined += registry.records.filter(record => record.fingerprint !== fingerprint && registry.standing(record.fingerprint, start) === 'quarantined').length;
 	}
 
-	return refused / (waves * requestsPerServer);
+	return quarantined / (waves * requestsPerServer);
 }
 
 for (const {instances, servers} of [{instances: 7, servers: 18}, {instances: 195, servers: 600}]) {
-	test(`with ${instances} instances and ${servers} servers, under one in a hundred of the requests beside a deadly one is refused with it`, t => {
-		t.true(refusedBesideDeadly(servers) < 0.01);
+	test(`with ${instances} instances and ${servers} servers, less than 1 % of the requests beside a crashing one are quarantined with it`, t => {
+		t.true(innocentQuarantinedShare(servers) < 0.01);
 	});
 
-	test(`with ${instances} instances and ${servers} servers, a zone of servers that ends at once refuses no request, and other instances hear of none`, t => {
-		const book = new SuspectBook({capacity: servers * requestsPerServer});
+	test(`with ${instances} instances and ${servers} servers, the simultaneous exit of a zone of servers quarantines no request and shares no record`, t => {
+		const registry = new SuspectBook({capacity: servers * requestsPerServer});
 		for (let server = 0; server < servers / 3; server++) {
 			for (let request = 0; request < requestsPerServer; request++) {
-				book.noteEnd(`${server} ${request}` as RequestFingerprint, {process: `${server}`, at: start});
+				registry.noteEnd(`${server} ${request}` as RequestFingerprint, {process: `${server}`, at: start});
 			}
 		}
 
-		t.true(book.records.every(record => book.standing(record.fingerprint, start) === 'suspect'));
-		t.deepEqual(book.told, []);
+		t.true(registry.records.every(record => registry.standing(record.fingerprint, start) === 'suspect'));
+		t.deepEqual(registry.told, []);
 	});
 }
 
-test('a request that many ask at the same time is refused while a zone of its servers is gone only until one of the others has answered it', t => {
-	const book = bookWith(['a', 'b', 'c', 'd']);
-	t.is(book.standing(fingerprint, start), 'quarantined');
-	book.clear(fingerprint);
-	t.is(book.standing(fingerprint, start), 'unknown');
+// Copies of one request in progress on several servers of a zone that fails can quarantine it by chance.
+test('an identical request from many callers stays quarantined only until one server has answered it', t => {
+	const registry = registryWith(['a', 'b', 'c', 'd']);
+	t.is(registry.standing(fingerprint, start), 'quarantined');
+	registry.clear(fingerprint);
+	t.is(registry.standing(fingerprint, start), 'unknown');
 });
--- a/packages/routing/src/suspect-book.ts
+++ b/packages/routing/src/suspect-book.ts
@@ -1,87 +1,87 @@
 import {type RequestFingerprint} from '@valehitch/core';
 import {type ServerEnd, type SuspectRecord, type SuspectStanding} from './suspect-record.js';
 
-/** One end that an instance saw. */
+/** An exit that an instance observed. */
 export type SeenEnd = Pick<ServerEnd, 'process' | 'at'>;
 
-/** How much a book holds. */
+/** The limits of a registry. */
 export type SuspectBookOptions = {
-	/** The most requests; 512 by default. */
+	/** The maximum number of requests; 512 by default. */
 	readonly capacity?: number;
 };
 
-type Held = {
+type Entry = {
 	record: SuspectRecord;
-	/** The number of the last change that others are told; undefined where it concerns nobody else yet. */
+	/** The number of the last change to a shared record; undefined while the record is not shared with other instances. */
 	changedAt: number | undefined;
 };
 
-/** A crash leaves some 20 requests with one end each, so that this holds those of two dozen crashes: about 100 KB. */
+/** A crash leaves about 20 requests with one exit each, so this holds the requests of two dozen crashes in about 100 KB. */
 const defaultCapacity = 512;
-/** One end may be chance, and so may a second one while servers end one after the other; a third process that ends under the same request is taken for proof. */
-const quarantineEnds = 3;
-const doubtfulEnds = 2;
-/** With as many ends the other instances are told: before that, each server that ends would tell them of all requests that it had. */
-const toldEnds = 2;
-/** How long an end counts in full, in milliseconds: ten minutes, after which a wrong verdict is found out by one send. */
-const freshMilliseconds = 600_000;
-/** How long it counts at all: an hour, within which one further end is enough for the next quarantine. */
-const forgetMilliseconds = 3_600_000;
-/** Ends that are held of one request: enough to be proven again and again within the hour. */
-const maximumEnds = 8;
+/** One exit may be a coincidence, and so may a second while servers fail one after another; a third process that exits during the same request is taken as proof. */
+const quarantineThreshold = 3;
+const doubtfulThreshold = 2;
+/** The number of exits from which a record is shared with other instances; with a lower one, each server exit would share all requests that were in progress there. */
+const sharingThreshold = 2;
+/** How long an exit counts fully: ten minutes, after which the request may be sent once more, which reveals a wrong verdict. */
+const fullWeightMilliseconds = 600_000;
+/** How long an exit counts at all: an hour, within which one more exit is enough for another quarantine. */
+const retentionMilliseconds = 3_600_000;
+/** Enough exits per request for repeated quarantines within the hour. */
+const maximumExitsPerRequest = 8;
 
 /**
-What is known of requests under which backend servers ended.
+Tracks requests during which backend server processes exited, and quarantines those that crash servers repeatedly.
 
-Answers a load in which one request ends every server that runs it and comes again under other ids and at other instances: without a memory of it, 44 servers ended within 8 s under 32 tries of one request, in a deployment of three entry instances and eight servers that are back after 0.4 s.
+This protects against a request that crashes every server that runs it and is retried under other ids and at other instances. Without such a record, 32 tries of one request caused 44 server exits within 8 s, in a deployment of three entry instances and eight servers that restart after 0.4 s.
 
-Books of several instances become alike by merging their records in any order, as often as wanted: ends are only added, and only become cleared.
+The registries of several instances converge by merging their records in any order and any number of times: exits are only added, and only change from uncleared to cleared.
 
 @example
 ```ts
-const book = new SuspectBook();
-book.noteEnd(fingerprint, {process: 'server-1 1000', at: Date.now()});
-book.standing(fingerprint, Date.now()); // 'suspect'
+const registry = new SuspectRegistry();
+registry.recordExit(fingerprint, {process: 'server-1 1000', at: Date.now()});
+registry.status(fingerprint, Date.now()); // 'suspect'
 ```
 */
 export class SuspectBook {
 	readonly #capacity: number;
-	readonly #suspects = new Map<RequestFingerprint, Held>();
-	#changes = 0;
+	readonly #entries = new Map<RequestFingerprint, Entry>();
+	#lastChange = 0;
 
 	constructor({capacity = defaultCapacity}: SuspectBookOptions = {}) {
 		this.#capacity = capacity;
 	}
 
-	/** Whether nothing is known of any request, so that none need be looked up. */
+	/** Whether the registry has no records, so that lookups can be skipped. */
 	get isEmpty(): boolean {
-		return this.#suspects.size === 0;
+		return this.#entries.size === 0;
 	}
 
-	/** The number of the last change that concerns other instances. */
+	/** The number of the last change to a shared record. */
 	get cursor(): number {
-		return this.#changes;
+		return this.#lastChange;
 	}
 
-	/** All that is held. */
+	/** All records. */
 	get records(): readonly SuspectRecord[] {
-		return [...this.#suspects.values()].map(({record}) => record);
+		return [...this.#entries.values()].map(({record}) => record);
 	}
 
-	/** What concerns other instances. */
+	/** The records that are shared with other instances. */
 	get told(): readonly SuspectRecord[] {
 		return this.changedSince(0);
 	}
 
 	/**
-	What concerns other instances and changed after a point.
+	Returns the shared records that changed after a cursor.
 
-	@param cursor The point, 0 for all.
+	@param cursor An earlier value of `cursor`, or 0 for all shared records.
 	@returns The records.
 	*/
 	changedSince(cursor: number): readonly SuspectRecord[] {
 		const changed: SuspectRecord[] = [];
-		for (const {record, changedAt} of this.#suspects.values()) {
+		for (const {record, changedAt} of this.#entries.values()) {
 			if (changedAt !== undefined && changedAt > cursor) {
 				changed.push(record);
 			}
@@ -91,29 +91,29 @@
 	}
 
 	/**
-	Reads a record.
+	Returns the record of a request.
 
-	@param fingerprint The request.
-	@returns The record; undefined where nothing is known of the request.
+	@param fingerprint The fingerprint of the request.
+	@returns The record, or undefined if there is none.
 	*/
 	get(fingerprint: RequestFingerprint): SuspectRecord | undefined {
-		return this.#suspects.get(fingerprint)?.record;
+		return this.#entries.get(fingerprint)?.record;
 	}
 
 	/**
-	Tells what follows for a request.
+	Returns the status of a request.
 
-	@param fingerprint The request.
+	@param fingerprint The fingerprint of the request.
 	@param now Milliseconds since the epoch.
-	@returns Its standing.
+	@returns The status.
 	*/
 	standing(fingerprint: RequestFingerprint, now: number): SuspectStanding {
-		const ends = countEnds(this.get(fingerprint), now);
-		if (ends >= quarantineEnds) {
+		const ends = countExits(this.get(fingerprint), now);
+		if (ends >= quarantineThreshold) {
 			return 'quarantined';
 		}
 
-		if (ends >= doubtfulEnds) {
+		if (ends >= doubtfulThreshold) {
 			return 'doubtful';
 		}
 
@@ -121,21 +121,21 @@
 	}
 
 	/**
-	Notes that a process ended while it had a request.
+	Records that a process exited while a request was in progress on it.
 
-	@param fingerprint The request.
-	@param end The process and when it ended.
-	@returns Whether this is new.
+	@param fingerprint The fingerprint of the request.
+	@param end The process, and when it exited.
+	@returns Whether the record changed.
 	*/
 	noteEnd(fingerprint: RequestFingerprint, end: SeenEnd): boolean {
 		return this.merge([{fingerprint, ends: [{...end, isCleared: false}]}]).length > 0;
 	}
 
 	/**
-	Notes that the ends so far say nothing against a request: a server has answered it whole, or an operator says so.
+	Clears the exits recorded so far, since a server has answered the request completely or an operator cleared it.
 
-	@param fingerprint The request.
-	@returns Whether this is new.
+	@param fingerprint The fingerprint of the request.
+	@returns Whether the record changed.
 	*/
 	clear(fingerprint: RequestFingerprint): boolean {
 		const known = this.get(fingerprint);
@@ -143,18 +143,18 @@
 	}
 
 	/**
-	Takes records of another instance, or of an earlier run.
+	Merges records from another instance or from an earlier run.
 
 	@param records The records.
-	@returns Those that are changed by it, as they are now.
+	@returns The records that changed, in their merged form.
 	*/
 	merge(records: readonly SuspectRecord[]): readonly SuspectRecord[] {
 		const changed: SuspectRecord[] = [];
 		for (const {fingerprint, ends} of records) {
-			const held = this.#suspects.get(fingerprint);
-			const merged = mergeEnds(held?.record.ends ?? [], ends);
+			const existing = this.#entries.get(fingerprint);
+			const merged = mergeExits(existing?.record.ends ?? [], ends);
 			if (merged !== undefined) {
-				changed.push(this.#hold({fingerprint, ends: merged}, held));
+				changed.push(this.#store({fingerprint, ends: merged}, existing));
 			}
 		}
 
@@ -162,69 +162,69 @@
 	}
 
 	/**
-	Forgets what is too old to count.
+	Deletes the records whose exits no longer count.
 
 	@param now Milliseconds since the epoch.
 	*/
 	forget(now: number): void {
-		for (const [fingerprint, {record: {ends}}] of this.#suspects) {
-			if (ends.every(({at}) => now - at >= forgetMilliseconds)) {
-				this.#suspects.delete(fingerprint);
+		for (const [fingerprint, {record: {ends}}] of this.#entries) {
+			if (ends.every(({at}) => now - at >= retentionMilliseconds)) {
+				this.#entries.delete(fingerprint);
 			}
 		}
 	}
 
-	#hold(record: SuspectRecord, held: Held | undefined): SuspectRecord {
-		const isTold = held?.changedAt !== undefined || record.ends.length >= toldEnds;
-		this.#suspects.set(record.fingerprint, {record, changedAt: isTold ? this.#next() : undefined});
-		if (this.#suspects.size > this.#capacity) {
-			this.#dropLeast();
+	#store(record: SuspectRecord, held: Entry | undefined): SuspectRecord {
+		const isShared = held?.changedAt !== undefined || record.ends.length >= sharingThreshold;
+		this.#entries.set(record.fingerprint, {record, changedAt: isShared ? this.#nextChange() : undefined});
+		if (this.#entries.size > this.#capacity) {
+			this.#evictLeastEvidence();
 		}
 
 		return record;
 	}
 
-	/** Drops the one with the fewest ends, the oldest of these: requests that are new cannot push out one that is proven. */
-	#dropLeast(): void {
-		let least: SuspectRecord | undefined;
-		for (const {record} of this.#suspects.values()) {
-			if (least === undefined || compareWeight(record, least) < 0) {
-				least = record;
+	/** Evicts the record with the fewest uncleared exits, the oldest of these, so that new requests cannot displace one with proof against it. */
+	#evictLeastEvidence(): void {
+		let weakest: SuspectRecord | undefined;
+		for (const {record} of this.#entries.values()) {
+			if (weakest === undefined || compareEvidence(record, weakest) < 0) {
+				weakest = record;
 			}
 		}
 
-		if (least !== undefined) {
-			this.#suspects.delete(least.fingerprint);
+		if (weakest !== undefined) {
+			this.#entries.delete(weakest.fingerprint);
 		}
 	}
 
-	#next(): number {
-		this.#changes++;
-		return this.#changes;
+	#nextChange(): number {
+		this.#lastChange++;
+		return this.#lastChange;
 	}
 }
 
-function unclearedOf({ends}: SuspectRecord): readonly ServerEnd[] {
+function unclearedExits({ends}: SuspectRecord): readonly ServerEnd[] {
 	return ends.filter(({isCleared}) => !isCleared);
 }
 
-/** Ends that are not fresh any more leave the request one end short of the next quarantine. */
-function countEnds(record: SuspectRecord | undefined, now: number): number {
-	let fresh = 0;
-	let old = 0;
-	for (const {at} of record === undefined ? [] : unclearedOf(record)) {
-		if (now - at < freshMilliseconds) {
-			fresh++;
-		} else if (now - at < forgetMilliseconds) {
-			old++;
+/** Counts the uncleared exits. Those past their full weight count up to one below the quarantine threshold. */
+function countExits(record: SuspectRecord | undefined, now: number): number {
+	let recent = 0;
+	let older = 0;
+	for (const {at} of record === undefined ? [] : unclearedExits(record)) {
+		if (now - at < fullWeightMilliseconds) {
+			recent++;
+		} else if (now - at < retentionMilliseconds) {
+			older++;
 		}
 	}
 
-	return fresh + Math.min(old, quarantineEnds - 1);
+	return recent + Math.min(older, quarantineThreshold - 1);
 }
 
-/** The union of two lists, bounded, or undefined where the second adds nothing to the first. */
-function mergeEnds(known: readonly ServerEnd[], added: readonly ServerEnd[]): readonly ServerEnd[] | undefined {
+/** Returns the union of two lists, limited to the latest exits, or undefined if the second adds nothing to the first. */
+function mergeExits(known: readonly ServerEnd[], added: readonly ServerEnd[]): readonly ServerEnd[] | undefined {
 	const merged = new Map(known.map(end => [end.process, end]));
 	for (const end of added) {
 		const before = merged.get(end.process);
@@ -233,15 +233,15 @@
 		}
 	}
 
-	const ends = [...merged.values()].toSorted((one, other) => one.at - other.at).slice(-maximumEnds);
+	const ends = [...merged.values()].toSorted((one, other) => one.at - other.at).slice(-maximumExitsPerRequest);
 	return ends.every(end => known.includes(end)) ? undefined : ends;
 }
 
-function compareWeight(one: SuspectRecord, other: SuspectRecord): number {
-	const [ends, otherEnds] = [unclearedOf(one).length, unclearedOf(other).length];
-	return ends === otherEnds ? latestOf(one) - latestOf(other) : ends - otherEnds;
+function compareEvidence(one: SuspectRecord, other: SuspectRecord): number {
+	const [ends, otherEnds] = [unclearedExits(one).length, unclearedExits(other).length];
+	return ends === otherEnds ? latestExitAt(one) - latestExitAt(other) : ends - otherEnds;
 }
 
-function latestOf({ends}: SuspectRecord): number {
+function latestExitAt({ends}: SuspectRecord): number {
 	return ends.at(-1)?.at ?? 0;
 }
--- a/packages/routing/src/suspect-record.ts
+++ b/packages/routing/src/suspect-record.ts
@@ -1,27 +1,27 @@
 import {type RequestFingerprint} from '@valehitch/core';
 
-/** One process of a backend server that ended while it had the request. */
+/** A process of a backend server that exited while the request was in progress on it. */
 export type ServerEnd = {
-	/** Names the process: a server that started again under its id is another one. */
+	/** Identifies the process; a server that restarts under the same id is a different process. */
 	readonly process: string;
-	/** When it ended, in milliseconds since the epoch on the clock of the instance that saw it. */
+	/** When it exited, in milliseconds since the epoch on the clock of the instance that observed it. */
 	readonly at: number;
-	/** Whether a server has answered the request whole since, so that this end says nothing against it. */
+	/** Whether a server has since answered the request completely, so that this exit no longer counts against it. */
 	readonly isCleared: boolean;
 };
 
-/** A request under which servers ended; records of several instances are merged by their union. */
+/** A request during which server processes exited; records of several instances are merged by union. */
 export type SuspectRecord = {
 	readonly fingerprint: RequestFingerprint;
 	readonly ends: readonly ServerEnd[];
 };
 
 /**
-What follows from the ends under a request:
+How a request is treated after server processes exited during it:
 
-- `unknown`: nothing;
-- `suspect`: one end; it is sent on, away from the home of its prompt, where the requests are that were beside it;
-- `doubtful`: two; besides, one server at a time works on it;
-- `quarantined`: three; it is sent to no server.
+- `unknown`: no exit; it is routed as usual;
+- `suspect`: one exit; it is retried, but not on the preferred server of its prompt prefix, where the requests that were in progress beside it go;
+- `doubtful`: two exits; additionally, it runs on one server at a time;
+- `quarantined`: three exits; it is sent to no server.
 */
 export type SuspectStanding = 'unknown' | 'suspect' | 'doubtful' | 'quarantined';
--- a/packages/routing/src/zone-suspicion.test.ts
+++ b/packages/routing/src/zone-suspicion.test.ts
@@ -6,7 +6,7 @@
 const one = 'server-1' as ServerId;
 const two = 'server-2' as ServerId;
 
-test('one server alone says nothing of its zone, two do', t => {
+test('a zone is suspected once two of its servers are unreachable', t => {
 	const zones = new ZoneSuspicion();
 	zones.unreachable(zone, {server: one, now: 0});
 	zones.unreachable(zone, {server: one, now: 10});
@@ -16,7 +16,7 @@
 	t.false(zones.isSuspect('hall-c' as ZoneId, 20));
 });
 
-test('a zone that is heard of is not suspected, however many of its servers end', t => {
+test('contact with a zone prevents and ends its suspicion', t => {
 	const zones = new ZoneSuspicion();
 	zones.unreachable(zone, {server: one, now: 0});
 	zones.heard(zone);
@@ -28,7 +28,7 @@
 	t.false(zones.isSuspect(zone, 20));
 });
 
-test('a zone is tried again after a while, and one failure then suspects it for longer', t => {
+test('a suspicion expires, and one more failure starts a longer one', t => {
 	const zones = new ZoneSuspicion({firstMilliseconds: 1000, longestMilliseconds: 3000});
 	zones.unreachable(zone, {server: one, now: 0});
 	zones.unreachable(zone, {server: two, now: 0});
@@ -41,7 +41,7 @@
 	t.false(zones.isSuspect(zone, 6000));
 });
 
-test('a server that started again is not counted for its former process', t => {
+test('a restarted server does not count as unreachable for its previous process', t => {
 	const zones = new ZoneSuspicion();
 	zones.unreachable(zone, {server: one, now: 0});
 	zones.forget(zone, one);
--- a/packages/routing/src/zone-suspicion.ts
+++ b/packages/routing/src/zone-suspicion.ts
@@ -2,36 +2,36 @@
 
 /** When a zone is suspected, and for how long. */
 export type ZoneSuspicionOptions = {
-	/** The servers of a zone that must be unreachable, with nothing heard from the zone between; 2 by default: one may have ended alone. */
+	/** The number of servers of a zone that must be unreachable without any contact with the zone in between; 2 by default, since a single server may have failed on its own. */
 	readonly leastServers?: number;
-	/** The first suspicion in milliseconds; each further one without a word of the zone doubles; 1000 by default. */
+	/** The duration of the first suspicion in milliseconds; 1000 by default. It doubles with each further suspicion until there is contact with the zone. */
 	readonly firstMilliseconds?: number;
-	/** The longest suspicion in milliseconds, after which the zone is tried again; 4000 by default. */
+	/** The maximum duration of a suspicion in milliseconds, after which the zone is tried again; 4000 by default. */
 	readonly longestMilliseconds?: number;
 };
 
-type ZoneHealth = {
-	/** The servers that were unreachable since anything was heard from the zone. */
+type ZoneState = {
+	/** The servers that were unreachable since the last contact with the zone. */
 	readonly unreachable: Set<ServerId>;
 	suspectUntil: number;
-	suspicions: number;
+	suspicionCount: number;
 };
 
 /**
-Suspects an availability zone as a whole, since one that is cut off fails as one.
+Detects availability zones that are partitioned off, so that their servers are avoided all at once.
 
-Servers behind a cut are found one by one otherwise, a connection timeout each: in a zone cut of 6 s, 240 attempts of a deployment with 13 engines waited 400 ms for servers that could not be reached.
+Otherwise each unreachable server is discovered on its own, at the cost of a connection timeout: in a zone partition of 6 s, 240 attempts of a deployment with 13 engines waited 400 ms each for unreachable servers.
 
 @example
 ```ts
-const zones = new ZoneSuspicion();
-zones.unreachable(zone, {server, now});
+const zones = new ZoneFailureDetector();
+zones.recordUnreachable(zone, {server, now});
 zones.isSuspect(zone, now); // true once two servers were unreachable
 ```
 */
 export class ZoneSuspicion {
 	readonly #options: Required<ZoneSuspicionOptions>;
-	readonly #zones = new Map<ZoneId, ZoneHealth>();
+	readonly #zones = new Map<ZoneId, ZoneState>();
 
 	constructor(options: ZoneSuspicionOptions = {}) {
 		this.#options = {
@@ -40,26 +40,26 @@
 	}
 
 	/**
-	Notes that no connection to a server opened.
+	Records that a connection to a server could not be opened.
 
 	@param zone The server's zone.
 	@param options The server, and the time in milliseconds on the monotonic clock.
 	*/
 	unreachable(zone: ZoneId, {server, now}: {readonly server: ServerId; readonly now: number}): void {
 		const {leastServers, firstMilliseconds, longestMilliseconds} = this.#options;
-		const health = this.#zones.get(zone) ?? {unreachable: new Set(), suspectUntil: 0, suspicions: 0};
+		const health = this.#zones.get(zone) ?? {unreachable: new Set(), suspectUntil: 0, suspicionCount: 0};
 		this.#zones.set(zone, health);
 		health.unreachable.add(server);
 		if (health.unreachable.size < leastServers || health.suspectUntil > now) {
 			return;
 		}
 
-		health.suspectUntil = now + Math.min(longestMilliseconds, firstMilliseconds * (2 ** health.suspicions));
-		health.suspicions++;
+		health.suspectUntil = now + Math.min(longestMilliseconds, firstMilliseconds * (2 ** health.suspicionCount));
+		health.suspicionCount++;
 	}
 
 	/**
-	Notes that something came from a server of a zone: it is not cut off.
+	Records contact with a server of a zone, which shows that the zone is not partitioned off.
 
 	@param zone The zone.
 	*/
@@ -68,7 +68,7 @@
 	}
 
 	/**
-	Forgets a server that started again: that its former process was unreachable says nothing of the zone.
+	Forgets that a restarted server was unreachable, since its previous process says nothing about the zone.
 
 	@param zone The zone.
 	@param server The server.
@@ -82,7 +82,7 @@
 
 	@param zone The zone.
 	@param now Milliseconds on the monotonic clock.
-	@returns Whether its servers get no work while others can take it.
+	@returns Whether its servers get no requests while others can take them.
 	*/
 	isSuspect(zone: ZoneId, now: number): boolean {
 		return (this.#zones.get(zone)?.suspectUntil ?? 0) > now;
