--- a/packages/routing/src/prefix-shares.ts
+++ b/packages/routing/src/prefix-shares.ts
@@ -1,19 +1,19 @@
-/** How much is remembered of the prefixes. */
+/** The limits of the counters. */
 export type PrefixSharesOptions = {
-	/** The most prefixes that are counted; one with a larger share than 1 of this number is never missed; 64 by default. */
+	/** The maximum number of counted prefixes; 64 by default. A prefix whose share exceeds 1 divided by this number is always counted. */
 	readonly maximumPrefixes?: number;
 	/** The number of requests after which all counts are halved; 1000 by default. */
 	readonly halvingCount?: number;
 };
 
 /**
-The shares of the requests that the most frequent prefixes have, by the Space-Saving algorithm (Metwally, Agrawal and El Abbadi, 2005).
+Estimates the shares of the most frequent prefixes among the requests with the Space-Saving algorithm (Metwally, Agrawal and El Abbadi, 2005).
 
-A prefix with a large share needs more than one home, and this instance can tell so from its own traffic alone.
+A prefix with a large share needs more than one preferred server, and each instance can detect this from its own traffic.
 
 @example
 ```ts
-const share = shares.count(prefixHash(prompt));
+const share = frequencies.count(prefixHash(prompt));
 chooseServer(views, {target, excluded, zone, random, prefix, prefixShare: share});
 ```
 */
@@ -28,7 +28,7 @@
 		this.#halvingCount = halvingCount;
 	}
 
-	/** How many prefixes are counted. */
+	/** The number of counted prefixes. */
 	get size(): number {
 		return this.#counts.size;
 	}
@@ -37,10 +37,10 @@
 	Counts a request.
 
 	@param prefix The hash of its prefix.
-	@returns The share of the requests that have this prefix, from above 0 to 1; never too small, and at most 1 in `maximumPrefixes` too large.
+	@returns The share of the requests that have this prefix, above 0 and up to 1. It is never underestimated, and overestimated by at most 1 / `maximumPrefixes`.
 	*/
 	count(prefix: number): number {
-		const known = this.#counts.get(prefix) ?? this.#takePlace();
+		const known = this.#counts.get(prefix) ?? this.#evictLeastFrequent();
 		this.#counts.set(prefix, known + 1);
 		this.#total++;
 		const share = (known + 1) / this.#total;
@@ -51,8 +51,8 @@
 		return share;
 	}
 
-	/** Frees the place of the least frequent prefix, and gives its count. */
-	#takePlace(): number {
+	/** Evicts the least frequent prefix if all counters are in use. Returns the initial count for a new prefix, which is the evicted count or 0. */
+	#evictLeastFrequent(): number {
 		if (this.#counts.size < this.#maximumPrefixes) {
 			return 0;
 		}
--- a/packages/routing/src/rendezvous-score.ts
+++ b/packages/routing/src/rendezvous-score.ts
@@ -1,16 +1,16 @@
 import {type ServerId} from '@valehitch/core';
 
-// A prime below 2^26, so that a product fits a double; cubing permutes the numbers below it, since 3 does not divide it less 1.
+// A prime below 2^26, so that products of two numbers below it are exact in a double. Cubing permutes these numbers, since 3 does not divide the prime minus 1.
 const modulus = 67_108_859;
 const multiplier = 31;
 const roundConstants = [12_345_701, 48_271_003, 29_986_577, 61_113_311] as const;
 
 /**
-Hashes the beginning of a prompt, the part by which engines cache it.
+Hashes the start of a prompt, by which engines cache its processing.
 
 @param prompt The prompt.
-@param length How many UTF-16 units count; 256 by default.
-@returns A whole number from 0 to 2^26.
+@param length The number of UTF-16 code units that are hashed; 256 by default.
+@returns An integer from 0 to 2^26.
 @example
 ```ts
 prefixHash('You answer for the coil traceability desk. ...');
@@ -21,9 +21,9 @@
 }
 
 /**
-Scores a server for a prefix by rendezvous hashing (Thaler and Ravishankar, 1998), weighted by its capacity.
+Scores a server for a prefix by rendezvous hashing (Thaler and Ravishankar, 1998), weighted by the capacity of the server.
 
-The server with the highest score is the home of the prefix; when it goes, only its prefixes move.
+The servers with the highest scores are the preferred ones of the prefix. When a server leaves, only the prefixes that preferred it move.
 
 @param prefix The hash of the prefix.
 @param options The server and its capacity in requests.
@@ -34,17 +34,17 @@
 ```
 */
 export function rendezvousScore(prefix: number, {server, capacity}: RendezvousScoreOptions): number {
-	const uniform = (mix(prefix, hashText(server)) + 1) / (modulus + 1);
+	const uniform = (mixHashes(prefix, hashText(server)) + 1) / (modulus + 1);
 	return -capacity / Math.log(uniform);
 }
 
-/** What a score depends on besides the prefix. */
+/** The server to score. */
 export type RendezvousScoreOptions = {
 	readonly server: ServerId;
 	readonly capacity: number;
 };
 
-/** A polynomial of the UTF-16 units, modulo the prime. */
+/** Evaluates a polynomial over the UTF-16 code units modulo the prime. */
 function hashText(text: string): number {
 	let hash = text.length;
 	for (let index = 0; index < text.length; index++) {
@@ -54,8 +54,8 @@
 	return hash;
 }
 
-/** Mixes two hashes by cubing sums in rounds, as the MiMC cipher does (Albrecht and others, 2016). */
-function mix(value: number, key: number): number {
+/** Combines two hashes with rounds of cubed sums, as in the MiMC cipher (Albrecht and others, 2016). */
+function mixHashes(value: number, key: number): number {
 	let mixed = value;
 	for (const constant of roundConstants) {
 		const sum = (mixed + key + constant) % modulus;
--- a/packages/routing/src/repeat-share.test.ts
+++ b/packages/routing/src/repeat-share.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import {RepeatShare} from './repeat-share.js';
 
-test('subjects that never repeat leave the share at 0, and one that always does brings it near 1', t => {
+test('the rate approaches 0 without repeated subjects, and 1 with a single subject', t => {
 	const repeats = new RepeatShare();
 	for (let index = 0; index < 200; index++) {
 		repeats.note(`subject-${index}`, index);
@@ -15,7 +15,7 @@
 	t.true(repeats.share > 0.95);
 });
 
-test('a subject that was asked about long ago is no repeat', t => {
+test('a subject that occurred long ago does not count as a repeat', t => {
 	const repeats = new RepeatShare({memoryMilliseconds: 1000});
 	repeats.note('subject-1', 0);
 	const before = repeats.share;
@@ -26,7 +26,7 @@
 	t.true(repeats.share > between);
 });
 
-test('no more subjects are remembered than allowed, the latest ones', t => {
+test('only the latest subjects are remembered, up to the maximum', t => {
 	const repeats = new RepeatShare({maximumSubjects: 2});
 	for (const subject of ['a', 'b', 'c']) {
 		repeats.note(subject, 0);
--- a/packages/routing/src/repeat-share.ts
+++ b/packages/routing/src/repeat-share.ts
@@ -1,64 +1,64 @@
 import {RecentMap} from '@valehitch/core';
 
-/** How much is remembered of the subjects of requests. */
+/** The limits of the memory of subjects. */
 export type RepeatShareOptions = {
-	/** The time for which a subject is remembered after its last request, in milliseconds; 30,000 by default, for which a server of usual size and traffic keeps a part of a prompt. */
+	/** How long a subject is remembered after its last request, in milliseconds; 30,000 by default, about as long as a server of usual size and traffic caches a part of a prompt. */
 	readonly memoryMilliseconds?: number;
-	/** The most subjects that are remembered; 1024 by default: those of 30 s at 34 requests a second, some 100 KB. */
+	/** The maximum number of remembered subjects; 1024 by default, which covers 30 s at 34 requests per second in about 100 KB. */
 	readonly maximumSubjects?: number;
 };
 
-/** The number of requests after which both counts are halved, so that the share follows the last few hundred. */
+/** The number of requests after which both counts are halved, so that the rate follows the latest few hundred requests. */
 const halvingCount = 200;
-/** What the counts begin with: a share of a half that a few requests correct. An estimate that began at 0 sent the first half minute of long prompts to the wrong homes. */
-const initialRepeats = 1;
+/** The initial counts, which give a rate of a half that a few requests correct. An initial rate of 0 sent the long prompts of the first half minute to the wrong servers. */
+const initialRepeatCount = 1;
 const initialCount = 2;
 
 /**
-Tells which share of the requests are about a subject that was asked about shortly before.
+Estimates the share of requests whose subject occurred in a recent request.
 
-An instance sees only its own requests, so that the share is never above that of the whole deployment.
+An instance sees only its own requests, so the rate is never above that of the whole deployment.
 
 @example
 ```ts
-const repeats = new RepeatShare();
-repeats.note('5c1e07a2', now);
-repeats.share; // lower with each subject that is new
+const repeatRate = new RepeatRate();
+repeatRate.record('5c1e07a2', now);
+repeatRate.value; // decreases with each new subject
 ```
 */
 export class RepeatShare {
 	readonly #memoryMilliseconds: number;
-	/** When each subject was asked about last. */
-	readonly #seenAt: RecentMap<string, number>;
-	#repeats = initialRepeats;
+	/** The time of the latest request for each subject. */
+	readonly #lastSeenAt: RecentMap<string, number>;
+	#repeatCount = initialRepeatCount;
 	#count = initialCount;
 
 	constructor({memoryMilliseconds = 30_000, maximumSubjects = 1024}: RepeatShareOptions = {}) {
 		this.#memoryMilliseconds = memoryMilliseconds;
-		this.#seenAt = new RecentMap(maximumSubjects);
+		this.#lastSeenAt = new RecentMap(maximumSubjects);
 	}
 
-	/** The share of the latest requests whose subject was known, from 0 to 1. */
+	/** The share of the latest requests whose subject was repeated, from 0 to 1. */
 	get share(): number {
-		return this.#repeats / this.#count;
+		return this.#repeatCount / this.#count;
 	}
 
 	/**
-	Counts a request.
+	Records a request.
 
-	@param subject What it is about.
+	@param subject The subject of the request.
 	@param now Milliseconds on the monotonic clock.
 	*/
 	note(subject: string, now: number): void {
-		const seenAt = this.#seenAt.peek(subject);
+		const seenAt = this.#lastSeenAt.peek(subject);
 		const isRepeat = seenAt !== undefined && now - seenAt <= this.#memoryMilliseconds;
-		this.#repeats += isRepeat ? 1 : 0;
+		this.#repeatCount += isRepeat ? 1 : 0;
 		this.#count++;
 		if (this.#count >= halvingCount) {
-			this.#repeats /= 2;
+			this.#repeatCount /= 2;
 			this.#count /= 2;
 		}
 
-		this.#seenAt.set(subject, now);
+		this.#lastSeenAt.set(subject, now);
 	}
 }
--- a/packages/routing/src/server-choice.test.ts
+++ b/packages/routing/src/server-choice.test.ts
@@ -47,7 +47,7 @@
 	isLoaded: fc.boolean(),
 }), {maxLength: 12, size: 'max'}).map(members => members.map(({isLoaded, ...rest}, index) => viewOf(index, {...rest, loaded: new Set(isLoaded ? [target] : [])})));
 
-test('never chooses a server that is not eligible, and finds one where there is one', t => {
+test('chooses only eligible servers, and finds one if there is any', t => {
 	const options = fc.record({prefix: fc.option(fc.nat(60_000_000), {nil: undefined}), draw: fc.double({min: 0, max: 0.999, noNaN: true}), excluded: fc.nat(11)});
 	fc.assert(fc.property(anyServers, options, (servers, {prefix, draw, excluded}) => {
 		const isEligible = (server: ServerView) => server.loaded.has(target) && !server.draining && !server.expired && !server.ejected && server.id !== `engine-${excluded}`;
@@ -57,7 +57,7 @@
 	}), {seed, numRuns: 2000, includeErrorInReport: true});
 });
 
-test('one hot prefix loads no server beyond the bound', t => {
+test('a frequent prefix loads no server beyond the bound', t => {
 	fc.assert(fc.property(fc.array(fc.integer({min: 1, max: 16}), {minLength: 2, maxLength: 20}), fc.nat(60_000_000), (capacities, prefix) => {
 		const loads = capacities.map(() => 0);
 		const total = capacities.reduce((sum, capacity) => sum + capacity, 0);
@@ -70,22 +70,22 @@
 	}), {seed, numRuns: 100, includeErrorInReport: true});
 });
 
-test('a prefix keeps its home when other servers come and go', t => {
+test('a prefix keeps its preferred server when other servers leave', t => {
 	const servers = Array.from({length: 10}, (_, index) => viewOf(index));
 	const removed = toId<ServerId>('engine-3');
 	let moved = 0;
 	for (let prefix = 0; prefix < 1000; prefix++) {
-		const home = choose(servers, {prefix: prefix * 50_021});
-		const left = servers.filter(({id}) => id !== removed);
-		const after = choose(left, {prefix: prefix * 50_021});
-		moved += home === after ? 0 : 1;
-		t.true(home === after || home === removed);
+		const before = choose(servers, {prefix: prefix * 50_021});
+		const remaining = servers.filter(({id}) => id !== removed);
+		const after = choose(remaining, {prefix: prefix * 50_021});
+		moved += before === after ? 0 : 1;
+		t.true(before === after || before === removed);
 	}
 
-	t.true(moved > 50 && moved < 200, `Got ${moved} of 1,000 prefixes moved, wanted about 100`);
+	t.true(moved > 50 && moved < 200, `${moved} of 1,000 prefixes moved, expected about 100`);
 });
 
-test('counts a request of its own once, whether or not the report knew it', t => {
+test('counts a request of this instance once, whether or not the report included it', t => {
 	const reportAge = 0;
 	t.is(serverLoad(viewOf(1, {
 		reportedActive: 5, ownAtReport: 2, ownInFlight: 4, reportAge,
@@ -97,16 +97,16 @@
 		reportedActive: 5, ownAtReport: 5, ownInFlight: 0, reportAge,
 	})), 0);
 	const old = serverLoad(viewOf(1, {reportedActive: 6, ownInFlight: 1, reportAge: 60_000}), {meanOthers: 0.25});
-	t.true(Math.abs(old - 3) < 1e-6, 'an old report says no more than the mean');
+	t.true(Math.abs(old - 3) < 1e-6, 'the load of other instances decays to the mean as a report ages');
 });
 
-test('a new server starts slowly', t => {
+test('the capacity of a new server ramps up', t => {
 	t.is(startedCapacity(viewOf(1, {uptime: 0})), 0.8);
 	t.is(startedCapacity(viewOf(1, {uptime: 15_000})), 4);
 	t.is(startedCapacity(viewOf(1, {uptime: 90_000})), 8);
 });
 
-test('stays in its own zone until another helps', t => {
+test('stays in its own zone unless that is empty or much busier than the others', t => {
 	const own = [viewOf(1, {ownInFlight: 3}), viewOf(2, {ownInFlight: 3})];
 	const other = [viewOf(3, {zone: zones[1]!})];
 	t.not(choose([...own, ...other]), 'engine-3');
@@ -114,7 +114,7 @@
 	t.is(choose(other), 'engine-3');
 });
 
-test('says why each server lost', t => {
+test('reports why each server was not chosen', t => {
 	const choice = chooseServer([viewOf(1, {draining: true}), viewOf(2, {ejected: true}), viewOf(3)], {
 		target, excluded: new Set(), zone: zones[0]!, random: () => 0.5,
 	});
--- a/packages/routing/src/server-choice.ts
+++ b/packages/routing/src/server-choice.ts
@@ -10,16 +10,16 @@
 } from './server-load.js';
 import {type ServerView} from './server-view.js';
 
-/** What is wanted of a server. */
+/** The requirements that a server must meet. */
 export type ServerWish = {
-	/** The version, as `versionKey` names it, or the service. */
+	/** The key of the version, as formatted by `versionKey`, or the name of the service. */
 	readonly target: string;
 	readonly excluded: ReadonlySet<ServerId>;
-	/** The hash of the prompt's prefix; undefined where no cache matters. */
+	/** The hash of the prompt prefix; undefined if prompt caching does not matter. */
 	readonly prefix?: number | undefined;
 	/** The share of this instance's requests that have the prefix, from 0 to 1; 0 by default. */
 	readonly prefixShare?: number;
-	/** Among which servers the prefix has its home; `zone` by default: those that work would go to without it. */
+	/** The servers among which the preferred ones of the prefix are found; by default `zone`, the servers that would be chosen from without a prefix. */
 	readonly homeScope?: HomeScope;
 };
 
@@ -28,15 +28,15 @@
 	/** The zone of this instance. */
 	readonly zone: ZoneId;
 	readonly random: RandomSource;
-	/** How much busier, as a share of capacity, the own zone must be before another helps; 0.5 by default. */
+	/** By how much the utilisation of the own zone must exceed that of the others before they are used; 0.5 by default. */
 	readonly zonePenalty?: number;
-	/** How far above the mean load the home of a prefix may be; 1.25 by default. */
+	/** The maximum load of a preferred server of a prefix, relative to the mean load; 1.25 by default. */
 	readonly loadBound?: number;
-	/** How many servers are compared where no prefix decides; 2 by default. */
+	/** How many randomly drawn servers are compared; 2 by default. */
 	readonly samples?: number;
 };
 
-/** The chosen server and some of those that lost. */
+/** The chosen server, and the verdicts on the servers that were considered. */
 export type ServerChoice = {
 	readonly server: ServerId;
 	readonly considered: readonly ServerVerdict[];
@@ -48,24 +48,24 @@
 	readonly capacity: number;
 };
 
-type Scored = {
+type ScoredCandidate = {
 	readonly candidate: Candidate;
 	readonly score: number;
 };
 
-const maximumConsidered = 8;
+const maximumVerdicts = 8;
 const retryAfterMilliseconds = 1000;
-/** Keeps a product of fractions from being rounded up to the next whole request. */
-const rounding = 1e-9;
+/** Keeps rounding errors from adding a whole request to the load bound. */
+const roundingTolerance = 1e-9;
 
 /**
-Chooses a server: a home of the prompt's prefix while its load is bounded, else the less busy of a few taken at random.
+Chooses a server: a preferred server of the prompt prefix while its load is within the bound, otherwise the least loaded of a few random servers.
 
-The bound is that of consistent hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam, 2018); a few at random in place of the best of all keeps the instances that share an old report from all choosing the same server (Mitzenmacher, 2000).
+The load bound is that of consistent hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam, 2018). Comparing a few random servers instead of all keeps instances that share an outdated load report from all choosing the same server (Mitzenmacher, 2000).
 
-@param servers All the servers.
-@param options What is wanted, and how a server is chosen.
-@returns The choice, or `no-server`.
+@param servers All servers.
+@param options The requirements, and how a server is chosen.
+@returns The choice, or a `no-server` failure.
 @example
 ```ts
 chooseServer(views, {target: 'tag-small@1.0', excluded: new Set(), zone, random});
@@ -75,34 +75,34 @@
 	const considered: ServerVerdict[] = [];
 	const views: ServerView[] = [];
 	for (const server of servers) {
-		const reason = ineligibility(server, options);
+		const reason = ineligibilityReason(server, options);
 		if (reason === undefined) {
 			views.push(server);
-		} else if (reason !== notLoaded) {
-			consider(considered, server, reason);
+		} else if (reason !== notLoadedReason) {
+			addVerdict(considered, server, reason);
 		}
 	}
 
-	const meanOthers = meanOthersOn(views);
+	const meanOthers = meanOtherLoadOf(views);
 	const eligible = views.map(server => ({
 		server, load: serverLoad(server, {meanOthers, ...options}), capacity: startedCapacity(server, options),
 	}));
-	const pool = poolOf(eligible, options);
+	const pool = selectZonePool(eligible, options);
 	if (pool.length === 0) {
 		const reasons = considered.map(({server, verdict}) => `${server} ${verdict}`).join('; ');
-		return Left(failure('no-server', `Got no server for ${options.target}, wanted one that takes work (${reasons || 'none has it'})`, {retryAfterMilliseconds}));
+		return Left(failure('no-server', `No server is available for ${options.target} (${reasons || 'no server has it loaded'})`, {retryAfterMilliseconds}));
 	}
 
-	const chosen = homeOf(options.homeScope === 'all' ? eligible : pool, options) ?? lessBusy(pool, options);
+	const chosen = choosePreferredServer(options.homeScope === 'all' ? eligible : pool, options) ?? chooseLeastLoadedSample(pool, options);
 	for (const {server} of eligible) {
-		consider(considered, server, verdictOn(server, {chosen, pool}));
+		addVerdict(considered, server, verdictFor(server, {chosen, pool}));
 	}
 
 	return Right({server: chosen.server.id, considered});
 }
 
-/** The own zone, unless it is empty or so busy that the other zones help. */
-function poolOf(eligible: readonly Candidate[], {zone, zonePenalty = 0.5}: ServerChoiceOptions): readonly Candidate[] {
+/** Returns the servers of the own zone, or those of the other zones if it has none or is much busier than they are. */
+function selectZonePool(eligible: readonly Candidate[], {zone, zonePenalty = 0.5}: ServerChoiceOptions): readonly Candidate[] {
 	const own = eligible.filter(({server}) => server.zone === zone);
 	if (own.length === 0 || own.length === eligible.length) {
 		return eligible;
@@ -112,33 +112,33 @@
 	return utilisation(own) > utilisation(others) + zonePenalty ? others : own;
 }
 
-/** The less busy of the prefix's homes, among those whose load is within the bound. */
-function homeOf(pool: readonly Candidate[], options: ServerWish & ServerChoiceOptions): Candidate | undefined {
+/** Chooses among the preferred servers of the prefix, which are those with the highest rendezvous scores whose load is within the bound. */
+function choosePreferredServer(pool: readonly Candidate[], options: ServerWish & ServerChoiceOptions): Candidate | undefined {
 	const {prefix, prefixShare = 0, loadBound = 1.25, homeScope = 'zone'} = options;
 	if (prefix === undefined || homeScope === 'none') {
 		return undefined;
 	}
 
 	const bound = loadBound * utilisation(pool, 1);
-	const scored: Scored[] = [];
+	const scored: ScoredCandidate[] = [];
 	for (const candidate of pool) {
 		const {load, capacity, server} = candidate;
-		if (load + 1 <= Math.max(1, Math.ceil((bound * capacity) - rounding))) {
+		if (load + 1 <= Math.max(1, Math.ceil((bound * capacity) - roundingTolerance))) {
 			scored.push({candidate, score: rendezvousScore(prefix, {server: server.id, capacity})});
 		}
 	}
 
-	// No home gets more than its share of the requests times the bound, though all instances choose alike.
-	const homes = Math.max(1, Math.ceil(prefixShare * pool.length / loadBound));
-	const chosen = scored.toSorted((one, other) => other.score - one.score).slice(0, homes).map(({candidate}) => candidate);
-	return chosen.length === 0 ? undefined : lessBusy(chosen, options);
+	// A frequent prefix gets several preferred servers, so that none exceeds its share of the requests times the bound, though all instances prefer the same ones.
+	const preferredCount = Math.max(1, Math.ceil(prefixShare * pool.length / loadBound));
+	const chosen = scored.toSorted((one, other) => other.score - one.score).slice(0, preferredCount).map(({candidate}) => candidate);
+	return chosen.length === 0 ? undefined : chooseLeastLoadedSample(chosen, options);
 }
 
-function lessBusy(pool: readonly Candidate[], {random, samples = 2}: ServerChoiceOptions): Candidate {
-	let best = sample(pool, random);
-	for (let taken = 1; taken < samples; taken++) {
-		const other = sample(pool, random);
-		if (busyness(other) < busyness(best)) {
+function chooseLeastLoadedSample(pool: readonly Candidate[], {random, samples = 2}: ServerChoiceOptions): Candidate {
+	let best = sampleByCapacity(pool, random);
+	for (let drawn = 1; drawn < samples; drawn++) {
+		const other = sampleByCapacity(pool, random);
+		if (relativeLoad(other) < relativeLoad(best)) {
 			best = other;
 		}
 	}
@@ -146,9 +146,9 @@
 	return best;
 }
 
-/** Takes one at random, the larger ones more often. */
-function sample(pool: readonly Candidate[], random: RandomSource): Candidate {
-	let left = random() * sumOfCapacity(pool);
+/** Draws a random server with a probability proportional to its capacity. */
+function sampleByCapacity(pool: readonly Candidate[], random: RandomSource): Candidate {
+	let left = random() * totalCapacity(pool);
 	for (const candidate of pool) {
 		left -= candidate.capacity;
 		if (left < 0) {
@@ -159,20 +159,20 @@
 	return pool.at(-1)!;
 }
 
-function busyness({load, capacity}: Candidate): number {
+function relativeLoad({load, capacity}: Candidate): number {
 	return (load + 1) / capacity;
 }
 
-function utilisation(candidates: readonly Candidate[], further = 0): number {
-	let load = further;
+function utilisation(candidates: readonly Candidate[], additionalLoad = 0): number {
+	let load = additionalLoad;
 	for (const candidate of candidates) {
 		load += candidate.load;
 	}
 
-	return load / sumOfCapacity(candidates);
+	return load / totalCapacity(candidates);
 }
 
-function meanOthersOn(servers: readonly ServerView[]): number {
+function meanOtherLoadOf(servers: readonly ServerView[]): number {
 	let others = 0;
 	let capacity = 0;
 	for (const server of servers) {
@@ -183,7 +183,7 @@
 	return capacity === 0 ? 0 : others / capacity;
 }
 
-function sumOfCapacity(candidates: readonly Candidate[]): number {
+function totalCapacity(candidates: readonly Candidate[]): number {
 	let sum = 0;
 	for (const {capacity} of candidates) {
 		sum += capacity;
@@ -192,11 +192,11 @@
 	return sum;
 }
 
-const notLoaded = 'does not have it loaded';
+const notLoadedReason = 'does not have it loaded';
 
-function ineligibility(server: ServerView, {target, excluded}: ServerWish): string | undefined {
+function ineligibilityReason(server: ServerView, {target, excluded}: ServerWish): string | undefined {
 	if (!server.loaded.has(target)) {
-		return notLoaded;
+		return notLoadedReason;
 	}
 
 	if (server.draining) {
@@ -214,7 +214,7 @@
 	return excluded.has(server.id) ? 'was tried or is in use for this request' : undefined;
 }
 
-function verdictOn(server: ServerView, {chosen, pool}: {readonly chosen: Candidate; readonly pool: readonly Candidate[]}): string {
+function verdictFor(server: ServerView, {chosen, pool}: {readonly chosen: Candidate; readonly pool: readonly Candidate[]}): string {
 	if (server === chosen.server) {
 		return 'chosen';
 	}
@@ -222,8 +222,8 @@
 	return pool.some(candidate => candidate.server === server) ? 'was busier, not drawn, or not the home of the prefix' : 'is in a zone that was passed over';
 }
 
-function consider(considered: ServerVerdict[], server: ServerView, verdict: string): void {
-	if (considered.length < maximumConsidered || verdict === 'chosen') {
+function addVerdict(considered: ServerVerdict[], server: ServerView, verdict: string): void {
+	if (considered.length < maximumVerdicts || verdict === 'chosen') {
 		considered.push({server: server.id, verdict});
 	}
 }
--- a/packages/routing/src/server-load.ts
+++ b/packages/routing/src/server-load.ts
@@ -2,42 +2,42 @@
 
 /** How load is estimated. */
 export type ServerLoadOptions = {
-	/** Milliseconds over which what a report says of other instances fades towards the mean of the servers; 150 by default. */
+	/** The time constant in milliseconds with which the reported load of other instances decays towards the mean over the servers; 150 by default. */
 	readonly fadeMilliseconds?: number;
-	/** The mean load by other instances for each slot of capacity; 0 by default. */
+	/** The mean load from other instances per unit of capacity; 0 by default. */
 	readonly meanOthers?: number;
-	/** Milliseconds over which a new server gets up to its full share; 30,000 by default. */
+	/** The time in milliseconds over which a new server ramps up to its full capacity; 30,000 by default. */
 	readonly slowStartMilliseconds?: number;
 };
 
-const leastStart = 0.1;
+const minimumCapacityShare = 0.1;
 
 /**
-Estimates the requests that a server works on: those of this instance as counted here, and those of others as reported.
+Estimates the number of requests in progress on a server: those of this instance as counted here, and those of other instances as reported.
 
-A request of this instance is counted once, whether or not the report knew it already. What an old report says of one server is worth little more than the mean (Mitzenmacher, 2000), so it fades towards it.
+A request of this instance is counted once, whether or not the report included it. An outdated report of a single server says little more than the mean over the servers (Mitzenmacher, 2000), so the estimate decays towards the mean.
 
 @param server The server.
 @param options How load is estimated.
-@returns The requests, not always a whole number.
+@returns The estimated number of requests, which may be fractional.
 @example
 ```ts
-serverLoad(server); // 5 of others by the report, and 3 of our own
+serverLoad(server); // 8, for 5 requests of other instances by the report and 3 of this one
 ```
 */
 export function serverLoad(server: ServerView, {fadeMilliseconds = 150, meanOthers = 0}: ServerLoadOptions = {}): number {
-	const trust = Math.exp(-server.reportAge / fadeMilliseconds);
-	return server.ownInFlight + (othersOn(server) * trust) + (meanOthers * server.capacity * (1 - trust));
+	const reportWeight = Math.exp(-server.reportAge / fadeMilliseconds);
+	return server.ownInFlight + (othersOn(server) * reportWeight) + (meanOthers * server.capacity * (1 - reportWeight));
 }
 
 /**
-Tells what the last report says of the requests of other instances.
+Returns the number of requests of other instances according to the last report.
 
 @param server The server.
-@returns The requests.
+@returns The number of requests.
 @example
 ```ts
-othersOn({...server, reportedActive: 5, ownAtReport: 2}); // 3
+reportedOtherLoad({...server, reportedInFlight: 5, ownInFlightAtReport: 2}); // 3
 ```
 */
 export function othersOn(server: ServerView): number {
@@ -45,17 +45,17 @@
 }
 
 /**
-Tells the capacity of a server, which grows to its full size in the time after its start.
+Returns the capacity of a server under slow start, which ramps up to the full capacity after the server has started.
 
 @param server The server.
-@param options The time of the slow start.
+@param options The duration of the slow start.
 @returns The capacity in requests, above 0.
 @example
 ```ts
-startedCapacity({...server, capacity: 8, uptime: 15_000}); // 4
+effectiveCapacity({...server, capacity: 8, uptime: 15_000}); // 4
 ```
 */
 export function startedCapacity(server: ServerView, {slowStartMilliseconds = 30_000}: ServerLoadOptions = {}): number {
 	const share = slowStartMilliseconds === 0 ? 1 : server.uptime / slowStartMilliseconds;
-	return server.capacity * Math.min(1, Math.max(leastStart, share));
+	return server.capacity * Math.min(1, Math.max(minimumCapacityShare, share));
 }
--- a/packages/routing/src/server-view.ts
+++ b/packages/routing/src/server-view.ts
@@ -1,27 +1,27 @@
 import {type ServerId, type ZoneId} from '@valehitch/core';
 
-/** A backend server as the choice sees it. */
+/** The state of a backend server on which the choice of a server is based. */
 export type ServerView = {
 	readonly id: ServerId;
 	readonly zone: ZoneId;
-	/** Requests it works on at the same time. */
+	/** The number of requests that it processes concurrently. */
 	readonly capacity: number;
-	/** Requests it worked on by its last report, from all instances. */
+	/** The requests of all instances that were in progress according to its last report. */
 	readonly reportedActive: number;
-	/** Requests of this instance among those, in progress there when the report was made. */
+	/** The requests of this instance among the reported ones. */
 	readonly ownAtReport: number;
-	/** Milliseconds since the report was made. */
+	/** The age of the report in milliseconds. */
 	readonly reportAge: number;
-	/** Requests of this instance that are in progress there now. */
+	/** The requests of this instance that are in progress on it now. */
 	readonly ownInFlight: number;
-	/** Whether it is in graceful shutdown. */
+	/** Whether it is shutting down gracefully. */
 	readonly draining: boolean;
-	/** Whether it has not announced itself for too long. */
+	/** Whether its last announcement has expired. */
 	readonly expired: boolean;
-	/** Whether it is ejected for its failures. */
+	/** Whether it is ejected because of failures. */
 	readonly ejected: boolean;
-	/** Milliseconds since it started. */
+	/** The time since its start in milliseconds. */
 	readonly uptime: number;
-	/** The versions it has loaded, as `versionKey` names them, or the service that it is. */
+	/** The keys of the versions that it has loaded, as formatted by `versionKey`, or the name of the service that it provides. */
 	readonly loaded: ReadonlySet<string>;
 };
--- a/packages/routing/src/session-token.ts
+++ b/packages/routing/src/session-token.ts
@@ -38,8 +38,8 @@
 	}
 
 	const payload = Buffer.from(JSON.stringify([session.workspace, session.model, session.version, session.startedAt])).toString('base64url');
-	const signed = `${key.id}~${payload}`;
-	return `${signed}~${Buffer.from(sign(signed, key)).toString('base64url')}`;
+	const signedText = `${key.id}~${payload}`;
+	return `${signedText}~${Buffer.from(sign(signedText, key)).toString('base64url')}`;
 }
 
 /**
@@ -60,9 +60,9 @@
 		return invalid();
 	}
 
-	const wanted = sign(`${id}~${payload}`, key);
-	const got = Buffer.from(signature, 'base64url');
-	if (wanted.byteLength !== got.byteLength || !timingSafeEqual(wanted, got)) {
+	const expectedSignature = sign(`${id}~${payload}`, key);
+	const actualSignature = Buffer.from(signature, 'base64url');
+	if (expectedSignature.byteLength !== actualSignature.byteLength || !timingSafeEqual(expectedSignature, actualSignature)) {
 		return invalid();
 	}
 
--- a/packages/routing/src/stage-history.ts
+++ b/packages/routing/src/stage-history.ts
@@ -80,11 +80,11 @@
 		for (const [bucket, count] of sketch.counts.entries()) {
 			seen += count;
 			if (seen >= share * sketch.total) {
-				return timeOf(bucket);
+				return bucketMidpoint(bucket);
 			}
 		}
 
-		return timeOf(bucketCount - 1);
+		return bucketMidpoint(bucketCount - 1);
 	}
 
 	#sketchOf(key: string): Sketch {
@@ -118,7 +118,7 @@
 }
 
 /** The middle of a bucket, so that the error is the same on both sides. */
-function timeOf(bucket: number): number {
+function bucketMidpoint(bucket: number): number {
 	return 2 * (growth ** bucket) / (growth + 1);
 }
 
