--- a/packages/routing/src/decision-ring.ts
+++ b/packages/routing/src/decision-ring.ts
@@ -16,18 +16,18 @@
 	readonly verdict: string;
 };
 
-/** One attempt: where it went and what came of it. */
+/** The decisions on one attempt, and its result. */
 export type AttemptDecision = {
 	readonly attempt: number;
 	readonly purpose: AttemptPurpose;
 	readonly servers: readonly ServerVerdict[];
 	readonly server?: ServerId;
 	readonly outcome?: Outcome;
-	/** What came of it, such as `complete` or the message of its failure. */
+	/** The result, such as `complete` or the message of the failure. */
 	readonly reason?: string;
 };
 
-/** Why a request went where it went. */
+/** The routing decisions of a request. */
 export type DecisionRecord = {
 	readonly request: RequestId;
 	readonly workspace: WorkspaceId;
@@ -39,22 +39,22 @@
 	readonly ending?: string;
 };
 
-/** The bounds of a ring. */
+/** The limits of a decision history. */
 export type DecisionRingOptions = {
-	/** The most requests kept, the oldest going first; 2048 by default. */
+	/** The maximum number of requests; the oldest one is evicted first; 2048 by default. */
 	readonly capacity?: number;
-	/** The most versions, attempts, and servers of an attempt that are kept of one request; 8 by default. */
+	/** The maximum number of versions, of attempts, and of servers per attempt that are recorded per request; 8 by default. */
 	readonly maximumEntries?: number;
 };
 
 /**
-The decisions of the latest requests, for `valehitch explain`.
+Keeps the routing decisions of the latest requests, for `valehitch explain`.
 
 @example
 ```ts
-ring.begin({request, workspace, at, versions, attempts: []});
-ring.attempt(request, {attempt: 1, purpose: 'first', servers, server});
-ring.get(request);
+history.add({request, workspace, at, versions, attempts: []});
+history.recordAttempt(request, {attempt: 1, purpose: 'first', servers, server});
+history.get(request);
 ```
 */
 export class DecisionRing {
@@ -67,13 +67,13 @@
 		this.#maximumEntries = maximumEntries;
 	}
 
-	/** How many requests are kept. */
+	/** The number of recorded requests. */
 	get size(): number {
 		return this.#records.size;
 	}
 
 	/**
-	Keeps a new record.
+	Adds the record of a new request.
 
 	@param record The record.
 	*/
@@ -90,9 +90,9 @@
 	}
 
 	/**
-	Adds an attempt, or replaces what is kept of it.
+	Adds an attempt to the record of a request, or replaces it.
 
-	@param request The request; one that is not kept any more is passed over.
+	@param request The request; ignored if its record was evicted.
 	@param decision The attempt.
 	*/
 	attempt(request: RequestId, decision: AttemptDecision): void {
@@ -109,9 +109,9 @@
 	}
 
 	/**
-	Says how a request ended.
+	Records how a request ended.
 
-	@param request The request; one that is not kept any more is passed over.
+	@param request The request; ignored if its record was evicted.
 	@param ending How it ended.
 	*/
 	end(request: RequestId, ending: string): void {
@@ -122,10 +122,10 @@
 	}
 
 	/**
-	Finds the decisions of a request.
+	Returns the decisions of a request.
 
 	@param request The request.
-	@returns The record, or undefined where it is not kept any more.
+	@returns The record, or undefined if it was evicted.
 	*/
 	get(request: RequestId): DecisionRecord | undefined {
 		return this.#records.get(request);
--- a/packages/routing/src/session-token.ts
+++ b/packages/routing/src/session-token.ts
@@ -5,27 +5,27 @@
 } from '@valehitch/core';
 import {type Either, Left, Right} from 'purify-ts';
 
-/** A key that signs session tokens. */
+/** A key for signing session tokens. */
 export type SessionKey = {
 	readonly id: string;
 	readonly key: string;
 };
 
-/** What a session token says: nothing else about the session is kept anywhere. */
+/** The content of a session token, which is the only record of the session. */
 export type Session = {
 	readonly workspace: WorkspaceId;
 	readonly model: ModelId;
 	readonly version: VersionId;
-	/** When it began, in milliseconds since 1970. */
+	/** When the session started, in milliseconds since the epoch. */
 	readonly startedAt: number;
 };
 
 /**
-Writes a session token, signed with HMAC-SHA-256 by the first key.
+Creates a session token that is signed with HMAC-SHA-256.
 
 @param session The session.
-@param keys The keys; the first signs.
-@returns The token: key id, payload and signature, separated by dots.
+@param keys The keys; the first one signs the token.
+@returns The token: key id, payload and signature, separated by tildes.
 @example
 ```ts
 writeSessionToken({workspace, model, version, startedAt: clock.now().getTime()}, settings.keys.sessions);
@@ -34,7 +34,7 @@
 export function writeSessionToken(session: Session, keys: readonly SessionKey[]): string {
 	const [key] = keys;
 	if (key === undefined) {
-		throw new RangeError('Got no session key, wanted one');
+		throw new RangeError('No session key is configured');
 	}
 
 	const payload = Buffer.from(JSON.stringify([session.workspace, session.model, session.version, session.startedAt])).toString('base64url');
@@ -43,11 +43,11 @@
 }
 
 /**
-Reads a session token.
+Verifies and decodes a session token.
 
 @param token The token.
-@param keys The keys; any of them may have signed.
-@returns The session, or `session-invalid`.
+@param keys The accepted keys.
+@returns The session, or a `session-invalid` failure.
 @example
 ```ts
 readSessionToken(token, settings.keys.sessions).map(session => session.version);
@@ -77,5 +77,5 @@
 }
 
 function invalid(): Either<Failure, Session> {
-	return Left(failure('session-invalid', 'Got a session token that was not issued here or was changed'));
+	return Left(failure('session-invalid', 'The session token was not issued by this deployment or was modified'));
 }
--- a/packages/routing/src/stage-history.test.ts
+++ b/packages/routing/src/stage-history.test.ts
@@ -7,7 +7,7 @@
 const seed = 20_261_202;
 const version = {model: toId<ModelId>('tag-small'), version: toId<VersionId>('1.0')};
 
-test('tells quantiles within 5 %', t => {
+test('estimates quantiles within 5 %', t => {
 	fc.assert(fc.property(fc.array(fc.integer({min: 1, max: 500_000}), {minLength: 30, maxLength: 1000, size: 'max'}), fc.constantFrom(0.5, 0.9, 0.95, 1), (times, share) => {
 		const history = new StageHistory();
 		for (const milliseconds of times) {
@@ -15,12 +15,12 @@
 		}
 
 		const exact = times.toSorted((one, other) => one - other)[Math.ceil(share * times.length) - 1]!;
-		const told = history.quantile('v', {stage: 'prefill', share})!;
-		t.true(Math.abs(told - exact) <= 0.05 * exact, `Got ${told}, wanted ${exact}`);
+		const estimate = history.quantile('v', {stage: 'prefill', share})!;
+		t.true(Math.abs(estimate - exact) <= 0.05 * exact, `Estimated ${estimate}, expected ${exact}`);
 	}), {seed, numRuns: 300, includeErrorInReport: true});
 });
 
-test('says nothing without enough history, and follows a change', t => {
+test('returns no quantile without enough history, and adapts to a change', t => {
 	const history = new StageHistory();
 	const record = (count: number, milliseconds: number) => {
 		for (let index = 0; index < count; index++) {
@@ -55,5 +55,5 @@
 	const delays = hedgeDelays({...version, streamed: true}, {history})!;
 	t.true(Math.abs(delays.prefillMilliseconds - 950) <= 48);
 	t.true(Math.abs(delays.decodeMilliseconds - 3000) <= 150);
-	t.is(hedgeDelays({...version, streamed: false}, {history}), undefined, 'whole answers have a history of their own');
+	t.is(hedgeDelays({...version, streamed: false}, {history}), undefined, 'answers that are not streamed have a separate history');
 });
--- a/packages/routing/src/stage-history.ts
+++ b/packages/routing/src/stage-history.ts
@@ -1,13 +1,13 @@
-/** A stage of an attempt: up to the first piece, between pieces, or the whole of an answer that is not streamed. */
+/** A stage of an attempt: the wait for the first piece, the gap between two pieces, or the whole of an answer that is not streamed. */
 export type AttemptStage = 'prefill' | 'decode' | 'whole';
 
-/** How much history is kept. */
+/** The limits of a stage history. */
 export type StageHistoryOptions = {
-	/** The fewest times from which a quantile is told; 30 by default. */
+	/** The minimum number of durations for a quantile; 30 by default. */
 	readonly minimumCount?: number;
-	/** The count at which all counts are halved, so that recent times weigh more; 2000 by default. */
+	/** The number of durations at which all counts are halved, so that recent ones weigh more; 2000 by default. */
 	readonly halvingCount?: number;
-	/** The most pairs of key and stage that are kept, the least recently used going first; 1024 by default. */
+	/** The maximum number of pairs of key and stage; the least recently recorded one is evicted first; 1024 by default. */
 	readonly maximumKeys?: number;
 };
 
@@ -18,18 +18,18 @@
 
 const growth = 1.1;
 const logGrowth = Math.log(growth);
-// 1.1 to the power of 140 is 623,000 ms, above ten minutes.
+// The last bucket ends at 1.1 to the power of 140, which is 623,000 ms or more than ten minutes.
 const bucketCount = 141;
 
 /**
-The times that the stages of attempts took, as quantiles with a relative error of at most 5 %.
+Estimates quantiles of the durations of attempt stages, with a relative error of at most 5 %.
 
-Each sketch has buckets whose bounds grow by a tenth (the relative-error sketch of Masson, Rim and Lee, 2019), in 282 bytes.
+Each sketch has buckets whose bounds grow by a tenth (the relative-error sketch of Masson, Rim and Lee, 2019) and takes 282 bytes.
 
 @example
 ```ts
 history.record('tag-small@1.0', {stage: 'prefill', milliseconds: 180});
-history.quantile('tag-small@1.0', {stage: 'prefill', share: 0.95});
+history.quantile('tag-small@1.0', {stage: 'prefill', quantile: 0.95});
 ```
 */
 export class StageHistory {
@@ -42,16 +42,16 @@
 		};
 	}
 
-	/** How many pairs of key and stage are kept. */
+	/** The number of pairs of key and stage. */
 	get size(): number {
 		return this.#sketches.size;
 	}
 
 	/**
-	Takes one time.
+	Records a duration.
 
-	@param key The version, with whatever else its times depend on.
-	@param options The stage and its time in milliseconds.
+	@param key The version, and anything else that its durations depend on.
+	@param options The stage, and its duration in milliseconds.
 	*/
 	record(key: string, {stage, milliseconds}: StageTime): void {
 		const sketch = this.#sketchOf(`${stage} ${key}`);
@@ -64,11 +64,11 @@
 	}
 
 	/**
-	Tells the time that a share of the attempts did not exceed.
+	Returns a quantile of the durations of a stage.
 
-	@param key The version, with whatever else its times depend on.
-	@param options The stage and the share, from 0 to 1.
-	@returns The time in milliseconds, or undefined while there is too little history.
+	@param key The version, and anything else that its durations depend on.
+	@param options The stage, and the quantile from 0 to 1.
+	@returns The duration in milliseconds, or undefined while there is too little history.
 	*/
 	quantile(key: string, {stage, share}: StageQuantile): number | undefined {
 		const sketch = this.#sketches.get(`${stage} ${key}`);
@@ -100,13 +100,13 @@
 	}
 }
 
-/** The time that a stage took. */
+/** The duration of a stage. */
 export type StageTime = {
 	readonly stage: AttemptStage;
 	readonly milliseconds: number;
 };
 
-/** Which quantile of a stage is wanted. */
+/** A quantile of the durations of a stage. */
 export type StageQuantile = {
 	readonly stage: AttemptStage;
 	readonly share: number;
@@ -117,7 +117,7 @@
 	return Math.min(bucketCount - 1, bucket);
 }
 
-/** The middle of a bucket, so that the error is the same on both sides. */
+/** Returns the value with the same relative error towards both bounds of a bucket. */
 function bucketMidpoint(bucket: number): number {
 	return 2 * (growth ** bucket) / (growth + 1);
 }
