--- a/packages/routing/src/_test-answer.ts
+++ b/packages/routing/src/_test-answer.ts
@@ -1,27 +1,27 @@
-import {type Dispatch, textOf} from './_test-book.js';
+import {type Dispatch, textOf} from './_test-request-audit.js';
 import {type RequestEvent} from './request-event.js';
 
-/** An event on its way to the machine, with the bytes of its piece. */
-export type Message = {readonly event: RequestEvent; readonly bytes?: string};
+/** A pending event for the state machine, with the bytes of its piece. */
+export type PendingMessage = {readonly event: RequestEvent; readonly bytes?: string};
 
 type AnswerOptions = {
-	/** Whether the answer is whole; otherwise it is cut short and ends in a fault or in silence. */
-	readonly isSound: boolean;
+	/** Whether the answer is complete; otherwise it is truncated and ends with a fault or a stall. */
+	readonly isComplete: boolean;
 	readonly next: () => number;
 };
 
-const longestPiece = 15;
-const longestCut = 12;
-/** One in this many answers pauses, and goes on. */
-const silentShare = 8;
+const maximumPieceLength = 15;
+const maximumTruncatedLength = 12;
+/** One in this many answers stalls temporarily. */
+const stallOdds = 8;
 
-/** What a back end that runs an attempt sends: head, pieces of random length, and the end. */
-export function answerMessages({attempt, target, resumeFrom}: Dispatch, {isSound, next}: AnswerOptions): Message[] {
+/** Returns the events of an attempt that a backend server runs: the head, pieces of random length, and the end. */
+export function answerMessages({attempt, target, resumeFrom}: Dispatch, {isComplete: isSound, next}: AnswerOptions): PendingMessage[] {
 	const text = textOf(target);
-	const messages: Message[] = [{event: {type: 'attempt-head', attempt}}];
-	const end = isSound ? text.length : Math.min(text.length, resumeFrom + (next() % longestCut));
+	const messages: PendingMessage[] = [{event: {type: 'attempt-head', attempt}}];
+	const end = isSound ? text.length : Math.min(text.length, resumeFrom + (next() % maximumTruncatedLength));
 	for (let offset = resumeFrom; offset < end;) {
-		const bytes = text.slice(offset, Math.min(end, offset + 1 + (next() % longestPiece)));
+		const bytes = text.slice(offset, Math.min(end, offset + 1 + (next() % maximumPieceLength)));
 		const event = {
 			type: 'attempt-piece', attempt, offset, length: bytes.length, tokens: 1,
 		} as const;
@@ -37,10 +37,10 @@
 		{type: 'attempt-broken', attempt, message: 'Cut'},
 		{type: 'attempt-failed', attempt, message: 'Failed'},
 		{type: 'attempt-silent', attempt},
-		// The server has accepted the request and stalls.
+		// No event: the server has accepted the request and stalls.
 		undefined,
 	];
 	const last = isSound ? complete : faults[next() % faults.length];
 	const whole = last === undefined ? messages : [...messages, {event: last}];
-	return next() % silentShare === 0 ? whole.toSpliced(next() % (whole.length + 1), 0, {event: {type: 'attempt-silent', attempt}}) : whole;
+	return next() % stallOdds === 0 ? whole.toSpliced(next() % (whole.length + 1), 0, {event: {type: 'attempt-silent', attempt}}) : whole;
 }
--- a/packages/routing/src/_test-world.ts
+++ b/packages/routing/src/_test-simulated-world.ts
@@ -1,9 +1,9 @@
 import {failure, type ServerId} from '@valehitch/core';
 import {match} from 'ts-pattern';
-import {answerMessages, type Message} from './_test-answer.js';
+import {answerMessages, type PendingMessage} from './_test-answer.js';
 import {
-	Book, check, type Dispatch, type Run, servers, targets,
-} from './_test-book.js';
+	assertInvariant, type Dispatch, RequestAudit, type Run, servers, targets,
+} from './_test-request-audit.js';
 import {type RequestAction} from './request-action.js';
 import {type DispatchDenial, type RequestEvent} from './request-event.js';
 import {startRequest, stepRequest} from './request-life.js';
@@ -12,16 +12,16 @@
 
 const noQuorum = failure('no-quorum', 'Got none');
 const claimAnswers = ['taken', 'taken', 'taken', 'taken', 'taken', 'taken', 'taken', 'taken', 'in-progress', 'done', 'unknown', 'key-reused', 'no-quorum'] as const;
-const drainSteps = 60;
+const finalDeliveries = 60;
 
-/** Plays engines, callers, control replicas and clock round one request, from a list of chosen numbers. */
-export class World {
-	readonly book: Book;
-	/** What went in and came out, for the report of a failure. */
+/** Simulates the engines, the caller, the control replicas and the clock around one request, driven by a list of numbers. */
+export class SimulatedWorld {
+	readonly audit: RequestAudit;
+	/** All events and the resulting actions, for failure reports. */
 	readonly trace: string[] = [];
 	readonly #plan: RequestPlan;
-	readonly #next: () => number;
-	readonly #pending: Message[] = [];
+	readonly #nextNumber: () => number;
+	readonly #pending: PendingMessage[] = [];
 	readonly #timers = new Set<string>();
 	readonly #stopped = new Set<RequestTarget>();
 	readonly #draining = new Set<ServerId>();
@@ -32,151 +32,151 @@
 
 	constructor(plan: RequestPlan, choices: readonly number[]) {
 		let index = 0;
-		this.#next = () => choices[index++ % choices.length] ?? 0;
+		this.#nextNumber = () => choices[index++ % choices.length] ?? 0;
 		this.#plan = plan;
 		this.#target = plan.target;
-		this.book = new Book(plan);
+		this.audit = new RequestAudit(plan);
 		const {state, actions} = startRequest(plan);
 		this.#state = state;
-		this.#take(actions);
+		this.#performAll(actions);
 	}
 
-	/** Plays the request to its deadline. */
-	play(steps: number): void {
+	/** Runs the request up to its deadline. */
+	run(steps: number): void {
 		for (let step = 0; step < steps; step++) {
-			this.#now += this.#next() % 4;
-			this.#disturb(this.#next() % 160);
-			this.#deliverOne();
+			this.#now += this.#nextNumber() % 4;
+			this.#injectEvent(this.#nextNumber() % 160);
+			this.#deliverNext();
 		}
 
-		for (let step = 0; step < drainSteps; step++) {
-			this.#deliverOne();
+		for (let step = 0; step < finalDeliveries; step++) {
+			this.#deliverNext();
 		}
 
 		this.#now = Math.max(this.#now, this.#plan.deadline);
-		this.#give({event: {type: 'timer', timer: 'deadline'}});
-		this.book.close(this.#state.stage);
+		this.#step({event: {type: 'timer', timer: 'deadline'}});
+		this.audit.checkEnd(this.#state.stage);
 	}
 
-	#disturb(roll: number): void {
+	#injectEvent(roll: number): void {
 		if (roll === 0) {
-			this.book.callerLeft = true;
-			this.#give({event: {type: 'caller-left'}});
+			this.audit.callerLeft = true;
+			this.#step({event: {type: 'caller-left'}});
 		} else if (roll < 4) {
-			this.#stop(this.#target, roll);
+			this.#withdrawTarget(this.#target, roll);
 		} else if (roll < 8) {
 			const server = this.#pick(servers);
 			this.#draining.add(server);
-			this.#give({event: {type: 'server-draining', server}});
-			this.book.draining.add(server);
+			this.#step({event: {type: 'server-draining', server}});
+			this.audit.draining.add(server);
 		} else if (roll < 30 && this.#timers.has('hedge')) {
 			this.#now += 12;
-			this.#give({event: {type: 'timer', timer: 'hedge'}});
+			this.#step({event: {type: 'timer', timer: 'hedge'}});
 		} else if (roll < 50 && this.#timers.delete('come-back')) {
-			this.#give({event: {type: 'timer', timer: 'come-back'}});
+			this.#step({event: {type: 'timer', timer: 'come-back'}});
 		} else if (roll === 50) {
-			this.#give({event: {type: 'instance-stopping'}});
+			this.#step({event: {type: 'instance-stopping'}});
 		} else if (roll === 51) {
-			this.#give({event: {type: 'timer', timer: 'deadline'}});
+			this.#step({event: {type: 'timer', timer: 'deadline'}});
 		}
 	}
 
-	/** Withdraws a target; the request is told at once, or finds out at its next dispatch. */
-	#stop(target: RequestTarget, roll: number): void {
+	/** Withdraws a target. The request is either notified at once or finds out at its next dispatch. */
+	#withdrawTarget(target: RequestTarget, roll: number): void {
 		this.#stopped.add(target);
 		if (roll % 2 === 0) {
-			this.#give({event: {type: 'permission-lost', target}});
-			this.book.stopped.add(target);
+			this.#step({event: {type: 'permission-lost', target}});
+			this.audit.stopped.add(target);
 		}
 	}
 
-	#deliverOne(): void {
-		const picked = this.#pending[this.#next() % Math.max(1, this.#pending.length)];
+	#deliverNext(): void {
+		const picked = this.#pending[this.#nextNumber() % Math.max(1, this.#pending.length)];
 		if (picked === undefined) {
 			return;
 		}
 
-		// A connection keeps its order, but for a rare fault; the same goes for doubles.
+		// Events of an attempt arrive in order, except that one in 40 is reordered and one in 40 is duplicated.
 		const attempt = attemptOf(picked);
 		const first = this.#pending.find(message => attemptOf(message) === attempt) ?? picked;
-		const message = attempt === undefined || this.#next() % 40 === 0 ? picked : first;
+		const message = attempt === undefined || this.#nextNumber() % 40 === 0 ? picked : first;
 		this.#pending.splice(this.#pending.indexOf(message), 1);
-		if (this.#next() % 40 === 0) {
+		if (this.#nextNumber() % 40 === 0) {
 			this.#pending.push(message);
 		}
 
-		this.#give(message);
+		this.#step(message);
 	}
 
-	#give({event, bytes = ''}: Message): void {
+	#step({event, bytes = ''}: PendingMessage): void {
 		this.#bytes = bytes;
-		this.#note(event);
+		this.#recordEvent(event);
 		const ended = this.#state.stage === 'ended';
 		const {state, actions} = stepRequest(this.#state, {event, now: this.#now});
 		this.#state = state;
 		this.trace.push(JSON.stringify({event, actions}));
-		check(!ended || actions.length === 0, 'acted after the end');
-		this.#take(actions);
+		assertInvariant(!ended || actions.length === 0, 'emitted actions after the end');
+		this.#performAll(actions);
 	}
 
-	#note(event: RequestEvent): void {
+	#recordEvent(event: RequestEvent): void {
 		match(event)
 			.with({type: 'claim-answered'}, ({answer}) => {
-				this.book.claimAnswered(answer);
+				this.audit.claimAnswered(answer);
 			})
 			.with({type: 'bill-opened'}, () => {
-				this.book.billOpened();
+				this.audit.billOpened();
 			})
 			.with({type: 'bill-settled'}, () => {
-				this.book.billSettled();
+				this.audit.billSettled();
 			})
 			.with({type: 'dispatch-denied', reason: 'version-stopped'}, ({attempt}) => {
-				const run = this.book.runOf(attempt);
+				const run = this.audit.runOf(attempt);
 				if (run?.cancelled === false) {
-					this.book.stopped.add(run.dispatch.target);
+					this.audit.stopped.add(run.dispatch.target);
 				}
 			})
 			.with({type: 'attempt-connection-lost'}, ({attempt}) => {
-				this.book.isConnectionLost ||= this.book.runOf(attempt)?.cancelled === false;
+				this.audit.isConnectionLost ||= this.audit.runOf(attempt)?.cancelled === false;
 			})
 			.otherwise(() => undefined);
 	}
 
-	#take(actions: readonly RequestAction[]): void {
+	#performAll(actions: readonly RequestAction[]): void {
 		for (const action of actions) {
-			this.#carryOut(action);
+			this.#perform(action);
 		}
 	}
 
-	#carryOut(action: RequestAction): void {
+	#perform(action: RequestAction): void {
 		match(action)
 			.with({type: 'set-timer'}, ({timer, at}) => {
-				check(at >= this.#now, 'set a timer in the past');
+				assertInvariant(at >= this.#now, 'set a timer in the past');
 				this.#timers.add(timer);
 			})
 			.with({type: 'clear-timer'}, ({timer}) => {
 				this.#timers.delete(timer);
 			})
 			.with({type: 'request-admission'}, () => {
-				this.#later(this.#oneIn(20) ? {type: 'admission-refused', failure: failure('overloaded', 'Full')} : {type: 'admitted'});
+				this.#enqueue(this.#oneIn(20) ? {type: 'admission-refused', failure: failure('overloaded', 'Full')} : {type: 'admitted'});
 			})
 			.with({type: 'pin-session'}, ({target}) => {
-				this.#later(this.#oneIn(20) ? {type: 'session-refused', failure: noQuorum} : {type: 'session-pinned', target});
+				this.#enqueue(this.#oneIn(20) ? {type: 'session-refused', failure: noQuorum} : {type: 'session-pinned', target});
 			})
 			.with({type: 'take-claim'}, () => {
-				this.book.takeClaim();
-				this.#later({type: 'claim-answered', answer: this.#pick(claimAnswers)});
+				this.audit.takeClaim();
+				this.#enqueue({type: 'claim-answered', answer: this.#pick(claimAnswers)});
 			})
 			.with({type: 'settle-claim'}, ({outcome}) => {
-				this.book.settleClaim(outcome);
+				this.audit.settleClaim(outcome);
 			})
 			.with({type: 'open-bill'}, () => {
-				this.book.openBill();
-				this.#later(this.#oneIn(20) ? {type: 'bill-not-possible', failure: noQuorum} : {type: 'bill-opened'});
+				this.audit.openBill();
+				this.#enqueue(this.#oneIn(20) ? {type: 'bill-not-possible', failure: noQuorum} : {type: 'bill-opened'});
 			})
 			.with({type: 'settle-bill'}, ({lines}) => {
-				this.book.settleBill(lines);
-				this.#later({type: 'bill-settled'});
+				this.audit.settleBill(lines);
+				this.#enqueue({type: 'bill-settled'});
 			})
 			.with({type: 'choose-version'}, () => {
 				this.#chooseVersion();
@@ -188,19 +188,19 @@
 				this.#dispatch(dispatch);
 			})
 			.with({type: 'cancel-attempt'}, ({attempt}) => {
-				this.book.cancel(attempt);
+				this.audit.cancel(attempt);
 			})
 			.with({type: 'judge-attempt'}, ({attempt}) => {
 				this.#judge(attempt);
 			})
 			.otherwise(told => {
-				this.book.tell(told, this.#bytes);
+				this.audit.tell(told, this.#bytes);
 			});
 	}
 
 	#chooseVersion(): void {
 		const open = targets.find(target => !this.#stopped.has(target));
-		this.#later(open === undefined
+		this.#enqueue(open === undefined
 			? {type: 'no-version', failure: failure('no-server', 'Got none')}
 			: {type: 'version-chosen', target: open, judged: false});
 		this.#target = open ?? this.#target;
@@ -208,34 +208,34 @@
 
 	#chooseServer(attempt: number, free: readonly ServerId[]): void {
 		if (free.length === 0 || this.#oneIn(10)) {
-			this.#later({
+			this.#enqueue({
 				type: 'no-server', attempt, reason: this.#pick(['none', 'budget']), retryAfterMilliseconds: 30,
 			});
 			return;
 		}
 
-		this.#later({type: 'server-chosen', attempt, server: this.#pick(free)});
+		this.#enqueue({type: 'server-chosen', attempt, server: this.#pick(free)});
 	}
 
 	#judge(attempt: number): void {
 		if (this.#oneIn(2)) {
-			this.#later({type: 'attempt-judged', attempt, verdict: 'accepted'});
+			this.#enqueue({type: 'attempt-judged', attempt, verdict: 'accepted'});
 			return;
 		}
 
 		this.#target = this.#pick(targets);
-		this.#later({
+		this.#enqueue({
 			type: 'attempt-judged', attempt, verdict: 'escalated', target: this.#target, judged: this.#oneIn(2),
 		});
 	}
 
-	/** The check right before the dispatch, and then what the back end does. */
+	/** Performs the check right before the dispatch, then simulates the backend server. */
 	#dispatch(dispatch: Dispatch): void {
 		const {attempt, target, server} = dispatch;
-		const run = this.book.dispatch(dispatch);
+		const run = this.audit.dispatch(dispatch);
 		const reason = this.#denialOf(target, server);
 		if (reason !== undefined) {
-			this.#later({type: 'dispatch-denied', attempt, reason});
+			this.#enqueue({type: 'dispatch-denied', attempt, reason});
 			return;
 		}
 
@@ -244,23 +244,23 @@
 			return;
 		}
 
-		const fate = this.#next() % 10;
-		if (fate < 2) {
-			this.#later({type: fate === 0 ? 'attempt-never-sent' : 'attempt-not-run', attempt});
+		const outcomeRoll = this.#nextNumber() % 10;
+		if (outcomeRoll < 2) {
+			this.#enqueue({type: outcomeRoll === 0 ? 'attempt-never-sent' : 'attempt-not-run', attempt});
 			return;
 		}
 
-		this.book.start(run);
-		this.#answer(run, fate);
+		this.audit.start(run);
+		this.#answer(run, outcomeRoll);
 	}
 
-	/** A kept connection breaks before the answer begins; whether the server ran the request is not to be seen. */
+	/** Breaks a reused connection before the answer begins, so that it is unknown whether the server ran the request. */
 	#loseConnection(run: Run): void {
 		if (this.#oneIn(2)) {
-			this.book.start(run);
+			this.audit.start(run);
 		}
 
-		this.#later({type: 'attempt-connection-lost', attempt: run.dispatch.attempt, message: 'Closed'});
+		this.#enqueue({type: 'attempt-connection-lost', attempt: run.dispatch.attempt, message: 'Closed'});
 	}
 
 	#denialOf(target: RequestTarget, server: ServerId): DispatchDenial | undefined {
@@ -271,24 +271,24 @@
 		return this.#draining.has(server) ? 'server-draining' : undefined;
 	}
 
-	/** Queues what comes of a run, in the order of the connection. */
+	/** Enqueues the events of a run in connection order. */
 	#answer({dispatch}: Run, fate: number): void {
-		this.#pending.push(...answerMessages(dispatch, {isSound: fate < 6, next: this.#next}));
+		this.#pending.push(...answerMessages(dispatch, {isComplete: fate < 6, next: this.#nextNumber}));
 	}
 
-	#later(event: RequestEvent): void {
+	#enqueue(event: RequestEvent): void {
 		this.#pending.push({event});
 	}
 
 	#pick<Value>(values: readonly [Value, ...Value[]] | readonly Value[]): Value {
-		return values[this.#next() % values.length]!;
+		return values[this.#nextNumber() % values.length]!;
 	}
 
 	#oneIn(number: number): boolean {
-		return this.#next() % number === 0;
+		return this.#nextNumber() % number === 0;
 	}
 }
 
-function attemptOf({event}: Message): number | undefined {
+function attemptOf({event}: PendingMessage): number | undefined {
 	return 'attempt' in event ? event.attempt : undefined;
 }
--- a/packages/routing/src/request-life.test.ts
+++ b/packages/routing/src/request-life.test.ts
@@ -1,8 +1,8 @@
 import {type ServerId} from '@valehitch/core';
 import test from 'ava';
 import fc from 'fast-check';
-import {targets} from './_test-book.js';
-import {World} from './_test-world.js';
+import {targets} from './_test-request-audit.js';
+import {SimulatedWorld} from './_test-simulated-world.js';
 import {type RequestEvent} from './request-event.js';
 import {startRequest, stepRequest} from './request-life.js';
 import {type RequestPlan} from './request-plan.js';
@@ -10,8 +10,8 @@
 const seed = 20_261_202;
 const cases = 8000;
 const steps = 60;
-const leastOfEach = 20;
-const wantedEndings = ['finish-answer', 'replay-answer', 'refuse notRun', 'refuse ran', 'refuse unknown', 'none'];
+const minimumPerEnding = 20;
+const expectedEndings = ['finish-answer', 'replay-answer', 'refuse notRun', 'refuse ran', 'refuse unknown', 'none'];
 const purposes = ['first', 'retry', 'hedge', 'escalation', 'resume'];
 
 const plans: fc.Arbitrary<RequestPlan> = fc.record({
@@ -29,30 +29,30 @@
 	finishWithoutCaller: fc.boolean(),
 });
 
-test('a request keeps every promise whatever happens round it', t => {
+test('a request keeps its invariants under random events', t => {
 	const endings = new Map<string, number>();
 	fc.assert(
 		fc.property(plans, fc.array(fc.nat(100_000), {minLength: 60, maxLength: 400, size: 'max'}), (plan, choices) => {
-			const world = new World(plan, choices);
+			const world = new SimulatedWorld(plan, choices);
 			try {
-				world.play(steps);
+				world.run(steps);
 			} catch (error) {
 				throw new Error(`${String(error)}\n${world.trace.join('\n')}`, {cause: error});
 			}
 
-			const {ending, runs} = world.book;
+			const {ending, runs} = world.audit;
 			for (const name of [ending, `${ending} after ${runs.at(-1)?.dispatch.purpose ?? 'no attempt'}`]) {
 				endings.set(name, (endings.get(name) ?? 0) + 1);
 			}
 		}),
-		// Shrinking takes minutes; the report has the seed, the path and the whole trace, and shrinks without `endOnFailure`.
+		// Shrinking takes minutes, so it is disabled; the report has the seed, the path and the whole trace. Remove `endOnFailure` to shrink a failure.
 		{
 			seed, numRuns: cases, includeErrorInReport: true, endOnFailure: true,
 		},
 	);
 	t.log([...endings].map(([ending, count]) => `${ending} ${count}`).join(', '));
-	for (const ending of [...wantedEndings, ...purposes.map(purpose => `finish-answer after ${purpose}`)]) {
-		t.true((endings.get(ending) ?? 0) > leastOfEach, `Got too few requests that ended with ${ending}`);
+	for (const ending of [...expectedEndings, ...purposes.map(purpose => `finish-answer after ${purpose}`)]) {
+		t.true((endings.get(ending) ?? 0) > minimumPerEnding, `Too few requests ended with ${ending}`);
 	}
 });
 
@@ -61,8 +61,8 @@
 	target: targets[0]!, session: 'none', repeatable: false, claimed: false, streamed: false, judged: false, deadline: 1000, promptTokens: 7,
 };
 
-/** What a request asks for after some events. */
-function askedAfter(events: readonly RequestEvent[], plan = plainPlan) {
+/** Returns the server requests among the actions of the last of some events. */
+function serverRequestsAfter(events: readonly RequestEvent[], plan = plainPlan) {
 	let step = startRequest(plan);
 	for (const event of events) {
 		step = stepRequest(step.state, {event, now: 1});
@@ -71,17 +71,17 @@
 	return step.actions.filter(({type}) => type === 'choose-server');
 }
 
-test('a request whose connection never opened goes to another server as its first attempt, and one that a server did not run as a retry', t => {
-	const begun: readonly RequestEvent[] = [{type: 'admitted'}, {type: 'bill-opened'}, {type: 'server-chosen', attempt: 1, server}];
-	t.like(askedAfter([...begun, {type: 'attempt-never-sent', attempt: 1}]), [{attempt: 2, purpose: 'first', excluded: [server]}]);
-	t.like(askedAfter([...begun, {type: 'attempt-not-run', attempt: 1}]), [{attempt: 2, purpose: 'retry', excluded: [server]}]);
+test('after a connection that never opened the next attempt is still a first one, and after a request that did not run it is a retry', t => {
+	const started: readonly RequestEvent[] = [{type: 'admitted'}, {type: 'bill-opened'}, {type: 'server-chosen', attempt: 1, server}];
+	t.like(serverRequestsAfter([...started, {type: 'attempt-never-sent', attempt: 1}]), [{attempt: 2, purpose: 'first', excluded: [server]}]);
+	t.like(serverRequestsAfter([...started, {type: 'attempt-not-run', attempt: 1}]), [{attempt: 2, purpose: 'retry', excluded: [server]}]);
 });
 
-test('a request whose kept connection broke goes out again over a connection of its own, to any server and without the budget of retries', t => {
+test('after a reused connection broke, the next attempt opens a new connection to any server and is not charged to the retry budget', t => {
 	const plan = {...plainPlan, repeatable: true};
 	const begun: readonly RequestEvent[] = [{type: 'admitted'}, {type: 'bill-opened'}, {type: 'server-chosen', attempt: 1, server}];
 	const lost: RequestEvent = {type: 'attempt-connection-lost', attempt: 1, message: 'Closed'};
-	t.like(askedAfter([...begun, lost], plan), [{
+	t.like(serverRequestsAfter([...begun, lost], plan), [{
 		attempt: 2, purpose: 'first', excluded: [], budgeted: false,
 	}]);
 	let step = startRequest(plan);
@@ -98,27 +98,27 @@
 			type: 'no-server', attempt: 3, reason: 'none', retryAfterMilliseconds: 10,
 		}, now: 3,
 	});
-	// The first attempt may have run, though nothing of the second was sent.
+	// The first attempt may have run, even though the second was never sent.
 	t.like(step.actions.at(-1), {type: 'refuse', failure: {kind: 'outcome-unknown', outcome: 'unknown'}});
 });
 
-test('a retry whose server turns out to be shutting down draws on its budget once', t => {
+test('a retry whose server is shutting down is charged to its budget once', t => {
 	const plan = {...plainPlan, repeatable: true};
 	const other = 'engine-2' as ServerId;
 	const begun: readonly RequestEvent[] = [
 		{type: 'admitted'}, {type: 'bill-opened'}, {type: 'server-chosen', attempt: 1, server}, {type: 'attempt-broken', attempt: 1, message: 'Cut'},
 	];
-	t.like(askedAfter(begun, plan), [{attempt: 2, purpose: 'retry', budgeted: true}]);
+	t.like(serverRequestsAfter(begun, plan), [{attempt: 2, purpose: 'retry', budgeted: true}]);
 	const chosen = [...begun, {type: 'server-chosen', attempt: 2, server: other}] as const;
-	t.like(askedAfter([...chosen, {type: 'dispatch-denied', attempt: 2, reason: 'server-draining'}], plan), [{attempt: 3, purpose: 'retry', budgeted: false}]);
-	t.like(askedAfter([...begun, {type: 'server-draining', server: other}, {type: 'server-chosen', attempt: 2, server: other}], plan), [{attempt: 2, purpose: 'retry', budgeted: false}]);
+	t.like(serverRequestsAfter([...chosen, {type: 'dispatch-denied', attempt: 2, reason: 'server-draining'}], plan), [{attempt: 3, purpose: 'retry', budgeted: false}]);
+	t.like(serverRequestsAfter([...begun, {type: 'server-draining', server: other}, {type: 'server-chosen', attempt: 2, server: other}], plan), [{attempt: 2, purpose: 'retry', budgeted: false}]);
 });
 
-test('a retry whose connection never opened draws on its budget once', t => {
+test('a retry whose connection never opened is charged to its budget once', t => {
 	const begun: readonly RequestEvent[] = [{type: 'admitted'}, {type: 'bill-opened'}, {type: 'server-chosen', attempt: 1, server}];
 	const cut: RequestEvent = {type: 'attempt-broken', attempt: 1, message: 'Cut'};
 	const chosen: RequestEvent = {type: 'server-chosen', attempt: 2, server: 'engine-2' as ServerId};
-	t.like(askedAfter([...begun, cut, chosen, {type: 'attempt-never-sent', attempt: 2}], {...plainPlan, repeatable: true}), [{attempt: 3, purpose: 'retry', budgeted: false}]);
+	t.like(serverRequestsAfter([...begun, cut, chosen, {type: 'attempt-never-sent', attempt: 2}], {...plainPlan, repeatable: true}), [{attempt: 3, purpose: 'retry', budgeted: false}]);
 });
 
 const waitingPlan: RequestPlan = {
@@ -133,7 +133,7 @@
 	};
 }
 
-/** The last step of a request with a plan that waits. */
+/** Returns the last step of a request that may wait for a server. */
 function lastStep(events: readonly RequestEvent[], now = 1) {
 	let step = startRequest(waitingPlan);
 	for (const event of events) {
@@ -143,38 +143,38 @@
 	return step;
 }
 
-test('a request without a server left waits where it may have run, and is refused at once where it did not or where it ran and failed', t => {
+test('without a server left, a request that may have run waits, and one that did not run or that failed is refused at once', t => {
 	const endOf = (event: RequestEvent): string => lastStep([...begunRequest, event, noServer(2)]).state.stage;
 	t.is(endOf(broken), 'waiting');
 	t.is(endOf({type: 'attempt-not-run', attempt: 1}), 'ended');
 	t.is(endOf({type: 'attempt-failed', attempt: 1, message: 'Failed'}), 'ended');
 });
 
-test('a request whose answer had begun without a first piece waits for a server', t => {
+test('a request that broke after its head and before its first piece waits for a server', t => {
 	const step = lastStep([...begunRequest, {type: 'attempt-head', attempt: 1}, broken, noServer(2)]);
 	t.is(step.state.stage, 'waiting');
 });
 
-test('a request that found no server after a wait asks again until its deadline', t => {
+test('a request that finds no server after a wait retries until its deadline', t => {
 	const comeBack: RequestEvent = {type: 'timer', timer: 'come-back'};
 	const waitedTwice = [...begunRequest, broken, noServer(2), comeBack, noServer(3), comeBack, noServer(4)];
 	t.is(lastStep(waitedTwice).state.stage, 'waiting');
 	t.is(lastStep(waitedTwice, waitingPlan.deadline).state.stage, 'ended');
 });
 
-test('a silent attempt is kept while no other server can take its place, and its answer goes on', t => {
+test('a stalled attempt stays open while no other server can replace it, and may continue', t => {
 	const silent: RequestEvent = {type: 'attempt-silent', attempt: 1};
 	const kept = lastStep([...begunRequest, silent, noServer(2)]);
 	t.is(kept.state.stage, 'running');
 	t.deepEqual(kept.actions, [{type: 'set-timer', timer: 'come-back', at: 51}]);
-	const goesOn = lastStep([...begunRequest, silent, noServer(2), {
+	const resumed = lastStep([...begunRequest, silent, noServer(2), {
 		type: 'attempt-piece', attempt: 1, offset: 0, length: 3, tokens: 1,
 	}, {type: 'timer', timer: 'come-back'}]);
-	t.is(goesOn.state.delivered, 3);
-	t.deepEqual(goesOn.actions, []);
+	t.is(resumed.state.delivered, 3);
+	t.deepEqual(resumed.actions, []);
 });
 
-test('a silent attempt is cancelled once another server delivers', t => {
+test('a stalled attempt is cancelled once another server delivers a piece', t => {
 	const step = lastStep([...begunRequest, {type: 'attempt-silent', attempt: 1}, {type: 'server-chosen', attempt: 2, server: 'engine-2' as ServerId}]);
 	t.like(step.actions, [{type: 'dispatch', attempt: 2}]);
 	const delivered = stepRequest(step.state, {
@@ -185,7 +185,7 @@
 	t.deepEqual(delivered.actions, [{type: 'cancel-attempt', attempt: 1}, {type: 'forward-piece', attempt: 2, offset: 0}]);
 });
 
-test('connections that never opened do not use up the attempts of a request that may have run', t => {
+test('connections that never opened do not count towards the attempt limit of a request that may have run', t => {
 	const events: RequestEvent[] = [...begunRequest, broken];
 	for (let attempt = 2; attempt < 6; attempt++) {
 		events.push({type: 'server-chosen', attempt, server: `engine-${attempt}` as ServerId}, {type: 'attempt-never-sent', attempt});
