--- a/packages/routing/src/request-life.test.ts
+++ b/packages/routing/src/request-life.test.ts
@@ -27,7 +27,7 @@
 	maximumAttempts: fc.integer({min: 1, max: 5}),
 	comeBackMilliseconds: fc.constantFrom(0, 20),
 	finishWithoutCaller: fc.boolean(),
-});
+} satisfies {readonly [Key in keyof RequestPlan]: fc.Arbitrary<RequestPlan[Key]>});
 
 test('a request keeps its invariants under random events', t => {
 	const endings = new Map<string, number>();
--- a/packages/routing/src/server-choice.test.ts
+++ b/packages/routing/src/server-choice.test.ts
@@ -33,7 +33,9 @@
 	}).map(({server}) => server).toMaybe().extract();
 }
 
-const anyServers = fc.array(fc.record({
+type Arbitraries<Type> = {readonly [Key in keyof Type]?: fc.Arbitrary<Type[Key]>};
+
+const serverMembers = {
 	zone: fc.constantFrom(...zones),
 	capacity: fc.integer({min: 1, max: 16}),
 	reportedActive: fc.nat(20),
@@ -44,8 +46,10 @@
 	expired: fc.boolean(),
 	ejected: fc.boolean(),
 	uptime: fc.nat(60_000),
-	isLoaded: fc.boolean(),
-}), {maxLength: 12, size: 'max'}).map(members => members.map(({isLoaded, ...rest}, index) => viewOf(index, {...rest, loaded: new Set(isLoaded ? [target] : [])})));
+} satisfies Arbitraries<ServerView>;
+
+const anyServers = fc.array(fc.record({...serverMembers, isLoaded: fc.boolean()}), {maxLength: 12, size: 'max'})
+	.map(servers => servers.map(({isLoaded, ...members}, index) => viewOf(index, {...members, loaded: new Set(isLoaded ? [target] : [])})));
 
 test('chooses only eligible servers, and finds one if there is any', t => {
 	const options = fc.record({prefix: fc.option(fc.nat(60_000_000), {nil: undefined}), draw: fc.double({min: 0, max: 0.999, noNaN: true}), excluded: fc.nat(11)});
