--- a/packages/routing/src/_handle-attempt-event.ts
+++ b/packages/routing/src/_handle-attempt-event.ts
@@ -75,14 +75,14 @@
 			handleConnectionLost(transition, {attempt, message});
 		})
 		.with({type: 'attempt-silent'}, () => {
-			handleSilence(transition, attempt);
+			handleStall(transition, attempt);
 		})
 		.exhaustive();
 }
 
 function handleServerChosen(transition: RequestTransition, {attempt, event: {server}}: AttemptWithEvent<'server-chosen'>): void {
 	const {draining, plan, stopping, freshConnection} = transition.state;
-	if (transition.permissionLost) {
+	if (transition.isTargetDisallowed) {
 		transition.removeAttempt(attempt.number);
 		abandonTarget(transition);
 		return;
@@ -273,7 +273,7 @@
 /**
 Handles a stalled attempt by requesting another server, as for a hedge. The connection stays open, since this attempt may be the only source of an answer once its server resumes.
 */
-function handleSilence(transition: RequestTransition, attempt: AttemptState): void {
+function handleStall(transition: RequestTransition, attempt: AttemptState): void {
 	transition.updateAttempt(attempt.number, {silent: true});
 	markServerTried(transition, attempt);
 	retryOrGiveUp(transition, {message: 'The server stopped sending data', retryAfterMilliseconds: defaultRetryAfterMilliseconds});
--- a/packages/routing/src/_handle-external-event.ts
+++ b/packages/routing/src/_handle-external-event.ts
@@ -64,7 +64,7 @@
 		return;
 	}
 
-	if (stage !== 'running' || !plan.repeatable || hedged || transition.permissionLost || stopping || !hasAttemptsLeft(transition)) {
+	if (stage !== 'running' || !plan.repeatable || hedged || transition.isTargetDisallowed || stopping || !hasAttemptsLeft(transition)) {
 		return;
 	}
 
@@ -84,7 +84,7 @@
 function handlePermissionLost(transition: RequestTransition, target: RequestTarget): void {
 	const {plan, stage} = transition.state;
 	transition.disallowTarget(target);
-	if (!transition.permissionLost) {
+	if (!transition.isTargetDisallowed) {
 		return;
 	}
 
@@ -115,6 +115,7 @@
 	endRequest(transition, {outcome: 'cancelled'});
 }
 
+/** Completes the answer once the bill is settled. */
 function finishAnswer(transition: RequestTransition): void {
 	const {stage, leader} = transition.state;
 	if (stage !== 'settling' || leader === undefined) {
--- a/packages/routing/src/_handle-preparation-event.ts
+++ b/packages/routing/src/_handle-preparation-event.ts
@@ -56,7 +56,7 @@
 
 function handleVersionChosen(transition: RequestTransition, {target, judged}: {readonly target: RequestTarget; readonly judged: boolean}): void {
 	transition.update({target, judged: judged && transition.state.plan.repeatable});
-	if (transition.permissionLost) {
+	if (transition.isTargetDisallowed) {
 		refuseRequest(transition, failure('no-server', 'No version accepts new requests', {retryAfterMilliseconds: defaultRetryAfterMilliseconds}));
 		return;
 	}
--- a/packages/routing/src/_request-transition.ts
+++ b/packages/routing/src/_request-transition.ts
@@ -36,7 +36,7 @@
 	}
 
 	/** Whether new attempts on the current target are disallowed. */
-	get permissionLost(): boolean {
+	get isTargetDisallowed(): boolean {
 		const {lost, target} = this.#state;
 		return lost.some(other => isSameTarget(other, target));
 	}
--- a/packages/routing/src/_start-attempt.ts
+++ b/packages/routing/src/_start-attempt.ts
@@ -19,7 +19,7 @@
 */
 export function startAttempt(transition: RequestTransition, purpose: AttemptPurpose, {budgeted = true}: StartAttemptOptions = {}): void {
 	transition.update({stage: 'running'});
-	if (transition.permissionLost) {
+	if (transition.isTargetDisallowed) {
 		abandonTarget(transition);
 		return;
 	}
@@ -90,7 +90,7 @@
 		return;
 	}
 
-	if (transition.permissionLost) {
+	if (transition.isTargetDisallowed) {
 		abandonTarget(transition);
 		return;
 	}
@@ -117,18 +117,18 @@
 	}
 
 	const {plan, comingBack, stopping} = transition.state;
-	const hasLive = transition.liveAttempts.length > 0;
+	const hasLiveAttempt = transition.liveAttempts.length > 0;
 	const wait = Math.min(plan.comeBackMilliseconds ?? 0, options.retryAfterMilliseconds);
 	const fitsDeadline = wait > 0 && transition.now + wait < plan.deadline;
 	if (!fitsDeadline || stopping || !isWorthWaiting(transition) || !mayRetry(transition)) {
-		if (!hasLive) {
+		if (!hasLiveAttempt) {
 			giveUp(transition, options);
 		}
 
 		return;
 	}
 
-	transition.update({stage: hasLive ? 'running' : 'waiting'});
+	transition.update({stage: hasLiveAttempt ? 'running' : 'waiting'});
 	if (!comingBack) {
 		transition.update({comingBack: true});
 		transition.emit({type: 'set-timer', timer: 'come-back', at: transition.now + wait});
@@ -201,7 +201,7 @@
 	return attemptCount < maximumAttemptsOf(plan);
 }
 
-/** Limits how many unreachable servers are tried before the request waits or is refused. */
+/** Tells whether as many connections have failed to open as the attempt limit allows, which bounds how many unreachable servers are tried before the request waits or is refused. */
 function hasReachedConnectionLimit({state: {plan, unreachable}}: RequestTransition): boolean {
 	return unreachable >= maximumAttemptsOf(plan);
 }
--- a/packages/routing/src/admission.test.ts
+++ b/packages/routing/src/admission.test.ts
@@ -18,7 +18,7 @@
 }
 
 /** A reference implementation of start-time fair queueing that scans all requests at each step. */
-class NaiveAdmission {
+class ReferenceAdmission {
 	readonly admitted = new Map<RequestId, AdmissionRequest>();
 	#waiting: AdmissionRequest[] = [];
 	readonly #next = new Map<WorkspaceId, number>();
@@ -89,7 +89,7 @@
 	}
 }
 
-test('admits in the same order as a naive fair queue', t => {
+test('admits in the same order as the reference implementation', t => {
 	const step = fc.record({
 		kind: fc.constantFrom('offer', 'offer', 'release', 'leave'),
 		workspace: fc.nat(4),
@@ -99,7 +99,7 @@
 	});
 	fc.assert(fc.property(fc.array(step, {maxLength: 120, size: 'max'}), steps => {
 		const admission = new Admission({capacity: 500, maximumWaiting: 100_000});
-		const naive = new NaiveAdmission(500);
+		const reference = new ReferenceAdmission(500);
 		// Irrational weights keep start times from being equal by chance.
 		const weights = [1, Math.SQRT2, Math.E, Math.PI, Math.sqrt(7)];
 		for (const [id, {kind, workspace, priority, cost, pick}] of steps.entries()) {
@@ -108,12 +108,12 @@
 					workspace: workspaceOf(workspace), weight: weights[workspace]!, priority, cost: cost + (id / 1009),
 				});
 				const answer = admission.offer(request, id);
-				t.is(naive.offer(request).length > 0, answer.type === 'admitted');
+				t.is(reference.offer(request).length > 0, answer.type === 'admitted');
 			} else if (kind === 'leave') {
-				t.deepEqual(admission.leave(toId(`r${pick}`)), naive.admitted.has(toId(`r${pick}`)) ? [] : naive.leave(toId(`r${pick}`)));
+				t.deepEqual(admission.leave(toId(`r${pick}`)), reference.admitted.has(toId(`r${pick}`)) ? [] : reference.leave(toId(`r${pick}`)));
 			} else {
-				const released = [...naive.admitted.keys()][pick % Math.max(1, naive.admitted.size)] ?? toId<RequestId>('none');
-				t.deepEqual(admission.release(released, {tokens: cost, now: id}), naive.release(released, cost));
+				const released = [...reference.admitted.keys()][pick % Math.max(1, reference.admitted.size)] ?? toId<RequestId>('none');
+				t.deepEqual(admission.release(released, {tokens: cost, now: id}), reference.release(released, cost));
 			}
 		}
 	}), {seed, numRuns: 500, includeErrorInReport: true});
--- a/packages/routing/src/decision-ring.ts
+++ b/packages/routing/src/decision-ring.ts
@@ -103,8 +103,8 @@
 
 		const others = record.attempts.filter(({attempt}) => attempt !== decision.attempt);
 		if (others.length < this.#maximumEntries) {
-			const kept = {...decision, servers: decision.servers.slice(0, this.#maximumEntries)};
-			this.#records.set(request, {...record, attempts: [...others, kept]});
+			const limited = {...decision, servers: decision.servers.slice(0, this.#maximumEntries)};
+			this.#records.set(request, {...record, attempts: [...others, limited]});
 		}
 	}
 
--- a/packages/routing/src/request-state.ts
+++ b/packages/routing/src/request-state.ts
@@ -53,7 +53,7 @@
 	readonly draining: readonly ServerId[];
 	/** Servers on which an attempt failed or stalled; they become eligible again after a wait. */
 	readonly tried: readonly ServerId[];
-	/** Whether further attempts open new connections, since a reused connection broke under the request. */
+	/** Whether further attempts open new connections, since a reused connection broke during the request. */
 	readonly freshConnection: boolean;
 	/** The number of the attempt that provides the answer; undefined until its first piece is forwarded or it completes. */
 	readonly leader: number | undefined;
--- a/packages/routing/src/server-choice.ts
+++ b/packages/routing/src/server-choice.ts
@@ -148,10 +148,10 @@
 
 /** Draws a random server with a probability proportional to its capacity. */
 function sampleByCapacity(pool: readonly Candidate[], random: RandomSource): Candidate {
-	let left = random() * totalCapacity(pool);
+	let remaining = random() * totalCapacity(pool);
 	for (const candidate of pool) {
-		left -= candidate.capacity;
-		if (left < 0) {
+		remaining -= candidate.capacity;
+		if (remaining < 0) {
 			return candidate;
 		}
 	}
