--- a/packages/routing/src/request-life.test.ts
+++ b/packages/routing/src/request-life.test.ts
@@ -79,13 +79,13 @@
 
 test('after a reused connection broke, the next attempt opens a new connection to any server and is not charged to the retry budget', t => {
 	const plan = {...plainPlan, repeatable: true};
-	const begun: readonly RequestEvent[] = [{type: 'admitted'}, {type: 'bill-opened'}, {type: 'server-chosen', attempt: 1, server}];
+	const started: readonly RequestEvent[] = [{type: 'admitted'}, {type: 'bill-opened'}, {type: 'server-chosen', attempt: 1, server}];
 	const lost: RequestEvent = {type: 'attempt-connection-lost', attempt: 1, message: 'Closed'};
-	t.like(serverRequestsAfter([...begun, lost], plan), [{
+	t.like(serverRequestsAfter([...started, lost], plan), [{
 		attempt: 2, purpose: 'first', excluded: [], budgeted: false,
 	}]);
 	let step = startRequest(plan);
-	for (const event of [...begun, lost, {type: 'server-chosen', attempt: 2, server} as const]) {
+	for (const event of [...started, lost, {type: 'server-chosen', attempt: 2, server} as const]) {
 		step = stepRequest(step.state, {event, now: 1});
 	}
 
@@ -105,26 +105,26 @@
 test('a retry whose server is shutting down is charged to its budget once', t => {
 	const plan = {...plainPlan, repeatable: true};
 	const other = 'engine-2' as ServerId;
-	const begun: readonly RequestEvent[] = [
+	const started: readonly RequestEvent[] = [
 		{type: 'admitted'}, {type: 'bill-opened'}, {type: 'server-chosen', attempt: 1, server}, {type: 'attempt-broken', attempt: 1, message: 'Cut'},
 	];
-	t.like(serverRequestsAfter(begun, plan), [{attempt: 2, purpose: 'retry', budgeted: true}]);
-	const chosen = [...begun, {type: 'server-chosen', attempt: 2, server: other}] as const;
+	t.like(serverRequestsAfter(started, plan), [{attempt: 2, purpose: 'retry', budgeted: true}]);
+	const chosen = [...started, {type: 'server-chosen', attempt: 2, server: other}] as const;
 	t.like(serverRequestsAfter([...chosen, {type: 'dispatch-denied', attempt: 2, reason: 'server-draining'}], plan), [{attempt: 3, purpose: 'retry', budgeted: false}]);
-	t.like(serverRequestsAfter([...begun, {type: 'server-draining', server: other}, {type: 'server-chosen', attempt: 2, server: other}], plan), [{attempt: 2, purpose: 'retry', budgeted: false}]);
+	t.like(serverRequestsAfter([...started, {type: 'server-draining', server: other}, {type: 'server-chosen', attempt: 2, server: other}], plan), [{attempt: 2, purpose: 'retry', budgeted: false}]);
 });
 
 test('a retry whose connection never opened is charged to its budget once', t => {
-	const begun: readonly RequestEvent[] = [{type: 'admitted'}, {type: 'bill-opened'}, {type: 'server-chosen', attempt: 1, server}];
+	const started: readonly RequestEvent[] = [{type: 'admitted'}, {type: 'bill-opened'}, {type: 'server-chosen', attempt: 1, server}];
 	const cut: RequestEvent = {type: 'attempt-broken', attempt: 1, message: 'Cut'};
 	const chosen: RequestEvent = {type: 'server-chosen', attempt: 2, server: 'engine-2' as ServerId};
-	t.like(serverRequestsAfter([...begun, cut, chosen, {type: 'attempt-never-sent', attempt: 2}], {...plainPlan, repeatable: true}), [{attempt: 3, purpose: 'retry', budgeted: false}]);
+	t.like(serverRequestsAfter([...started, cut, chosen, {type: 'attempt-never-sent', attempt: 2}], {...plainPlan, repeatable: true}), [{attempt: 3, purpose: 'retry', budgeted: false}]);
 });
 
 const waitingPlan: RequestPlan = {
 	...plainPlan, repeatable: true, streamed: true, comeBackMilliseconds: 50,
 };
-const begunRequest: readonly RequestEvent[] = [{type: 'admitted'}, {type: 'bill-opened'}, {type: 'server-chosen', attempt: 1, server}];
+const startedRequest: readonly RequestEvent[] = [{type: 'admitted'}, {type: 'bill-opened'}, {type: 'server-chosen', attempt: 1, server}];
 const broken: RequestEvent = {type: 'attempt-broken', attempt: 1, message: 'Cut'};
 
 function noServer(attempt: number): RequestEvent {
@@ -144,30 +144,30 @@
 }
 
 test('without a server left, a request that may have run waits, and one that did not run or that failed is refused at once', t => {
-	const endOf = (event: RequestEvent): string => lastStep([...begunRequest, event, noServer(2)]).state.stage;
+	const endOf = (event: RequestEvent): string => lastStep([...startedRequest, event, noServer(2)]).state.stage;
 	t.is(endOf(broken), 'waiting');
 	t.is(endOf({type: 'attempt-not-run', attempt: 1}), 'ended');
 	t.is(endOf({type: 'attempt-failed', attempt: 1, message: 'Failed'}), 'ended');
 });
 
 test('a request that broke after its head and before its first piece waits for a server', t => {
-	const step = lastStep([...begunRequest, {type: 'attempt-head', attempt: 1}, broken, noServer(2)]);
+	const step = lastStep([...startedRequest, {type: 'attempt-head', attempt: 1}, broken, noServer(2)]);
 	t.is(step.state.stage, 'waiting');
 });
 
 test('a request that finds no server after a wait retries until its deadline', t => {
 	const comeBack: RequestEvent = {type: 'timer', timer: 'come-back'};
-	const waitedTwice = [...begunRequest, broken, noServer(2), comeBack, noServer(3), comeBack, noServer(4)];
+	const waitedTwice = [...startedRequest, broken, noServer(2), comeBack, noServer(3), comeBack, noServer(4)];
 	t.is(lastStep(waitedTwice).state.stage, 'waiting');
 	t.is(lastStep(waitedTwice, waitingPlan.deadline).state.stage, 'ended');
 });
 
 test('a stalled attempt stays open while no other server can replace it, and may continue', t => {
 	const silent: RequestEvent = {type: 'attempt-silent', attempt: 1};
-	const kept = lastStep([...begunRequest, silent, noServer(2)]);
+	const kept = lastStep([...startedRequest, silent, noServer(2)]);
 	t.is(kept.state.stage, 'running');
 	t.deepEqual(kept.actions, [{type: 'set-timer', timer: 'come-back', at: 51}]);
-	const resumed = lastStep([...begunRequest, silent, noServer(2), {
+	const resumed = lastStep([...startedRequest, silent, noServer(2), {
 		type: 'attempt-piece', attempt: 1, offset: 0, length: 3, tokens: 1,
 	}, {type: 'timer', timer: 'come-back'}]);
 	t.is(resumed.state.delivered, 3);
@@ -175,7 +175,7 @@
 });
 
 test('a stalled attempt is cancelled once another server delivers a piece', t => {
-	const step = lastStep([...begunRequest, {type: 'attempt-silent', attempt: 1}, {type: 'server-chosen', attempt: 2, server: 'engine-2' as ServerId}]);
+	const step = lastStep([...startedRequest, {type: 'attempt-silent', attempt: 1}, {type: 'server-chosen', attempt: 2, server: 'engine-2' as ServerId}]);
 	t.like(step.actions, [{type: 'dispatch', attempt: 2}]);
 	const delivered = stepRequest(step.state, {
 		event: {
@@ -186,7 +186,7 @@
 });
 
 test('connections that never opened do not count towards the attempt limit of a request that may have run', t => {
-	const events: RequestEvent[] = [...begunRequest, broken];
+	const events: RequestEvent[] = [...startedRequest, broken];
 	for (let attempt = 2; attempt < 6; attempt++) {
 		events.push({type: 'server-chosen', attempt, server: `engine-${attempt}` as ServerId}, {type: 'attempt-never-sent', attempt});
 	}
