--- a/packages/gateway/src/control/control-group-options.ts
+++ b/packages/gateway/src/control/control-group-options.ts
@@ -7,7 +7,7 @@
 import {type GatewayAnswer, type GatewayCommand} from './gateway-command.js';
 import {type JoinMessage, type JoinReply, type ReplicaEnvelope} from './peer-message.js';
 
-/** What a replica of the group needs. */
+/** Options of a control replica. */
 export type ControlGroupOptions = {
 	readonly self: InstanceId;
 	readonly folder: DataFolder;
@@ -15,20 +15,20 @@
 	readonly suspension: Pick<SuspensionWatch, 'lastWake'>;
 	readonly random: RandomSource;
 	readonly log: DecisionLog;
-	/** The last time at which a former run of the replica can have acknowledged a lease, in milliseconds on the monotonic clock. */
+	/** The latest time at which a previous run of the replica may have acknowledged a lease, in milliseconds on the monotonic clock. */
 	readonly lastAcknowledgedAt: number;
-	/** Whether the whole system starts for the first time; only then a group may be founded. */
+	/** Whether the whole system starts for the first time; a group may be bootstrapped only then. */
 	readonly isFounding: boolean;
-	/** The instances that found the group together. */
+	/** The instances that form the initial group. */
 	readonly founders: readonly InstanceId[];
-	/** All control instances that are known now. */
+	/** All control instances that are currently known. */
 	readonly peers: () => readonly InstanceId[];
-	/** Sends a message between replicas; it may be lost. */
+	/** Sends a message to another replica; delivery is not guaranteed. */
 	readonly send: (to: InstanceId, envelope: ReplicaEnvelope) => void;
-	/** Asks another control instance; undefined where no reply came. */
+	/** Sends a join request to another control instance; resolves to `undefined` if no reply arrives. */
 	readonly join: (to: InstanceId, message: JoinMessage) => Promise<JoinReply | undefined>;
-	/** Told of each command that is applied here. */
+	/** Called after each command is applied locally. */
 	readonly onApplied: (applied: Applied<GatewayCommand, GatewayAnswer>) => void;
-	/** Told once why the replica stopped. */
+	/** Called once, with the reason, when the replica stops because of a failure. */
 	readonly onFailure: (failed: Failure) => void;
 };
--- a/packages/gateway/src/control/control-group.ts
+++ b/packages/gateway/src/control/control-group.ts
@@ -18,27 +18,27 @@
 import {JoiningReplicas} from './joining-replicas.js';
 import {type JoinMessage, type JoinReply, type ReplicaEnvelope} from './peer-message.js';
 
-/** A third of the heartbeat interval, so that a heartbeat is late by no more than that. */
+/** A third of the heartbeat interval, so that a heartbeat is sent at most one tick late. */
 const tickMilliseconds = 25;
-const searchMilliseconds = 250;
-/** Time to commit one command; the caller's own timeout is a second. */
-const commitMilliseconds = 900;
+const joinMilliseconds = 250;
+/** The time allowed to commit a command; callers time out after one second. */
+const commitTimeoutMilliseconds = 900;
 const retryMilliseconds = 300;
-/** A voter that heard from no leader for this long may have been removed, and asks to be taken in again. */
-const orphanedMilliseconds = 3000;
-/** Log since the last snapshot after which the next is taken, against a disk of some 100 MB. */
+/** A voter that has not heard from a leader for this long may have been removed from the group, and requests to rejoin. */
+const rejoinMilliseconds = 3000;
+/** The size of the log since the last snapshot at which the next one is taken; bounds the log for disks of about 100 MB. */
 const snapshotBytes = 2_000_000;
 const snapshotEntries = 400;
 const seedRange = 2 ** 31;
 
 /**
-One replica of the gateway's state, with the search for its group and the care for its members.
+A replica of the gateway's state. It bootstraps or joins its group, and manages the group membership while it is the leader.
 
 @example
 ```ts
-const group = new ControlGroup(options);
-group.start();
-await group.propose({type: 'put-configuration', version: 1, document: '{}'});
+const replica = new ControlReplica(options);
+replica.start();
+await replica.propose({type: 'put-configuration', version: 1, document: '{}'});
 ```
 */
 export class ControlGroup {
@@ -46,13 +46,13 @@
 	readonly #self: ReplicaId;
 	readonly #machine: StateMachine<GatewayCommand, GatewayAnswer, GatewayState>;
 	readonly #driver: ReplicaDriver;
-	readonly #steps = new StepWaiters();
+	readonly #stepNotifier = new StepWaiters();
 	readonly #joining = new JoiningReplicas();
 	#timers: NodeJS.Timeout[] = [];
 	#lastLeader: ReplicaId | undefined;
-	#proposals = 0;
-	#hasBegun = false;
-	#isSearching = false;
+	#proposalCount = 0;
+	#isBootstrapped = false;
+	#isRequestingToJoin = false;
 	#isStopped = false;
 
 	constructor(options: ControlGroupOptions) {
@@ -65,7 +65,7 @@
 			decode: decodeGatewayCommand,
 			onApplied: options.onApplied,
 			onReplicas: replicas => {
-				this.#noteReplicas(replicas);
+				this.#logReplicas(replicas);
 			},
 		});
 		if (snapshot !== undefined) {
@@ -87,17 +87,17 @@
 				this.#machine.apply(actions);
 			},
 			onStepped: state => {
-				this.#stepped(state);
+				this.#handleStep(state);
 			},
 			onFailure: failed => {
 				this.#isStopped = true;
-				this.#steps.wake();
+				this.#stepNotifier.wake();
 				options.onFailure(failed);
 			},
 		});
 	}
 
-	/** The state as far as it is applied here. */
+	/** The state up to the last locally applied entry. */
 	get state(): GatewayState {
 		return this.#machine.state;
 	}
@@ -107,32 +107,32 @@
 		return this.#machine.appliedIndex;
 	}
 
-	/** The instance of the leader that this replica knows of. */
+	/** The instance of the leader that this replica knows, if any. */
 	get leader(): InstanceId | undefined {
 		const leader = this.#isStopped ? undefined : knownLeader(this.#driver.state);
 		return leader === undefined ? undefined : toId<InstanceId>(instanceOf(leader));
 	}
 
-	/** The instances of all replicas in the log. */
+	/** The instances of all members of the group, voters and learners. */
 	get members(): readonly InstanceId[] {
 		const {voters, learners} = this.#driver.state.replicas ?? {voters: [], learners: []};
 		return [...voters, ...learners].map(replica => toId<InstanceId>(instanceOf(replica)));
 	}
 
-	/** Starts the ticks and the search for the group. */
+	/** Starts the tick timer and the requests to join a group. */
 	start(): void {
 		this.#timers = [
 			setInterval(() => {
 				this.#tick();
 			}, tickMilliseconds),
 			setInterval(() => {
-				void this.#search();
-			}, searchMilliseconds),
+				void this.#requestToJoin();
+			}, joinMilliseconds),
 		];
-		void this.#search();
+		void this.#requestToJoin();
 	}
 
-	/** Stops the replica once its steps in progress are on the disk, and closes the folder. */
+	/** Stops the replica after its steps in progress are written to disk, and closes the data folder. */
 	async stop(): Promise<void> {
 		this.#isStopped = true;
 		for (const timer of this.#timers) {
@@ -140,37 +140,37 @@
 		}
 
 		await this.#driver.stop();
-		this.#steps.wake();
+		this.#stepNotifier.wake();
 		await this.#options.folder.close();
 	}
 
-	/** The index that was committed at the time of the call; undefined where this replica holds no valid lease. */
+	/** The commit index at the time of the call, or `undefined` if this replica holds no valid leader lease. */
 	confirmedIndex(): number | undefined {
 		const {clock, suspension} = this.#options;
-		// A leader that was suspended may have been replaced: one round of heartbeats shows it.
+		// A leader may have been replaced while its machine was suspended; its lease counts again only after a heartbeat round since then.
 		return this.#isStopped ? undefined : readIndex(this.#driver.state, clock.monotonic(), {validSince: suspension.lastWake()});
 	}
 
 	/**
-	Waits until an index is applied here.
+	Waits until an index is applied locally.
 
 	@param index The index.
-	@param until Milliseconds on the monotonic clock after which to give up.
-	@returns Whether it is applied.
+	@param deadline The time after which to give up, in milliseconds on the monotonic clock.
+	@returns Whether the index is applied.
 	*/
-	async applied(index: number, until: number): Promise<boolean> {
-		while (!this.#isStopped && this.#machine.appliedIndex < index && this.#options.clock.monotonic() < until) {
-			await this.#steps.next();
+	async applied(index: number, deadline: number): Promise<boolean> {
+		while (!this.#isStopped && this.#machine.appliedIndex < index && this.#options.clock.monotonic() < deadline) {
+			await this.#stepNotifier.next();
 		}
 
 		return this.#machine.appliedIndex >= index;
 	}
 
 	/**
-	Has a command committed and applied, where this replica leads.
+	Proposes a command and waits until it is committed and applied; this replica must be the leader.
 
 	@param command The command.
-	@returns What it gave; a failure `no-quorum` says with its outcome whether it may still be committed.
+	@returns The result; the `outcome` of a `no-quorum` failure says whether the command may still be committed.
 	*/
 	async propose(command: GatewayCommand): Promise<Either<Failure, GatewayAnswer>> {
 		const confirmedIndex = this.confirmedIndex();
@@ -179,26 +179,26 @@
 		}
 
 		// Operators send a change again that was committed late; with a slow disk another entry would be late as well.
-		const known = this.#machine.appliedIndex >= confirmedIndex ? this.state.answerOf(command) : undefined;
-		if (known !== undefined) {
-			return Right(known);
+		const unchanged = this.#machine.appliedIndex >= confirmedIndex ? this.state.answerOf(command) : undefined;
+		if (unchanged !== undefined) {
+			return Right(unchanged);
 		}
 
-		const proposalId = String(++this.#proposals);
+		const proposalId = String(++this.#proposalCount);
 		const result = this.#machine.resultOf(proposalId);
 		this.#driver.push({type: 'propose', proposals: [{proposalId, data: encodeGatewayCommand(command)}]});
 		const timer = setTimeout(() => {
-			this.#machine.giveUp(proposalId, failure('no-quorum', `Got no quorum in ${commitMilliseconds} ms, wanted the command committed`, {
+			this.#machine.giveUp(proposalId, failure('no-quorum', `The command was not committed by a quorum within ${commitTimeoutMilliseconds} ms; it may still be committed`, {
 				outcome: 'unknown', retryAfterMilliseconds: retryMilliseconds,
 			}));
-		}, commitMilliseconds);
+		}, commitTimeoutMilliseconds);
 		const settled = await result;
 		clearTimeout(timer);
 		return settled;
 	}
 
 	/**
-	Takes a message of another replica; one to a former identity of this instance is dropped.
+	Handles a message from another replica; drops it if it is addressed to a former identity of this instance.
 
 	@param envelope The message.
 	*/
@@ -209,10 +209,10 @@
 	}
 
 	/**
-	Answers a replica that looks for its group, and remembers that it is there.
+	Handles a join request, and records that the requesting replica is waiting.
 
-	@param message Who asks.
-	@returns What this replica is.
+	@param message The join request.
+	@returns The state of this replica.
 	*/
 	join({replica, isFounding}: JoinMessage): JoinReply {
 		this.#joining.note({replica, isFounding}, this.#options.clock.monotonic());
@@ -227,7 +227,7 @@
 
 	#isEmpty(): boolean {
 		const {replicas, hardState, log} = this.#driver.state;
-		return replicas === undefined && hardState.term === 0 && log.entries.length === 0 && !this.#hasBegun;
+		return replicas === undefined && hardState.term === 0 && log.entries.length === 0 && !this.#isBootstrapped;
 	}
 
 	#tick(): void {
@@ -244,27 +244,27 @@
 		}
 	}
 
-	/** Asks the others until this replica has a vote and hears from a leader. */
-	async #search(): Promise<void> {
-		if (this.#isSearching || this.#isStopped || !this.#isWithoutGroup()) {
+	/** Sends join requests to the other instances if this replica is not a voter, or is one that has lost contact with the leader. */
+	async #requestToJoin(): Promise<void> {
+		if (this.#isRequestingToJoin || this.#isStopped || !this.#needsToJoin()) {
 			return;
 		}
 
-		this.#isSearching = true;
+		this.#isRequestingToJoin = true;
 		const {self, peers, join, isFounding, founders} = this.#options;
 		const others = peers().filter(peer => peer !== self);
 		const replies = await Promise.all(others.map(async peer => join(peer, {type: 'join', replica: this.#self, isFounding})));
-		this.#isSearching = false;
-		const found = replies.flatMap(reply => reply === undefined ? [] : [reply]);
+		this.#isRequestingToJoin = false;
+		const received = replies.flatMap(reply => reply === undefined ? [] : [reply]);
 		if (this.#isStopped || this.#driver.state.replicas !== undefined) {
 			return;
 		}
 
 		const initial = foundGroup({
-			self, replica: this.#self, isFounding: isFounding && this.#isEmpty(), founders, replies: found,
+			self, replica: this.#self, isFounding: isFounding && this.#isEmpty(), founders, replies: received,
 		});
 		if (initial !== undefined) {
-			this.#hasBegun = true;
+			this.#isBootstrapped = true;
 			this.#driver.push({
 				type: 'begin-group', initial: {
 					lastIndex: 0, lastTerm: 0, replicas: initial, data: new Uint8Array(),
@@ -273,17 +273,17 @@
 		}
 	}
 
-	#isWithoutGroup(): boolean {
+	#needsToJoin(): boolean {
 		const {replicas, lastContact, role} = this.#driver.state;
 		if (replicas?.voters.includes(this.#self) !== true) {
 			return true;
 		}
 
-		return role.type !== 'leader' && this.#options.clock.monotonic() - lastContact >= orphanedMilliseconds;
+		return role.type !== 'leader' && this.#options.clock.monotonic() - lastContact >= rejoinMilliseconds;
 	}
 
-	#stepped(state: ReplicaState): void {
-		this.#steps.wake();
+	#handleStep(state: ReplicaState): void {
+		this.#stepNotifier.wake();
 		const leader = knownLeader(state);
 		if (leader !== this.#lastLeader) {
 			this.#lastLeader = leader;
@@ -299,7 +299,7 @@
 		}
 	}
 
-	#noteReplicas({voters, learners}: ReplicaSet): void {
+	#logReplicas({voters, learners}: ReplicaSet): void {
 		this.#options.log('membership-changed', {voters, learners, index: this.#machine.appliedIndex});
 	}
 }
--- a/packages/gateway/src/control/control-instance-options.ts
+++ b/packages/gateway/src/control/control-instance-options.ts
@@ -10,7 +10,7 @@
 import {type ServerRecord} from '../servers/server-record.js';
 import {type PeerMessage} from './peer-message.js';
 
-/** What a control instance needs. */
+/** Options of a control instance. */
 export type ControlInstanceOptions = {
 	readonly self: InstanceId;
 	readonly clock: Clock;
@@ -18,22 +18,22 @@
 	readonly log: DecisionLog;
 	readonly metrics: GatewayMetrics;
 	readonly isFounding: boolean;
-	/** The control instances that the settings name. */
+	/** The control instances listed in the settings. */
 	readonly seeds: () => readonly InstanceId[];
-	/** The time between two announcements of a backend server, in milliseconds. */
+	/** The interval between announcements of a backend server, in milliseconds. */
 	readonly heartbeatMilliseconds: number;
-	/** Opens the data folder; asked again after a failure of the disk. */
+	/** Opens the data folder; called again after a disk failure. */
 	readonly openFolder: () => Promise<Either<Failure, DataFolder>>;
-	/** Where the backend servers are saved for the next run. */
+	/** Stores the backend servers for the next run. */
 	readonly savedServers: SavedList<ServerRecord>;
-	/** Where the requests that end servers are saved for the next run. */
+	/** Stores the requests suspected of crashing servers for the next run. */
 	readonly savedSuspects: SavedList<SuspectRecord>;
-	/** Sends a message that wants no reply. */
+	/** Sends a message without waiting for a reply. */
 	readonly send: (to: InstanceId, message: PeerMessage) => void;
-	/** Asks another instance; undefined where no reply came within the timeout in milliseconds. */
+	/** Sends a request to another instance; resolves to `undefined` if no reply arrives within the timeout in milliseconds. */
 	readonly ask: (to: InstanceId, message: PeerMessage, timeout: number) => Promise<unknown>;
-	/** Names this run of the process. */
+	/** Identifies this run of the process. */
 	readonly run: string;
-	/** When this process started, in milliseconds on the monotonic clock; a former run acknowledged nothing after that. */
+	/** When this process started, in milliseconds on the monotonic clock; a previous run acknowledged nothing after this time. */
 	readonly processStartedAt: number;
 };
--- a/packages/gateway/src/control/control-instance.ts
+++ b/packages/gateway/src/control/control-instance.ts
@@ -22,14 +22,14 @@
 import {StateConfirmation} from './state-confirmation.js';
 import {type LiftedQuarantine, type ListedSuspect, SuspectNews} from './suspect-news.js';
 
-/** The time between two questions to the leader about what is newest. */
+/** The interval between confirmations of the state by the leader. */
 const confirmMilliseconds = 200;
 const joinTimeoutMilliseconds = 400;
-/** The time between two looks at the running roll-outs. */
-const judgeMilliseconds = 150;
+/** The interval between evaluations of the running rollouts. */
+const rolloutMilliseconds = 150;
 
 /**
-One control instance: its replica of the gateway's state, the directory of backend servers, and the answers to operators, backend servers and entry instances.
+A control instance: holds a replica of the gateway's state and the directory of backend servers, and serves operators, backend servers and entry instances.
 
 @example
 ```ts
@@ -39,54 +39,54 @@
 ```
 */
 export class ControlInstance {
-	/** What operators ask for. */
+	/** Serves the requests of operators. */
 	readonly operators: OperatorCalls;
 	readonly #options: ControlInstanceOptions;
 	readonly #suspension: SuspensionWatch;
-	readonly #news: ServerNews;
-	readonly #suspects: SuspectNews;
+	readonly #serverSync: ServerNews;
+	readonly #suspectSync: SuspectNews;
 	readonly #rolloutClock: RolloutClock;
 	readonly #evidence = new EvidenceTable();
-	readonly #learned = new Set<InstanceId>();
+	readonly #discovered = new Set<InstanceId>();
 	readonly #leader: LeaderClient;
 	readonly #watches: EntryWatches;
-	readonly #judge: RolloutJudge;
-	readonly #holder: ReopeningGroup;
+	readonly #rolloutController: RolloutJudge;
+	readonly #supervisor: ReopeningGroup;
 	readonly #confirmation: StateConfirmation;
 	#timers: NodeJS.Timeout[] = [];
 
 	constructor(options: ControlInstanceOptions) {
 		this.#options = options;
 		this.#suspension = new SuspensionWatch(options.clock);
-		this.#holder = new ReopeningGroup({
+		this.#supervisor = new ReopeningGroup({
 			...options,
-			createGroup: opened => this.#createGroup(opened),
+			createGroup: opened => this.#createReplica(opened),
 			onLost: () => {
 				this.#confirmation.forget();
 			},
 		});
 		this.#rolloutClock = new RolloutClock(options.clock);
-		this.#news = new ServerNews({
+		this.#serverSync = new ServerNews({
 			...options,
 			saved: options.savedServers,
-			others: () => this.#others(),
+			others: () => this.#peers(),
 			onChange: () => {
 				this.#watches.wake();
 			},
 		});
-		this.#suspects = new SuspectNews({
+		this.#suspectSync = new SuspectNews({
 			...options,
 			saved: options.savedSuspects,
-			others: () => this.#others(),
+			others: () => this.#peers(),
 			onChange: () => {
 				this.#watches.wake();
 			},
 		});
-		this.#leader = new LeaderClient({...options, group: () => this.#group, evidence: () => this.#neededEvidence()});
+		this.#leader = new LeaderClient({...options, group: () => this.#replica, evidence: () => this.#rolloutEvidence()});
 		this.#confirmation = new StateConfirmation({
 			clock: options.clock,
 			suspension: this.#suspension,
-			group: () => this.#group,
+			group: () => this.#replica,
 			newestIndex: async () => this.#leader.newestIndex(),
 			onRegained: () => {
 				this.#watches.wake();
@@ -94,61 +94,61 @@
 		});
 		this.operators = new OperatorCalls({...options, leader: this.#leader, confirmation: this.#confirmation});
 		this.#watches = new EntryWatches({
-			...options, directory: this.#news.directory, suspects: this.#suspects.book, news: () => this.#entryNews(),
+			...options, directory: this.#serverSync.directory, suspects: this.#suspectSync.book, news: () => this.#entryUpdate(),
 		});
-		this.#judge = new RolloutJudge({
+		this.#rolloutController = new RolloutJudge({
 			log: options.log,
 			evidence: this.#evidence,
-			rollouts: () => this.#group?.confirmedIndex() === undefined ? [] : this.#rolloutClock.running(this.#group.state.rollouts),
+			rollouts: () => this.#replica?.confirmedIndex() === undefined ? [] : this.#rolloutClock.running(this.#replica.state.rollouts),
 			advance: async command => this.#leader.proposeHere(command),
 		});
 	}
 
-	/** The replica; undefined while its disk fails. */
-	get #group(): ControlGroup | undefined {
-		return this.#holder.current;
+	/** The running replica, or `undefined` while its disk is failing. */
+	get #replica(): ControlGroup | undefined {
+		return this.#supervisor.current;
 	}
 
-	/** Opens the data folder, reads the saved lists, and starts the replica and the rounds. */
+	/** Opens the data folder, reads the saved lists, and starts the replica and the periodic tasks. */
 	async start(): Promise<void> {
-		const lists = [this.#news.start(), this.#suspects.start()];
+		const lists = [this.#serverSync.start(), this.#suspectSync.start()];
 		this.#timers = [
 			setInterval(() => {
 				void this.#confirmation.confirm();
 			}, confirmMilliseconds),
 			setInterval(() => {
-				void this.#judge.look();
-			}, judgeMilliseconds),
+				void this.#rolloutController.look();
+			}, rolloutMilliseconds),
 		];
-		await Promise.all([...lists, this.#holder.start()]);
+		await Promise.all([...lists, this.#supervisor.start()]);
 	}
 
-	/** Stops the rounds, and the replica once its steps in progress are on the disk. */
+	/** Stops the periodic tasks, and the replica after its steps in progress are written to disk. */
 	async stop(): Promise<void> {
-		this.#news.stop();
-		this.#suspects.stop();
+		this.#serverSync.stop();
+		this.#suspectSync.stop();
 		for (const timer of this.#timers) {
 			clearInterval(timer);
 		}
 
 		this.#watches.wake();
-		await this.#holder.stop();
+		await this.#supervisor.stop();
 	}
 
 	/**
-	Takes the announcement of a backend server; one of a shutdown is known to the other control instances when this returns.
+	Handles the announcement of a backend server. If the server is shutting down, the returned promise resolves after the announcement was sent to the other control instances and saved, or after that timed out.
 
-	@param record What the server said.
+	@param record The announced record.
 	*/
 	async announce(record: ServerRecord): Promise<void> {
 		this.#options.metrics.announcements.inc({state: record.state});
-		await this.#news.announce(record);
+		await this.#serverSync.announce(record);
 	}
 
 	/**
-	Notes an announcement that could not be read: it changes nothing of what servers said.
+	Records an invalid announcement, which does not change the directory.
 
-	@param refusal The id that it was sent for, and the first problem with its field.
+	@param refusal The id of the announced server, and the first problem with the field in which it occurs.
 	*/
 	refuseAnnouncement({server, reason}: {readonly server: string; readonly reason: string}): void {
 		this.#options.metrics.announcements.inc({state: 'refused'});
@@ -156,66 +156,66 @@
 	}
 
 	/**
-	Takes the notice that a backend server ends.
+	Handles the notice that a backend server is stopping.
 
 	@param server The server.
 	*/
 	async removeServer(server: ServerId): Promise<void> {
 		this.#options.metrics.announcements.inc({state: 'gone'});
-		await this.#news.remove(server);
+		await this.#serverSync.remove(server);
 	}
 
-	/** Lists the requests that end servers, as far as instances are told of them, once the disk holds them. */
+	/** Lists the requests suspected of crashing servers that are shared between instances, after saving them to disk. */
 	async listSuspects(): Promise<readonly ListedSuspect[]> {
-		return this.#suspects.list();
+		return this.#suspectSync.list();
 	}
 
 	/**
 	Lifts the quarantine of a request.
 
 	@param fingerprint The request.
-	@returns Whether it is on the disk; undefined where nothing was known of the request.
+	@returns Whether the change is saved to disk, or `undefined` if the request is unknown.
 	*/
 	async liftQuarantine(fingerprint: RequestFingerprint): Promise<LiftedQuarantine | undefined> {
-		return this.#suspects.lift(fingerprint);
+		return this.#suspectSync.lift(fingerprint);
 	}
 
 	/**
-	Answers another instance.
+	Handles a message from another instance.
 
 	@param from The instance.
 	@param message The message.
-	@returns The reply; undefined where none is wanted.
+	@returns The reply, or `undefined` if the message has none.
 	*/
 	async answer(from: InstanceId, message: PeerMessage): Promise<unknown> {
 		return match(message)
 			.with({type: 'replica'}, envelope => {
-				this.#learned.add(from);
-				this.#group?.receive(envelope);
+				this.#discovered.add(from);
+				this.#replica?.receive(envelope);
 			})
 			.with({type: 'join'}, join => {
-				this.#learned.add(from);
-				return this.#group?.join(join);
+				this.#discovered.add(from);
+				return this.#replica?.join(join);
 			})
 			.with({type: 'confirm'}, ({evidence}): ConfirmReply => {
 				this.#evidence.take(evidence);
-				return {index: this.#group?.confirmedIndex()};
+				return {index: this.#replica?.confirmedIndex()};
 			})
 			.with({type: 'propose'}, async ({command}) => this.#leader.replyTo(command))
 			.with({type: 'servers'}, (servers): ServersReply => {
-				this.#news.receive(servers);
+				this.#serverSync.receive(servers);
 				return {run: this.#options.run};
 			})
 			.with({type: 'server-ended'}, ({server}) => {
-				this.#news.end(server);
+				this.#serverSync.end(server);
 				return true;
 			})
-			.with({type: 'all-servers'}, () => this.#news.all)
+			.with({type: 'all-servers'}, () => this.#serverSync.all)
 			.with({type: 'suspects'}, suspects => {
-				this.#suspects.receive(suspects);
+				this.#suspectSync.receive(suspects);
 				return true;
 			})
-			.with({type: 'all-suspects'}, (): SuspectsMessage => ({type: 'suspects', records: this.#suspects.book.told, isRelayed: true}))
+			.with({type: 'all-suspects'}, (): SuspectsMessage => ({type: 'suspects', records: this.#suspectSync.book.told, isRelayed: true}))
 			.with({type: 'watch'}, async watch => {
 				this.#evidence.take(watch.evidence);
 				return this.#watches.answer(from, watch);
@@ -224,17 +224,17 @@
 			.exhaustive();
 	}
 
-	#createGroup({folder, lastAcknowledgedAt, onFailure}: OpenedFolder): ControlGroup {
+	#createReplica({folder, lastAcknowledgedAt, onFailure}: OpenedFolder): ControlGroup {
 		const {log, clock, random, self, isFounding, seeds, send} = this.#options;
 		return new ControlGroup({
 			self, folder, clock, random, log, lastAcknowledgedAt, isFounding, onFailure,
 			suspension: this.#suspension,
 			founders: seeds(),
-			peers: () => this.#others(),
+			peers: () => this.#peers(),
 			send,
 			join: async (to, message) => this.#join(to, message),
 			onApplied: ({command, result, index}) => {
-				this.#noteApplied({command, index, result: describeResult(result)});
+				this.#handleApplied({command, index, result: describeResult(result)});
 			},
 		});
 	}
@@ -242,22 +242,22 @@
 	async #join(to: InstanceId, message: PeerMessage): Promise<JoinReply | undefined> {
 		const reply = await this.#options.ask(to, message, joinTimeoutMilliseconds) as JoinReply | undefined;
 		for (const host of reply?.hosts ?? []) {
-			this.#learned.add(host as InstanceId);
+			this.#discovered.add(host as InstanceId);
 		}
 
 		return reply;
 	}
 
-	/** All other control instances that are known: by the settings, by the log and by their messages. */
-	#others(): readonly InstanceId[] {
+	/** All other known control instances: those in the settings, and the members of the group or, without a group, the instances that sent messages. */
+	#peers(): readonly InstanceId[] {
 		const {self, seeds} = this.#options;
-		const members = this.#group?.members ?? [];
-		// Who is no longer in the log may be gone for good, so the log goes first where there is one.
-		const known = members.length > 0 ? [...seeds(), ...members] : [...seeds(), ...this.#learned];
+		const members = this.#replica?.members ?? [];
+		// An instance that is no longer a member may be gone for good, so the membership takes precedence over discovered instances.
+		const known = members.length > 0 ? [...seeds(), ...members] : [...seeds(), ...this.#discovered];
 		return [...new Set(known)].filter(instance => instance !== self);
 	}
 
-	#noteApplied({command, index, result}: {readonly command: GatewayCommand; readonly index: number; readonly result: string}): void {
+	#handleApplied({command, index, result}: {readonly command: GatewayCommand; readonly index: number; readonly result: string}): void {
 		const {log} = this.#options;
 		match(command)
 			.with({type: 'put-configuration'}, ({version}) => {
@@ -269,24 +269,24 @@
 				});
 			})
 			.exhaustive();
-		this.#rolloutClock.running(this.#group?.state.rollouts ?? []);
+		this.#rolloutClock.running(this.#replica?.state.rollouts ?? []);
 		this.#watches.wake();
 		void this.#confirmation.confirm();
 	}
 
-	#entryNews(): EntryNews {
-		const state = this.#group?.state;
+	#entryUpdate(): EntryNews {
+		const state = this.#replica?.state;
 		return {
 			configuration: state?.configuration,
 			rollouts: this.#rolloutClock.running(state?.rollouts ?? []),
 			confirmedAt: state === undefined ? undefined : this.#confirmation.confirmedAt,
-			hosts: [this.#options.self, ...this.#others()],
+			hosts: [this.#options.self, ...this.#peers()],
 		};
 	}
 
-	/** What the leader needs to judge the roll-outs that run. */
-	#neededEvidence(): readonly VersionEvidence[] {
-		const rollouts = this.#group?.state.rollouts ?? [];
+	/** The counters that the leader needs to evaluate the running rollouts. */
+	#rolloutEvidence(): readonly VersionEvidence[] {
+		const rollouts = this.#replica?.state.rollouts ?? [];
 		return rollouts.filter(rollout => !isEnded(rollout)).flatMap(({service}) => this.#evidence.of(service));
 	}
 }
--- a/packages/gateway/src/control/entry-watches.ts
+++ b/packages/gateway/src/control/entry-watches.ts
@@ -7,36 +7,36 @@
 import {type WatchMessage, type WatchReply} from './peer-message.js';
 import {digestOfRollouts} from './rollout-clock.js';
 
-/** What entry instances are told. */
+/** The state that is sent to entry instances. */
 export type EntryNews = {
 	readonly configuration: ConfigurationDocument | undefined;
 	readonly rollouts: readonly RunningRollout[];
-	/** When the state was last known to be the newest, in milliseconds on the monotonic clock; undefined where it never was. */
+	/** When the state was last confirmed to be current, in milliseconds on the monotonic clock, or `undefined` if it has not been confirmed. */
 	readonly confirmedAt: number | undefined;
 	/** The hosts of the control instances. */
 	readonly hosts: readonly InstanceId[];
 };
 
-/** What the answers to entry instances need. */
+/** Options of the entry watches. */
 export type EntryWatchesOptions = {
 	readonly clock: Clock;
-	/** Names this run of the process. */
+	/** Identifies this run of the process. */
 	readonly run: string;
 	readonly directory: ServerDirectory;
-	/** The requests that end servers. */
+	/** The requests suspected of crashing servers. */
 	readonly suspects: Pick<SuspectBook, 'cursor' | 'changedSince'>;
 	readonly news: () => EntryNews;
 };
 
-/** How long a question waits for news, in milliseconds: well below the time after which the lease of the asker would end. */
-const watchMilliseconds = 800;
-/** The same while a roll-out runs, since the counters for its judgement come with the questions. */
-const rolloutWatchMilliseconds = 400;
-/** An entry instance that asked nothing for this long is gone, in milliseconds; it asks more than once a second. */
-const entryGoneMilliseconds = 3000;
+/** How long a poll waits for an update, in milliseconds; well below the lease duration of the entry instance. */
+const longPollMilliseconds = 800;
+/** The poll duration while a rollout is running; shorter because polls carry the counters by which the rollout is evaluated. */
+const rolloutLongPollMilliseconds = 400;
+/** An entry instance that has not polled for this long, in milliseconds, is considered gone; a running one polls more than once a second. */
+const entryTimeoutMilliseconds = 3000;
 
 /**
-Answers the questions of entry instances: at once where there is news for them, else when there is, or after a while.
+Answers the long polls of entry instances: immediately if there is an update for the instance, otherwise on the next update or when the poll times out.
 
 @example
 ```ts
@@ -46,34 +46,34 @@
 */
 export class EntryWatches {
 	readonly #options: EntryWatchesOptions;
-	readonly #waiting = new Set<() => void>();
+	readonly #pendingPolls = new Set<() => void>();
 	readonly #entries = new Map<InstanceId, KnownEntry & {readonly at: number}>();
 
 	constructor(options: EntryWatchesOptions) {
 		this.#options = options;
 	}
 
-	/** Lets all questions be answered now. */
+	/** Answers all pending polls now. */
 	wake(): void {
-		for (const wake of this.#waiting) {
+		for (const wake of this.#pendingPolls) {
 			wake();
 		}
 	}
 
 	/**
-	Answers a question.
+	Answers a poll.
 
 	@param from The entry instance.
-	@param watch What it has.
-	@returns What it lacks.
+	@param watch The poll, which names the state that the entry instance has.
+	@returns The changes since that state.
 	*/
 	async answer(from: InstanceId, watch: WatchMessage): Promise<WatchReply> {
 		const {clock, run, directory, suspects, news} = this.#options;
-		const arrived = clock.monotonic();
-		const asker = {instance: from, zone: watch.zone};
-		this.#entries.set(from, {...asker, at: arrived});
-		if (!watch.isUrgent && !this.#hasNews(watch)) {
-			await this.#nextNews();
+		const receivedAt = clock.monotonic();
+		const entry = {instance: from, zone: watch.zone};
+		this.#entries.set(from, {...entry, at: receivedAt});
+		if (!watch.isUrgent && !this.#hasUpdate(watch)) {
+			await this.#waitForUpdate();
 		}
 
 		const now = clock.monotonic();
@@ -87,14 +87,14 @@
 			configuration: isNewer(configuration, watch) ? configuration : undefined,
 			rollouts,
 			rolloutDigest: digestOfRollouts(rollouts),
-			held: now - arrived,
+			held: now - receivedAt,
 			confirmedAgo: confirmedAt === undefined ? undefined : now - confirmedAt,
 			hosts,
-			entries: nearEntriesOf(asker, this.#presentEntries(now)),
+			entries: nearEntriesOf(entry, this.#activeEntries(now)),
 		};
 	}
 
-	#hasNews(watch: WatchMessage): boolean {
+	#hasUpdate(watch: WatchMessage): boolean {
 		const {run, directory, suspects, news} = this.#options;
 		const {configuration, rollouts} = news();
 		return watch.run !== run
@@ -104,24 +104,24 @@
 			|| watch.rolloutDigest !== digestOfRollouts(rollouts);
 	}
 
-	async #nextNews(): Promise<void> {
+	async #waitForUpdate(): Promise<void> {
 		await new Promise<void>(resolve => {
 			const wake = (): void => {
 				clearTimeout(timer);
-				this.#waiting.delete(wake);
+				this.#pendingPolls.delete(wake);
 				resolve();
 			};
 
 			const {rollouts} = this.#options.news();
 			const isRunning = rollouts.some(rollout => !isEnded(rollout));
-			const timer = setTimeout(wake, isRunning ? rolloutWatchMilliseconds : watchMilliseconds);
-			this.#waiting.add(wake);
+			const timer = setTimeout(wake, isRunning ? rolloutLongPollMilliseconds : longPollMilliseconds);
+			this.#pendingPolls.add(wake);
 		});
 	}
 
-	#presentEntries(now: number): readonly KnownEntry[] {
+	#activeEntries(now: number): readonly KnownEntry[] {
 		for (const [instance, {at}] of this.#entries) {
-			if (now - at > entryGoneMilliseconds) {
+			if (now - at > entryTimeoutMilliseconds) {
 				this.#entries.delete(instance);
 			}
 		}
--- a/packages/gateway/src/control/found-group.ts
+++ b/packages/gateway/src/control/found-group.ts
@@ -2,45 +2,45 @@
 import {type InstanceId} from '@valehitch/core';
 import {type JoinReply} from './peer-message.js';
 
-/** What is known when a group is looked for. */
+/** The inputs of the bootstrap decision. */
 export type FoundGroupOptions = {
 	readonly self: InstanceId;
 	readonly replica: ReplicaId;
 	/** Whether the whole system starts for the first time. */
 	readonly isFounding: boolean;
-	/** The instances that found the group together. */
+	/** The instances that form the initial group. */
 	readonly founders: readonly InstanceId[];
-	/** What the others say of themselves. */
+	/** The replies of the other instances. */
 	readonly replies: readonly JoinReply[];
 };
 
 /**
-Finds the replicas that this one's group begins with.
+Determines the replica set with which this replica bootstraps its group.
 
-A group is founded only at the first start of the whole system, when all founders say that they never belonged to one, and only by the one with the lowest name; the others take its answer.
+A group is bootstrapped only on the first start of the whole system, after all initial members have replied that they have never belonged to a group, and only by the member with the lowest name. The other members adopt the replica set that it reports.
 
-@param options What is known.
-@returns The replicas; undefined where this replica must go on waiting for a leader that takes it in.
+@param options The inputs of the decision.
+@returns The replica set, or `undefined` if this replica must wait for a leader to add it.
 @example
 ```ts
-foundGroup({self, replica, isFounding: true, founders, replies});
+bootstrapReplicaSet({self, replica, isFounding: true, initialMembers, replies});
 ```
 */
 export function foundGroup({self, replica, isFounding, founders, replies}: FoundGroupOptions): ReplicaSet | undefined {
-	const told = replies.find(({initial}) => initial?.voters.includes(replica))?.initial;
-	if (told !== undefined || !isFounding || !founders.includes(self)) {
-		return told;
+	const reported = replies.find(({initial}) => initial?.voters.includes(replica))?.initial;
+	if (reported !== undefined || !isFounding || !founders.includes(self)) {
+		return reported;
 	}
 
 	const others: ReplicaId[] = [];
 	for (const founder of founders) {
-		const empty = replies.find(reply => reply.isEmpty && instanceOf(reply.replica) === founder);
-		if (founder !== self && (empty === undefined || founder < self)) {
+		const emptyReply = replies.find(reply => reply.isEmpty && instanceOf(reply.replica) === founder);
+		if (founder !== self && (emptyReply === undefined || founder < self)) {
 			return undefined;
 		}
 
-		if (founder !== self && empty !== undefined) {
-			others.push(empty.replica);
+		if (founder !== self && emptyReply !== undefined) {
+			others.push(emptyReply.replica);
 		}
 	}
 
--- a/packages/gateway/src/control/gateway-command.ts
+++ b/packages/gateway/src/control/gateway-command.ts
@@ -2,7 +2,7 @@
 import {Packr} from 'msgpackr';
 import {type Rollout, type RolloutStage} from '../rollouts/rollout.js';
 
-/** Takes a configuration, unless its version is not above the one held. */
+/** Replaces the configuration if the new version is higher than the current one. */
 export type PutConfigurationCommand = {
 	readonly type: 'put-configuration';
 	readonly version: number;
@@ -10,18 +10,18 @@
 	readonly document: string;
 };
 
-/** Begins a roll-out, unless the service is on the way to that version or has it. */
+/** Starts a rollout, unless the newest rollout of the service already has this target. */
 export type StartRolloutCommand = {
 	readonly type: 'start-rollout';
 	readonly service: ServiceId;
 	readonly target: VersionId;
-	/** Milliseconds. */
+	/** In milliseconds. */
 	readonly duration: number;
-	/** Milliseconds of the wall clock of the instance that took the order. */
+	/** The wall-clock time, in milliseconds, of the instance that received the order. */
 	readonly orderedAt: number;
 };
 
-/** Takes a running roll-out to its next stage. */
+/** Advances a running rollout to its next stage. */
 export type AdvanceRolloutCommand = {
 	readonly type: 'advance-rollout';
 	readonly service: ServiceId;
@@ -29,22 +29,22 @@
 	readonly stage: RolloutStage;
 };
 
-/** The closed list of commands in the log of a gateway. */
+/** The commands in the replicated log of a gateway. */
 export type GatewayCommand = PutConfigurationCommand | StartRolloutCommand | AdvanceRolloutCommand;
 
-/** What a command gave. */
+/** The result of a command. */
 export type GatewayAnswer
 	= | {readonly type: 'configuration'; readonly isNewest: boolean; readonly version: number}
 		| {readonly type: 'rollout'; readonly rollout: Rollout};
 
 const packr = new Packr({useRecords: false, encodeUndefinedAsNil: false});
 
-/** Writes a command for the log. */
+/** Encodes a command for the log. */
 export function encodeGatewayCommand(command: GatewayCommand): Uint8Array {
 	return new Uint8Array(packr.pack(command));
 }
 
-/** Reads a command of the log. */
+/** Decodes a command from the log. */
 export function decodeGatewayCommand(data: Uint8Array): GatewayCommand {
 	return packr.unpack(data) as GatewayCommand;
 }
--- a/packages/gateway/src/control/gateway-state.ts
+++ b/packages/gateway/src/control/gateway-state.ts
@@ -21,7 +21,7 @@
 const packr = new Packr({useRecords: false, encodeUndefinedAsNil: false});
 
 /**
-The replicated state of a gateway: the configuration with the highest version, and the roll-outs.
+The replicated state of a gateway: the configuration with the highest version, and the rollouts.
 
 @example
 ```ts
@@ -34,7 +34,7 @@
 	readonly #rollouts = new Map<ServiceId, Rollout>();
 
 	/**
-	@param snapshot What `toSnapshot` gave; empty unless given.
+	@param snapshot The output of `toSnapshot`; the state starts empty without one.
 	*/
 	constructor(snapshot?: Uint8Array) {
 		if (snapshot === undefined) {
@@ -48,21 +48,21 @@
 		}
 	}
 
-	/** The newest configuration; undefined before the first. */
+	/** The newest configuration, or `undefined` before the first one. */
 	get configuration(): ConfigurationDocument | undefined {
 		return this.#configuration;
 	}
 
-	/** The newest roll-out of each service that had one. */
+	/** The newest rollout of each service that has had one. */
 	get rollouts(): readonly Rollout[] {
 		return [...this.#rollouts.values()];
 	}
 
 	/**
-	Carries out a command of the log.
+	Applies a committed command.
 
 	@param command The command.
-	@returns What it gave, or why it changed nothing.
+	@returns The result, or the reason why the state did not change.
 	*/
 	apply(command: GatewayCommand): Either<Failure, GatewayAnswer> {
 		return match(command)
@@ -73,28 +73,28 @@
 	}
 
 	/**
-	Answers a command that would change nothing.
+	Answers a command that would not change the state, so that it need not be appended to the log.
 
 	@param command The command.
-	@returns What it would give; undefined where it may change something.
+	@returns The result that the command would have, or `undefined` if it may change the state.
 	*/
 	answerOf(command: GatewayCommand): GatewayAnswer | undefined {
-		const held = this.#configuration?.version;
-		return command.type === 'put-configuration' && held !== undefined && command.version <= held
-			? {type: 'configuration', isNewest: false, version: held}
+		const currentVersion = this.#configuration?.version;
+		return command.type === 'put-configuration' && currentVersion !== undefined && command.version <= currentVersion
+			? {type: 'configuration', isNewest: false, version: currentVersion}
 			: undefined;
 	}
 
-	/** The whole state as bytes. */
+	/** Serializes the whole state. */
 	toSnapshot(): Uint8Array {
 		const data: SnapshotData = {configuration: this.#configuration, rollouts: this.rollouts};
 		return new Uint8Array(packr.pack(data));
 	}
 
 	#put(put: PutConfigurationCommand): Either<Failure, GatewayAnswer> {
-		const held = this.answerOf(put);
-		if (held !== undefined) {
-			return Right(held);
+		const unchanged = this.answerOf(put);
+		if (unchanged !== undefined) {
+			return Right(unchanged);
 		}
 
 		const {version, document} = put;
@@ -109,7 +109,7 @@
 		}
 
 		if (current !== undefined && !isEnded(current)) {
-			return Left(failure('revision-conflict', `Got a roll-out of ${service} to ${target}, wanted the one to ${current.target} to end first`));
+			return Left(failure('revision-conflict', `Cannot start a rollout of ${service} to ${target}: the rollout to ${current.target} is still in progress`));
 		}
 
 		const rollout: Rollout = {
@@ -122,7 +122,7 @@
 	#advance({service, target, stage}: AdvanceRolloutCommand): Either<Failure, GatewayAnswer> {
 		const current = this.#rollouts.get(service);
 		if (current?.target !== target) {
-			return Left(failure('not-found', `Got the next stage of a roll-out of ${service} to ${target}, wanted one that was begun`));
+			return Left(failure('not-found', `Cannot advance the rollout of ${service} to ${target}: no such rollout has been started`));
 		}
 
 		const rollout = isEnded(current) ? current : {...current, stage};
--- a/packages/gateway/src/control/group-timing.ts
+++ b/packages/gateway/src/control/group-timing.ts
@@ -1,15 +1,15 @@
 import {type ReplicaOptions} from '@valehitch/consensus';
 
 /**
-The times of the replicas, in milliseconds.
+Timing of the replicas, in milliseconds.
 
-A leader is replaced within about a second, and a group that was killed as a whole leads again about a tenth of a second after it opened its data; instances without a disk cannot route before that. A single lost packet costs a follower 200 ms, and a pre-vote needs a quorum that heard nothing.
+With these values a failed leader is replaced within about one second. A group whose instances were all killed has a leader about 100 ms after it has opened its data, and instances without a disk cannot route before then. The election timeout tolerates a single lost packet, which delays a follower by 200 ms; a pre-vote also succeeds only if a quorum has not heard from a leader.
 */
 export const groupTiming = {
 	minimumElectionTimeout: 300,
 	maximumElectionTimeout: 600,
 	heartbeatInterval: 75,
-	/** A tenth of the minimum election timeout: clocks may differ in rate by about 5 % each way. */
+	/** A tenth of the minimum election timeout, which allows clock rates to differ by about 5 % in either direction. */
 	driftMargin: 30,
 	tailEntries: 100,
 } as const satisfies ReplicaOptions;
--- a/packages/gateway/src/control/joining-replicas.ts
+++ b/packages/gateway/src/control/joining-replicas.ts
@@ -1,58 +1,58 @@
 import {type JoiningReplica, type ReplicaId} from '@valehitch/consensus';
 
-type Seen = {
+type JoinRequest = {
 	readonly replica: ReplicaId;
 	readonly isFounding: boolean;
-	readonly since: number;
-	seenAt: number;
+	readonly firstSeenAt: number;
+	lastSeenAt: number;
 };
 
-/** A replica that asked nothing for this long is gone, in milliseconds; it asks four times a second. */
-const presentMilliseconds = 1000;
+/** A replica that has sent no join request for this long, in milliseconds, is considered gone; a waiting one sends four per second. */
+const requestTimeoutMilliseconds = 1000;
 
 /**
-The replicas without a vote that ask to be taken in.
+Tracks the replicas that request to join the group as voters.
 
 @example
 ```ts
 const joining = new JoiningReplicas();
-joining.note({replica, isFounding: false}, now);
-joining.present(now);
+joining.record({replica, isFounding: false}, now);
+joining.active(now);
 ```
 */
 export class JoiningReplicas {
-	readonly #seen = new Map<ReplicaId, Seen>();
+	readonly #requests = new Map<ReplicaId, JoinRequest>();
 
 	/**
-	Notes that a replica asked.
+	Records a join request.
 
-	@param joining The replica, and whether it started together with the group for the first time.
-	@param now Milliseconds on the monotonic clock.
+	@param joining The replica, and whether it started as part of the first start of the whole system.
+	@param now The current time in milliseconds on the monotonic clock.
 	*/
 	note({replica, isFounding}: Pick<JoiningReplica, 'replica' | 'isFounding'>, now: number): void {
-		const known = this.#seen.get(replica);
+		const known = this.#requests.get(replica);
 		if (known === undefined) {
-			this.#seen.set(replica, {
-				replica, isFounding, since: now, seenAt: now,
+			this.#requests.set(replica, {
+				replica, isFounding, firstSeenAt: now, lastSeenAt: now,
 			});
 		} else {
-			known.seenAt = now;
+			known.lastSeenAt = now;
 		}
 	}
 
 	/**
-	The replicas that are there.
+	Lists the replicas that are waiting to join.
 
-	@param now Milliseconds on the monotonic clock.
-	@returns Those that asked lately, with the time for which they have.
+	@param now The current time in milliseconds on the monotonic clock.
+	@returns The replicas that sent a request recently, with the time since their first request.
 	*/
 	present(now: number): readonly JoiningReplica[] {
-		for (const [replica, {seenAt}] of this.#seen) {
-			if (now - seenAt > presentMilliseconds) {
-				this.#seen.delete(replica);
+		for (const [replica, {lastSeenAt}] of this.#requests) {
+			if (now - lastSeenAt > requestTimeoutMilliseconds) {
+				this.#requests.delete(replica);
 			}
 		}
 
-		return [...this.#seen.values()].map(({replica, isFounding, since}) => ({replica, isFounding, waiting: now - since}));
+		return [...this.#requests.values()].map(({replica, isFounding, firstSeenAt}) => ({replica, isFounding, waiting: now - firstSeenAt}));
 	}
 }
--- a/packages/gateway/src/control/leader-client.ts
+++ b/packages/gateway/src/control/leader-client.ts
@@ -11,77 +11,77 @@
 	type ConfirmReply, type PeerMessage, type ProposeReply,
 } from './peer-message.js';
 
-/** What the calls to the leader need. */
+/** Options of the leader client. */
 export type LeaderClientOptions = {
 	readonly self: InstanceId;
 	readonly clock: Clock;
 	readonly metrics: GatewayMetrics;
-	/** The own replica; undefined while its disk fails. */
+	/** The local replica, or `undefined` while its disk is failing. */
 	readonly group: () => ControlGroup | undefined;
-	/** What the leader needs of entry instances' counters; what changed goes with each question about the newest index. */
+	/** The counters of entry instances that the leader needs; changed counters are sent with each request for the commit index. */
 	readonly evidence: () => readonly VersionEvidence[];
-	/** Asks another instance; undefined where no reply came within the timeout in milliseconds. */
+	/** Sends a request to another instance; resolves to `undefined` if no reply arrives within the timeout in milliseconds. */
 	readonly ask: (to: InstanceId, message: PeerMessage, timeout: number) => Promise<unknown>;
 };
 
-/** A little longer than a leader waits for its quorum, and less than the second that callers wait. */
+/** Slightly longer than a leader waits for its quorum, and shorter than the one-second timeout of callers. */
 const proposeTimeoutMilliseconds = 950;
-/** Two round trips between regions and a slow leader fit in it. */
+/** Long enough for two round trips between regions and a slow leader. */
 const confirmTimeoutMilliseconds = 600;
 const retryMilliseconds = 300;
 
 /**
-Reaches the leader of the group, which may be this instance.
+Sends requests to the leader of the group, which may be this instance.
 
 @example
 ```ts
 const leader = new LeaderClient(options);
-const index = await leader.newestIndex();
+const index = await leader.readIndex();
 ```
 */
 export class LeaderClient {
 	readonly #options: LeaderClientOptions;
-	#told: {readonly leader: InstanceId; readonly delta: EvidenceDelta} | undefined;
+	#sentEvidence: {readonly leader: InstanceId; readonly delta: EvidenceDelta} | undefined;
 
 	constructor(options: LeaderClientOptions) {
 		this.#options = options;
 	}
 
 	/**
-	Has a command committed, here or by the leader.
+	Proposes a command to the leader, which may be this instance.
 
 	@param command The command.
-	@returns What it gave; a failure `no-quorum` says with its outcome whether it may still be committed.
+	@returns The result; the `outcome` of a `no-quorum` failure says whether the command may still be committed.
 	*/
 	async propose(command: GatewayCommand): Promise<Either<Failure, GatewayAnswer>> {
 		const {self, ask, metrics, group} = this.#options;
 		const leader = group()?.leader;
 		if (leader === undefined) {
-			return Left(noLeader());
+			return Left(noLeaderFailure());
 		}
 
 		const result = leader === self
 			? await this.proposeHere(command)
-			: fromReply(await ask(leader, {type: 'propose', command}, proposeTimeoutMilliseconds) as ProposeReply | undefined);
+			: toResult(await ask(leader, {type: 'propose', command}, proposeTimeoutMilliseconds) as ProposeReply | undefined);
 		metrics.commands.inc({type: command.type, result: result.isRight() ? 'committed' : 'failed'});
 		return result;
 	}
 
 	/**
-	Has a command committed where this instance leads.
+	Proposes a command to the local replica, which must be the leader.
 
 	@param command The command.
-	@returns What it gave.
+	@returns The result.
 	*/
 	async proposeHere(command: GatewayCommand): Promise<Either<Failure, GatewayAnswer>> {
-		return await this.#options.group()?.propose(command) ?? Left(noLeader());
+		return await this.#options.group()?.propose(command) ?? Left(noLeaderFailure());
 	}
 
 	/**
-	Answers another control instance that proposes here.
+	Handles a command that another control instance proposes to this one.
 
 	@param command The command.
-	@returns The reply for the link.
+	@returns The reply to send.
 	*/
 	async replyTo(command: GatewayCommand): Promise<ProposeReply> {
 		const result = await this.proposeHere(command);
@@ -91,7 +91,7 @@
 		});
 	}
 
-	/** The newest committed index at the time of the call; undefined where no leader could be sure of it. */
+	/** Requests the commit index at the time of the call; resolves to `undefined` if no leader could confirm it. */
 	async newestIndex(): Promise<number | undefined> {
 		const {self, ask, group} = this.#options;
 		const leader = group()?.leader;
@@ -99,44 +99,44 @@
 			return group()?.confirmedIndex();
 		}
 
-		const reply = await ask(leader, {type: 'confirm', evidence: this.#newEvidence(leader)}, confirmTimeoutMilliseconds) as ConfirmReply | undefined;
+		const reply = await ask(leader, {type: 'confirm', evidence: this.#changedEvidence(leader)}, confirmTimeoutMilliseconds) as ConfirmReply | undefined;
 		return reply?.index;
 	}
 
-	#newEvidence(leader: InstanceId): readonly VersionEvidence[] {
-		if (this.#told?.leader !== leader) {
-			this.#told = {leader, delta: new EvidenceDelta()};
+	#changedEvidence(leader: InstanceId): readonly VersionEvidence[] {
+		if (this.#sentEvidence?.leader !== leader) {
+			this.#sentEvidence = {leader, delta: new EvidenceDelta()};
 		}
 
 		const {evidence, clock} = this.#options;
-		return this.#told.delta.next(evidence(), clock.monotonic());
+		return this.#sentEvidence.delta.next(evidence(), clock.monotonic());
 	}
 }
 
 /**
-Says in a log line what a command gave.
+Describes the result of a command for a log line.
 
 @param result The result.
-@returns A few words.
+@returns A short description.
 @example
 ```ts
-describeResult(result); // 'held version 7'
+describeResult(result); // 'current version 7'
 ```
 */
 export function describeResult(result: Either<Failure, GatewayAnswer>): string {
 	return result.caseOf({
 		Left: ({kind, message}) => `${kind}: ${message}`,
-		Right: answer => answer.type === 'configuration' ? `held version ${answer.version}` : `stage ${answer.rollout.stage}`,
+		Right: answer => answer.type === 'configuration' ? `current version ${answer.version}` : `stage ${answer.rollout.stage}`,
 	});
 }
 
-function noLeader(): Failure {
-	return failure('no-quorum', 'Got no leader, wanted one to commit the command', {retryAfterMilliseconds: retryMilliseconds});
+function noLeaderFailure(): Failure {
+	return failure('no-quorum', 'Cannot commit the command: no leader is known', {retryAfterMilliseconds: retryMilliseconds});
 }
 
-function fromReply(reply: ProposeReply | undefined): Either<Failure, GatewayAnswer> {
+function toResult(reply: ProposeReply | undefined): Either<Failure, GatewayAnswer> {
 	if (reply === undefined) {
-		return Left(failure('no-quorum', 'Got no reply of the leader in time, wanted the command committed', {outcome: 'unknown', retryAfterMilliseconds: retryMilliseconds}));
+		return Left(failure('no-quorum', 'The leader did not reply in time; the command may or may not be committed', {outcome: 'unknown', retryAfterMilliseconds: retryMilliseconds}));
 	}
 
 	return reply.type === 'answer' ? Right(reply.answer) : Left(reply.failed);
--- a/packages/gateway/src/control/near-entries.ts
+++ b/packages/gateway/src/control/near-entries.ts
@@ -1,33 +1,33 @@
 import {type InstanceId, type ZoneId} from '@valehitch/core';
 
-/** An entry instance that asked lately. */
+/** An entry instance that polled recently. */
 export type KnownEntry = {
 	readonly instance: InstanceId;
 	readonly zone: ZoneId;
 };
 
-/** As many entry instances share their loads with one; all others of a small deployment. */
-const nearEntries = 6;
+/** The number of peers to which an entry instance reports its load; a small deployment has fewer, and all of them are peers. */
+const maximumPeers = 6;
 
 /**
-The entry instances with which one shares its loads: those that follow it in the order of names, its own availability zone first.
+Selects the entry instances with which an instance shares its load: its successors when the instances are ordered by name in a ring, those in its own availability zone first.
 
-@param self The instance that asks.
-@param entries All that asked lately.
-@returns At most six others.
+@param self The instance to select peers for.
+@param entries All entry instances that polled recently.
+@returns At most six other instances.
 @example
 ```ts
-nearEntriesOf({instance, zone}, entries);
+selectLoadSharingPeers({instance, zone}, entries);
 ```
 */
 export function nearEntriesOf(self: KnownEntry, entries: readonly KnownEntry[]): readonly InstanceId[] {
-	const own = ringAfter(self, entries.filter(({zone}) => zone === self.zone));
-	const others = ringAfter(self, entries.filter(({zone}) => zone !== self.zone));
-	return [...own, ...others].slice(0, nearEntries);
+	const sameZone = successorsInRing(self, entries.filter(({zone}) => zone === self.zone));
+	const otherZones = successorsInRing(self, entries.filter(({zone}) => zone !== self.zone));
+	return [...sameZone, ...otherZones].slice(0, maximumPeers);
 }
 
-function ringAfter({instance: self}: KnownEntry, entries: readonly KnownEntry[]): readonly InstanceId[] {
+function successorsInRing({instance: self}: KnownEntry, entries: readonly KnownEntry[]): readonly InstanceId[] {
 	const names = entries.map(({instance}) => instance).filter(instance => instance !== self).toSorted((one, other) => one < other ? -1 : 1);
-	const after = names.filter(name => name > self);
-	return [...after, ...names.filter(name => name < self)];
+	const successors = names.filter(name => name > self);
+	return [...successors, ...names.filter(name => name < self)];
 }
--- a/packages/gateway/src/control/operator-calls.ts
+++ b/packages/gateway/src/control/operator-calls.ts
@@ -10,7 +10,7 @@
 import {describeResult, type LeaderClient} from './leader-client.js';
 import {type StateConfirmation} from './state-confirmation.js';
 
-/** What the calls of operators need. */
+/** Options of the operator API. */
 export type OperatorCallsOptions = {
 	readonly clock: Pick<Clock, 'now'>;
 	readonly log: DecisionLog;
@@ -21,12 +21,12 @@
 const retryMilliseconds = 300;
 
 /**
-Carries out what operators ask of the replicated state: changes by way of the leader, and reads of what is surely the newest.
+Serves operator requests on the replicated state. Changes are proposed to the leader, and reads are linearizable.
 
 @example
 ```ts
-const calls = new OperatorCalls({clock, log, leader, confirmation});
-await calls.submitConfiguration(configuration, document);
+const operators = new OperatorApi({clock, log, leader, confirmation});
+await operators.submitConfiguration(configuration, document);
 ```
 */
 export class OperatorCalls {
@@ -37,11 +37,11 @@
 	}
 
 	/**
-	Takes a configuration that was checked.
+	Submits a validated configuration.
 
 	@param configuration The configuration.
 	@param document The document as the operator sent it.
-	@returns Whether it is the newest, once it is committed; `no-quorum` where it may or may not be.
+	@returns Whether the configuration is the newest, once it is committed; `no-quorum` if it may or may not have been committed.
 	*/
 	async submitConfiguration({version}: RoutingConfiguration, document: string): Promise<Either<Failure, GatewayAnswer>> {
 		const result = await this.#options.leader.propose({type: 'put-configuration', version, document});
@@ -49,19 +49,19 @@
 		return result;
 	}
 
-	/** The newest configuration, once it is certain that there is no newer one. */
+	/** Reads the newest committed configuration. */
 	async readConfiguration(): Promise<Either<Failure, ConfigurationDocument>> {
 		const read = await this.#options.confirmation.newest();
 		return read.chain(({state: {configuration}}) => configuration === undefined
-			? Left(failure('no-configuration', 'Got no configuration yet, wanted one to read', {retryAfterMilliseconds: retryMilliseconds}))
+			? Left(failure('no-configuration', 'No configuration has been submitted yet', {retryAfterMilliseconds: retryMilliseconds}))
 			: Right(configuration));
 	}
 
 	/**
-	Begins a roll-out.
+	Starts a rollout.
 
-	@param order The service, the version, and the duration in milliseconds.
-	@returns The roll-out, once it is committed.
+	@param order The service, the target version, and the duration in milliseconds.
+	@returns The rollout, once it is committed.
 	*/
 	async startRollout(order: {readonly service: ServiceId; readonly target: VersionId; readonly duration: number}): Promise<Either<Failure, GatewayAnswer>> {
 		const result = await this.#options.leader.propose({type: 'start-rollout', ...order, orderedAt: this.#options.clock.now().getTime()});
@@ -72,16 +72,16 @@
 	}
 
 	/**
-	Reads the newest roll-out of a service.
+	Reads the newest rollout of a service.
 
 	@param service The service.
-	@returns The roll-out; `not-found` where there was none.
+	@returns The rollout, or `not-found` if the service has had none.
 	*/
 	async readRollout(service: ServiceId): Promise<Either<Failure, Rollout>> {
 		const read = await this.#options.confirmation.newest();
 		return read.chain(({state: {rollouts}}) => {
 			const rollout = rollouts.find(other => other.service === service);
-			return rollout === undefined ? Left(failure('not-found', `Got no roll-out of ${service}`)) : Right(rollout);
+			return rollout === undefined ? Left(failure('not-found', `Service ${service} has no rollout`)) : Right(rollout);
 		});
 	}
 }
--- a/packages/gateway/src/control/peer-message.ts
+++ b/packages/gateway/src/control/peer-message.ts
@@ -10,7 +10,7 @@
 import {type GatewayAnswer, type GatewayCommand} from './gateway-command.js';
 import {type ConfigurationDocument} from './gateway-state.js';
 
-/** A message between two replicas; one to a former identity of an instance is dropped. */
+/** A message between two replicas; dropped if it is addressed to a former identity of an instance. */
 export type ReplicaEnvelope = {
 	readonly type: 'replica';
 	readonly from: ReplicaId;
@@ -18,139 +18,139 @@
 	readonly message: ReplicaWire;
 };
 
-/** A replica without a vote asks to be taken in. */
+/** A replica that is not a voter requests to join the group. */
 export type JoinMessage = {
 	readonly type: 'join';
 	readonly replica: ReplicaId;
-	/** Whether the whole system starts for the first time, as the settings say. */
+	/** Whether the settings say that the whole system starts for the first time. */
 	readonly isFounding: boolean;
 };
 
-/** What the asked instance says of itself. */
+/** The reply to a join request: the state of the instance that received it. */
 export type JoinReply = {
 	readonly replica: ReplicaId;
-	/** Whether it never belonged to a group. */
+	/** Whether the replica has never belonged to a group. */
 	readonly isEmpty: boolean;
-	/** The replicas that the group began with, while its log holds nothing else. */
+	/** The replica set with which the group was bootstrapped, until its log is first compacted. */
 	readonly initial: ReplicaSet | undefined;
-	/** The hosts of the control instances that it knows. */
+	/** The hosts of the control instances that the replica knows. */
 	readonly hosts: readonly string[];
 };
 
-/** Asks the leader which index was committed, and brings what entry instances counted. */
+/** Requests the commit index from the leader, and delivers the counters of entry instances. */
 export type ConfirmMessage = {
 	readonly type: 'confirm';
 	readonly evidence: readonly VersionEvidence[];
 };
 
-/** What the leader says; nothing where the asked instance does not lead. */
+/** The leader's reply to a confirmation request. */
 export type ConfirmReply = {
-	/** The newest committed index at the time of the question; undefined without a valid lease. */
+	/** The commit index when the request was received, or `undefined` if the instance holds no valid leader lease. */
 	readonly index: number | undefined;
 };
 
-/** Asks the leader to have a command committed. */
+/** Requests that the leader commit a command. */
 export type ProposeMessage = {
 	readonly type: 'propose';
 	readonly command: GatewayCommand;
 };
 
-/** The result of a command. */
+/** The result of a proposed command. */
 export type ProposeReply
 	= | {readonly type: 'answer'; readonly answer: GatewayAnswer}
 		| {readonly type: 'failure'; readonly failed: Failure};
 
-/** Brings news of backend servers from one control instance to another. */
+/** Sends records of backend servers from one control instance to another. */
 export type ServersMessage = {
 	readonly type: 'servers';
-	/** Those that changed, or that were heard directly of late. */
+	/** The records that changed, and those of servers that recently announced themselves to the sender. */
 	readonly records: readonly ServerRecord[];
 };
 
-/** All backend servers that a control instance has. */
+/** All backend servers that a control instance knows. */
 export type AllServersReply = ServersMessage & {
-	/** How long it has listened to servers, in milliseconds. */
+	/** How long the instance has been receiving announcements, in milliseconds. */
 	readonly listenedFor: number;
 };
 
-/** Says that news of backend servers were taken. */
+/** Acknowledges records of backend servers. */
 export type ServersReply = {
-	/** Names the run of the process that took them. */
+	/** Identifies the run of the process that received the records. */
 	readonly run: string;
 };
 
-/** Tells that a backend server ended, whether or not the asked instance knows it. */
+/** Reports that a backend server has stopped, whether or not the receiver knows the server. */
 export type ServerEndedMessage = {
 	readonly type: 'server-ended';
 	readonly server: ServerId;
 };
 
-/** Asks a control instance for all backend servers. */
+/** Requests all backend servers that a control instance knows. */
 export type AllServersMessage = {
 	readonly type: 'all-servers';
 };
 
-/** Tells what is known of requests under which backend servers ended. */
+/** Reports requests during which backend servers crashed. */
 export type SuspectsMessage = {
 	readonly type: 'suspects';
 	readonly records: readonly SuspectRecord[];
-	/** Whether a control instance passes it on, so that it goes no further. */
+	/** Whether the message was relayed by a control instance; a relayed message is not relayed again. */
 	readonly isRelayed: boolean;
 };
 
-/** Asks a control instance for all such requests that concern others. */
+/** Requests all suspect records that a control instance shares with others. */
 export type AllSuspectsMessage = {
 	readonly type: 'all-suspects';
 };
 
-/** An entry instance asks for news, and brings what it counted. */
+/** A long poll by which an entry instance requests updates and delivers its counters. */
 export type WatchMessage = {
 	readonly type: 'watch';
-	/** Whether it is answered at once, also where there is no news. */
+	/** Whether the poll is answered immediately even if there is no update. */
 	readonly isUrgent: boolean;
-	/** The asker's availability zone. */
+	/** The availability zone of the entry instance. */
 	readonly zone: ZoneId;
-	/** The version of the configuration that the asker has; undefined for none. */
+	/** The version of the entry instance's configuration, or `undefined` if it has none. */
 	readonly configurationVersion: number | undefined;
-	/** Names the run of the control instance that `cursor` belongs to; empty for none. */
+	/** Identifies the run of the control instance to which the cursors belong; empty if there was none. */
 	readonly run: string;
-	/** The last change of the directory that the asker has. */
+	/** The last change of the server directory that the entry instance has received. */
 	readonly cursor: number;
-	/** The last change of the requests that end servers that the asker has. */
+	/** The last change of the suspect records that the entry instance has received. */
 	readonly suspectCursor: number;
-	/** The digest of the roll-outs that the asker has. */
+	/** The digest of the rollouts that the entry instance has received. */
 	readonly rolloutDigest: string;
 	readonly evidence: readonly VersionEvidence[];
 };
 
-/** The news. */
+/** The reply to a poll: everything that changed since the state named in the request. */
 export type WatchReply = {
 	readonly run: string;
 	readonly cursor: number;
 	readonly records: readonly ServerRecord[];
 	readonly suspectCursor: number;
-	/** The requests that end servers of which something is new. */
+	/** The suspect records that changed. */
 	readonly suspects: readonly SuspectRecord[];
 	readonly configuration: ConfigurationDocument | undefined;
 	readonly rollouts: readonly RunningRollout[];
 	readonly rolloutDigest: string;
-	/** Milliseconds that the question was kept waiting. */
+	/** How long the poll was held before it was answered, in milliseconds. */
 	readonly held: number;
-	/** Milliseconds since the state was last known to be the newest; undefined where it never was in this run. */
+	/** The time since the state was last confirmed to be current, in milliseconds, or `undefined` if it has not been confirmed in this run. */
 	readonly confirmedAgo: number | undefined;
 	/** The hosts of the control instances. */
 	readonly hosts: readonly string[];
-	/** The entry instances with which the asker shares its loads. */
+	/** The entry instances with which the requester shares its load. */
 	readonly entries: readonly InstanceId[];
 };
 
-/** An entry instance tells others how much work it has at which server. */
+/** Reports the load that an entry instance has placed on each server. */
 export type LoadMessage = {
 	readonly type: 'load';
 	readonly loads: ReadonlyArray<readonly [server: ServerId, load: number]>;
 };
 
-/** The closed list of messages between the instances of a gateway. */
+/** The messages exchanged by the instances of a gateway. */
 export type PeerMessage
 	= ReplicaEnvelope | JoinMessage | ConfirmMessage | ProposeMessage
 		| ServersMessage | ServerEndedMessage | AllServersMessage | SuspectsMessage | AllSuspectsMessage
--- a/packages/gateway/src/control/reopening-group.ts
+++ b/packages/gateway/src/control/reopening-group.ts
@@ -4,40 +4,40 @@
 import {type DecisionLog} from '../logs/decision-log.js';
 import {type ControlGroup} from './control-group.js';
 
-/** What one opening of the data folder gives to the replica on it. */
+/** An opened data folder, with what the replica that uses it needs. */
 export type OpenedFolder = {
 	readonly folder: DataFolder;
-	/** The last time at which a former run of the replica can have acknowledged a lease, in milliseconds on the monotonic clock. */
+	/** The latest time at which a previous run of the replica may have acknowledged a lease, in milliseconds on the monotonic clock. */
 	readonly lastAcknowledgedAt: number;
-	/** To be told once why the replica stopped. */
+	/** Must be called once, with the reason, when the replica stops. */
 	readonly onFailure: (failed: Failure) => void;
 };
 
-/** What the care for a replica needs. */
+/** Options of a replica supervisor. */
 export type ReopeningGroupOptions = {
 	readonly clock: Clock;
 	readonly log: DecisionLog;
-	/** When this process started, in milliseconds on the monotonic clock; a former run acknowledged nothing after that. */
+	/** When this process started, in milliseconds on the monotonic clock; a previous run acknowledged nothing after this time. */
 	readonly processStartedAt: number;
-	/** Opens the data folder; asked again after a failure of the disk. */
+	/** Opens the data folder; called again after a disk failure. */
 	readonly openFolder: () => Promise<Either<Failure, DataFolder>>;
-	/** Builds the replica on an opened folder. */
+	/** Creates the replica that stores its data in an opened folder. */
 	readonly createGroup: (opened: OpenedFolder) => ControlGroup;
-	/** Told when the replica is lost to its disk. */
+	/** Called when the replica stops because its disk failed. */
 	readonly onLost: () => void;
 };
 
-/** The time until a data folder that failed is opened again. */
-const reopenMilliseconds = 500;
+/** The delay before a data folder that failed is reopened. */
+const reopenDelayMilliseconds = 500;
 
 /**
-Keeps a replica on the data folder, and opens the folder again after its disk failed, so that a full disk that empties needs no restart.
+Runs a replica and, after a disk failure, reopens the data folder and starts a new replica, so that the process need not be restarted once a full disk has free space again.
 
 @example
 ```ts
-const holder = new ReopeningGroup(options);
-await holder.start();
-holder.current?.state;
+const supervisor = new ControlReplicaSupervisor(options);
+await supervisor.start();
+supervisor.current?.state;
 ```
 */
 export class ReopeningGroup {
@@ -49,7 +49,7 @@
 		this.#options = options;
 	}
 
-	/** The replica; undefined while its disk fails. */
+	/** The running replica, or `undefined` while its disk is failing. */
 	get current(): ControlGroup | undefined {
 		return this.#current;
 	}
@@ -59,7 +59,7 @@
 		await this.#open(this.#options.processStartedAt);
 	}
 
-	/** Stops the replica once its steps in progress are on the disk. */
+	/** Stops the replica after its steps in progress are written to disk. */
 	async stop(): Promise<void> {
 		this.#isStopped = true;
 		await this.#current?.stop();
@@ -90,19 +90,19 @@
 
 	#reopenLater({message}: Failure): void {
 		const {log, onLost} = this.#options;
-		log('storage-failed', {reason: message, retryMilliseconds: reopenMilliseconds}, 'error');
-		const broken = this.#current;
+		log('storage-failed', {reason: message, retryMilliseconds: reopenDelayMilliseconds}, 'error');
+		const failedReplica = this.#current;
 		this.#current = undefined;
 		onLost();
 		setTimeout(() => {
-			void this.#reopen(broken);
-		}, reopenMilliseconds);
+			void this.#reopen(failedReplica);
+		}, reopenDelayMilliseconds);
 	}
 
-	async #reopen(broken: ControlGroup | undefined): Promise<void> {
-		await broken?.stop();
+	async #reopen(failedReplica: ControlGroup | undefined): Promise<void> {
+		await failedReplica?.stop();
 		if (!this.#isStopped) {
-			// The broken replica may have acknowledged leases until now.
+			// The failed replica may have acknowledged leases until now.
 			await this.#open(this.#options.clock.monotonic());
 		}
 	}
--- a/packages/gateway/src/control/rollout-judge.ts
+++ b/packages/gateway/src/control/rollout-judge.ts
@@ -4,67 +4,67 @@
 import {isEnded, type RunningRollout} from '../rollouts/rollout.js';
 import {type AdvanceRolloutCommand} from './gateway-command.js';
 
-/** What the judgement of roll-outs needs. */
+/** Options of the rollout controller. */
 export type RolloutJudgeOptions = {
 	readonly log: DecisionLog;
 	readonly evidence: EvidenceTable;
-	/** The roll-outs with their ages, where this instance leads; none elsewhere. */
+	/** The rollouts with their ages if this instance is the leader; otherwise none. */
 	readonly rollouts: () => readonly RunningRollout[];
-	/** Has a command committed. */
+	/** Commits a command. */
 	readonly advance: (command: AdvanceRolloutCommand) => Promise<unknown>;
 };
 
 /**
-Takes the running roll-outs to their next stages, at the leader.
+Advances the running rollouts on the leader.
 
 @example
 ```ts
-const judge = new RolloutJudge(options);
-await judge.look();
+const controller = new RolloutController(options);
+await controller.evaluateRollouts();
 ```
 */
 export class RolloutJudge {
 	readonly #options: RolloutJudgeOptions;
-	#isLooking = false;
+	#isEvaluating = false;
 
 	constructor(options: RolloutJudgeOptions) {
 		this.#options = options;
 	}
 
-	/** Looks once at all that run; does nothing while the look before is not done. */
+	/** Evaluates all running rollouts once; does nothing while the previous evaluation is in progress. */
 	async look(): Promise<void> {
-		if (this.#isLooking) {
+		if (this.#isEvaluating) {
 			return;
 		}
 
-		this.#isLooking = true;
+		this.#isEvaluating = true;
 		for (const rollout of this.#options.rollouts()) {
 			if (!isEnded(rollout)) {
-				await this.#judge(rollout);
+				await this.#evaluate(rollout);
 			}
 		}
 
-		this.#isLooking = false;
+		this.#isEvaluating = false;
 	}
 
-	async #judge(rollout: RunningRollout): Promise<void> {
+	async #evaluate(rollout: RunningRollout): Promise<void> {
 		const {service, target, age} = rollout;
 		const {evidence, log, advance} = this.#options;
-		const ofService = evidence.of(service);
-		const stage = judgeRollout(rollout, {evidence: ofService, age});
+		const serviceEvidence = evidence.of(service);
+		const stage = judgeRollout(rollout, {evidence: serviceEvidence, age});
 		if (stage === undefined) {
 			return;
 		}
 
-		const fresh = ofService.filter(({version}) => version === target);
+		const targetEvidence = serviceEvidence.filter(({version}) => version === target);
 		log('rollout-advanced', {
 			service,
 			target,
 			stage,
 			age: Math.round(age),
-			answers: sum(fresh.map(({answers}) => answers)),
-			failures: sum(fresh.map(({failures}) => failures)),
-			routes: fresh.map(({route, model, answers, failures, latencySum}) => `${route} ${model}: ${failures} of ${answers} failed, ${Math.round(latencySum)} ms in all`),
+			answers: sum(targetEvidence.map(({answers}) => answers)),
+			failures: sum(targetEvidence.map(({failures}) => failures)),
+			routes: targetEvidence.map(({route, model, answers, failures, latencySum}) => `${route} ${model}: ${failures} of ${answers} failed, ${Math.round(latencySum)} ms in total`),
 		}, 'warn');
 		await advance({
 			type: 'advance-rollout', service, target, stage,
--- a/packages/gateway/src/control/server-news.ts
+++ b/packages/gateway/src/control/server-news.ts
@@ -10,52 +10,52 @@
 	type AllServersReply, type PeerMessage, type ServersMessage, type ServersReply,
 } from './peer-message.js';
 
-/** What the exchange of servers between control instances needs. */
+/** Options of the server directory synchronization. */
 export type ServerNewsOptions = {
 	readonly clock: Clock;
 	readonly log: DecisionLog;
 	readonly metrics: Pick<GatewayMetrics, 'missedNotices'>;
-	/** The time between two announcements of a server, in milliseconds. */
+	/** The interval between announcements of a server, in milliseconds. */
 	readonly heartbeatMilliseconds: number;
 	/** The other control instances. */
 	readonly others: () => readonly InstanceId[];
-	/** Asks another control instance; undefined where no reply came within the timeout in milliseconds. */
+	/** Sends a request to another control instance; resolves to `undefined` if no reply arrives within the timeout in milliseconds. */
 	readonly ask: (to: InstanceId, message: PeerMessage, timeout: number) => Promise<unknown>;
-	/** Told after each change of the directory. */
+	/** Called after each change of the directory. */
 	readonly onChange: () => void;
-	/** What this instance saves of the directory, so that its next run need not wait for all servers to announce themselves. */
+	/** Stores the directory, so that the next run of this instance need not wait for all servers to announce themselves. */
 	readonly saved: SavedList<ServerRecord>;
 };
 
-/** A point in the changes of a directory up to which a run of another process has taken them. */
-type PeerPosition = {
+/** The last change of the directory that a run of another process has acknowledged. */
+type PeerCursor = {
 	readonly run: string;
 	readonly cursor: number;
 };
 
-/** Announcements that may be missed before a server counts as silent; they may come seconds late. */
-const missedHeartbeats = 5;
-/** The time between two rounds that tell the others which servers were heard. */
-const shareMilliseconds = 500;
-/** The time between two looks whether the directory must be saved: a save costs two syncs of the disk, and servers change within seconds at the most. */
+/** The number of heartbeats a server may miss before it is considered silent; announcements may arrive seconds late. */
+const missedHeartbeatLimit = 5;
+/** The interval between synchronizations with the other control instances. */
+const syncMilliseconds = 500;
+/** The interval at which the directory is saved if it has changed. A save costs two disk syncs, and the directory changes at most every few seconds. */
 const saveMilliseconds = 1000;
-/** How long the acknowledgement of a shutdown waits for the other control instances and for the disk; the server waits a second. */
-const passOnMilliseconds = 600;
-/** The time that an instance which just started has to answer with all its servers. */
-const allServersMilliseconds = 1000;
+/** How long the acknowledgement of a shutdown waits for the other control instances and for the disk; the server itself waits one second. */
+const forwardTimeoutMilliseconds = 600;
+/** How long an instance that starts waits for the server lists of the others. */
+const allServersTimeoutMilliseconds = 1000;
 
-/** A server that was saved must announce itself within this many heartbeats, else it counts as silent. */
-const restoredHeartbeats = 2;
+/** A restored server is considered silent if it does not announce itself within this many heartbeats. */
+const restoredGraceHeartbeats = 2;
 
 const logKinds: Readonly<Record<ServerRecord['state'], DecisionKind>> = {ready: 'server-joined', draining: 'server-draining', gone: 'server-gone'};
 
 /**
-Keeps the directory of backend servers the same on all control instances, by passing on what changes and what was heard.
+Synchronizes the directory of backend servers between control instances by sending them changed records and received announcements.
 
 @example
 ```ts
-const news = new ServerNews(options);
-await news.announce(record);
+const sync = new ServerDirectorySync(options);
+await sync.announce(record);
 ```
 */
 export class ServerNews {
@@ -64,16 +64,16 @@
 	readonly #startedAt: number;
 	readonly #silentMilliseconds: number;
 	readonly #saver: ListSaver<ServerRecord>;
-	readonly #heard = new Set<ServerId>();
-	/** How far each other control instance has taken the changes of this directory. */
-	readonly #taken = new Map<InstanceId, PeerPosition>();
-	#stopSharing: (() => void) | undefined;
+	readonly #announcedIds = new Set<ServerId>();
+	/** The changes of this directory that each other control instance has acknowledged. */
+	readonly #acknowledged = new Map<InstanceId, PeerCursor>();
+	#stopSyncTimer: (() => void) | undefined;
 	#saveTimer: NodeJS.Timeout | undefined;
 
 	constructor(options: ServerNewsOptions) {
 		this.#options = options;
 		this.#startedAt = options.clock.monotonic();
-		this.#silentMilliseconds = missedHeartbeats * options.heartbeatMilliseconds;
+		this.#silentMilliseconds = missedHeartbeatLimit * options.heartbeatMilliseconds;
 		this.directory = new ServerDirectory({silentMilliseconds: this.#silentMilliseconds});
 		this.#saver = new ListSaver({
 			current: () => ({cursor: this.directory.cursor, items: this.directory.records}),
@@ -81,83 +81,83 @@
 		});
 	}
 
-	/** All servers, for another control instance. */
+	/** The reply that sends all servers to another control instance. */
 	get all(): AllServersReply {
 		return {type: 'servers', records: this.directory.records, listenedFor: this.#options.clock.monotonic() - this.#startedAt};
 	}
 
-	/** Starts the rounds, asks the others for what they know, and takes what the run before saved; resolves once that is read. */
+	/** Starts the periodic tasks, restores the servers that the previous run saved, and requests the servers that the other instances know; resolves once the saved servers are restored. */
 	async start(): Promise<void> {
-		// A round says which servers are silent.
-		this.#stopSharing = intervalAfterInput(shareMilliseconds, () => {
+		// A round marks silent servers, so it must run only after the input that is already waiting was read.
+		this.#stopSyncTimer = intervalAfterInput(syncMilliseconds, () => {
 			this.share();
 		});
 		this.#saveTimer = setInterval(() => {
 			void this.save();
 		}, saveMilliseconds);
 		await this.restore();
-		void this.#askAll();
+		void this.#fetchAll();
 	}
 
-	/** Takes the servers that the run before saved, where nothing newer is known of them. */
+	/** Restores the servers that the previous run saved, except those that are already known. */
 	async restore(): Promise<void> {
 		const {saved, clock, heartbeatMilliseconds, log, onChange} = this.#options;
 		const records = await saved.read();
-		const restored = this.directory.restore(records, {now: clock.monotonic(), graceMilliseconds: restoredHeartbeats * heartbeatMilliseconds});
+		const restored = this.directory.restore(records, {now: clock.monotonic(), graceMilliseconds: restoredGraceHeartbeats * heartbeatMilliseconds});
 		log('servers-restored', {saved: records.length, restored: restored.length});
 		if (restored.length > 0) {
 			onChange();
 		}
 	}
 
-	/** Saves the directory where it changed. */
+	/** Saves the directory if it has changed. */
 	async save(): Promise<void> {
 		await this.#saver.save();
 	}
 
 	stop(): void {
-		this.#stopSharing?.();
+		this.#stopSyncTimer?.();
 		clearInterval(this.#saveTimer);
 	}
 
 	/**
-	Takes an announcement; one of a shutdown is passed on to the other control instances first.
+	Handles an announcement; for a shutdown, waits until it is sent to the other control instances and saved.
 
-	@param record What the server said.
+	@param record The announced record.
 	*/
 	async announce(record: ServerRecord): Promise<void> {
 		const changed = this.directory.announce(record, this.#options.clock.monotonic());
-		this.#heard.add(record.id);
-		await this.#passOn(changed);
+		this.#announcedIds.add(record.id);
+		await this.#forward(changed);
 	}
 
 	/**
-	Takes the notice that a server ends, and passes it on before it returns: others may know a server that this instance, just started, does not.
+	Handles the notice that a server is stopping, and forwards it before returning even if the server is unknown: other instances may know a server that this instance, having just started, does not.
 
 	@param server The server.
 	*/
 	async remove(server: ServerId): Promise<void> {
 		this.end(server);
-		await this.#secure(this.#tellOthers({type: 'server-ended', server}, [server]));
+		await this.#waitUntilDurable(this.#broadcast({type: 'server-ended', server}, [server]));
 	}
 
 	/**
-	Notes that a server ended.
+	Marks a server as stopped.
 
 	@param server The server.
 	*/
 	end(server: ServerId): void {
 		const changed = this.directory.remove(server, this.#options.clock.monotonic());
 		if (changed !== undefined) {
-			this.#log([changed], 'notice');
+			this.#logStates([changed], 'notice');
 			this.#options.onChange();
 		}
 	}
 
 	/**
-	Takes what another control instance passes on.
+	Merges the records that another control instance sends.
 
-	@param message The news.
+	@param message The records.
 	*/
 	receive({records}: ServersMessage): void {
 		const now = this.#options.clock.monotonic();
@@ -165,7 +165,7 @@
 		for (const record of records) {
 			const changed = this.directory.announce(record, now);
 			isChanged ||= changed.length > 0;
-			this.#log(changed, 'peer');
+			this.#logStates(changed, 'peer');
 		}
 
 		if (isChanged) {
@@ -173,7 +173,7 @@
 		}
 	}
 
-	/** Marks the servers that have gone silent, and tells the others which were heard and what they have not taken yet; one round. */
+	/** Runs one synchronization round: marks silent servers, and sends each other instance the servers that announced themselves and the changes that it has not acknowledged. */
 	share(): void {
 		const {clock, others, onChange} = this.#options;
 		const silenced = this.directory.sweep(clock.monotonic());
@@ -182,56 +182,56 @@
 			onChange();
 		}
 
-		const heard = new Set(this.#heard);
-		this.#heard.clear();
+		const announcedIds = new Set(this.#announcedIds);
+		this.#announcedIds.clear();
 		for (const other of others()) {
-			void this.#catchUp(other, heard);
+			void this.#sendChanges(other, announcedIds);
 		}
 	}
 
-	/** Tells another control instance which servers were heard, and all changes that it has not taken yet. */
-	async #catchUp(other: InstanceId, heard: ReadonlySet<ServerId>): Promise<void> {
-		const {run, cursor} = this.#taken.get(other) ?? {run: undefined, cursor: 0};
-		const {cursor: newest, records: all} = this.directory;
+	/** Sends another control instance the servers that announced themselves, and all changes that it has not acknowledged. */
+	async #sendChanges(other: InstanceId, announcedIds: ReadonlySet<ServerId>): Promise<void> {
+		const {run, cursor} = this.#acknowledged.get(other) ?? {run: undefined, cursor: 0};
+		const {cursor: latestCursor, records: all} = this.directory;
 		const changed = new Set(this.directory.changedSince(cursor));
-		const records = all.filter(record => changed.has(record) || heard.has(record.id));
+		const records = all.filter(record => changed.has(record) || announcedIds.has(record.id));
 		if (records.length === 0) {
 			return;
 		}
 
-		const reply = await this.#options.ask(other, {type: 'servers', records}, passOnMilliseconds) as ServersReply | undefined;
+		const reply = await this.#options.ask(other, {type: 'servers', records}, forwardTimeoutMilliseconds) as ServersReply | undefined;
 		if (reply !== undefined) {
-			// A process that started meanwhile has only what it was told since.
+			// If the process has restarted, it has only received the changes since its restart.
 			const isComplete = cursor === 0 || run === reply.run;
-			this.#taken.set(other, {run: reply.run, cursor: isComplete ? newest : 0});
+			this.#acknowledged.set(other, {run: reply.run, cursor: isComplete ? latestCursor : 0});
 		}
 	}
 
-	async #passOn(changed: readonly ServerRecord[]): Promise<void> {
+	async #forward(changed: readonly ServerRecord[]): Promise<void> {
 		if (changed.length === 0) {
 			return;
 		}
 
-		this.#log(changed, 'announcement');
+		this.#logStates(changed, 'announcement');
 		this.#options.onChange();
 		const leaving = changed.filter(({state}) => state !== 'ready').map(({id}) => id);
-		const passedOn = this.#tellOthers({type: 'servers', records: changed}, leaving);
+		const broadcast = this.#broadcast({type: 'servers', records: changed}, leaving);
 		if (leaving.length > 0) {
-			await this.#secure(passedOn);
+			await this.#waitUntilDurable(broadcast);
 		}
 	}
 
-	/** Waits until a shutdown is told and on the disk; a disk that stands still holds it up for no longer than others may. */
-	async #secure(told: Promise<void>): Promise<void> {
-		await Promise.all([told, this.#saver.saveWithin(passOnMilliseconds)]);
+	/** Waits until a shutdown is sent to the other instances and saved; a stalled disk delays it no longer than an unresponsive instance. */
+	async #waitUntilDurable(broadcast: Promise<void>): Promise<void> {
+		await Promise.all([broadcast, this.#saver.saveWithin(forwardTimeoutMilliseconds)]);
 	}
 
-	/** Tells the other control instances, and logs the servers whose shutdown one of them did not take in time. */
-	async #tellOthers(message: PeerMessage, leaving: readonly ServerId[]): Promise<void> {
+	/** Sends a message to the other control instances, and logs the stopping servers if any instance does not acknowledge it in time. */
+	async #broadcast(message: PeerMessage, leaving: readonly ServerId[]): Promise<void> {
 		const {others, ask, log, metrics} = this.#options;
 		const missed: InstanceId[] = [];
 		await Promise.all(others().map(async other => {
-			if (await ask(other, message, passOnMilliseconds) === undefined) {
+			if (await ask(other, message, forwardTimeoutMilliseconds) === undefined) {
 				missed.push(other);
 			}
 		}));
@@ -245,22 +245,22 @@
 		}
 	}
 
-	async #askAll(): Promise<void> {
+	async #fetchAll(): Promise<void> {
 		const {others, ask} = this.#options;
 		await Promise.all(others().map(async other => {
-			const reply = await ask(other, {type: 'all-servers'}, allServersMilliseconds) as AllServersReply | undefined;
+			const reply = await ask(other, {type: 'all-servers'}, allServersTimeoutMilliseconds) as AllServersReply | undefined;
 			if (reply !== undefined) {
 				this.receive(reply);
-				this.#doubtRestored(reply);
+				this.#silenceUnconfirmed(reply);
 			}
 		}));
 	}
 
-	/** Only an instance that has listened for as long as a server may be silent has heard of all that run. */
-	#doubtRestored({records, listenedFor}: AllServersReply): void {
-		const doubted = listenedFor >= this.#silentMilliseconds ? this.directory.doubtRestored(records) : [];
-		if (doubted.length > 0) {
-			this.#logSilent(doubted);
+	/** Marks restored servers that another instance does not list as silent, provided that instance has been receiving announcements long enough to know every running server. */
+	#silenceUnconfirmed({records, listenedFor}: AllServersReply): void {
+		const unconfirmed = listenedFor >= this.#silentMilliseconds ? this.directory.doubtRestored(records) : [];
+		if (unconfirmed.length > 0) {
+			this.#logSilent(unconfirmed);
 			this.#options.onChange();
 		}
 	}
@@ -271,7 +271,7 @@
 		}
 	}
 
-	#log(records: readonly ServerRecord[], source: string): void {
+	#logStates(records: readonly ServerRecord[], source: string): void {
 		for (const {id, state, service, version, zone, startedAt, sequence} of records) {
 			this.#options.log(logKinds[state], {
 				server: id, service, version, serverZone: zone, startedAt, sequence, source,
--- a/packages/gateway/src/control/state-confirmation.ts
+++ b/packages/gateway/src/control/state-confirmation.ts
@@ -4,32 +4,32 @@
 import {type Either, Left, Right} from 'purify-ts';
 import {type ControlGroup} from './control-group.js';
 
-/** What the confirmation of the state needs. */
+/** Options of the state confirmation. */
 export type StateConfirmationOptions = {
 	readonly clock: Pick<Clock, 'monotonic'>;
 	readonly suspension: Pick<SuspensionWatch, 'lastWake'>;
-	/** The replica; undefined while its disk fails. */
+	/** The running replica, or `undefined` while its disk is failing. */
 	readonly group: () => ControlGroup | undefined;
-	/** Asks the leader for the newest committed index; undefined where it gave no word under its lease. */
+	/** Requests the commit index from the leader; resolves to `undefined` if no leader with a valid lease replied. */
 	readonly newestIndex: () => Promise<number | undefined>;
-	/** Told of a confirmation after a time without one. */
+	/** Called on the first confirmation and on one that follows a gap. */
 	readonly onRegained: () => void;
 };
 
-/** How long a confirmation waits to be applied here. */
-const applyMilliseconds = 600;
-/** After this time without a confirmation entry instances are told of the next one at once, in milliseconds. */
-const regainedMilliseconds = 1000;
-/** How long a read waits to be applied here; a caller gives up after a second. */
-const readMilliseconds = 700;
+/** How long a confirmation waits for the commit index to be applied locally. */
+const applyTimeoutMilliseconds = 600;
+/** After this time without a confirmation, in milliseconds, entry instances are notified of the next one immediately. */
+const confirmationGapMilliseconds = 1000;
+/** How long a read waits for the commit index to be applied locally; callers time out after one second. */
+const readTimeoutMilliseconds = 700;
 const retryMilliseconds = 300;
 
 /**
-Knows when the state of this replica was last sure to be the newest, by the word of the leader.
+Tracks when the state of this replica was last confirmed, by the leader's commit index, to be current.
 
 @example
 ```ts
-const confirmation = new StateConfirmation({clock, suspension, group, newestIndex, onRegained});
+const confirmation = new StateConfirmation({clock, suspension, replica, readIndex, onReconfirmed});
 await confirmation.confirm();
 confirmation.confirmedAt;
 ```
@@ -42,50 +42,50 @@
 		this.#options = options;
 	}
 
-	/** When the state was last known to be the newest, in milliseconds on the monotonic clock; undefined where it never was, or not since the machine was suspended: its age is not known then. */
+	/** When the state was last confirmed to be current, in milliseconds on the monotonic clock; `undefined` if it has not been confirmed since the process started or since the machine was last suspended, because a suspension makes its age unknown. */
 	get confirmedAt(): number | undefined {
 		return this.#confirmedAt === undefined || this.#confirmedAt < this.#options.suspension.lastWake() ? undefined : this.#confirmedAt;
 	}
 
-	/** Forgets the confirmation: the folder that is opened next may hold less than what was confirmed before. */
+	/** Discards the confirmation: the data folder that is opened next may hold less than the confirmed state. */
 	forget(): void {
 		this.#confirmedAt = undefined;
 	}
 
-	/** Asks the leader once, and waits until what it names is applied here. */
+	/** Requests the commit index from the leader once, and waits until it is applied locally. */
 	async confirm(): Promise<void> {
 		const {clock, suspension, onRegained} = this.#options;
-		const began = clock.monotonic();
-		if (await this.#caughtUp(began + applyMilliseconds) === undefined || began < suspension.lastWake()) {
+		const startedAt = clock.monotonic();
+		if (await this.#waitForCatchUp(startedAt + applyTimeoutMilliseconds) === undefined || startedAt < suspension.lastWake()) {
 			return;
 		}
 
-		const isRegained = this.#confirmedAt === undefined || began - this.#confirmedAt > regainedMilliseconds;
-		this.#confirmedAt = Math.max(began, this.#confirmedAt ?? began);
-		if (isRegained) {
+		const isAfterGap = this.#confirmedAt === undefined || startedAt - this.#confirmedAt > confirmationGapMilliseconds;
+		this.#confirmedAt = Math.max(startedAt, this.#confirmedAt ?? startedAt);
+		if (isAfterGap) {
 			onRegained();
 		}
 	}
 
 	/**
-	Waits until this replica has applied all that was committed when the call began.
+	Waits until this replica has applied everything that was committed when the call began, so that a subsequent read is linearizable.
 
 	@returns The replica, or `no-quorum`.
 	*/
 	async newest(): Promise<Either<Failure, ControlGroup>> {
-		const replica = await this.#caughtUp(this.#options.clock.monotonic() + readMilliseconds);
+		const replica = await this.#waitForCatchUp(this.#options.clock.monotonic() + readTimeoutMilliseconds);
 		if (replica === undefined) {
-			return Left(failure('no-quorum', 'Got no word of the leader about the newest index, wanted it for a read', {retryAfterMilliseconds: retryMilliseconds}));
+			return Left(failure('no-quorum', 'Cannot read the current state: the leader did not confirm the commit index in time', {retryAfterMilliseconds: retryMilliseconds}));
 		}
 
 		return Right(replica);
 	}
 
-	/** The replica once it has applied what the leader names as newest; undefined where that did not come about by a time on the monotonic clock. */
-	async #caughtUp(until: number): Promise<ControlGroup | undefined> {
+	/** Resolves to the replica once it has applied the leader's commit index, or to `undefined` if it has not done so by the deadline on the monotonic clock. */
+	async #waitForCatchUp(deadline: number): Promise<ControlGroup | undefined> {
 		const {group, newestIndex} = this.#options;
 		const replica = group();
 		const index = await newestIndex();
-		return replica !== undefined && index !== undefined && await replica.applied(index, until) ? replica : undefined;
+		return replica !== undefined && index !== undefined && await replica.applied(index, deadline) ? replica : undefined;
 	}
 }
--- a/packages/gateway/src/control/suspect-news.ts
+++ b/packages/gateway/src/control/suspect-news.ts
@@ -5,62 +5,62 @@
 import {type SavedList} from '../servers/saved-list.js';
 import {type PeerMessage, type SuspectsMessage} from './peer-message.js';
 
-/** What the exchange between control instances needs. */
+/** Options of the suspect synchronization. */
 export type SuspectNewsOptions = {
 	readonly clock: Pick<Clock, 'now'>;
 	readonly log: DecisionLog;
 	/** The other control instances. */
 	readonly others: () => readonly InstanceId[];
-	/** Asks another control instance; undefined where no reply came within the timeout in milliseconds. */
+	/** Sends a request to another control instance; resolves to `undefined` if no reply arrives within the timeout in milliseconds. */
 	readonly ask: (to: InstanceId, message: PeerMessage, timeout: number) => Promise<unknown>;
-	/** Told after each change that concerns entry instances. */
+	/** Called after each change that must be sent to entry instances. */
 	readonly onChange: () => void;
-	/** What this instance saves, so that a request stays known after the end of all processes. */
+	/** Stores the records, so that they survive a restart of all processes. */
 	readonly saved: SavedList<SuspectRecord>;
 };
 
-/** A record as operators read it. */
+/** A suspect record as listed for operators. */
 export type ListedSuspect = SuspectRecord & {
-	/** Whether the disk of the instance that answers holds the record as it stands, so that it is known after the end of all processes. */
+	/** Whether the responding instance has saved the current record to disk, so that it survives a restart of all processes. */
 	readonly isSaved: boolean;
 };
 
-/** What became of a lifted quarantine. */
+/** The result of lifting a quarantine. */
 export type LiftedQuarantine = {
-	/** Whether it stays lifted after the end of all processes. */
+	/** Whether the change is saved to disk, so that it survives a restart of all processes. */
 	readonly isSaved: boolean;
 };
 
-/** Reports within this time are passed on together: those of all entry instances that had requests at a server which ended. In milliseconds. */
-const relayMilliseconds = 30;
-/** The time between two rounds that tell the others what is known, for those that missed it behind a cut. In milliseconds. */
-const roundMilliseconds = 1000;
-/** The requests of one round, so that a round stays below 4 KB. */
-const roundSize = 16;
-const askMilliseconds = 600;
-/** How long an operator's call waits for the disk, so that one that stands still hides nothing from operators. */
-const diskMilliseconds = 2000;
+/** Reports received within this time, in milliseconds, are relayed in one message; all entry instances with requests on a crashed server report at about the same time. */
+const relayDelayMilliseconds = 30;
+/** The interval, in milliseconds, at which known records are sent again for instances that missed them during a network partition. */
+const syncMilliseconds = 1000;
+/** The number of records sent in one synchronization round, which keeps the message below 4 KB. */
+const recordsPerSync = 16;
+const askTimeoutMilliseconds = 600;
+/** How long an operator's request waits for the disk; bounded so that records can be listed even while the disk stalls. */
+const diskTimeoutMilliseconds = 2000;
 
 /**
-Keeps what is known of requests that end servers the same on all control instances, and on their disks.
+Synchronizes the records of requests suspected of crashing servers between control instances, and saves them to disk.
 
-Records are merged by their union, so that it needs no leader and no quorum: it holds in a zone that is cut off, and while there is no leader.
+Records are merged by set union, which requires neither a leader nor a quorum, so that synchronization also works within a partitioned zone and while there is no leader.
 
 @example
 ```ts
-const news = new SuspectNews(options);
-news.receive({type: 'suspects', records, isRelayed: false});
+const sync = new SuspectSync(options);
+sync.receive({type: 'suspects', records, isRelayed: false});
 ```
 */
 export class SuspectNews {
 	readonly book = new SuspectBook();
 	readonly #options: SuspectNewsOptions;
 	readonly #saver: ListSaver<SuspectRecord>;
-	readonly #unsent = new Set<RequestFingerprint>();
+	readonly #unrelayed = new Set<RequestFingerprint>();
 	#relayTimer: NodeJS.Timeout | undefined;
-	#roundTimer: NodeJS.Timeout | undefined;
-	/** Where the next round begins. */
-	#nextOfRound = 0;
+	#syncTimer: NodeJS.Timeout | undefined;
+	/** The index of the first record to send in the next round. */
+	#syncOffset = 0;
 
 	constructor(options: SuspectNewsOptions) {
 		this.#options = options;
@@ -70,30 +70,30 @@
 		});
 	}
 
-	/** Starts the rounds, asks the others for what they know, takes what the run before saved and tells them; resolves once that is read. */
+	/** Starts the periodic rounds, requests the records of the other instances, restores the records that the previous run saved, and sends those to the others; resolves once the saved records are restored. */
 	async start(): Promise<void> {
-		this.#roundTimer = setInterval(() => {
-			this.#round();
-		}, roundMilliseconds);
-		void this.#askAll();
+		this.#syncTimer = setInterval(() => {
+			this.#runSync();
+		}, syncMilliseconds);
+		void this.#fetchAll();
 		await this.restore();
-		// One of the others may have lost its disk, and have asked before this instance answered.
-		this.#tellOthers(this.book.told);
+		// Another instance may have lost its disk and requested the records before this instance could reply.
+		this.#broadcast(this.book.told);
 	}
 
 	stop(): void {
-		clearInterval(this.#roundTimer);
+		clearInterval(this.#syncTimer);
 		clearTimeout(this.#relayTimer);
 	}
 
-	/** Takes what the run before saved. */
+	/** Restores the records that the previous run saved. */
 	async restore(): Promise<void> {
 		const records = await this.#options.saved.read();
 		this.#merge(records, 'disk');
 	}
 
 	/**
-	Takes what another instance tells; what an entry instance tells is passed on.
+	Merges the records that another instance sends, and relays those of entry instances.
 
 	@param message The records.
 	*/
@@ -106,10 +106,10 @@
 	}
 
 	/**
-	Lifts the quarantine of a request, as an operator wants it; the ends so far count against it no more.
+	Lifts the quarantine of a request; crashes recorded so far no longer count against it.
 
 	@param fingerprint The request.
-	@returns Whether it is on the disk; undefined where nothing was known of the request.
+	@returns Whether the change is saved to disk, or `undefined` if the request is unknown.
 	*/
 	async lift(fingerprint: RequestFingerprint): Promise<LiftedQuarantine | undefined> {
 		if (!this.book.clear(fingerprint)) {
@@ -119,21 +119,21 @@
 		this.#options.log('request-cleared', {fingerprint, source: 'operator'});
 		this.#relay(fingerprint);
 		this.#options.onChange();
-		return {isSaved: await this.#saver.saveWithin(diskMilliseconds)};
+		return {isSaved: await this.#saver.saveWithin(diskTimeoutMilliseconds)};
 	}
 
 	/**
-	Lists what concerns all instances, once the disk holds it.
+	Lists the records that are shared between instances, after trying to save them to disk.
 
-	@returns The records; one that the disk did not take in time says so.
+	@returns The records, each with whether it was saved in time.
 	*/
 	async list(): Promise<readonly ListedSuspect[]> {
-		await this.#saver.saveWithin(diskMilliseconds);
+		await this.#saver.saveWithin(diskTimeoutMilliseconds);
 		const unsaved = new Set(this.book.changedSince(this.#saver.savedCursor));
 		return this.book.told.map(record => ({...record, isSaved: !unsaved.has(record)}));
 	}
 
-	/** Saves what concerns others where it changed. */
+	/** Saves the shared records if they have changed. */
 	async save(): Promise<void> {
 		await this.#saver.save();
 	}
@@ -150,7 +150,7 @@
 
 		if (this.book.cursor !== cursor) {
 			this.#options.onChange();
-			// At once: the instances may end together, as one request after the other meets them.
+			// Saved immediately, because requests that crash servers may bring down all instances within a short time.
 			void this.save();
 		}
 
@@ -158,15 +158,15 @@
 	}
 
 	#relay(fingerprint: RequestFingerprint): void {
-		this.#unsent.add(fingerprint);
+		this.#unrelayed.add(fingerprint);
 		this.#relayTimer ??= setTimeout(() => {
 			this.#relayTimer = undefined;
-			this.#tellOthers([...this.#unsent].flatMap(known => this.book.get(known) ?? []));
-			this.#unsent.clear();
-		}, relayMilliseconds);
+			this.#broadcast([...this.#unrelayed].flatMap(known => this.book.get(known) ?? []));
+			this.#unrelayed.clear();
+		}, relayDelayMilliseconds);
 	}
 
-	#round(): void {
+	#runSync(): void {
 		this.book.forget(this.#now());
 		void this.save();
 		const known = this.book.told;
@@ -174,26 +174,26 @@
 			return;
 		}
 
-		const first = this.#nextOfRound >= known.length ? 0 : this.#nextOfRound;
-		this.#nextOfRound = first + roundSize;
-		this.#tellOthers(known.slice(first, this.#nextOfRound));
+		const first = this.#syncOffset >= known.length ? 0 : this.#syncOffset;
+		this.#syncOffset = first + recordsPerSync;
+		this.#broadcast(known.slice(first, this.#syncOffset));
 	}
 
-	#tellOthers(records: readonly SuspectRecord[]): void {
+	#broadcast(records: readonly SuspectRecord[]): void {
 		const {others, ask} = this.#options;
 		if (records.length === 0) {
 			return;
 		}
 
 		for (const other of others()) {
-			void ask(other, {type: 'suspects', records, isRelayed: true}, askMilliseconds);
+			void ask(other, {type: 'suspects', records, isRelayed: true}, askTimeoutMilliseconds);
 		}
 	}
 
-	async #askAll(): Promise<void> {
+	async #fetchAll(): Promise<void> {
 		const {others, ask} = this.#options;
 		await Promise.all(others().map(async other => {
-			const reply = await ask(other, {type: 'all-suspects'}, askMilliseconds) as SuspectsMessage | undefined;
+			const reply = await ask(other, {type: 'all-suspects'}, askTimeoutMilliseconds) as SuspectsMessage | undefined;
 			if (reply !== undefined) {
 				this.receive(reply);
 			}
