--- a/packages/gateway/src/control/_test-control-node.ts
+++ b/packages/gateway/src/control/_test-control-node.ts
@@ -4,22 +4,22 @@
 
 const heartbeatMilliseconds = 1200;
 
-/** The parts of a control instance that know of servers. */
-export type TestControl = {
+/** The services of a control instance that handle backend servers. */
+export type TestControlServices = {
 	readonly run: string;
 	readonly news: ServerNews;
 	readonly watches: EntryWatches;
 };
 
 type StartTestControlOptions = Pick<ServerNewsOptions, 'clock' | 'others' | 'ask' | 'saved'> & {
-	/** Names the run of the process. */
+	/** Identifies the run of the process. */
 	readonly run: string;
 };
 
-/** Starts the parts of a control instance, without their timers: a test brings about the rounds. */
-export function startTestControl({run, ...options}: StartTestControlOptions): TestControl {
+/** Starts the services of a control instance without their timers; the test triggers each round. */
+export function startTestControlServices({run, ...options}: StartTestControlOptions): TestControlServices {
 	const news = new ServerNews({
-		...options, log: ignore, metrics: createGatewayMetrics(), heartbeatMilliseconds, onChange: ignore,
+		...options, log: doNothing, metrics: createGatewayMetrics(), heartbeatMilliseconds, onChange: doNothing,
 	});
 	const watches = new EntryWatches({
 		clock: options.clock,
@@ -35,6 +35,6 @@
 	return {run, news, watches};
 }
 
-function ignore(): void {
-	// Nobody is told.
+function doNothing(): void {
+	// Notifications are not needed.
 }
--- a/packages/gateway/src/control/_test-control.ts
+++ b/packages/gateway/src/control/_test-control.ts
@@ -1,7 +1,7 @@
 import {testConfiguration} from '../configuration/_test-configuration.js';
 import {type ControlInstance} from './control-instance.js';
 
-/** Tries until a call succeeds; the deadline of the test run bounds it. */
+/** Retries a call until it returns a value; the timeout of the test run limits the time. */
 export async function eventually<Value>(attempt: () => Promise<Value | undefined>): Promise<Value> {
 	for (;;) {
 		const value = await attempt();
@@ -15,7 +15,7 @@
 	}
 }
 
-/** Submits a small configuration of a version; true where it was acknowledged. */
+/** Submits a small configuration with the given version; resolves to `true` if it was acknowledged. */
 export async function submit(control: ControlInstance, version: number): Promise<true | undefined> {
 	const submitted = await control.operators.submitConfiguration(testConfiguration({version}), `version ${version}`);
 	return submitted.isRight() ? true : undefined;
--- a/packages/gateway/src/control/_test-server-world.ts
+++ b/packages/gateway/src/control/_test-server-simulation.ts
@@ -4,57 +4,57 @@
 import {EntryServers} from '../entry/entry-servers.js';
 import {testServer} from '../servers/_test-server.js';
 import {type ServerRecord, type ServerState} from '../servers/server-record.js';
-import {startTestControl, type TestControl} from './_test-control-node.js';
+import {startTestControlServices, type TestControlServices} from './_test-control-node.js';
 import {type PeerMessage, type WatchMessage, type WatchReply} from './peer-message.js';
 
-const roundMilliseconds = 1000;
-const questionMilliseconds = 1400;
-/** An announcement may come this long after it was sent. */
-const latestMilliseconds = 10_000;
+const stepMilliseconds = 1000;
+const pollTimeoutMilliseconds = 1400;
+/** The longest time by which an announcement may be delayed. */
+const maximumDelayMilliseconds = 10_000;
 const zone = 'hall-a' as ZoneId;
 
-type Entry = {
+type SimulatedEntry = {
 	readonly servers: EntryServers;
 	readonly positions: Map<InstanceId, {run: string; cursor: number}>;
-	/** Ends the sends in progress, by server. */
+	/** Callbacks that end the requests in progress, by server. */
 	readonly loads: Map<ServerId, () => void>;
-	/** The servers that it was told to leave, by the end that it learned. */
-	readonly told: Set<ServerId>;
+	/** The servers that were reported to this instance as stopping or stopped. */
+	readonly notifiedServers: Set<ServerId>;
 };
 
-type TakenReply = {
+type EntryReply = {
 	readonly entry: number;
 	readonly source: InstanceId;
 	readonly reply: WatchReply;
 };
 
-type LateReply = TakenReply & {
+type DelayedReply = EntryReply & {
 	readonly askedAt: number;
 };
 
-type WorldSize = {
+type SimulationSize = {
 	readonly controls: number;
 	readonly entries: number;
 	readonly servers: readonly ServerId[];
 };
 
-/** Control instances, entry instances and backend servers, with a clock and links that a test moves. */
-export class ServerWorld {
+/** A simulation of control instances, entry instances and backend servers, whose clock and network links are controlled by the test. */
+export class ServerSimulation {
 	readonly controls: readonly InstanceId[];
-	/** The servers whose notice to leave was acknowledged, with the time of the notice. */
-	readonly left = new Map<ServerId, number>();
+	/** The servers whose shutdown notice was acknowledged, with the time of the notice. */
+	readonly departures = new Map<ServerId, number>();
 	now = 1000;
-	readonly #controls = new Map<InstanceId, TestControl>();
-	readonly #entries: Entry[] = [];
-	readonly #cuts = new Set<string>();
+	readonly #controls = new Map<InstanceId, TestControlServices>();
+	readonly #entries: SimulatedEntry[] = [];
+	readonly #partitions = new Set<string>();
 	readonly #saved = new Map<InstanceId, readonly ServerRecord[]>();
 	readonly #sequences = new Map<ServerId, number>();
-	/** The control instance that each server announces itself to. */
-	readonly #homes = new Map<ServerId, InstanceId>();
+	/** The control instance to which each server announces itself. */
+	readonly #homeInstances = new Map<ServerId, InstanceId>();
 	#runs = 0;
-	readonly #lateReplies: LateReply[] = [];
+	readonly #delayedReplies: DelayedReply[] = [];
 
-	constructor({controls, entries, servers}: WorldSize) {
+	constructor({controls, entries, servers}: SimulationSize) {
 		this.controls = Array.from({length: controls}, (_, index) => `10.0.0.${index + 1}` as InstanceId);
 		for (const control of this.controls) {
 			this.#start(control);
@@ -65,40 +65,40 @@
 		}
 
 		for (const [index, server] of servers.entries()) {
-			this.#homes.set(server, this.controls[index % controls]!);
+			this.#homeInstances.set(server, this.controls[index % controls]!);
 		}
 	}
 
-	/** Adds an entry instance that knows nothing; gives its number. */
+	/** Adds an entry instance without any state, and returns its index. */
 	addEntry(): number {
 		return this.#entries.push({
 			servers: new EntryServers({
-				zone, random: () => 0.5, share: {othersOn: () => 0, noteChange: ignore, forget: ignore}, onReplaced: ignore,
+				zone, random: () => 0.5, share: {othersOn: () => 0, noteChange: doNothing, forget: doNothing}, onReplaced: doNothing,
 			}),
 			positions: new Map(),
 			loads: new Map(),
-			told: new Set(),
+			notifiedServers: new Set(),
 		}) - 1;
 	}
 
-	/** Whether an entry instance was told that a server leaves. */
-	wasTold(entry: number, server: ServerId): boolean {
-		return this.#entries[entry]!.told.has(server);
+	/** Whether an entry instance was notified that a server is stopping. */
+	wasNotified(entry: number, server: ServerId): boolean {
+		return this.#entries[entry]!.notifiedServers.has(server);
 	}
 
-	/** Whether an entry instance would choose a server, were there no other. */
-	mayChoose(entry: number, server: ServerId): boolean {
-		const others = [...this.#homes.keys()].filter(other => other !== server);
+	/** Whether an entry instance would select a server if it were the only one. */
+	canSelect(entry: number, server: ServerId): boolean {
+		const others = [...this.#homeInstances.keys()].filter(other => other !== server);
 		const found = this.#entries[entry]!.servers.find({
 			service: testServer().service, isWanted: () => true, excluded: new Set(others), subject: undefined, now: this.now,
 		});
 		return found !== undefined;
 	}
 
-	/** Has a server announce itself; one that has left says nothing but what was under way, as `late`. */
+	/** Announces a server. After its shutdown notice only delayed announcements, sent with `isLate`, are possible. */
 	async announce(control: InstanceId, server: ServerId, {state = 'ready', isLate = false}: {readonly state?: ServerState; readonly isLate?: boolean} = {}): Promise<void> {
-		const leftAt = this.left.get(server);
-		const isPossible = state !== 'ready' || leftAt === undefined || (isLate && this.now - leftAt <= latestMilliseconds);
+		const departedAt = this.departures.get(server);
+		const isPossible = state !== 'ready' || departedAt === undefined || (isLate && this.now - departedAt <= maximumDelayMilliseconds);
 		if (!isPossible) {
 			return;
 		}
@@ -107,18 +107,18 @@
 		this.#sequences.set(server, sequence);
 		await this.#controls.get(control)!.news.announce(testServer({id: server, sequence, state}));
 		if (state !== 'ready') {
-			this.#leave(server);
+			this.#recordDeparture(server);
 		}
 	}
 
-	/** Has a server tell that it ends. */
+	/** Sends the notice that a server is stopping. */
 	async end(control: InstanceId, server: ServerId): Promise<void> {
 		await this.#controls.get(control)!.news.remove(server);
-		this.#leave(server);
+		this.#recordDeparture(server);
 	}
 
-	/** Begins a send, or ends it where there is one. */
-	toggleSend(entry: number, server: ServerId): void {
+	/** Starts a request to a server, or ends the one in progress. */
+	toggleRequest(entry: number, server: ServerId): void {
 		const {servers, loads} = this.#entries[entry]!;
 		const end = loads.get(server);
 		if (end === undefined) {
@@ -129,63 +129,63 @@
 		}
 	}
 
-	cut(one: string, other: string): void {
-		this.#cuts.add(`${one} ${other}`).add(`${other} ${one}`);
+	partition(one: string, other: string): void {
+		this.#partitions.add(`${one} ${other}`).add(`${other} ${one}`);
 	}
 
-	/** Ends all cuts. */
+	/** Heals all network partitions. */
 	heal(): void {
-		this.#cuts.clear();
+		this.#partitions.clear();
 	}
 
-	/** Ends a control instance once it has saved what it knows, and starts it again. */
+	/** Restarts a control instance after it has saved its state. */
 	async restart(control: InstanceId): Promise<void> {
 		await this.#controls.get(control)!.news.save();
 		this.#start(control);
-		await settled();
+		await runPendingTasks();
 	}
 
-	/** Lets an entry instance ask a control instance; the reply may come later. */
-	async ask(entry: number, control: InstanceId, {isLate = false}: {readonly isLate?: boolean} = {}): Promise<void> {
+	/** Polls a control instance from an entry instance; the reply may be delayed. */
+	async poll(entry: number, control: InstanceId, {isLate = false}: {readonly isLate?: boolean} = {}): Promise<void> {
 		const {servers, positions} = this.#entries[entry]!;
-		if (this.#isCut(`entry-${entry}`, control)) {
+		if (this.#isPartitioned(`entry-${entry}`, control)) {
 			servers.loseSource(control);
 			return;
 		}
 
 		const position = positions.get(control) ?? {run: '', cursor: 0};
-		const question: WatchMessage = {
+		const message: WatchMessage = {
 			type: 'watch', isUrgent: true, zone, configurationVersion: undefined, ...position, suspectCursor: 0, rolloutDigest: '', evidence: [],
 		};
-		const reply = await this.#controls.get(control)!.watches.answer(`entry-${entry}` as InstanceId, question);
+		const reply = await this.#controls.get(control)!.watches.answer(`entry-${entry}` as InstanceId, message);
 		if (isLate) {
-			this.#lateReplies.push({
+			this.#delayedReplies.push({
 				entry, source: control, reply, askedAt: this.now,
 			});
 		} else {
-			this.#take({entry, source: control, reply});
+			this.#deliver({entry, source: control, reply});
 		}
 	}
 
-	/** Delivers the replies that are late; an entry instance takes none after the time of its question. */
-	deliverLate(): void {
-		for (const {askedAt, ...reply} of this.#lateReplies.splice(0)) {
-			if (this.now - askedAt <= questionMilliseconds) {
-				this.#take(reply);
+	/** Delivers the delayed replies, except those whose poll has timed out. */
+	deliverDelayed(): void {
+		for (const {askedAt, ...reply} of this.#delayedReplies.splice(0)) {
+			if (this.now - askedAt <= pollTimeoutMilliseconds) {
+				this.#deliver(reply);
 			}
 		}
 	}
 
-	/** Has a server announce itself elsewhere from now on. */
+	/** Makes a server announce itself to another control instance from now on. */
 	move(server: ServerId, control: InstanceId): void {
-		this.#homes.set(server, control);
+		this.#homeInstances.set(server, control);
 	}
 
-	/** Lets time pass, with the announcements of servers, the rounds of control and the questions of entry instances. */
-	async pass(milliseconds: number): Promise<void> {
-		for (let passed = 0; passed < milliseconds; passed += roundMilliseconds) {
-			this.now += roundMilliseconds;
-			for (const [server, control] of this.#homes) {
+	/** Advances the clock, running the announcements of servers, the synchronization rounds and the polls of entry instances. */
+	async advance(milliseconds: number): Promise<void> {
+		for (let elapsed = 0; elapsed < milliseconds; elapsed += stepMilliseconds) {
+			this.now += stepMilliseconds;
+			for (const [server, control] of this.#homeInstances) {
 				await this.announce(control, server);
 			}
 
@@ -194,49 +194,49 @@
 				await news.save();
 			}
 
-			await settled();
-			await this.askAll();
+			await runPendingTasks();
+			await this.pollAll();
 		}
 	}
 
-	/** Lets each entry instance ask each control instance. */
-	async askAll(): Promise<void> {
+	/** Polls each control instance from each entry instance. */
+	async pollAll(): Promise<void> {
 		for (const entry of this.#entries.keys()) {
 			for (const control of this.controls) {
-				await this.ask(entry, control);
+				await this.poll(entry, control);
 			}
 		}
 	}
 
-	/** Ends the timers. */
+	/** Stops the timers. */
 	stop(): void {
 		for (const {news} of this.#controls.values()) {
 			news.stop();
 		}
 	}
 
-	#leave(server: ServerId): void {
-		this.left.set(server, this.left.get(server) ?? this.now);
+	#recordDeparture(server: ServerId): void {
+		this.departures.set(server, this.departures.get(server) ?? this.now);
 	}
 
-	#take({entry, source, reply}: TakenReply): void {
-		const {servers, positions, told} = this.#entries[entry]!;
+	#deliver({entry, source, reply}: EntryReply): void {
+		const {servers, positions, notifiedServers} = this.#entries[entry]!;
 		const isWhole = positions.get(source)?.run !== reply.run;
 		positions.set(source, {run: reply.run, cursor: reply.cursor});
 		servers.take(reply.records, {source, now: this.now, isWhole});
 		for (const {id, state} of reply.records) {
 			if (state !== 'ready') {
-				told.add(id);
+				notifiedServers.add(id);
 			}
 		}
 	}
 
 	#start(control: InstanceId): void {
-		const started = startTestControl({
+		const services = startTestControlServices({
 			run: `run-${++this.#runs}`,
 			clock: {now: () => new Date(this.now), monotonic: () => this.now},
 			others: () => this.controls.filter(other => other !== control),
-			ask: async (to, message) => this.#isCut(control, to) ? undefined : this.#answer(to, message),
+			ask: async (to, message) => this.#isPartitioned(control, to) ? undefined : this.#answer(to, message),
 			saved: {
 				read: async () => this.#saved.get(control) ?? [],
 				write: async records => {
@@ -245,7 +245,7 @@
 				},
 			},
 		});
-		this.#controls.set(control, started);
+		this.#controls.set(control, services);
 	}
 
 	async #answer(to: InstanceId, message: PeerMessage): Promise<unknown> {
@@ -268,16 +268,16 @@
 		return message.type === 'all-servers' ? news.all : undefined;
 	}
 
-	#isCut(one: string, other: string): boolean {
-		return this.#cuts.has(`${one} ${other}`);
+	#isPartitioned(one: string, other: string): boolean {
+		return this.#partitions.has(`${one} ${other}`);
 	}
 }
 
-function ignore(): void {
-	// Nobody is told.
+function doNothing(): void {
+	// Notifications are not needed.
 }
 
-async function settled(): Promise<void> {
+async function runPendingTasks(): Promise<void> {
 	await new Promise(resolve => {
 		setImmediate(resolve);
 	});
--- a/packages/gateway/src/control/control-instance.test.ts
+++ b/packages/gateway/src/control/control-instance.test.ts
@@ -18,13 +18,13 @@
 const self = '10.0.0.1' as InstanceId;
 const entry = '10.0.0.9' as InstanceId;
 
-type ControlOptions = {
-	/** Reads the requests that end servers which the run before saved; there are none unless given. */
+type TestControlOptions = {
+	/** Reads the suspect records that the previous run saved; none by default. */
 	readonly readSuspects?: () => Promise<readonly SuspectRecord[]>;
 };
 
-/** The only control instance of a deployment; its disk can be filled. */
-async function startControl(t: ExecutionContext, {readSuspects = async () => []}: ControlOptions = {}) {
+/** Starts a deployment with a single control instance, on a disk that can be made full. */
+async function startControl(t: ExecutionContext, {readSuspects = async () => []}: TestControlOptions = {}) {
 	const disk = {isFull: false};
 	const files: FileFunctions = {
 		...systemFiles,
@@ -47,7 +47,7 @@
 		self,
 		clock: {now: () => new Date(), monotonic: () => performance.now()},
 		random: () => 0.5,
-		log: ignore,
+		log: doNothing,
 		metrics: createGatewayMetrics(),
 		isFounding: true,
 		processStartedAt: 0,
@@ -56,7 +56,7 @@
 		openFolder: async () => openDataFolder(folder, {files, lock: async () => Right(async () => undefined)}),
 		savedServers: {read: async () => [], write: async () => true},
 		savedSuspects: {read: readSuspects, write: async () => true},
-		send: ignore,
+		send: doNothing,
 		ask: async () => undefined,
 		run: 'one',
 	});
@@ -68,22 +68,22 @@
 	return {control, disk};
 }
 
-function ignore(): void {
-	// Nobody is there.
+function doNothing(): void {
+	// There are no other instances.
 }
 
-async function read(control: ControlInstance): Promise<string | undefined> {
+async function readDocument(control: ControlInstance): Promise<string | undefined> {
 	const document = await control.operators.readConfiguration();
 	return document.caseOf({Left: () => undefined, Right: value => value.document});
 }
 
-async function watch(control: ControlInstance, changes: Partial<Pick<WatchReply, 'run' | 'cursor'>> & {readonly configurationVersion?: number} = {}): Promise<WatchReply> {
+async function poll(control: ControlInstance, changes: Partial<Pick<WatchReply, 'run' | 'cursor'>> & {readonly configurationVersion?: number} = {}): Promise<WatchReply> {
 	return await control.answer(entry, {
 		type: 'watch', isUrgent: false, zone: 'hall-a' as ZoneId, configurationVersion: undefined, run: '', cursor: 0, suspectCursor: 0, rolloutDigest: '', evidence: [], ...changes,
 	}) as WatchReply;
 }
 
-test('an instance that has started knows the requests that ended servers in its run before', async t => {
+test('a started instance has restored the suspect records of its previous run', async t => {
 	const saved: SuspectRecord = {
 		fingerprint: toId('f1'), ends: ['a', 'b', 'c'].map(process => ({process, at: Date.now(), isCleared: false})),
 	};
@@ -96,36 +96,36 @@
 	t.deepEqual(await control.listSuspects(), [{...saved, isSaved: true}]);
 });
 
-test('a full disk refuses changes, and the replica comes back with all that was acknowledged once there is room', async t => {
+test('a full disk rejects changes, and the replica recovers with all acknowledged changes once there is space', async t => {
 	const {control, disk} = await startControl(t);
 	await eventually(async () => submit(control, 3));
 	disk.isFull = true;
 	t.is(await submit(control, 5), undefined);
 	disk.isFull = false;
-	const document = await eventually(async () => read(control));
-	// The change that was refused may or may not be in the log; the acknowledged one is never older.
+	const document = await eventually(async () => readDocument(control));
+	// The rejected change may or may not be in the log, but no state older than the acknowledged change is returned.
 	t.true(['version 3', 'version 5'].includes(document));
 	await eventually(async () => submit(control, 9));
-	t.is(await eventually(async () => read(control)), 'version 9');
+	t.is(await eventually(async () => readDocument(control)), 'version 9');
 });
 
-test('an entry instance gets what it lacks with the time for which that is sure, and nothing twice', async t => {
+test('an entry instance receives the changes it lacks with the age of their confirmation, and nothing twice', async t => {
 	const {control} = await startControl(t);
 	await eventually(async () => submit(control, 3));
 	await control.announce(testServer());
 	const first = await eventually(async () => {
-		const reply = await watch(control);
+		const reply = await poll(control);
 		return reply.confirmedAgo === undefined ? undefined : reply;
 	});
 	t.is(first.configuration?.document, 'version 3');
 	t.deepEqual(first.records.map(({id}) => id), [testServer().id]);
-	const second = await watch(control, {run: first.run, cursor: first.cursor, configurationVersion: 3});
+	const second = await poll(control, {run: first.run, cursor: first.cursor, configurationVersion: 3});
 	t.is(second.configuration, undefined);
 	t.deepEqual(second.records, []);
 	t.true(second.confirmedAgo! < 5000);
 });
 
-test('a roll-out is acknowledged again when it is resent, and unknown services have none', async t => {
+test('a repeated rollout order is acknowledged again, and an unknown service has no rollout', async t => {
 	const {control} = await startControl(t);
 	const order = {service: 'models' as ServiceId, target: 'v2' as VersionId, duration: 60_000};
 	await eventually(async () => {
--- a/packages/gateway/src/control/found-group.test.ts
+++ b/packages/gateway/src/control/found-group.test.ts
@@ -13,26 +13,26 @@
 	};
 }
 
-const lowest = {
+const first = {
 	self: founders[0]!, replica: one, isFounding: true, founders,
 };
 
-test('the lowest founder founds once all others say that they are empty', t => {
-	t.deepEqual(foundGroup({...lowest, replies: [reply(three), reply(two)]})?.voters, [one, two, three]);
-	t.is(foundGroup({...lowest, replies: [reply(two)]}), undefined);
-	t.is(foundGroup({...lowest, replies: [reply(two), reply(three, {isEmpty: false})]}), undefined);
+test('the lowest initial member bootstraps the group once all others have replied that they are empty', t => {
+	t.deepEqual(foundGroup({...first, replies: [reply(three), reply(two)]})?.voters, [one, two, three]);
+	t.is(foundGroup({...first, replies: [reply(two)]}), undefined);
+	t.is(foundGroup({...first, replies: [reply(two), reply(three, {isEmpty: false})]}), undefined);
 });
 
-test('another founder takes the answer of the one that founded, and founds nothing itself', t => {
-	const second = {...lowest, self: founders[1]!, replica: two};
+test('another initial member adopts the reported replica set, and bootstraps nothing itself', t => {
+	const second = {...first, self: founders[1]!, replica: two};
 	t.is(foundGroup({...second, replies: [reply(one), reply(three)]}), undefined);
 	const initial = {voters: [one, two, three], learners: []};
 	t.is(foundGroup({...second, replies: [reply(one, {isEmpty: false, initial})]}), initial);
 });
 
-test('an instance that starts later, and one that is no founder, wait', t => {
-	t.is(foundGroup({...lowest, isFounding: false, replies: [reply(two), reply(three)]}), undefined);
+test('an instance that starts later and one that is not an initial member wait', t => {
+	t.is(foundGroup({...first, isFounding: false, replies: [reply(two), reply(three)]}), undefined);
 	t.is(foundGroup({
-		...lowest, self: '10.0.0.0' as InstanceId, replica: toReplicaId('10.0.0.0', 'a'), replies: [reply(one), reply(two), reply(three)],
+		...first, self: '10.0.0.0' as InstanceId, replica: toReplicaId('10.0.0.0', 'a'), replies: [reply(one), reply(two), reply(three)],
 	}), undefined);
 });
--- a/packages/gateway/src/control/gateway-state.test.ts
+++ b/packages/gateway/src/control/gateway-state.test.ts
@@ -5,7 +5,7 @@
 const service = 'summaries' as ServiceId;
 const target = 'v2' as VersionId;
 
-test('the highest version wins, whatever the order, and a version keeps its content', t => {
+test('the highest version wins in any order, and the content of a version never changes', t => {
 	const state = new GatewayState();
 	t.like(state.apply({type: 'put-configuration', version: 5, document: 'five'}).unsafeCoerce(), {isNewest: true});
 	t.like(state.apply({type: 'put-configuration', version: 3, document: 'three'}).unsafeCoerce(), {isNewest: false, version: 5});
@@ -13,7 +13,7 @@
 	t.deepEqual(state.configuration, {version: 5, document: 'five'});
 });
 
-test('a change that is held already is answered without another entry, and a newer one is not', t => {
+test('a configuration that is not newer is answered without a log entry, and a newer one is not', t => {
 	const state = new GatewayState();
 	t.is(state.answerOf({type: 'put-configuration', version: 5, document: 'five'}), undefined);
 	state.apply({type: 'put-configuration', version: 5, document: 'five'});
@@ -25,7 +25,7 @@
 	t.is(state.answerOf({type: 'put-configuration', version: 6, document: 'six'}), undefined);
 });
 
-test('a snapshot holds everything', t => {
+test('a snapshot restores the whole state', t => {
 	const state = new GatewayState();
 	state.apply({type: 'put-configuration', version: 5, document: 'five'});
 	state.apply({
@@ -36,7 +36,7 @@
 	t.deepEqual(restored.rollouts, state.rollouts);
 });
 
-test('a resent order changes nothing, another one waits for the end, and an ended roll-out stays ended', t => {
+test('a repeated order changes nothing, another order is rejected until the rollout ends, and an ended rollout stays ended', t => {
 	const state = new GatewayState();
 	const start = {
 		type: 'start-rollout', service, target, duration: 1000, orderedAt: 0,
--- a/packages/gateway/src/control/leaving-servers.test.ts
+++ b/packages/gateway/src/control/leaving-servers.test.ts
@@ -1,11 +1,11 @@
 import {fc, testProp} from '@fast-check/ava';
 import {type InstanceId, type ServerId} from '@valehitch/core';
-import {ServerWorld} from './_test-server-world.js';
+import {ServerSimulation} from './_test-server-simulation.js';
 
 const controls = 3;
 const entryNumbers = [0, 1];
 const serverIds = ['server-1', 'server-2', 'server-3'].map(id => id as ServerId);
-/** In this time after the last cut every control instance has told every other one, and each entry instance has asked. */
+/** Within this time after the last partition has healed, every control instance has synchronized with every other, and each entry instance has polled. */
 const convergenceMilliseconds = 3000;
 
 const control = fc.integer({min: 0, max: controls - 1});
@@ -16,8 +16,8 @@
 	fc.record({type: fc.constant('announce-late' as const), control, server}),
 	fc.record({type: fc.constant('drain' as const), control, server}),
 	fc.record({type: fc.constant('end' as const), control, server}),
-	fc.record({type: fc.constant('cut-controls' as const), control, other: control}),
-	fc.record({type: fc.constant('cut-entry' as const), control, entry}),
+	fc.record({type: fc.constant('partition-controls' as const), control, other: control}),
+	fc.record({type: fc.constant('partition-entry' as const), control, entry}),
 	fc.record({type: fc.constant('heal' as const)}),
 	fc.record({type: fc.constant('restart' as const), control}),
 	fc.record({
@@ -31,99 +31,99 @@
 
 type Step = typeof step extends fc.Arbitrary<infer Value> ? Value : never;
 
-/** Servers that have run for longer than a minute, and that everybody knows. */
-async function startWorld(): Promise<ServerWorld> {
-	const world = new ServerWorld({controls, entries: entryNumbers.length, servers: serverIds});
-	await world.pass(70_000);
-	return world;
+/** Starts a simulation whose servers have run for more than a minute and are known to all instances. */
+async function startSimulation(): Promise<ServerSimulation> {
+	const simulation = new ServerSimulation({controls, entries: entryNumbers.length, servers: serverIds});
+	await simulation.advance(70_000);
+	return simulation;
 }
 
-async function play(world: ServerWorld, next: Step): Promise<void> {
-	const at = 'control' in next ? world.controls[next.control]! : '' as InstanceId;
+async function runStep(simulation: ServerSimulation, next: Step): Promise<void> {
+	const at = 'control' in next ? simulation.controls[next.control]! : '' as InstanceId;
 	switch (next.type) {
 		case 'move': {
-			world.move(next.server, at);
+			simulation.move(next.server, at);
 			return;
 		}
 
 		case 'announce-late': {
-			return world.announce(at, next.server, {isLate: true});
+			return simulation.announce(at, next.server, {isLate: true});
 		}
 
 		case 'drain': {
-			return world.announce(at, next.server, {state: 'draining'});
+			return simulation.announce(at, next.server, {state: 'draining'});
 		}
 
 		case 'end': {
-			return world.end(at, next.server);
+			return simulation.end(at, next.server);
 		}
 
-		case 'cut-controls': {
-			world.cut(at, world.controls[next.other]!);
+		case 'partition-controls': {
+			simulation.partition(at, simulation.controls[next.other]!);
 			return;
 		}
 
-		case 'cut-entry': {
-			world.cut(at, `entry-${next.entry}`);
+		case 'partition-entry': {
+			simulation.partition(at, `entry-${next.entry}`);
 			return;
 		}
 
 		case 'heal': {
-			world.heal();
+			simulation.heal();
 			return;
 		}
 
 		case 'restart': {
-			return world.restart(at);
+			return simulation.restart(at);
 		}
 
 		case 'ask': {
-			return world.ask(next.entry, at, {isLate: next.isLate});
+			return simulation.poll(next.entry, at, {isLate: next.isLate});
 		}
 
 		case 'deliver': {
-			world.deliverLate();
+			simulation.deliverDelayed();
 			return;
 		}
 
 		case 'send': {
-			world.toggleSend(next.entry, next.server);
+			simulation.toggleRequest(next.entry, next.server);
 			return;
 		}
 
 		case 'pass': {
-			return world.pass(next.seconds * 1000);
+			return simulation.advance(next.seconds * 1000);
 		}
 	}
 }
 
-/** The servers that an entry instance may choose though it was told that they leave. */
-function takenBack(world: ServerWorld): readonly ServerId[] {
-	return serverIds.filter(server => entryNumbers.some(index => world.wasTold(index, server) && world.mayChoose(index, server)));
+/** The servers that an entry instance can select although it was notified that they are stopping. */
+function reselectedServers(simulation: ServerSimulation): readonly ServerId[] {
+	return serverIds.filter(server => entryNumbers.some(index => simulation.wasNotified(index, server) && simulation.canSelect(index, server)));
 }
 
-testProp('an entry instance that was told that a server leaves never chooses it again', [fc.array(step, {minLength: 5, maxLength: 40})], async (t, steps) => {
-	const world = await startWorld();
+testProp('an entry instance that was notified that a server is stopping never selects it again', [fc.array(step, {minLength: 5, maxLength: 40})], async (t, steps) => {
+	const simulation = await startSimulation();
 	for (const next of steps) {
-		await play(world, next);
-		t.deepEqual(takenBack(world), []);
+		await runStep(simulation, next);
+		t.deepEqual(reselectedServers(simulation), []);
 	}
 
-	world.stop();
+	simulation.stop();
 }, {numRuns: 200, seed: 1});
 
-testProp('once cuts are over, nobody chooses a server that has left, nor does an entry instance that starts then', [fc.array(step, {minLength: 5, maxLength: 40})], async (t, steps) => {
-	const world = await startWorld();
+testProp('after partitions have healed, no entry instance selects a stopped server, including one that starts afterwards', [fc.array(step, {minLength: 5, maxLength: 40})], async (t, steps) => {
+	const simulation = await startSimulation();
 	for (const next of steps) {
-		await play(world, next);
+		await runStep(simulation, next);
 	}
 
-	world.deliverLate();
-	world.heal();
-	await world.pass(convergenceMilliseconds);
-	const started = world.addEntry();
-	await world.askAll();
-	const chosen = [...world.left.keys()].filter(server => [...entryNumbers, started].some(index => world.mayChoose(index, server)));
+	simulation.deliverDelayed();
+	simulation.heal();
+	await simulation.advance(convergenceMilliseconds);
+	const started = simulation.addEntry();
+	await simulation.pollAll();
+	const chosen = [...simulation.departures.keys()].filter(server => [...entryNumbers, started].some(index => simulation.canSelect(index, server)));
 	t.deepEqual(chosen, []);
-	world.stop();
+	simulation.stop();
 }, {numRuns: 200, seed: 1});
--- a/packages/gateway/src/control/near-entries.test.ts
+++ b/packages/gateway/src/control/near-entries.test.ts
@@ -6,16 +6,16 @@
 	return Array.from({length: count}, (_, index) => ({instance: `${zone}-${String(index).padStart(2, '0')}` as InstanceId, zone: zone as ZoneId}));
 }
 
-test('a small deployment shares with all', t => {
+test('in a small deployment all other entry instances are peers', t => {
 	const all = [...entries(3, 'a'), ...entries(2, 'b')];
 	t.deepEqual(nearEntriesOf(all[1]!, all), ['a-02', 'a-00', 'b-00', 'b-01'] as never);
 });
 
-test('in a large one each tells six of its availability zone, and each is told by six', t => {
+test('in a large deployment each entry instance has six peers in its availability zone and is the peer of six others', t => {
 	const all = [...entries(28, 'a'), ...entries(28, 'b')];
-	const told = all.flatMap(entry => nearEntriesOf(entry, all));
-	t.is(told.length, 336);
+	const peers = all.flatMap(entry => nearEntriesOf(entry, all));
+	t.is(peers.length, 336);
 	for (const {instance} of all) {
-		t.is(told.filter(other => other === instance).length, 6);
+		t.is(peers.filter(other => other === instance).length, 6);
 	}
 });
--- a/packages/gateway/src/control/rollout-clock.test.ts
+++ b/packages/gateway/src/control/rollout-clock.test.ts
@@ -3,26 +3,26 @@
 import {type Rollout} from '../rollouts/rollout.js';
 import {RolloutClock} from './rollout-clock.js';
 
-const ordered = 1_000_000;
+const orderTime = 1_000_000;
 const rollout: Rollout = {
-	service: 'summaries' as ServiceId, target: 'v2' as VersionId, duration: 24_000, stage: 'canary', orderedAt: ordered,
+	service: 'summaries' as ServiceId, target: 'v2' as VersionId, duration: 24_000, stage: 'canary', orderedAt: orderTime,
 };
 
-/** A clock that has run for some milliseconds since the order; the monotonic one starts with the process. */
+/** A clock at the given number of milliseconds after the order; its monotonic time starts with the process. */
 function clockAt(sinceOrder: number): {-readonly [Name in keyof Clock]: Clock[Name]} {
-	return {now: () => new Date(ordered + sinceOrder), monotonic: () => 500};
+	return {now: () => new Date(orderTime + sinceOrder), monotonic: () => 500};
 }
 
-test('a roll-out that was ordered while the process ran counts on the monotonic clock only', t => {
+test('the age of a rollout that was ordered while the process ran follows the monotonic clock only', t => {
 	const clock = clockAt(20);
 	const rolloutClock = new RolloutClock(clock);
 	t.is(rolloutClock.running([rollout])[0]?.age, 0);
-	clock.now = () => new Date(ordered + 90_000);
+	clock.now = () => new Date(orderTime + 90_000);
 	clock.monotonic = () => 7500;
 	t.is(rolloutClock.running([rollout])[0]?.age, 7000);
 });
 
-test('one that was ordered before all instances restarted goes on from its age, and not to its end at once', t => {
+test('a rollout that was ordered before all instances restarted resumes at its age, limited to a share of its duration', t => {
 	t.is(new RolloutClock(clockAt(18_000)).running([rollout])[0]?.age, 18_000);
 	t.is(new RolloutClock(clockAt(90_000)).running([rollout])[0]?.age, 19_200);
 	t.is(new RolloutClock(clockAt(-2600)).running([rollout])[0]?.age, 0);
--- a/packages/gateway/src/control/server-news.test.ts
+++ b/packages/gateway/src/control/server-news.test.ts
@@ -14,12 +14,12 @@
 	readonly saved?: readonly ServerRecord[];
 };
 
-/** Two control instances that hear each other at once. */
-function startPair(saved: readonly ServerRecord[] = [], takes: () => boolean | Promise<boolean> = () => true) {
+/** Starts two control instances that exchange messages without delay. */
+function startPair(saved: readonly ServerRecord[] = [], isDiskTaking: () => boolean | Promise<boolean> = () => true) {
 	const news = new Map<InstanceId, ServerNews>();
 	const written: Array<readonly ServerRecord[]> = [];
 	const lines: Array<Readonly<Record<string, unknown>>> = [];
-	const link = {isCut: false, run: 'one'};
+	const link = {isPartitioned: false, run: 'one'};
 	const sent: PeerMessage[] = [];
 	const time = {now: 1000};
 	const start = ({self, other, saved: records = []}: Side): ServerNews => {
@@ -33,14 +33,14 @@
 			others: () => [other],
 			async ask(to, message) {
 				sent.push(message);
-				return link.isCut ? undefined : answer(news.get(to), message, link.run);
+				return link.isPartitioned ? undefined : answer(news.get(to), message, link.run);
 			},
-			onChange: ignore,
+			onChange: doNothing,
 			saved: {
 				read: async () => records,
 				async write(changed) {
 					written.push(changed);
-					return takes();
+					return isDiskTaking();
 				},
 			},
 		});
@@ -67,24 +67,24 @@
 	return message.type === 'all-servers' ? news?.all : undefined;
 }
 
-function ignore(): void {
-	// Nobody is told.
+function doNothing(): void {
+	// Notifications are not needed.
 }
 
-async function settled(): Promise<void> {
+async function runPendingTasks(): Promise<void> {
 	await new Promise(resolve => {
 		setImmediate(resolve);
 	});
 }
 
-/** The servers of each message of news, in the order in which they were sent. */
+/** The servers in each message of records, in the order in which the messages were sent. */
 function serversOf(sent: readonly PeerMessage[]): ReadonlyArray<readonly string[]> {
 	return sent.flatMap(message => message.type === 'servers' ? [message.records.map(({id}) => id)] : []);
 }
 
 const states = ({directory}: ServerNews) => directory.records.map(({id, state}) => `${id} ${state}`);
 
-test('the end of a server that is told to an instance that does not know it reaches the one that does', async t => {
+test('a stop notice for a server that the receiver does not know reaches the instance that does', async t => {
 	const {one, other} = startPair();
 	other.receive({type: 'servers', records: [testServer()]});
 	await one.remove(testServer().id);
@@ -93,14 +93,14 @@
 	t.deepEqual(states(one), ['server-1 gone']);
 });
 
-test('a restarted instance begins with the servers that it saved, and what it hears goes before them', async t => {
+test('a restarted instance restores its saved servers, and newer announcements take precedence', async t => {
 	const {one} = startPair([testServer(), testServer({id: 'server-2' as ServerId})]);
 	await one.announce(testServer({state: 'draining', sequence: 2}));
 	await one.restore();
 	t.deepEqual(states(one).toSorted(), ['server-1 draining', 'server-2 ready']);
 });
 
-test('servers are saved as they change, and not otherwise', async t => {
+test('servers are saved only when they change', async t => {
 	const {one, written} = startPair();
 	await one.announce(testServer());
 	await one.save();
@@ -109,69 +109,69 @@
 	t.deepEqual(written.map(records => records.map(({id}) => id)), [['server-1' as ServerId]]);
 });
 
-test('servers that the disk did not take are saved again though nothing changed', async t => {
-	let takes = false;
-	const {one, written} = startPair([], () => takes);
+test('a failed save is retried even if nothing changed', async t => {
+	let isDiskTaking = false;
+	const {one, written} = startPair([], () => isDiskTaking);
 	await one.announce(testServer());
 	await one.save();
-	takes = true;
+	isDiskTaking = true;
 	await one.save();
 	await one.save();
 	t.is(written.length, 2);
 });
 
-test('a notice that another control instance did not take is logged with the name of that instance', async t => {
+test('a notice that another control instance did not acknowledge is logged with the name of that instance', async t => {
 	const {one, lines, link} = startPair();
 	await one.announce(testServer());
-	link.isCut = true;
+	link.isPartitioned = true;
 	await one.announce(testServer({state: 'draining', sequence: 2}));
 	await one.remove(testServer().id);
 	const missed = {server: testServer().id, missed: [second], line: 'server-notice-missed'};
 	t.deepEqual(lines.filter(({line}) => line === 'server-notice-missed'), [missed, missed]);
 });
 
-test('a server whose end was missed behind a cut is ended there once the cut is over', async t => {
+test('a stop notice missed during a network partition is delivered after the partition has healed', async t => {
 	const {one, other, link} = startPair();
 	await one.announce(testServer());
 	one.share();
-	link.isCut = true;
+	link.isPartitioned = true;
 	await one.remove(testServer().id);
 	t.deepEqual(states(other), ['server-1 ready']);
-	link.isCut = false;
+	link.isPartitioned = false;
 	one.share();
 	t.deepEqual(states(other), ['server-1 gone']);
 });
 
-test('what another control instance has taken is not told again, but all of it to its next process', async t => {
+test('acknowledged records are not sent again, except to a restarted process, which receives all of them', async t => {
 	const {one, link, sent} = startPair();
 	await one.announce(testServer());
 	one.share();
-	await settled();
+	await runPendingTasks();
 	await one.announce(testServer({id: 'server-2' as ServerId}));
 	sent.length = 0;
 	for (const run of ['one', 'one', 'two', 'two', 'two']) {
 		link.run = run;
 		one.share();
-		await settled();
+		await runPendingTasks();
 		await one.announce(testServer({id: 'server-2' as ServerId, sequence: 2}));
 	}
 
 	t.deepEqual(serversOf(sent), [['server-2'], ['server-2'], ['server-2'], ['server-1', 'server-2'], ['server-2']]);
 });
 
-test('a restored server that others have forgotten counts as silent, unless they have only just started', async t => {
+test('a restored server that another instance does not list is marked silent unless that instance has just started', async t => {
 	for (const [listened, isSilent] of [[6000, true], [500, false]] as const) {
 		const {one, other, time} = startPair([testServer()]);
 		await other.announce(testServer({id: 'server-2' as ServerId}));
 		time.now += listened;
 		await one.start();
 		one.stop();
-		await settled();
+		await runPendingTasks();
 		t.is(one.directory.records.find(({id}) => id === testServer().id)?.isSilent, isSilent);
 	}
 });
 
-test('a shutdown is on the disk once it is acknowledged, and a disk that stands still holds up no acknowledgement', async t => {
+test('a shutdown is saved before it is acknowledged, and a stalled disk does not block the acknowledgement', async t => {
 	const {one, written} = startPair();
 	await one.announce(testServer());
 	await one.announce(testServer({state: 'draining', sequence: 2}));
@@ -179,7 +179,7 @@
 	await one.remove(testServer().id);
 	t.is(written.at(-1)?.[0]?.state, 'gone');
 
-	const stalled = startPair([], async () => new Promise(ignore));
+	const stalled = startPair([], async () => new Promise(doNothing));
 	await stalled.one.announce(testServer({state: 'draining'}));
 	t.deepEqual(states(stalled.other), ['server-1 draining']);
 });
--- a/packages/gateway/src/control/state-confirmation.test.ts
+++ b/packages/gateway/src/control/state-confirmation.test.ts
@@ -2,39 +2,39 @@
 import {type ControlGroup} from './control-group.js';
 import {StateConfirmation} from './state-confirmation.js';
 
-/** A replica that has applied up to an index, and a leader that names one. */
+/** Starts a confirmation with a replica that has applied entries up to an index, and a leader that reports a commit index. */
 function start({applied}: {readonly applied: number}) {
 	const state = {
-		now: 1000, index: 5 as number | undefined, applied, regained: 0, wokeAt: Number.NEGATIVE_INFINITY,
+		now: 1000, index: 5 as number | undefined, applied, reconfirmations: 0, lastWakeAt: Number.NEGATIVE_INFINITY,
 	};
 	const group: Pick<ControlGroup, 'applied'> = {applied: async index => index <= state.applied};
 	const confirmation = new StateConfirmation({
 		clock: {monotonic: () => state.now},
-		suspension: {lastWake: () => state.wokeAt},
+		suspension: {lastWake: () => state.lastWakeAt},
 		group: () => group as ControlGroup,
 		newestIndex: async () => state.index,
 		onRegained() {
-			state.regained++;
+			state.reconfirmations++;
 		},
 	});
 	return {confirmation, state};
 }
 
-test('the state is sure from the time of the question once the leader\'s index is applied', async t => {
+test('the state is confirmed as of the request time once the leader\'s commit index is applied', async t => {
 	const {confirmation, state} = start({applied: 5});
 	await confirmation.confirm();
 	t.is(confirmation.confirmedAt, 1000);
 	state.now = 1500;
 	await confirmation.confirm();
-	t.deepEqual([confirmation.confirmedAt, state.regained], [1500, 1]);
+	t.deepEqual([confirmation.confirmedAt, state.reconfirmations], [1500, 1]);
 	state.now = 9000;
 	await confirmation.confirm();
-	t.is(state.regained, 2);
+	t.is(state.reconfirmations, 2);
 	confirmation.forget();
 	t.is(confirmation.confirmedAt, undefined);
 });
 
-test('without word of the leader, or behind it, nothing is sure and nothing is read', async t => {
+test('nothing is confirmed or read while the leader does not reply or the replica is behind it', async t => {
 	const {confirmation, state} = start({applied: 4});
 	await confirmation.confirm();
 	t.is(confirmation.confirmedAt, undefined);
@@ -48,10 +48,10 @@
 	t.true(silent.isLeft());
 });
 
-test('nothing is sure after a suspension until a question that was asked since', async t => {
+test('after a suspension nothing is confirmed until a later request succeeds', async t => {
 	const {confirmation, state} = start({applied: 5});
 	await confirmation.confirm();
-	state.wokeAt = 1200;
+	state.lastWakeAt = 1200;
 	t.is(confirmation.confirmedAt, undefined);
 	await confirmation.confirm();
 	t.is(confirmation.confirmedAt, undefined);
--- a/packages/gateway/src/control/suspect-news.test.ts
+++ b/packages/gateway/src/control/suspect-news.test.ts
@@ -14,17 +14,17 @@
 type NewsOptions = {
 	readonly saved?: readonly SuspectRecord[];
 	readonly known?: readonly SuspectRecord[];
-	/** Whether the disk takes what is written. */
-	readonly isDiskTaking?: boolean;
+	/** Whether writes to the disk succeed. */
+	readonly isWritable?: boolean;
 };
 
-function startNews({saved = [], known = [], isDiskTaking = true}: NewsOptions = {}) {
+function startNews({saved = [], known = [], isWritable = true}: NewsOptions = {}) {
 	const sent: PeerMessage[] = [];
 	const written: Array<readonly SuspectRecord[]> = [];
 	const changes = {count: 0};
 	const news = new SuspectNews({
 		clock: {now: () => new Date(0)},
-		log: ignore,
+		log: doNothing,
 		others: () => [peer],
 		async ask(_to, message): Promise<SuspectsMessage | undefined> {
 			sent.push(message);
@@ -37,7 +37,7 @@
 			read: async () => saved,
 			async write(records) {
 				written.push(records);
-				return isDiskTaking;
+				return isWritable;
 			},
 		},
 	});
@@ -46,31 +46,31 @@
 	};
 }
 
-function ignore(): void {
-	// Nobody reads it.
+function doNothing(): void {
+	// The log is not checked.
 }
 
-async function elapsed(milliseconds: number): Promise<void> {
+async function delay(milliseconds: number): Promise<void> {
 	return new Promise(resolve => {
 		setTimeout(resolve, milliseconds);
 	});
 }
 
-test('what entry instances tell is passed on together, and what a control instance passed on goes no further', async t => {
+test('reports of entry instances are relayed in one message, and relayed records are not relayed again', async t => {
 	const {news, sent} = startNews();
 	news.receive({type: 'suspects', records: [record(['a'])], isRelayed: false});
 	news.receive({type: 'suspects', records: [record(['b'])], isRelayed: false});
 	news.receive({type: 'suspects', records: [record(['c'])], isRelayed: true});
-	await elapsed(60);
+	await delay(60);
 	t.deepEqual(sent.map(message => message.type === 'suspects' && message.records.map(({ends}) => ends.length)), [[3]]);
 	t.is(news.book.standing(fingerprint, 0), 'quarantined');
 	news.receive({type: 'suspects', records: [record(['a'])], isRelayed: false});
-	await elapsed(60);
+	await delay(60);
 	t.is(sent.length, 1);
 	news.stop();
 });
 
-test('entry instances that wait are woken for what concerns them only', t => {
+test('waiting entry instances are notified only of records that are shared with them', t => {
 	const {news, changes} = startNews();
 	news.receive({type: 'suspects', records: [record(['a'])], isRelayed: true});
 	t.is(changes.count, 0);
@@ -78,15 +78,15 @@
 	t.is(changes.count, 1);
 });
 
-test('a restarted instance knows what it saved and what the others know', async t => {
+test('a restarted instance has its saved records and those of the other instances', async t => {
 	const {news} = startNews({saved: [record(['a', 'b'])], known: [record(['c'])]});
 	await news.start();
-	await elapsed(20);
+	await delay(20);
 	t.is(news.book.standing(fingerprint, 0), 'quarantined');
 	news.stop();
 });
 
-test('what concerns others is saved as it changes, and not otherwise', async t => {
+test('shared records are saved only when they change', async t => {
 	const {news, written} = startNews();
 	news.receive({type: 'suspects', records: [record(['a'])], isRelayed: true});
 	await news.save();
@@ -96,38 +96,38 @@
 	t.deepEqual(written, [[record(['a', 'b'])]]);
 });
 
-test('an operator lifts a quarantine everywhere, and learns where there was none', async t => {
+test('lifting a quarantine applies to all instances, and an unknown request is reported as such', async t => {
 	const {news, sent} = startNews();
 	t.is(await news.lift(fingerprint), undefined);
 	news.receive({type: 'suspects', records: [record(['a', 'b', 'c'])], isRelayed: true});
 	t.deepEqual(await news.lift(fingerprint), {isSaved: true});
 	t.is(news.book.standing(fingerprint, 0), 'unknown');
-	await elapsed(60);
+	await delay(60);
 	t.true(sent.some(message => message.type === 'suspects' && message.records.every(({ends}) => ends.every(({isCleared}) => isCleared))));
 	news.stop();
 });
 
-test('an end that comes while the list is being saved is saved right after it', async t => {
+test('a crash reported while the list is being saved is saved immediately afterwards', async t => {
 	const {news, written} = startNews();
 	news.receive({type: 'suspects', records: [record(['a', 'b'])], isRelayed: true});
 	news.receive({type: 'suspects', records: [record(['c'])], isRelayed: true});
-	await elapsed(20);
+	await delay(20);
 	t.deepEqual(written.map(([saved]) => saved?.ends.length), [2, 3]);
 });
 
-test('operators read what the disk holds, and what it did not take says so', async t => {
+test('records are listed after they are saved, and those that could not be saved are marked', async t => {
 	const taken = startNews();
 	taken.news.receive({type: 'suspects', records: [record(['a', 'b'])], isRelayed: true});
 	taken.news.receive({type: 'suspects', records: [record(['c'])], isRelayed: true});
 	t.deepEqual(await taken.news.list(), [{...record(['a', 'b', 'c']), isSaved: true}]);
 	t.deepEqual(taken.written.at(-1), [record(['a', 'b', 'c'])]);
-	const refused = startNews({isDiskTaking: false});
+	const refused = startNews({isWritable: false});
 	refused.news.receive({type: 'suspects', records: [record(['a', 'b'])], isRelayed: true});
 	t.deepEqual(await refused.news.list(), [{...record(['a', 'b']), isSaved: false}]);
 	t.deepEqual(await refused.news.lift(fingerprint), {isSaved: false});
 });
 
-test('a control instance that lost its disk learns at the start of another what that one saved', async t => {
+test('a starting instance sends its saved records to the others, which may have lost their disks', async t => {
 	const {news, sent} = startNews({saved: [record(['a', 'b', 'c'])]});
 	await news.start();
 	t.deepEqual(sent.filter(({type}) => type === 'suspects'), [{type: 'suspects', records: [record(['a', 'b', 'c'])], isRelayed: true}]);
--- a/packages/gateway/src/control/suspended-leader.test.ts
+++ b/packages/gateway/src/control/suspended-leader.test.ts
@@ -12,10 +12,10 @@
 
 const instances = ['10.0.0.1', '10.0.0.2', '10.0.0.3'] as InstanceId[];
 
-/** A clock whose monotonic side stands still while its machine is suspended. */
+/** A clock whose monotonic time does not advance while its machine is suspended. */
 class SuspendedClock implements Clock {
 	#suspendedAt: number | undefined;
-	#lost = 0;
+	#suspendedMilliseconds = 0;
 
 	get isSuspended(): boolean {
 		return this.#suspendedAt !== undefined;
@@ -26,7 +26,7 @@
 	}
 
 	monotonic(): number {
-		return (this.#suspendedAt ?? performance.now()) - this.#lost;
+		return (this.#suspendedAt ?? performance.now()) - this.#suspendedMilliseconds;
 	}
 
 	suspend(): void {
@@ -34,7 +34,7 @@
 	}
 
 	wake(): void {
-		this.#lost += performance.now() - this.#suspendedAt!;
+		this.#suspendedMilliseconds += performance.now() - this.#suspendedAt!;
 		this.#suspendedAt = undefined;
 	}
 }
@@ -45,10 +45,10 @@
 	readonly leaders: string[];
 };
 
-/** Three control instances that reach each other at once, but for those that are suspended. */
+/** Starts three control instances that exchange messages without delay, except while they are suspended. */
 async function startGroup(t: ExecutionContext): Promise<ReadonlyMap<InstanceId, Member>> {
 	const members = new Map<InstanceId, Member>();
-	const isCut = (one: InstanceId, other: InstanceId): boolean => [one, other].some(instance => members.get(instance)?.clock.isSuspended !== false);
+	const isUnreachable = (one: InstanceId, other: InstanceId): boolean => [one, other].some(instance => members.get(instance)?.clock.isSuspended !== false);
 	for (const self of instances) {
 		const folder = await mkdtemp(path.join(tmpdir(), 'valehitch-suspended-'));
 		const clock = new SuspendedClock();
@@ -71,12 +71,12 @@
 			savedServers: {read: async () => [], write: async () => true},
 			savedSuspects: {read: async () => [], write: async () => true},
 			send(to, message) {
-				if (!isCut(self, to)) {
+				if (!isUnreachable(self, to)) {
 					void members.get(to)?.control.answer(self, message);
 				}
 			},
 			async ask(to, message) {
-				return isCut(self, to) ? undefined : members.get(to)?.control.answer(self, message);
+				return isUnreachable(self, to) ? undefined : members.get(to)?.control.answer(self, message);
 			},
 			run: self,
 		});
@@ -91,23 +91,23 @@
 	return members;
 }
 
-test('a leader that was suspended answers no read from its lease once it wakes', async t => {
+test('a leader serves no reads from its lease after a suspension', async t => {
 	const members = await startGroup(t);
 	const first = members.get(instances[0]!)!;
 	await eventually(async () => submit(first.control, 3));
-	const former = await eventually(async () => {
+	const suspended = await eventually(async () => {
 		const leader = first.leaders.at(-1);
 		return leader === undefined || leader === 'none' ? undefined : members.get(instanceOf(leader as ReplicaId) as InstanceId);
 	});
-	former.clock.suspend();
-	const other = [...members.values()].find(member => member !== former)!;
+	suspended.clock.suspend();
+	const other = [...members.values()].find(member => member !== suspended)!;
 	await eventually(async () => submit(other.control, 5));
 
-	former.clock.wake();
-	const read = await former.control.operators.readConfiguration();
+	suspended.clock.wake();
+	const read = await suspended.control.operators.readConfiguration();
 	t.not(read.caseOf({Left: () => undefined, Right: ({document}) => document}), 'version 3');
 	t.is(await eventually(async () => {
-		const later = await former.control.operators.readConfiguration();
+		const later = await suspended.control.operators.readConfiguration();
 		return later.caseOf({Left: () => undefined, Right: ({document}) => document});
 	}), 'version 5');
 });
