--- a/packages/gateway/src/servers/_test-server.ts
+++ b/packages/gateway/src/servers/_test-server.ts
@@ -3,7 +3,7 @@
 } from '@valehitch/core';
 import {type ServerRecord} from './server-record.js';
 
-/** A backend server for tests. */
+/** Creates the record of a backend server for tests. */
 export function testServer(changes: Partial<ServerRecord> = {}): ServerRecord {
 	return {
 		id: toId<ServerId>('server-1'),
--- a/packages/gateway/src/servers/compare-starts.ts
+++ b/packages/gateway/src/servers/compare-starts.ts
@@ -1,16 +1,16 @@
 import {type ServerRecord} from './server-record.js';
 
 /**
-Compares two records by when their processes started; one that does not say counts as the earliest.
+Compares two records by the start times of their processes; a record without a start time sorts first.
 
-A server may start again under its id: its counters begin anew, so that records of two processes are never compared by their sequence numbers.
+A server may restart under the same id. Its sequence numbers then start again, so that records of different processes must not be compared by sequence number.
 
 @param one A record.
 @param other Another record of the same server, or of the same address.
-@returns Above 0 where `one` is of the later process, below 0 where of the earlier, 0 where both are of the same.
+@returns A positive number if the process of `one` started later, a negative number if it started earlier, and 0 if both records are from the same process.
 @example
 ```ts
-compareStarts({...record, startedAt: 2000}, {...record, startedAt: 1000}); // above 0
+compareStartTimes({...record, startedAt: 2000}, {...record, startedAt: 1000}); // positive
 ```
 */
 export function compareStarts(one: Pick<ServerRecord, 'startedAt'>, other: Pick<ServerRecord, 'startedAt'>): number {
--- a/packages/gateway/src/servers/list-saver.test.ts
+++ b/packages/gateway/src/servers/list-saver.test.ts
@@ -1,10 +1,10 @@
 import test from 'ava';
 import {ListSaver} from './list-saver.js';
 
-/** A list whose saves end by hand. */
+/** Creates a saver whose writes are completed by the test. */
 function startSaver() {
 	const list = {cursor: 0, items: [] as readonly string[]};
-	const writes: Array<{readonly items: readonly string[]; readonly end: (isTaken: boolean) => void}> = [];
+	const writes: Array<{readonly items: readonly string[]; readonly end: (isWritten: boolean) => void}> = [];
 	const saver = new ListSaver<string>({
 		current: () => list,
 		saved: {
@@ -21,13 +21,13 @@
 	return {saver, writes, change};
 }
 
-async function settled(): Promise<void> {
+async function runPendingTasks(): Promise<void> {
 	await new Promise(resolve => {
 		setImmediate(resolve);
 	});
 }
 
-test('what changes during a save is saved right after it, once', async t => {
+test('changes during a save are saved immediately after it, in one write', async t => {
 	const {saver, writes, change} = startSaver();
 	change('a');
 	const first = saver.save();
@@ -40,24 +40,24 @@
 	});
 	t.is(writes.length, 1);
 	writes[0]!.end(true);
-	await settled();
+	await runPendingTasks();
 	t.false(isSaved);
 	writes[1]!.end(true);
 	await Promise.all([first, last]);
 	t.deepEqual(writes.map(({items}) => items.length), [1, 3]);
 });
 
-test('a list without a change is not saved, and one that the disk did not take is with the next call', async t => {
+test('an unchanged list is not saved, and a failed save is retried by the next call', async t => {
 	const {saver, writes, change} = startSaver();
 	await saver.save();
 	change('a');
 	void saver.save();
 	writes[0]!.end(false);
-	await settled();
+	await runPendingTasks();
 	t.is(writes.length, 1);
 	void saver.save();
 	writes[1]!.end(true);
-	await settled();
+	await runPendingTasks();
 	await saver.save();
 	t.is(writes.length, 2);
 });
--- a/packages/gateway/src/servers/list-saver.ts
+++ b/packages/gateway/src/servers/list-saver.ts
@@ -1,49 +1,49 @@
 import {setTimeout} from 'node:timers/promises';
 import {type SavedList} from './saved-list.js';
 
-/** A list at one moment. */
+/** A version of a list. */
 export type ListVersion<Item> = {
-	/** The number of its last change. */
+	/** The number of the last change. */
 	readonly cursor: number;
 	readonly items: readonly Item[];
 };
 
-/** What the saving of a list that changes needs. */
+/** Options of a list saver. */
 export type ListSaverOptions<Item> = {
-	/** The list as it is now. */
+	/** Returns the current version of the list. */
 	readonly current: () => ListVersion<Item>;
 	readonly saved: Pick<SavedList<Item>, 'write'>;
 };
 
 /**
-Saves a list where it changed, one save at a time; what changes during a save is saved right after it where that was asked for meanwhile.
+Saves a list when it has changed, one save at a time; a save requested while another is in progress runs immediately after it.
 
 @example
 ```ts
-const saver = new ListSaver({current: () => ({cursor: book.cursor, items: book.told}), saved});
+const saver = new ListSaver({current: () => ({cursor: directory.cursor, items: directory.records}), saved});
 await saver.save();
 ```
 */
 export class ListSaver<Item> {
 	readonly #options: ListSaverOptions<Item>;
 	#savedCursor = 0;
-	#isWanted = false;
+	#isRequested = false;
 	#saving: Promise<void> | undefined;
 
 	constructor(options: ListSaverOptions<Item>) {
 		this.#options = options;
 	}
 
-	/** The number of the last change that the disk holds. */
+	/** The number of the last change that is saved to disk. */
 	get savedCursor(): number {
 		return this.#savedCursor;
 	}
 
 	/**
-	Saves the list, and waits for the disk no longer than a bound.
+	Saves the list, and waits for the disk for a limited time.
 
-	@param milliseconds The bound.
-	@returns Whether the disk holds all changes up to the call.
+	@param milliseconds The time limit.
+	@returns Whether all changes before the call are saved.
 	*/
 	async saveWithin(milliseconds: number): Promise<boolean> {
 		const {cursor} = this.#options.current();
@@ -51,16 +51,16 @@
 		return this.#savedCursor >= cursor;
 	}
 
-	/** Saves the list where it changed since the last save, and resolves once that is over; what the disk does not take is tried again with the next call. */
+	/** Saves the list if it has changed since the last successful save; a failed save is retried by the next call. */
 	async save(): Promise<void> {
-		this.#isWanted = true;
-		this.#saving ??= this.#saveWanted();
+		this.#isRequested = true;
+		this.#saving ??= this.#saveWhileRequested();
 		await this.#saving;
 	}
 
-	async #saveWanted(): Promise<void> {
-		while (this.#isWanted) {
-			this.#isWanted = false;
+	async #saveWhileRequested(): Promise<void> {
+		while (this.#isRequested) {
+			this.#isRequested = false;
 			await this.#saveOnce();
 		}
 
--- a/packages/gateway/src/servers/merge-server-record.ts
+++ b/packages/gateway/src/servers/merge-server-record.ts
@@ -3,23 +3,23 @@
 import {type ServerRecord} from './server-record.js';
 
 /**
-Merges what is held of a server with what was told of it: the later process counts alone; of one process the later announcement counts, but a shutdown sticks.
+Merges the current record of a server with a received one. A record of a later process replaces the other. For the same process the later announcement wins, except that a shutdown is never reverted.
 
-@param held What is held.
-@param told What was told, maybe late.
+@param current The current record.
+@param received The received record, which may be outdated.
 @returns The merged record.
 @example
 ```ts
 mergeServerRecord({...record, state: 'draining'}, record).state; // 'draining'
 ```
 */
-export function mergeServerRecord(held: ServerRecord, told: ServerRecord): ServerRecord {
-	const order = compareStarts(told, held);
+export function mergeServerRecord(current: ServerRecord, received: ServerRecord): ServerRecord {
+	const order = compareStarts(received, current);
 	if (order !== 0) {
-		return order > 0 ? told : held;
+		return order > 0 ? received : current;
 	}
 
-	const newer = told.sequence >= held.sequence ? told : held;
-	const state = isGraver(told.state, held.state) ? told.state : held.state;
+	const newer = received.sequence >= current.sequence ? received : current;
+	const state = isGraver(received.state, current.state) ? received.state : current.state;
 	return {...newer, state};
 }
--- a/packages/gateway/src/servers/saved-list.test.ts
+++ b/packages/gateway/src/servers/saved-list.test.ts
@@ -5,8 +5,8 @@
 import * as z from 'zod';
 import {saveList, type SaveListOptions} from './saved-list.js';
 
-/** A list of numbers in a file that holds some text. */
-function saveNumbers(file: SaveListOptions<number>['file']) {
+/** Creates a saved list of numbers that is stored in the given file. */
+function openNumberList(file: SaveListOptions<number>['file']) {
 	const lines: string[] = [];
 	const saved = saveList({
 		list: 'numbers',
@@ -19,9 +19,9 @@
 	return {saved, lines};
 }
 
-test('a list comes back as it was written', async t => {
+test('a list is read as it was written', async t => {
 	let bytes: Uint8Array | undefined;
-	const {saved} = saveNumbers({
+	const {saved} = openNumberList({
 		read: async () => Right(bytes),
 		async replace(replaced) {
 			bytes = replaced;
@@ -33,15 +33,15 @@
 	t.deepEqual(await saved.read(), [1, 2]);
 });
 
-test('a file that cannot be read or does not fit is an empty list and a line in the log', async t => {
+test('a file that is unreadable or does not match the schema is logged and read as an empty list', async t => {
 	for (const text of ['[1, "two"]', '[1']) {
-		const {saved, lines} = saveNumbers({read: async () => Right(Buffer.from(text)), replace: async () => Right(undefined)});
+		const {saved, lines} = openNumberList({read: async () => Right(Buffer.from(text)), replace: async () => Right(undefined)});
 		t.deepEqual(await saved.read(), []);
 		t.is(lines.length, 1);
 	}
 
-	const failed = failure('internal', 'Got a disk that is full');
-	const {saved, lines} = saveNumbers({read: async () => Left(failed), replace: async () => Left(failed)});
+	const failed = failure('internal', 'The disk is full');
+	const {saved, lines} = openNumberList({read: async () => Left(failed), replace: async () => Left(failed)});
 	t.deepEqual(await saved.read(), []);
 	t.false(await saved.write([1]));
 	t.deepEqual(lines, [`list-not-restored: ${failed.message}`, `list-not-saved: ${failed.message}`]);
--- a/packages/gateway/src/servers/saved-list.ts
+++ b/packages/gateway/src/servers/saved-list.ts
@@ -3,17 +3,17 @@
 import * as z from 'zod';
 import {type DecisionLog} from '../logs/decision-log.js';
 
-/** Where a list is saved for the next run; what could not be read or written is logged there, since it can be learned again. */
+/** A list that is saved for the next run. Read and write failures are only logged, because the items can be obtained again from other instances. */
 export type SavedList<Item> = {
-	/** The items of the run before; none where there are none. */
+	/** Reads the items that the previous run saved; resolves to an empty list if there are none or they cannot be read. */
 	readonly read: () => Promise<readonly Item[]>;
-	/** Writes all items; tells whether the disk took them. */
+	/** Writes all items; resolves to whether the write succeeded. */
 	readonly write: (items: readonly Item[]) => Promise<boolean>;
 };
 
-/** What the saving of a list needs. */
+/** Options of a saved list. */
 export type SaveListOptions<Item> = {
-	/** What the log calls the list. */
+	/** The name of the list in log lines. */
 	readonly list: string;
 	readonly file: Pick<SmallFile, 'read' | 'replace'>;
 	readonly log: DecisionLog;
@@ -21,17 +21,17 @@
 };
 
 /**
-Saves a list in a file; a file that cannot be read or does not fit is passed over with a log line.
+Creates a saved list that is stored in a file. A file that cannot be read or does not match the schema is logged and treated as empty.
 
 @param options The list, the file and the log.
-@returns How items are read and written.
+@returns The saved list.
 @example
 ```ts
-const saved = saveList({list: 'servers', file: new SmallFile('data/servers.json'), log, schema: serverRecordSchema});
+const saved = createSavedList({list: 'servers', file: new SmallFile('data/servers.json'), log, schema: serverRecordSchema});
 ```
 */
 export function saveList<Item>({list, file, log, schema}: SaveListOptions<Item>): SavedList<Item> {
-	const passOver = (reason: string): readonly Item[] => {
+	const reportUnreadable = (reason: string): readonly Item[] => {
 		log('list-not-restored', {list, reason}, 'warn');
 		return [];
 	};
@@ -40,7 +40,7 @@
 		try {
 			return z.array(schema).parse(JSON.parse(Buffer.from(bytes).toString()));
 		} catch (error) {
-			return passOver(error instanceof Error ? error.message : String(error));
+			return reportUnreadable(error instanceof Error ? error.message : String(error));
 		}
 	};
 
@@ -48,7 +48,7 @@
 		async read() {
 			const read = await file.read();
 			return read.caseOf({
-				Left: ({message}) => passOver(message),
+				Left: ({message}) => reportUnreadable(message),
 				Right: bytes => bytes === undefined ? [] : parse(bytes),
 			});
 		},
--- a/packages/gateway/src/servers/server-directory.test.ts
+++ b/packages/gateway/src/servers/server-directory.test.ts
@@ -5,7 +5,7 @@
 
 const now = 1000;
 
-test('a shutdown sticks, also against later and late announcements', t => {
+test('a shutdown is not reverted by later or delayed announcements', t => {
 	const directory = new ServerDirectory({silentMilliseconds: 6000});
 	directory.announce(testServer({sequence: 4}), now);
 	t.is(directory.announce(testServer({state: 'draining', sequence: 5}), now)[0]?.state, 'draining');
@@ -17,7 +17,7 @@
 	t.is(directory.records[0]?.state, 'gone');
 });
 
-test('an asker gets what changed after its cursor', t => {
+test('changes are listed after a cursor', t => {
 	const directory = new ServerDirectory({silentMilliseconds: 6000});
 	directory.announce(testServer(), now);
 	const {cursor} = directory;
@@ -29,7 +29,7 @@
 	t.is(directory.changedSince(0).length, 2);
 });
 
-test('a server that stays silent is marked, comes back with its next announcement, and is forgotten after long', t => {
+test('a silent server is marked, restored by its next announcement, and removed after the retention time', t => {
 	const directory = new ServerDirectory({silentMilliseconds: 6000, forgetMilliseconds: 20_000});
 	directory.announce(testServer(), now);
 	t.deepEqual(directory.sweep(now + 5999), []);
@@ -39,18 +39,18 @@
 	t.deepEqual(directory.records, []);
 });
 
-test('a server that starts again under its id is a new one, though it drained, ended or counted far before', t => {
+test('a server that restarts under its id is a new process, whatever the state and sequence number of the previous one', t => {
 	const directory = new ServerDirectory({silentMilliseconds: 6000});
 	directory.announce(testServer({startedAt: 1000, sequence: 80}), now);
 	directory.announce(testServer({startedAt: 1000, sequence: 81, state: 'draining'}), now);
 	directory.remove(testServer().id, now);
 	t.like(directory.announce(testServer({startedAt: 2000, sequence: 1}), now + 5000)[0], {state: 'ready', isSilent: false});
-	// Its own heartbeats keep it from going silent, though the former process counted further.
+	// Its own heartbeats keep it from becoming silent although the previous process had a higher sequence number.
 	directory.announce(testServer({startedAt: 2000, sequence: 2}), now + 9000);
 	t.deepEqual(directory.sweep(now + 12_000), []);
 });
 
-test('a late heartbeat of a former process changes nothing, and does not count as heard', t => {
+test('a delayed heartbeat of a previous process changes nothing, and does not reset the silence timeout', t => {
 	const directory = new ServerDirectory({silentMilliseconds: 6000});
 	directory.announce(testServer({startedAt: 2000, sequence: 1}), now);
 	t.deepEqual(directory.announce(testServer({startedAt: 1000, sequence: 99, state: 'draining'}), now + 5000), []);
@@ -58,18 +58,18 @@
 	t.is(directory.sweep(now + 6000).length, 1);
 });
 
-test('a server that starts at an address ends those that were there, in whatever order they are heard', t => {
-	const former = testServer({startedAt: 1000, sequence: 40});
+test('a server that starts at an address ends the previous servers there, in either order of arrival', t => {
+	const previous = testServer({startedAt: 1000, sequence: 40});
 	const next = testServer({id: 'server-2' as ServerId, startedAt: 2000});
 	const [first, second] = [new ServerDirectory({silentMilliseconds: 6000}), new ServerDirectory({silentMilliseconds: 6000})];
-	first.announce(former, now);
-	t.deepEqual(first.announce(next, now).map(({id, state}) => [id, state]), [[next.id, 'ready'], [former.id, 'gone']]);
+	first.announce(previous, now);
+	t.deepEqual(first.announce(next, now).map(({id, state}) => [id, state]), [[next.id, 'ready'], [previous.id, 'gone']]);
 	second.announce(next, now);
-	t.like(second.announce(former, now)[0], {id: former.id, state: 'gone'});
-	t.deepEqual(second.announce({...former, sequence: 41}, now), []);
+	t.like(second.announce(previous, now)[0], {id: previous.id, state: 'gone'});
+	t.deepEqual(second.announce({...previous, sequence: 41}, now), []);
 });
 
-test('the end of a server is held for longer than an instance that missed it holds the server', t => {
+test('the stop of a server is kept longer than an instance that missed it keeps the server', t => {
 	const directory = new ServerDirectory({silentMilliseconds: 6000, forgetMilliseconds: 20_000});
 	directory.announce(testServer(), now);
 	directory.remove(testServer().id, now + 1000);
@@ -82,25 +82,25 @@
 	t.deepEqual(directory.records, []);
 });
 
-test('a server that others call silent is not taken for alive by an instance that does not know it', t => {
+test('an unknown server that another instance reports as silent is added as silent', t => {
 	const directory = new ServerDirectory({silentMilliseconds: 6000});
 	t.like(directory.announce(testServer({isSilent: true}), now)[0], {isSilent: true});
 	t.like(directory.announce(testServer({sequence: 2}), now + 100)[0], {isSilent: false});
 });
 
-test('a server that has ended does not fall silent', t => {
+test('a stopped server does not become silent', t => {
 	const directory = new ServerDirectory({silentMilliseconds: 6000});
 	directory.announce(testServer(), now);
 	directory.remove(testServer().id, now);
 	t.deepEqual(directory.sweep(now + 7000), []);
 });
 
-test('a restored server that another instance does not list counts as silent until it announces itself', t => {
+test('a restored server that another instance does not list is silent until it announces itself', t => {
 	const directory = new ServerDirectory({silentMilliseconds: 6000});
 	const listed = testServer({id: 'server-2' as ServerId});
-	const heard = testServer({id: 'server-3' as ServerId});
-	directory.restore([testServer(), listed, heard], {now, graceMilliseconds: 2400});
-	directory.announce({...heard, sequence: 2}, now);
+	const announced = testServer({id: 'server-3' as ServerId});
+	directory.restore([testServer(), listed, announced], {now, graceMilliseconds: 2400});
+	directory.announce({...announced, sequence: 2}, now);
 	t.deepEqual(directory.doubtRestored([listed]).map(({id}) => id), [testServer().id]);
 	t.deepEqual(directory.records.map(({isSilent}) => isSilent), [true, false, false]);
 	t.like(directory.announce(testServer({sequence: 2}), now + 100)[0], {isSilent: false});
--- a/packages/gateway/src/servers/server-directory.ts
+++ b/packages/gateway/src/servers/server-directory.ts
@@ -4,35 +4,35 @@
 import {mergeServerRecord} from './merge-server-record.js';
 import {type ServerRecord} from './server-record.js';
 
-/** How a directory ages its servers. */
+/** Options of a server directory. */
 export type ServerDirectoryOptions = {
-	/** The time without an announcement after which a server counts as silent, in milliseconds. */
+	/** The time without an announcement after which a server is considered silent, in milliseconds. */
 	readonly silentMilliseconds: number;
-	/** The time after which a silent server is forgotten, in milliseconds; an ended one is after twice as long. 180,000 by default. */
+	/** The time without an announcement after which a server is removed, in milliseconds; a stopped server is removed after twice this time. Defaults to 180,000. */
 	readonly forgetMilliseconds?: number;
 };
 
-type Held = {
+type DirectoryEntry = {
 	record: ServerRecord;
-	heardAt: number;
+	lastHeardAt: number;
 	changedAt: number;
-	/** When its end was learned; undefined while it runs. */
+	/** When the stop of the server was recorded, or `undefined` while it is running. */
 	endedAt: number | undefined;
-	/** Whether it is known from an earlier run only. */
+	/** Whether the record was restored from a previous run and the server has not announced itself since. */
 	isRestored: boolean;
 };
 
 type AddOptions = {
-	readonly heardAt: number;
+	readonly lastHeardAt: number;
 	readonly now: number;
 	readonly isRestored?: boolean;
 };
 
-/** How long a control instance holds a server that it no longer hears, in milliseconds. */
+/** How long a control instance keeps a server that no longer announces itself, in milliseconds. */
 export const defaultForgetMilliseconds = 180_000;
 
 /**
-The backend servers that announced themselves to any control instance, with a counter of changes from which others read what is new.
+The backend servers that have announced themselves to any control instance. Changes are numbered, so that readers can request only those after a cursor.
 
 @example
 ```ts
@@ -43,12 +43,12 @@
 */
 export class ServerDirectory {
 	readonly #options: Required<ServerDirectoryOptions>;
-	/** The end of a server is held for longer than an instance that missed it holds the server. */
+	/** The stop of a server is kept longer than an instance that missed it keeps the server. */
 	readonly #forgetEndedMilliseconds: number;
-	readonly #servers = new Map<ServerId, Held>();
-	/** When servers ended that were not known, in milliseconds on the monotonic clock: a late announcement must not bring them back. */
-	readonly #ended = new Map<ServerId, number>();
-	#changes = 0;
+	readonly #servers = new Map<ServerId, DirectoryEntry>();
+	/** When unknown servers were reported as stopped, in milliseconds on the monotonic clock; a late announcement must not add them again. */
+	readonly #endedUnknown = new Map<ServerId, number>();
+	#changeCount = 0;
 
 	constructor(options: ServerDirectoryOptions) {
 		this.#options = {forgetMilliseconds: defaultForgetMilliseconds, ...options};
@@ -57,112 +57,112 @@
 
 	/** The number of the last change. */
 	get cursor(): number {
-		return this.#changes;
+		return this.#changeCount;
 	}
 
-	/** All servers that are held. */
+	/** All servers in the directory. */
 	get records(): readonly ServerRecord[] {
 		return [...this.#servers.values()].map(({record}) => record);
 	}
 
 	/**
-	Takes an announcement, direct or passed on.
+	Applies an announcement received from the server or from another control instance.
 
-	@param record What the server said.
-	@param now Milliseconds on the monotonic clock.
-	@returns The records that changed in anything but the sequence number: that of the server, and those of servers that it replaced.
+	@param record The announced record.
+	@param now The current time in milliseconds on the monotonic clock.
+	@returns The records whose state or silence changed: that of the server, and those of servers that it replaced.
 	*/
 	announce(record: ServerRecord, now: number): readonly ServerRecord[] {
-		const held = this.#servers.get(record.id);
-		if (held === undefined) {
-			return this.#join({...record, state: this.#ended.has(record.id) ? 'gone' : record.state}, now);
+		const entry = this.#servers.get(record.id);
+		if (entry === undefined) {
+			return this.#addProcess({...record, state: this.#endedUnknown.has(record.id) ? 'gone' : record.state}, now);
 		}
 
-		const order = compareStarts(record, held.record);
+		const order = compareStarts(record, entry.record);
 		if (order > 0) {
-			return this.#join(record, now);
+			return this.#addProcess(record, now);
 		}
 
-		return order === 0 ? this.#update(held, record, now) : [];
+		return order === 0 ? this.#update(entry, record, now) : [];
 	}
 
 	/**
-	Takes the records that an earlier run held; those that are known by now stay as they are.
+	Restores the records of a previous run, except those of servers that are already known.
 
 	@param records The records.
-	@param options `now`: milliseconds on the monotonic clock; `graceMilliseconds`: the time within which a server must announce itself to stay.
-	@returns Those that were added.
+	@param options `now`: the current time in milliseconds on the monotonic clock; `graceMilliseconds`: the time within which a server must announce itself before it is considered silent.
+	@returns The records that were added.
 	*/
 	restore(records: readonly ServerRecord[], {now, graceMilliseconds}: {readonly now: number; readonly graceMilliseconds: number}): readonly ServerRecord[] {
-		const heardAt = now + graceMilliseconds - this.#options.silentMilliseconds;
-		const unknown = records.filter(({id}) => !this.#servers.has(id) && !this.#ended.has(id));
-		return unknown.map(record => this.#add(record, {heardAt, now, isRestored: true}));
+		const lastHeardAt = now + graceMilliseconds - this.#options.silentMilliseconds;
+		const unknown = records.filter(({id}) => !this.#servers.has(id) && !this.#endedUnknown.has(id));
+		return unknown.map(record => this.#insert(record, {lastHeardAt, now, isRestored: true}));
 	}
 
 	/**
-	Takes restored servers for silent that another instance does not list: they may have left, and their end been forgotten, while this one did not run.
+	Marks restored servers as silent if another instance does not list them: they may have stopped, and their records been removed there, while this instance was not running.
 
-	@param listed What the other instance has.
-	@returns Those that count as silent from now on.
+	@param listed The records of the other instance.
+	@returns The records that were marked silent.
 	*/
 	doubtRestored(listed: readonly ServerRecord[]): readonly ServerRecord[] {
 		const ids = new Set(listed.map(({id}) => id));
-		const doubted: ServerRecord[] = [];
-		for (const [id, held] of this.#servers) {
-			if (held.isRestored && !ids.has(id) && !held.record.isSilent && held.endedAt === undefined) {
-				doubted.push(this.#silence(held));
+		const unconfirmed: ServerRecord[] = [];
+		for (const [id, entry] of this.#servers) {
+			if (entry.isRestored && !ids.has(id) && !entry.record.isSilent && entry.endedAt === undefined) {
+				unconfirmed.push(this.#setSilent(entry));
 			}
 		}
 
-		return doubted;
+		return unconfirmed;
 	}
 
 	/**
-	Notes that a server ended, also one that is not known.
+	Records that a server has stopped, even if the server is unknown.
 
 	@param server The server.
-	@param now Milliseconds on the monotonic clock.
-	@returns The record where this is new.
+	@param now The current time in milliseconds on the monotonic clock.
+	@returns The record if it changed.
 	*/
 	remove(server: ServerId, now: number): ServerRecord | undefined {
-		const held = this.#servers.get(server);
-		if (held === undefined) {
-			this.#ended.set(server, now);
+		const entry = this.#servers.get(server);
+		if (entry === undefined) {
+			this.#endedUnknown.set(server, now);
 			return undefined;
 		}
 
-		if (held.record.state === 'gone') {
+		if (entry.record.state === 'gone') {
 			return undefined;
 		}
 
-		return this.#end(held, now);
+		return this.#setEnded(entry, now);
 	}
 
 	/**
-	Marks the servers that have gone silent, and forgets those that were for long.
+	Marks servers that have become silent, and removes expired ones.
 
-	@param now Milliseconds on the monotonic clock.
-	@returns Those that went silent now.
+	@param now The current time in milliseconds on the monotonic clock.
+	@returns The records that were marked silent.
 	*/
 	sweep(now: number): readonly ServerRecord[] {
 		const {silentMilliseconds, forgetMilliseconds} = this.#options;
 		const silenced: ServerRecord[] = [];
-		for (const [id, at] of this.#ended) {
+		for (const [id, at] of this.#endedUnknown) {
 			if (now - at >= this.#forgetEndedMilliseconds) {
-				this.#ended.delete(id);
+				this.#endedUnknown.delete(id);
 			}
 		}
 
-		for (const [id, held] of this.#servers) {
-			const silence = now - held.heardAt;
-			const isOver = held.endedAt === undefined ? silence >= forgetMilliseconds : now - held.endedAt >= this.#forgetEndedMilliseconds;
-			if (isOver) {
+		for (const [id, entry] of this.#servers) {
+			const elapsed = now - entry.lastHeardAt;
+			const isExpired = entry.endedAt === undefined ? elapsed >= forgetMilliseconds : now - entry.endedAt >= this.#forgetEndedMilliseconds;
+			if (isExpired) {
 				this.#servers.delete(id);
 				continue;
 			}
 
-			if (silence >= silentMilliseconds && !held.record.isSilent && held.endedAt === undefined) {
-				silenced.push(this.#silence(held));
+			if (elapsed >= silentMilliseconds && !entry.record.isSilent && entry.endedAt === undefined) {
+				silenced.push(this.#setSilent(entry));
 			}
 		}
 
@@ -170,9 +170,9 @@
 	}
 
 	/**
-	The servers that changed after a point.
+	Lists the servers that changed after a cursor.
 
-	@param cursor The point, 0 for all.
+	@param cursor The cursor; 0 lists all servers.
 	@returns The records.
 	*/
 	changedSince(cursor: number): readonly ServerRecord[] {
@@ -186,66 +186,66 @@
 		return changed;
 	}
 
-	/** Takes a process that was not known, and ends those whose address it has. */
-	#join(record: ServerRecord, now: number): readonly ServerRecord[] {
+	/** Adds a process that was not known, and marks the processes that it replaced at its address as stopped. */
+	#addProcess(record: ServerRecord, now: number): readonly ServerRecord[] {
 		const isReplaced = this.records.some(other => hasReplaced(other, record));
-		const joined = this.#add(isReplaced ? {...record, state: 'gone'} : record, {heardAt: now, now});
+		const joined = this.#insert(isReplaced ? {...record, state: 'gone'} : record, {lastHeardAt: now, now});
 		const ended: ServerRecord[] = [];
-		for (const held of this.#servers.values()) {
-			if (held.record.state !== 'gone' && hasReplaced(joined, held.record)) {
-				ended.push(this.#end(held, now));
+		for (const entry of this.#servers.values()) {
+			if (entry.record.state !== 'gone' && hasReplaced(joined, entry.record)) {
+				ended.push(this.#setEnded(entry, now));
 			}
 		}
 
 		return [joined, ...ended];
 	}
 
-	/** Takes a further announcement of a process that is known. */
-	#update(held: Held, record: ServerRecord, now: number): readonly ServerRecord[] {
-		const {record: before} = held;
-		const isNews = record.sequence > before.sequence;
-		const merged = {...mergeServerRecord(before, record), isSilent: before.isSilent && !isNews};
-		const isChanged = before.state !== merged.state || before.isSilent !== merged.isSilent;
-		held.record = merged;
+	/** Applies an announcement of a known process. */
+	#update(entry: DirectoryEntry, record: ServerRecord, now: number): readonly ServerRecord[] {
+		const {record: previous} = entry;
+		const isNewer = record.sequence > previous.sequence;
+		const merged = {...mergeServerRecord(previous, record), isSilent: previous.isSilent && !isNewer};
+		const isChanged = previous.state !== merged.state || previous.isSilent !== merged.isSilent;
+		entry.record = merged;
 		if (merged.state === 'gone') {
-			held.endedAt ??= now;
+			entry.endedAt ??= now;
 		}
 
-		if (isNews) {
-			held.heardAt = now;
-			held.isRestored = false;
+		if (isNewer) {
+			entry.lastHeardAt = now;
+			entry.isRestored = false;
 		}
 
 		if (isChanged) {
-			held.changedAt = this.#next();
+			entry.changedAt = this.#nextCursor();
 		}
 
 		return isChanged ? [merged] : [];
 	}
 
-	#silence(held: Held): ServerRecord {
-		held.record = {...held.record, isSilent: true};
-		held.changedAt = this.#next();
-		return held.record;
+	#setSilent(entry: DirectoryEntry): ServerRecord {
+		entry.record = {...entry.record, isSilent: true};
+		entry.changedAt = this.#nextCursor();
+		return entry.record;
 	}
 
-	#end(held: Held, now: number): ServerRecord {
-		held.record = {...held.record, state: 'gone'};
-		held.endedAt = now;
-		held.changedAt = this.#next();
-		return held.record;
+	#setEnded(entry: DirectoryEntry, now: number): ServerRecord {
+		entry.record = {...entry.record, state: 'gone'};
+		entry.endedAt = now;
+		entry.changedAt = this.#nextCursor();
+		return entry.record;
 	}
 
-	#add(record: ServerRecord, {heardAt, now, isRestored = false}: AddOptions): ServerRecord {
+	#insert(record: ServerRecord, {lastHeardAt, now, isRestored = false}: AddOptions): ServerRecord {
 		const endedAt = record.state === 'gone' ? now : undefined;
 		this.#servers.set(record.id, {
-			record, heardAt, changedAt: this.#next(), endedAt, isRestored,
+			record, lastHeardAt, changedAt: this.#nextCursor(), endedAt, isRestored,
 		});
 		return record;
 	}
 
-	#next(): number {
-		this.#changes++;
-		return this.#changes;
+	#nextCursor(): number {
+		this.#changeCount++;
+		return this.#changeCount;
 	}
 }
--- a/packages/gateway/src/servers/server-record-schema.ts
+++ b/packages/gateway/src/servers/server-record-schema.ts
@@ -4,7 +4,7 @@
 import * as z from 'zod';
 import {type ServerRecord} from './server-record.js';
 
-/** A record as it is saved. */
+/** The schema of a saved server record. */
 export const serverRecordSchema: z.ZodType<ServerRecord> = z.object({
 	id: z.string().transform(value => toId<ServerId>(value)),
 	service: z.string().transform(value => toId<ServiceId>(value)),
--- a/packages/gateway/src/servers/server-record.ts
+++ b/packages/gateway/src/servers/server-record.ts
@@ -2,10 +2,10 @@
 	type ServerId, type ServiceId, type VersionId, type ZoneId,
 } from '@valehitch/core';
 
-/** What a backend server says of itself; a server that said that it shuts down never takes work again. */
+/** The state that a backend server announces; a server that has announced its shutdown never accepts requests again. */
 export type ServerState = 'ready' | 'draining' | 'gone';
 
-/** One backend server as it announced itself. */
+/** A backend server as it announced itself. */
 export type ServerRecord = {
 	readonly id: ServerId;
 	readonly service: ServiceId;
@@ -13,13 +13,13 @@
 	readonly port: number;
 	readonly zone: ZoneId;
 	readonly version: VersionId;
-	/** Requests it works on at the same time. */
+	/** The number of requests that it processes concurrently. */
 	readonly slots: number;
 	readonly state: ServerState;
-	/** When its process started, in milliseconds since the epoch on its own clock; missing where it does not say. */
+	/** When its process started, in milliseconds since the epoch on its own clock; absent if the server does not report it. */
 	readonly startedAt?: number | undefined;
-	/** Grows with each announcement of one process, so that a late one can be told. */
+	/** Increases with each announcement of a process, so that delayed announcements can be detected. */
 	readonly sequence: number;
-	/** Whether it has announced itself to no control instance for long. */
+	/** Whether it has not announced itself to any control instance for the silence timeout. */
 	readonly isSilent: boolean;
 };
