--- a/packages/gateway/src/rollouts/_test-evidence.ts
+++ b/packages/gateway/src/rollouts/_test-evidence.ts
@@ -4,7 +4,7 @@
 import {type RouteId} from '../configuration/routing-configuration.js';
 import {type VersionEvidence} from './version-evidence.js';
 
-/** What one entry instance counted, for tests. */
+/** A counter of one entry instance, for tests. */
 export const testEvidence: VersionEvidence = {
 	entry: 'entry-1' as InstanceId, run: 'one', service: 'summaries' as ServiceId, version: 'v2' as VersionId, route: 'drafts' as RouteId, model: '', answers: 3, failures: 1, latencySum: 90,
 };
--- a/packages/gateway/src/rollouts/choose-side.test.ts
+++ b/packages/gateway/src/rollouts/choose-side.test.ts
@@ -4,12 +4,12 @@
 import {type RunningRollout} from './rollout.js';
 
 const target = 'v2' as VersionId;
-const old = 'v1' as VersionId;
+const oldVersion = 'v1' as VersionId;
 const rollout: RunningRollout = {
 	service: 'summaries' as ServiceId, target, duration: 20_000, stage: 'canary', orderedAt: 0, age: 4000,
 };
 
-test('the share of sessions that reach the target is near the wanted one, and each session always gets the same side', t => {
+test('the share of sessions assigned to the target is close to the canary share, and each session keeps its cohort', t => {
 	let onTarget = 0;
 	for (let index = 0; index < 4000; index++) {
 		const options = {
@@ -23,7 +23,7 @@
 	t.true(onTarget > 320 && onTarget < 480, `${onTarget} of 4000`);
 });
 
-test('a session that another instance may have begun on the old version stays there through the first half', t => {
+test('a session that may have started on the old version stays there for the first half', t => {
 	const options = {
 		subject: 'any', hasSession: true, pinned: undefined, canaryShare: 1,
 	};
@@ -31,20 +31,20 @@
 	t.is(chooseSide({...rollout, age: 10_000}, options), 'target');
 });
 
-test('a session keeps its version through the first half, and one on the target keeps it after that', t => {
+test('a session keeps its version for the first half, and one on the target keeps it afterwards', t => {
 	const options = {subject: 'any', hasSession: true, canaryShare: 1};
-	t.is(chooseSide(rollout, {...options, pinned: old}), 'others');
-	t.is(chooseSide({...rollout, age: 10_000}, {...options, pinned: old}), 'target');
+	t.is(chooseSide(rollout, {...options, pinned: oldVersion}), 'others');
+	t.is(chooseSide({...rollout, age: 10_000}, {...options, pinned: oldVersion}), 'target');
 	t.is(chooseSide({...rollout, age: 10_000}, {...options, canaryShare: 0, pinned: target}), 'target');
 });
 
-test('the share of a version that is shifted to grows to all, and a session that it has stays', t => {
+test('while shifting, the share of the target grows to all sessions, and sessions on the target stay there', t => {
 	const reached = new Set<number>();
 	let returned = 0;
 	for (let age = 11_600; age <= 15_600; age += 400) {
 		for (let index = 0; index < 200; index++) {
 			const side = chooseSide({...rollout, stage: 'shifting', age}, {
-				subject: `${index.toString(16)}cafe`, hasSession: true, pinned: old, canaryShare: 0.1,
+				subject: `${index.toString(16)}cafe`, hasSession: true, pinned: oldVersion, canaryShare: 0.1,
 			});
 			returned += side === 'others' && reached.has(index) ? 1 : 0;
 			if (side === 'target') {
@@ -57,7 +57,7 @@
 	t.is(reached.size, 200);
 });
 
-test('all new work goes to a version that is completed, and none to one that went back', t => {
+test('all new requests go to the target after completion, and none after a rollback', t => {
 	const options = {
 		subject: 'any', hasSession: false, pinned: target, canaryShare: 0,
 	};
--- a/packages/gateway/src/rollouts/choose-side.ts
+++ b/packages/gateway/src/rollouts/choose-side.ts
@@ -2,38 +2,38 @@
 import {prefixHash} from '@valehitch/routing';
 import {type RunningRollout} from './rollout.js';
 
-/** Which servers may take a request: those of the target, those of any other version, or all. */
+/** The servers to which a request may be sent: those of the target version, those of any other version, or all. */
 export type RolloutSide = 'target' | 'others' | 'any';
 
-/** What decides the side of a request. */
+/** The inputs that determine the cohort of a request. */
 export type ChooseSideOptions = {
-	/** The session, or the request where it belongs to none. */
+	/** The session of the request, or the request itself if it has no session. */
 	readonly subject: string;
 	readonly hasSession: boolean;
-	/** The version that the session ran on last, where that is known. */
+	/** The version that last served the session, if known. */
 	readonly pinned: VersionId | undefined;
-	/** The share of the requests that the target gets before it is judged. */
+	/** The share of requests that the target receives during the canary stage. */
 	readonly canaryShare: number;
 };
 
 const hashRange = 67_108_859;
-/** Sessions stay on the old version for this share of the duration; requests without a session try the target from its start. */
-const sessionShare = 0.5;
-/** Between these shares of the duration the target's share grows to all: its caches fill while the other servers still help, and what fails only under load shows before all depends on it. */
-const shiftStart = 0.58;
-const shiftEnd = 0.78;
+/** Sessions stay on the old version for this share of the duration; requests without a session may use the target from the start. */
+const sessionStartShare = 0.5;
+/** Between these shares of the duration the target's share of requests grows to all of them. Its caches fill while the other servers still take load, and failures that occur only under load show before all requests depend on the target. */
+const shiftStartShare = 0.58;
+const shiftEndShare = 0.78;
 
 /**
-Chooses between the versions of a service in a roll-out.
+Assigns a request to a cohort of a rollout.
 
-The choice is a hash of the session, so that all instances choose alike, and a session that reached the target stays there: the target's share only grows.
+The cohort is determined by a hash of the session, so that all instances assign it alike. A session that has reached the target stays there, because the target's share only grows.
 
-@param rollout The newest roll-out of the service, with its age.
-@param options What decides.
-@returns The side.
+@param rollout The newest rollout of the service, with its age.
+@param options The inputs.
+@returns The cohort.
 @example
 ```ts
-chooseSide(rollout, {subject: 'crew-7', hasSession: true, pinned: undefined, canaryShare: 0.1});
+assignCohort(rollout, {hashKey: 'crew-7', hasSession: true, pinnedVersion: undefined, canaryShare: 0.1});
 ```
 */
 export function chooseSide({target, duration, stage, age}: RunningRollout, {subject, hasSession, pinned, canaryShare}: ChooseSideOptions): RolloutSide {
@@ -45,9 +45,9 @@
 		return 'target';
 	}
 
-	const passed = age / duration;
-	// Another instance may have begun the session on the old version; only the target can be known for sure.
-	const mayBeOld = hasSession && passed < sessionShare;
-	const share = stage === 'canary' ? canaryShare : Math.max(canaryShare, (passed - shiftStart) / (shiftEnd - shiftStart));
-	return !mayBeOld && prefixHash(subject) < share * hashRange ? 'target' : 'others';
+	const progress = age / duration;
+	// The session may have been started on the old version by another instance, and only a pin to the target rules that out.
+	const keepsOldVersion = hasSession && progress < sessionStartShare;
+	const share = stage === 'canary' ? canaryShare : Math.max(canaryShare, (progress - shiftStartShare) / (shiftEndShare - shiftStartShare));
+	return !keepsOldVersion && prefixHash(subject) < share * hashRange ? 'target' : 'others';
 }
--- a/packages/gateway/src/rollouts/evidence-delta.test.ts
+++ b/packages/gateway/src/rollouts/evidence-delta.test.ts
@@ -2,7 +2,7 @@
 import {testEvidence} from './_test-evidence.js';
 import {EvidenceDelta} from './evidence-delta.js';
 
-test('a counter is told when it changed, and all are told again after a while', t => {
+test('changed counters are selected, and all counters again after an interval', t => {
 	const delta = new EvidenceDelta();
 	const other = {...testEvidence, version: 'v1' as typeof testEvidence.version};
 	t.deepEqual(delta.next([testEvidence, other], 1000), [testEvidence, other]);
--- a/packages/gateway/src/rollouts/evidence-delta.ts
+++ b/packages/gateway/src/rollouts/evidence-delta.ts
@@ -1,39 +1,39 @@
 import {evidenceKey, type VersionEvidence} from './version-evidence.js';
 
-/** All counters are told again after this time, in milliseconds, since a message may be lost and its receiver may have started again. */
-const fullMilliseconds = 2000;
+/** All counters are sent again after this time, in milliseconds, because a message may be lost and its receiver may have restarted. */
+const fullResendMilliseconds = 2000;
 
 /**
-Picks the counters that one receiver does not have yet, so that counters which rest cost nothing.
+Selects the counters that have changed since they were last sent to a receiver, so that unchanged counters cause no traffic.
 
 @example
 ```ts
 const delta = new EvidenceDelta();
-send(delta.next(table.all, now));
+send(delta.takeChanged(table.all, now));
 ```
 */
 export class EvidenceDelta {
-	#told = new Map<string, number>();
-	#fullAt = Number.NEGATIVE_INFINITY;
+	#sent = new Map<string, number>();
+	#lastFullAt = Number.NEGATIVE_INFINITY;
 
 	/**
-	Picks the counters that changed since they were last picked; all of them from time to time.
+	Selects the counters that have changed since they were last selected, and periodically all of them.
 
-	@param evidence All the counters.
-	@param now Milliseconds on the monotonic clock.
+	@param evidence All counters.
+	@param now The current time in milliseconds on the monotonic clock.
 	@returns The counters to send.
 	*/
 	next(evidence: readonly VersionEvidence[], now: number): readonly VersionEvidence[] {
-		if (now - this.#fullAt >= fullMilliseconds) {
-			this.#fullAt = now;
-			this.#told = new Map();
+		if (now - this.#lastFullAt >= fullResendMilliseconds) {
+			this.#lastFullAt = now;
+			this.#sent = new Map();
 		}
 
 		const changed: VersionEvidence[] = [];
 		for (const counter of evidence) {
 			const key = evidenceKey(counter);
-			if (this.#told.get(key) !== counter.answers) {
-				this.#told.set(key, counter.answers);
+			if (this.#sent.get(key) !== counter.answers) {
+				this.#sent.set(key, counter.answers);
 				changed.push(counter);
 			}
 		}
--- a/packages/gateway/src/rollouts/evidence-table.test.ts
+++ b/packages/gateway/src/rollouts/evidence-table.test.ts
@@ -3,7 +3,7 @@
 import {testEvidence as counter} from './_test-evidence.js';
 import {EvidenceTable} from './evidence-table.js';
 
-test('counters that come twice or late change nothing, and each run of an entry instance counts', t => {
+test('repeated or delayed counters change nothing, and each run of an entry instance has its own counters', t => {
 	const table = new EvidenceTable();
 	table.take([{...counter, answers: 5}]);
 	table.take([counter, {...counter, run: 'two'}]);
--- a/packages/gateway/src/rollouts/evidence-table.ts
+++ b/packages/gateway/src/rollouts/evidence-table.ts
@@ -1,17 +1,17 @@
 import {type ServiceId} from '@valehitch/core';
 import {evidenceKey, type VersionEvidence} from './version-evidence.js';
 
-/** Counters of entry instances that were replaced are dropped beyond this many. */
+/** The maximum number of counters; the oldest are dropped beyond it, which removes those of entry instances that were replaced. */
 const maximumCounters = 8192;
 
 /**
-Holds the newest counters of each entry instance, whatever way they came; counters only grow, so that a resend changes nothing.
+Holds the newest counters of each entry instance, received directly or relayed. Counters only increase, so that merging is idempotent.
 
 @example
 ```ts
 const table = new EvidenceTable();
-table.take(evidence);
-table.of(service);
+table.merge(evidence);
+table.forService(service);
 ```
 */
 export class EvidenceTable {
@@ -23,7 +23,7 @@
 	}
 
 	/**
-	Takes counters.
+	Merges received counters.
 
 	@param evidence The counters.
 	*/
@@ -46,7 +46,7 @@
 	}
 
 	/**
-	The counters of one service.
+	Lists the counters of a service.
 
 	@param service The service.
 	@returns The counters.
--- a/packages/gateway/src/rollouts/judge-rollout.test.ts
+++ b/packages/gateway/src/rollouts/judge-rollout.test.ts
@@ -11,7 +11,7 @@
 	service: 'summaries' as ServiceId, target: 'v2' as VersionId, duration: 20_000, stage: 'canary', orderedAt: 0,
 };
 
-function seen(version: string, changes: Partial<VersionEvidence> = {}): VersionEvidence {
+function counted(version: string, changes: Partial<VersionEvidence> = {}): VersionEvidence {
 	return {
 		entry: 'entry-1' as InstanceId,
 		run: 'one',
@@ -26,25 +26,25 @@
 	};
 }
 
-test('a version without faults goes on after a part of its duration, and is completed before the end', t => {
-	const evidence = [seen('v1'), seen('v2', {answers: 20, latencySum: 5000})];
+test('a version without faults advances after part of the duration, and is completed before its end', t => {
+	const evidence = [counted('v1'), counted('v2', {answers: 20, latencySum: 5000})];
 	t.is(judgeRollout(rollout, {evidence, age: 5000}), undefined);
 	t.is(judgeRollout(rollout, {evidence, age: 11_700}), 'shifting');
 	t.is(judgeRollout({...rollout, stage: 'shifting'}, {evidence, age: 12_000}), undefined);
 	t.is(judgeRollout({...rollout, stage: 'shifting'}, {evidence, age: 17_700}), 'completed');
 });
 
-test('a version that fails more than the old one goes back, well before its 50th failure', t => {
-	t.is(judgeRollout(rollout, {evidence: [seen('v1', {failures: 4}), seen('v2', {answers: 12, failures: 4})], age: 100}), 'rolled-back');
-	t.is(judgeRollout(rollout, {evidence: [seen('v1', {failures: 14}), seen('v2', {answers: 40, failures: 6})], age: 100}), undefined);
+test('a version that fails more often than the old one is rolled back well before its 50th failure', t => {
+	t.is(judgeRollout(rollout, {evidence: [counted('v1', {failures: 4}), counted('v2', {answers: 12, failures: 4})], age: 100}), 'rolled-back');
+	t.is(judgeRollout(rollout, {evidence: [counted('v1', {failures: 14}), counted('v2', {answers: 40, failures: 6})], age: 100}), undefined);
 });
 
-test('a fault on one route alone is enough, also while all new work goes to the version', t => {
-	const evidence = [seen('v1'), seen('v1', {route: 'labels' as RouteId}), seen('v2'), seen('v2', {route: 'labels' as RouteId, answers: 9, failures: 5})];
+test('failures on a single route cause a rollback, also during the shifting stage', t => {
+	const evidence = [counted('v1'), counted('v1', {route: 'labels' as RouteId}), counted('v2'), counted('v2', {route: 'labels' as RouteId, answers: 9, failures: 5})];
 	t.is(judgeRollout({...rollout, stage: 'shifting'}, {evidence, age: 13_000}), 'rolled-back');
 });
 
-test('a version that is several times slower goes back', t => {
-	t.is(judgeRollout(rollout, {evidence: [seen('v1'), seen('v2', {answers: 8, latencySum: 8 * 1600})], age: 100}), 'rolled-back');
-	t.is(judgeRollout(rollout, {evidence: [seen('v1'), seen('v2', {answers: 8, latencySum: 8 * 390})], age: 100}), undefined);
+test('a version that is several times slower is rolled back', t => {
+	t.is(judgeRollout(rollout, {evidence: [counted('v1'), counted('v2', {answers: 8, latencySum: 8 * 1600})], age: 100}), 'rolled-back');
+	t.is(judgeRollout(rollout, {evidence: [counted('v1'), counted('v2', {answers: 8, latencySum: 8 * 390})], age: 100}), undefined);
 });
--- a/packages/gateway/src/rollouts/judge-rollout.ts
+++ b/packages/gateway/src/rollouts/judge-rollout.ts
@@ -1,9 +1,9 @@
 import {type Rollout, type RolloutStage} from './rollout.js';
 import {type VersionEvidence} from './version-evidence.js';
 
-/** What is known of a roll-out. */
+/** The inputs for the evaluation of a rollout. */
 export type JudgeRolloutOptions = {
-	/** What all entry instances saw of the service since the order. */
+	/** The counters of all entry instances for the service since the rollout was ordered. */
 	readonly evidence: readonly VersionEvidence[];
 	/** Milliseconds since the order. */
 	readonly age: number;
@@ -15,35 +15,35 @@
 	latencySum: number;
 };
 
-/** Failures of the new version before it can be judged by them: below the 50 at which the clock of a roll-back starts to run. */
-const leastFailures = 4;
-/** How much larger the share of failures must be than that of the old version: above the scatter of some tens of answers. */
+/** The number of failures of the new version before its failure share is evaluated; below the 50 failures from which the time limit for a rollback counts. */
+const minimumFailures = 4;
+/** The margin by which the failure share must exceed that of the old version; above the random variation in a sample of a few dozen answers. */
 const failureMargin = 0.12;
-/** Good answers of the new version on a route before it can be judged by its speed. */
-const leastTimed = 8;
-/** How much slower the new version must be: bad versions are several times slower, and a cold cache makes good ones up to twice as slow. */
-const slownessFactor = 3;
-/** The shortest mean time that counts as slow, in milliseconds: below it the scatter of the network is most of the time. */
-const leastSlowMilliseconds = 60;
-/** The share of the duration after which the share of a version that showed no fault begins to grow: sessions try it from half on. */
+/** The number of successful answers of the new version on a route before its latency is evaluated. */
+const minimumTimedAnswers = 8;
+/** The ratio of mean latencies above which the new version counts as slow. Bad versions are several times slower, while a cold cache makes good ones up to twice as slow. */
+const maximumLatencyRatio = 3;
+/** The lowest mean latency that counts as slow, in milliseconds; below it, network jitter dominates the latency. */
+const minimumSlowMilliseconds = 60;
+/** The share of the duration after which the traffic of a version without faults begins to grow; sessions may use it from half of the duration on. */
 const shiftShare = 0.58;
-/** The share of the duration after which the old version is given up; the time between lets its streams end. */
+/** The share of the duration after which the old version receives no more requests; its streams can end in the remaining time. */
 const completeShare = 0.88;
 
 /**
-Decides whether a roll-out goes to its next stage: back as soon as the new version fails or slows on any route more than the old one, on after a part of its duration.
+Determines the next stage of a rollout. It is rolled back as soon as the new version fails significantly more often or is significantly slower than the old one on any route, and otherwise advances after set shares of its duration.
 
-@param rollout The roll-out.
-@param options What is known of it.
-@returns The next stage, or undefined while it stays where it is.
+@param rollout The rollout.
+@param options The inputs.
+@returns The next stage, or `undefined` if the stage does not change.
 @example
 ```ts
-judgeRollout(rollout, {evidence, age: 9000});
+nextRolloutStage(rollout, {evidence, age: 9000});
 ```
 */
 export function judgeRollout(rollout: Rollout, {evidence, age}: JudgeRolloutOptions): RolloutStage | undefined {
 	const {target, duration, stage} = rollout;
-	if (isWorse(evidence, target)) {
+	if (hasRegressed(evidence, target)) {
 		return 'rolled-back';
 	}
 
@@ -54,12 +54,12 @@
 	return stage === 'shifting' && age >= completeShare * duration ? 'completed' : undefined;
 }
 
-function isWorse(evidence: readonly VersionEvidence[], target: string): boolean {
-	const old = tallyByRoute(evidence.filter(({version}) => version !== target));
-	const fresh = tallyByRoute(evidence.filter(({version}) => version === target));
-	for (const [key, tally] of fresh) {
-		const reference = old.get(key) ?? {answers: 0, failures: 0, latencySum: 0};
-		if (failsMore(tally, reference) || isSlower(tally, reference)) {
+function hasRegressed(evidence: readonly VersionEvidence[], target: string): boolean {
+	const baseline = tallyByRoute(evidence.filter(({version}) => version !== target));
+	const candidate = tallyByRoute(evidence.filter(({version}) => version === target));
+	for (const [key, tally] of candidate) {
+		const baselineTally = baseline.get(key) ?? {answers: 0, failures: 0, latencySum: 0};
+		if (failsMore(tally, baselineTally) || isSlower(tally, baselineTally)) {
 			return true;
 		}
 	}
@@ -67,17 +67,17 @@
 	return false;
 }
 
-function failsMore(tally: Tally, reference: Tally): boolean {
-	return tally.failures >= leastFailures && share(tally) > share(reference) + failureMargin;
+function failsMore(tally: Tally, baselineTally: Tally): boolean {
+	return tally.failures >= minimumFailures && failureShare(tally) > failureShare(baselineTally) + failureMargin;
 }
 
-function isSlower(tally: Tally, reference: Tally): boolean {
+function isSlower(tally: Tally, baselineTally: Tally): boolean {
 	const timed = tally.answers - tally.failures;
 	const mean = meanLatency(tally);
-	return timed >= leastTimed && mean >= leastSlowMilliseconds && reference.answers > reference.failures && mean > slownessFactor * meanLatency(reference);
+	return timed >= minimumTimedAnswers && mean >= minimumSlowMilliseconds && baselineTally.answers > baselineTally.failures && mean > maximumLatencyRatio * meanLatency(baselineTally);
 }
 
-function share({answers, failures}: Tally): number {
+function failureShare({answers, failures}: Tally): number {
 	return answers === 0 ? 0 : failures / answers;
 }
 
--- a/packages/gateway/src/rollouts/known-rollouts.test.ts
+++ b/packages/gateway/src/rollouts/known-rollouts.test.ts
@@ -22,7 +22,7 @@
 	return {known, clock, lines};
 }
 
-test('a roll-out ages on the own clock, and is logged when it changes', t => {
+test('a rollout ages on the local clock, and is logged when it changes', t => {
 	const {known, clock, lines} = start();
 	known.take({rollouts: [rolloutAt('canary', 300)], rolloutDigest: 'a'}, {confirmedAt: 900, now: 1000});
 	known.take({rollouts: [rolloutAt('canary', 300)], rolloutDigest: 'a'}, {confirmedAt: 950, now: 1000});
@@ -33,7 +33,7 @@
 	t.deepEqual(lines, ['rollout-advanced']);
 });
 
-test('what is told by an instance that is behind, or not sure, changes nothing', t => {
+test('replies of an instance that lags behind or has no confirmed state change nothing', t => {
 	const {known} = start();
 	known.take({rollouts: [rolloutAt('completed')], rolloutDigest: 'b'}, {confirmedAt: 900, now: 1000});
 	known.take({rollouts: [rolloutAt('canary')], rolloutDigest: 'a'}, {confirmedAt: 800, now: 1000});
--- a/packages/gateway/src/rollouts/known-rollouts.ts
+++ b/packages/gateway/src/rollouts/known-rollouts.ts
@@ -2,39 +2,39 @@
 import {type DecisionLog} from '../logs/decision-log.js';
 import {isEnded, type RunningRollout} from './rollout.js';
 
-/** What known roll-outs need. */
+/** Options of the known rollouts. */
 export type KnownRolloutsOptions = {
 	readonly clock: Pick<Clock, 'monotonic'>;
 	readonly log: DecisionLog;
 };
 
-/** The roll-outs as a control instance tells them. */
+/** The rollouts in a reply of a control instance. */
 export type ToldRollouts = {
 	readonly rollouts: readonly RunningRollout[];
 	readonly rolloutDigest: string;
 };
 
-/** When a control instance told. */
+/** The times that belong to a reply of a control instance. */
 export type ToldAt = {
-	/** The time at which its state was surely the newest, in milliseconds on the own monotonic clock; undefined where it is not known. */
+	/** When the state of the control instance was last confirmed to be current, in milliseconds on the local monotonic clock, or `undefined` if unknown. */
 	readonly confirmedAt: number | undefined;
-	/** Milliseconds on the own monotonic clock. */
+	/** The current time in milliseconds on the local monotonic clock. */
 	readonly now: number;
 };
 
 /**
-The roll-outs that an entry instance knows; they go forward only, since a control instance that is behind could tell an earlier stage.
+The rollouts that an entry instance knows. Replies confirmed earlier than the current state are ignored, because a control instance that lags behind may report an earlier stage.
 
 @example
 ```ts
 const known = new KnownRollouts({clock, log});
-known.take(reply, {confirmedAt, now});
-known.of(service);
+known.update(reply, {confirmedAt, now});
+known.forService(service);
 ```
 */
 export class KnownRollouts {
 	readonly #options: KnownRolloutsOptions;
-	/** Their ages are kept as the time of the order on the own clock. */
+	/** Each `age` holds the negated time of the order on the local clock. */
 	#rollouts: readonly RunningRollout[] = [];
 	#confirmedAt = 0;
 	#digest = '';
@@ -43,21 +43,21 @@
 		this.#options = options;
 	}
 
-	/** The digest of what is known. */
+	/** The digest of the known rollouts. */
 	get digest(): string {
 		return this.#digest;
 	}
 
-	/** The services with a roll-out that has not ended. */
+	/** The services with a rollout that has not ended. */
 	get runningServices(): ReadonlySet<ServiceId> {
 		return new Set(this.#rollouts.filter(rollout => !isEnded(rollout)).map(({service}) => service));
 	}
 
 	/**
-	Takes what a control instance tells, unless something later is known.
+	Replaces the known rollouts by those of a reply, unless a reply that was confirmed later has been received.
 
-	@param told The roll-outs.
-	@param at When it told.
+	@param received The rollouts.
+	@param times The times of the reply.
 	*/
 	take({rollouts, rolloutDigest}: ToldRollouts, {confirmedAt, now}: ToldAt): void {
 		if (confirmedAt === undefined || confirmedAt < this.#confirmedAt) {
@@ -74,10 +74,10 @@
 	}
 
 	/**
-	The newest roll-out of a service.
+	Finds the newest rollout of a service.
 
 	@param service The service.
-	@returns The roll-out with its age now; undefined where there was none.
+	@returns The rollout with its current age, or `undefined` if there has been none.
 	*/
 	of(service: ServiceId): RunningRollout | undefined {
 		const rollout = this.#rollouts.find(other => other.service === service);
--- a/packages/gateway/src/rollouts/rollout.ts
+++ b/packages/gateway/src/rollouts/rollout.ts
@@ -1,26 +1,26 @@
 import {type ServiceId, type VersionId} from '@valehitch/core';
 
-/** How far a roll-out is: a small share, all new work, or ended either way. */
+/** The stage of a rollout: a small share of requests, a share that grows to all new requests, or one of the two final stages. */
 export type RolloutStage = 'canary' | 'shifting' | 'completed' | 'rolled-back';
 
-/** A roll-out of one service to a version, as the log holds it. */
+/** A rollout of a service to a version, as stored in the replicated log. */
 export type Rollout = {
 	readonly service: ServiceId;
 	readonly target: VersionId;
-	/** The time within which it should be completed, in milliseconds. */
+	/** The time within which the rollout should be completed, in milliseconds. */
 	readonly duration: number;
 	readonly stage: RolloutStage;
-	/** The wall clock of the instance that took the order, in milliseconds; clocks differ and jump, so it only serves where all instances restarted. */
+	/** The wall-clock time, in milliseconds, of the instance that received the order. Wall clocks differ and jump, so it is used only after all instances have restarted. */
 	readonly orderedAt: number;
 };
 
-/** A roll-out with the time since it was ordered. */
+/** A rollout with the time since it was ordered. */
 export type RunningRollout = Rollout & {
-	/** Milliseconds since the order was committed, on the clock of the instance that tells. */
+	/** The time since the order was committed, in milliseconds on the clock of the instance that reports it. */
 	readonly age: number;
 };
 
-/** Whether the stage is final. */
+/** Checks whether the stage of a rollout is final. */
 export function isEnded({stage}: Rollout): boolean {
 	return stage === 'completed' || stage === 'rolled-back';
 }
--- a/packages/gateway/src/rollouts/version-evidence.ts
+++ b/packages/gateway/src/rollouts/version-evidence.ts
@@ -1,27 +1,27 @@
 import {type InstanceId, type ServiceId, type VersionId} from '@valehitch/core';
 import {type RouteId} from '../configuration/routing-configuration.js';
 
-/** What one entry instance saw of one version on one route since it started; counts only grow. */
+/** The counters of one entry instance for one version on one route since the instance started; they only increase. */
 export type VersionEvidence = {
 	readonly entry: InstanceId;
-	/** Names the run of the entry instance. */
+	/** Identifies the run of the entry instance. */
 	readonly run: string;
 	readonly service: ServiceId;
 	readonly version: VersionId;
 	readonly route: RouteId;
-	/** The model that answered; empty for a plain service. */
+	/** The model that answered; empty for a service without models. */
 	readonly model: string;
 	readonly answers: number;
 	readonly failures: number;
-	/** The sum of the times to the first byte of good answers, in milliseconds. */
+	/** The sum of the times to the first byte of successful answers, in milliseconds. */
 	readonly latencySum: number;
 };
 
 /**
-Names what a counter counts.
+Returns the key that identifies a counter.
 
 @param evidence The counter.
-@returns A key that is the same for each state of the counter.
+@returns The key, which does not depend on the counted values.
 @example
 ```ts
 evidenceKey(counter);
