--- a/packages/gateway/src/configuration/_test-configuration.ts
+++ b/packages/gateway/src/configuration/_test-configuration.ts
@@ -1,7 +1,7 @@
 import {type ServiceId, toId, type WorkspaceId} from '@valehitch/core';
 import {type Route, type RouteId, type RoutingConfiguration} from './routing-configuration.js';
 
-/** A route of plain requests for tests. */
+/** Creates a route for plain requests. */
 export function testRoute(changes: Partial<Route> = {}): Route {
 	return {
 		id: toId<RouteId>('labels'),
@@ -22,7 +22,7 @@
 	};
 }
 
-/** A small sound configuration for tests. */
+/** Creates a small valid configuration. */
 export function testConfiguration(changes: Partial<RoutingConfiguration> = {}): RoutingConfiguration {
 	return {
 		version: 1,
--- a/packages/gateway/src/configuration/route-table.ts
+++ b/packages/gateway/src/configuration/route-table.ts
@@ -4,22 +4,22 @@
 } from './routing-configuration.js';
 
 /**
-Finds routes and the holders of keys in one configuration.
+Looks up routes, services and the workspaces of keys in a configuration.
 
 @example
 ```ts
 const table = new RouteTable(configuration);
-table.routeOf('desk.example', '/labels/42');
+table.findRoute('desk.example', '/labels/42');
 ```
 */
 export class RouteTable {
 	readonly version: number;
 	readonly limits: RequestLimits;
-	/** Whether requests need a key, unless their route is public. */
+	/** Whether requests require a key unless their route is public. */
 	readonly needsKeys: boolean;
-	/** The routes of each host, longest prefix first. */
+	/** The routes of each host, ordered by descending prefix length. */
 	readonly #routes = new Map<string, Route[]>();
-	readonly #holders = new Map<string, WorkspaceAccess>();
+	readonly #workspacesByKey = new Map<string, WorkspaceAccess>();
 	readonly #services = new Map<ServiceId, BackendService>();
 
 	constructor({version, routes, services, limits, workspaces}: RoutingConfiguration) {
@@ -32,7 +32,7 @@
 
 		for (const workspace of workspaces ?? []) {
 			for (const key of workspace.keys) {
-				this.#holders.set(key, workspace);
+				this.#workspacesByKey.set(key, workspace);
 			}
 		}
 
@@ -41,37 +41,37 @@
 			this.#routes.set(host, [...this.#routes.get(host) ?? [], route]);
 		}
 
-		for (const ofHost of this.#routes.values()) {
-			ofHost.sort((one, other) => other.pathPrefix.length - one.pathPrefix.length);
+		for (const hostRoutes of this.#routes.values()) {
+			hostRoutes.sort((one, other) => other.pathPrefix.length - one.pathPrefix.length);
 		}
 	}
 
 	/**
-	Finds the route with the longest prefix.
+	Finds the route with the longest matching prefix.
 
-	@param host The host that the caller named.
+	@param host The host in the request.
 	@param path The path without the query.
-	@returns The route, or undefined where none matches.
+	@returns The route, or `undefined` if none matches.
 	*/
 	routeOf(host: string, path: string): Route | undefined {
 		return this.#routes.get(host.toLowerCase())?.find(({pathPrefix}) => path.startsWith(pathPrefix));
 	}
 
 	/**
-	Finds the workspace that holds a key.
+	Finds the workspace to which a key belongs.
 
 	@param key The key.
-	@returns The workspace, or undefined where no workspace has the key.
+	@returns The workspace, or `undefined` if the key belongs to none.
 	*/
 	holderOf(key: string): WorkspaceAccess | undefined {
-		return this.#holders.get(key);
+		return this.#workspacesByKey.get(key);
 	}
 
 	/**
 	Finds a service.
 
 	@param id The service.
-	@returns The service, or undefined where it is not defined.
+	@returns The service, or `undefined` if it is not defined.
 	*/
 	service(id: ServiceId): BackendService | undefined {
 		return this.#services.get(id);
--- a/packages/gateway/src/configuration/routing-configuration.ts
+++ b/packages/gateway/src/configuration/routing-configuration.ts
@@ -2,87 +2,87 @@
 	type Brand, type ModelId, type ServiceId, type WorkspaceId,
 } from '@valehitch/core';
 
-/** Names a route; unique in a configuration. */
+/** Identifies a route; unique within a configuration. */
 export type RouteId = Brand<string, 'RouteId'>;
 
-/** Whether a request may be repeated: `safe` always, `unsafe` never, `streaming` only where the route says that a stream can be resumed. */
+/** Whether a request may be retried: `safe` always, `unsafe` never, `streaming` only if the streams of the route are resumable. */
 export type RouteKind = 'safe' | 'unsafe' | 'streaming';
 
-/** A service that gets a part of a route's requests. */
+/** A service that receives a share of the requests of a route. */
 export type WeightedService = {
 	readonly service: ServiceId;
-	/** The part, in proportion to the sum of the weights of the route. */
+	/** The share of requests, relative to the sum of the weights of the route. */
 	readonly weight: number;
 };
 
-/** Where requests of one host and path prefix go. */
+/** Determines where requests with a host and path prefix are sent. */
 export type Route = {
 	readonly id: RouteId;
 	readonly host: string;
-	/** Begins and ends with a slash. */
+	/** Starts and ends with a slash. */
 	readonly pathPrefix: string;
 	readonly kind: RouteKind;
-	/** The longest time that a request is kept waiting, in milliseconds. */
+	/** The longest time that a request may wait, in milliseconds. */
 	readonly timeout: number;
-	/** The time within which an answer, or the first event of a stream, is on time, in milliseconds. */
+	/** The target time to an answer, or to the first event of a stream, in milliseconds. */
 	readonly targetLatency: number;
-	/** The longest pause between two events with which a stream is on time, in milliseconds; undefined for plain answers. */
+	/** The target maximum time between two events of a stream, in milliseconds, or `undefined` for plain answers. */
 	readonly targetGap: number | undefined;
-	/** The rank among all requests; 0 goes first. */
+	/** The priority among all requests; 0 is the highest. */
 	readonly priority: number;
-	/** The models that may answer, smallest first; empty where the caller names the model or there is none. */
+	/** The models that may answer, smallest first; empty if the caller names the model or the service has no models. */
 	readonly sizes: readonly ModelId[];
 	readonly services: readonly WeightedService[];
-	/** The most backend servers to which one request may be sent. */
+	/** The maximum number of backend servers to which a request may be sent. */
 	readonly maximumAttempts: number;
-	/** Whether a request needs no key. */
+	/** Whether requests require no key. */
 	readonly isPublic: boolean;
-	/** Whether a broken stream may go on at another backend server. */
+	/** Whether an interrupted stream may be resumed on another backend server. */
 	readonly isResumable: boolean;
-	/** Whether backend servers cache the beginnings of prompts. */
+	/** Whether backend servers cache prompt prefixes. */
 	readonly usesPromptCache: boolean;
 };
 
 /** A model that a service offers. */
 export type OfferedModel = {
 	readonly id: ModelId;
-	/** The price of 1,000 generated tokens, in units of a request's worth. */
+	/** The price of 1,000 generated tokens, in the unit in which the value of a request is measured. */
 	readonly cost: number;
 };
 
-/** A service: backend servers that answer alike. */
+/** A service, which is a group of interchangeable backend servers. */
 export type BackendService = {
 	readonly id: ServiceId;
-	/** The connections that one backend server accepts from all instances together. */
+	/** The number of connections that a backend server accepts from all instances together. */
 	readonly maximumConnections: number;
-	/** The models of a service of model engines; empty for a plain service. */
+	/** The models that the service offers; empty for a service without models. */
 	readonly models: readonly OfferedModel[];
 };
 
-/** A workspace and the keys that belong to it. */
+/** A workspace and its keys. */
 export type WorkspaceAccess = {
 	readonly id: WorkspaceId;
 	readonly keys: readonly string[];
-	/** Goes before the priority of the route; undefined where the route decides. */
+	/** Overrides the priority of the route; `undefined` keeps the priority of the route. */
 	readonly priority: number | undefined;
 };
 
-/** What callers may send. */
+/** Limits on the requests of callers. */
 export type RequestLimits = {
 	readonly headerBytes: number;
 	readonly bodyBytes: number;
-	/** The time within which the headers must be complete, in milliseconds. */
+	/** The time within which the headers must be received, in milliseconds. */
 	readonly headerTimeout: number;
-	/** The time that a connection may stay idle, in milliseconds. */
+	/** The time for which a connection may be idle, in milliseconds. */
 	readonly idleTimeout: number;
 };
 
-/** A complete routing configuration; the highest version takes effect. */
+/** A complete routing configuration; the one with the highest version is in effect. */
 export type RoutingConfiguration = {
 	readonly version: number;
 	readonly routes: readonly Route[];
 	readonly services: readonly BackendService[];
 	readonly limits: RequestLimits;
-	/** The workspaces; undefined where no request needs a key. */
+	/** The workspaces, or `undefined` if no request requires a key. */
 	readonly workspaces: readonly WorkspaceAccess[] | undefined;
 };
