--- a/packages/gateway/src/logs/bounded-output.test.ts
+++ b/packages/gateway/src/logs/bounded-output.test.ts
@@ -2,10 +2,10 @@
 import test from 'ava';
 import {toBoundedOutput} from './bounded-output.js';
 
-test('a reader that stalls costs bounded memory, and the lines it misses are counted', t => {
+test('the buffer for a stalled reader is bounded, and dropped lines are counted', t => {
 	const stalled = new Writable({
 		write() {
-			// The reader never takes anything.
+			// Never completes a write.
 		},
 	});
 	const output = toBoundedOutput(stalled);
@@ -18,7 +18,7 @@
 	t.true(output.dropped() > 1700);
 });
 
-test('a reader that went away ends nothing', t => {
+test('a closed reader causes no exception', t => {
 	const gone = new Writable({
 		write(_chunk, _encoding, callback) {
 			callback(new Error('EPIPE'));
@@ -31,7 +31,7 @@
 	});
 });
 
-test('lines are gathered into one write, and a flush hands them over at once', async t => {
+test('lines are batched into one write, and a flush writes them immediately', async t => {
 	const writes: number[] = [];
 	const reader = new Writable({
 		decodeStrings: false,
--- a/packages/gateway/src/logs/bounded-output.ts
+++ b/packages/gateway/src/logs/bounded-output.ts
@@ -3,25 +3,25 @@
 import {Socket} from 'node:net';
 import {type Writable} from 'node:stream';
 
-/** Takes text, and drops it while the reader is behind. */
+/** An output with a bounded buffer that drops lines while its reader is too slow. */
 export type BoundedOutput = {
-	/** Writes a line with those of the next moments, or drops it; never blocks. */
+	/** Buffers a line to be written in a batch, or drops it if the buffer is full; never blocks. */
 	readonly write: (line: string) => void;
-	/** Hands all lines to the system now; resolves once it has them. */
+	/** Writes all buffered lines now; resolves once they are handed to the operating system. */
 	readonly flush: () => Promise<void>;
-	/** How many lines were dropped since the start. */
+	/** Returns the number of lines dropped since the start. */
 	readonly dropped: () => number;
 };
 
-/** Bytes that may wait for the reader: some seconds of lines, and little of an instance's memory. */
-const maximumWaitingBytes = 262_144;
-/** Lines wait this long for others, in milliseconds, since each write costs an instance more than the line does. */
-const gatherMilliseconds = 250;
+/** The maximum size of the buffer: enough for several seconds of lines, and small compared to the memory of an instance. */
+const maximumBufferedBytes = 262_144;
+/** The time for which lines are collected into one write, in milliseconds, because a write costs more than formatting a line. */
+const batchMilliseconds = 250;
 
 /**
-Opens a file descriptor for lines without ever blocking on its reader: a pipe is written asynchronously, which `process.stdout` does not do.
+Opens a file descriptor as an output that never blocks on its reader. Pipes are written asynchronously, unlike by `process.stdout`.
 
-@param descriptor The file descriptor, 1 for the standard output.
+@param descriptor The file descriptor; 1 is standard output.
 @returns The output.
 @example
 ```ts
@@ -33,7 +33,7 @@
 }
 
 /**
-Bounds what waits in a stream.
+Creates an output that bounds the data buffered in a stream.
 
 @param stream The stream.
 @returns The output.
@@ -45,7 +45,7 @@
 export function toBoundedOutput(stream: Writable): BoundedOutput {
 	let dropped = 0;
 	let timer: NodeJS.Timeout | undefined;
-	const release = (): void => {
+	const uncorkNow = (): void => {
 		if (timer !== undefined) {
 			clearTimeout(timer);
 			timer = undefined;
@@ -53,28 +53,28 @@
 		}
 	};
 
-	// A reader that went away must not end the process; what is written after that is counted as dropped.
+	// A closed reader must not terminate the process; lines written afterwards are counted as dropped.
 	stream.on('error', () => {
 		dropped++;
 	});
 	return {
 		write(line) {
-			const isBehind = stream.writableLength + Buffer.byteLength(line) > maximumWaitingBytes;
-			if (isBehind || stream.destroyed) {
+			const isBufferFull = stream.writableLength + Buffer.byteLength(line) > maximumBufferedBytes;
+			if (isBufferFull || stream.destroyed) {
 				dropped++;
 				return;
 			}
 
 			if (timer === undefined) {
 				stream.cork();
-				timer = setTimeout(release, gatherMilliseconds);
+				timer = setTimeout(uncorkNow, batchMilliseconds);
 				timer.unref();
 			}
 
 			stream.write(line);
 		},
 		async flush() {
-			release();
+			uncorkNow();
 			await new Promise<void>(resolve => {
 				if (stream.destroyed) {
 					resolve();
--- a/packages/gateway/src/logs/create-decision-log.ts
+++ b/packages/gateway/src/logs/create-decision-log.ts
@@ -5,47 +5,47 @@
 import {type DecisionLog} from './decision-log.js';
 import {LineBudget, type LineBudgetOptions} from './line-budget.js';
 
-/** What a decision log needs. */
+/** Options of a decision log. */
 export type CreateDecisionLogOptions = LineBudgetOptions & {
 	readonly clock: Clock;
 	readonly output: BoundedOutput;
-	/** What stands in every line, such as the instance and its availability zone. */
+	/** The fields of every line, such as the instance and its availability zone. */
 	readonly fields: Readonly<Record<string, string>>;
 };
 
 /**
-Makes the log of decisions: one JSON line each, bounded by kind, never blocking.
+Creates a log that writes one JSON line per decision, limits the rate of each kind of line, and never blocks.
 
-@param name The program.
-@param options Where lines go and how many.
+@param name The name of the program.
+@param options The output and the rate limits.
 @returns The log.
 @example
 ```ts
 const log = createDecisionLog('valehitch-entry', {clock, output, fields: {instance: '10.0.0.4'}});
 ```
 */
-export function createDecisionLog(name: string, {clock, output, fields, ...budgetOptions}: CreateDecisionLogOptions): DecisionLog {
+export function createDecisionLog(name: string, {clock, output, fields, ...rateLimiterOptions}: CreateDecisionLogOptions): DecisionLog {
 	const logger = bunyan.createLogger({name, ...fields, streams: [{level: 'info', stream: toStream(output)}]});
-	const budget = new LineBudget(budgetOptions);
+	const rateLimiter = new LineBudget(rateLimiterOptions);
 	return (kind, values, level = 'info') => {
-		for (const leftOut of budget.renew(clock.monotonic())) {
+		for (const suppressed of rateLimiter.renew(clock.monotonic())) {
 			logger.warn({
-				kind: 'lines-left-out', of: leftOut.kind, count: leftOut.count, dropped: output.dropped(),
+				kind: 'lines-left-out', of: suppressed.kind, count: suppressed.count, dropped: output.dropped(),
 			}, 'lines-left-out');
 		}
 
-		if (budget.take(kind, {isUrgent: level !== 'info'})) {
+		if (rateLimiter.take(kind, {isUrgent: level !== 'info'})) {
 			logger[level]({kind, ...values}, kind);
 		}
 
 		if (level !== 'info') {
-			// What went wrong is written at once, and with it what led there.
+			// Warnings and errors are written immediately, together with the lines that precede them.
 			void output.flush();
 		}
 	};
 }
 
-/** The logger wants a stream; what it writes is taken or dropped at once. */
+/** Adapts an output to the stream that the logger requires; each line is buffered or dropped immediately. */
 function toStream(output: BoundedOutput): Writable {
 	return new Writable({
 		decodeStrings: false,
--- a/packages/gateway/src/logs/decision-log.ts
+++ b/packages/gateway/src/logs/decision-log.ts
@@ -1,4 +1,4 @@
-/** The closed list of what a log line can be about. */
+/** The kinds of log lines. */
 export type DecisionKind
 	= | 'process-started' | 'process-stopping' | 'process-stopped' | 'settings-reloaded' | 'settings-refused'
 		| 'dependency-lost' | 'dependency-regained' | 'peer-message-failed'
@@ -11,20 +11,20 @@
 		| 'request-refused' | 'request-dispatched' | 'request-attempt-ended' | 'request-escalated' | 'request-resumed' | 'request-ended'
 		| 'request-suspected' | 'request-quarantined' | 'request-cleared';
 
-/** What decided, with ages and versions, and the outcome. */
+/** The inputs of a decision, such as ages and versions, and its outcome. */
 export type DecisionFields = Readonly<Record<string, string | number | boolean | readonly string[] | undefined>> & {
-	// These stand in each line already, and one of the same name would hide them.
+	// Every line already has these fields, and a field of the same name would overwrite them.
 	readonly kind?: never;
 	readonly name?: never;
 	readonly instance?: never;
 	readonly zone?: never;
 };
 
-/** How much a line matters; lines of `warn` are kept in preference. */
+/** The severity of a line; `warn` and `error` have a higher rate limit than `info`. */
 export type DecisionLevel = 'info' | 'warn' | 'error';
 
 /**
-Takes a line for each decision.
+Logs a decision.
 
 @example
 ```ts
--- a/packages/gateway/src/logs/gateway-metrics.ts
+++ b/packages/gateway/src/logs/gateway-metrics.ts
@@ -1,10 +1,10 @@
 import {Counter, Histogram, Registry} from 'prom-client';
 
-/** Seconds; from the shortest plain answer to the longest stream. */
+/** Histogram buckets in seconds, which cover the shortest plain answers to the longest streams. */
 const latencyBuckets = [0.005, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8, 25.6];
 
 /**
-The counters and histograms of a gateway process; the label sets are closed lists, so their number is bounded.
+The counters and histograms of a gateway process. Label values come from fixed sets, so that the number of time series is bounded.
 
 @example
 ```ts
@@ -16,9 +16,9 @@
 export type GatewayMetrics = ReturnType<typeof createGatewayMetrics>;
 
 /**
-Makes the metrics of a gateway process.
+Creates the metrics of a gateway process.
 
-@returns The metrics, all at zero.
+@returns The metrics, all of them zero.
 @example
 ```ts
 createGatewayMetrics().requests.inc({kind: 'safe', outcome: 'answered'});
--- a/packages/gateway/src/logs/line-budget.ts
+++ b/packages/gateway/src/logs/line-budget.ts
@@ -1,38 +1,38 @@
-/** How many lines are written. */
+/** Options of a log rate limiter. */
 export type LineBudgetOptions = {
-	/** Lines a second of each kind; 20 by default, so that all kinds together stay under 100 KB a second. */
+	/** The number of lines of each kind per second. Defaults to 20, which keeps all kinds together below 100 KB per second. */
 	readonly linesPerSecond?: number;
-	/** Lines a second of each kind for failures and slow requests, above the others; 40 by default. */
+	/** The number of additional lines of each kind per second for failures and slow requests. Defaults to 40. */
 	readonly urgentLinesPerSecond?: number;
 };
 
-/** A kind of line and how many of it were left out. */
+/** A kind of line, and the number of its lines that were suppressed. */
 export type LeftOut = {
 	readonly kind: string;
 	readonly count: number;
 };
 
 type Usage = {
-	written: number;
-	leftOut: number;
+	allowed: number;
+	suppressed: number;
 };
 
-const second = 1000;
+const windowMilliseconds = 1000;
 
 /**
-Bounds the lines of each kind within a second, and counts what was left out.
+Limits the number of lines of each kind per second, and counts the suppressed lines.
 
 @example
 ```ts
-const budget = new LineBudget();
-if (budget.take('request-ended', {now, isUrgent: false})) write();
+const rateLimiter = new LogRateLimiter();
+if (rateLimiter.tryAcquire('request-ended', {isUrgent: false})) write();
 ```
 */
 export class LineBudget {
 	readonly #lines: number;
 	readonly #urgentLines: number;
 	readonly #usage = new Map<string, Usage>();
-	#began = 0;
+	#windowStartedAt = 0;
 
 	constructor({linesPerSecond = 20, urgentLinesPerSecond = 40}: LineBudgetOptions = {}) {
 		this.#lines = linesPerSecond;
@@ -40,46 +40,46 @@
 	}
 
 	/**
-	Asks for a line.
+	Requests permission to write a line.
 
 	@param kind The kind of line.
-	@param options Whether the line is about a failure or a slow request.
-	@returns Whether it may be written.
+	@param options Whether the line concerns a failure or a slow request.
+	@returns Whether the line may be written.
 	*/
 	take(kind: string, {isUrgent}: {readonly isUrgent: boolean}): boolean {
-		const usage = this.#usage.get(kind) ?? {written: 0, leftOut: 0};
+		const usage = this.#usage.get(kind) ?? {allowed: 0, suppressed: 0};
 		this.#usage.set(kind, usage);
-		if (usage.written >= (isUrgent ? this.#urgentLines : this.#lines)) {
-			usage.leftOut++;
+		if (usage.allowed >= (isUrgent ? this.#urgentLines : this.#lines)) {
+			usage.suppressed++;
 			return false;
 		}
 
-		usage.written++;
+		usage.allowed++;
 		return true;
 	}
 
 	/**
-	Begins the next second where one has passed.
+	Starts a new window if the current one has lasted for a second.
 
-	@param now Milliseconds on the monotonic clock.
-	@returns What was left out in the second before.
+	@param now The current time in milliseconds on the monotonic clock.
+	@returns The lines suppressed in the previous window; empty if no new window was started.
 	*/
 	renew(now: number): readonly LeftOut[] {
-		if (now - this.#began < second) {
+		if (now - this.#windowStartedAt < windowMilliseconds) {
 			return [];
 		}
 
-		this.#began = now;
-		const leftOut: LeftOut[] = [];
+		this.#windowStartedAt = now;
+		const suppressed: LeftOut[] = [];
 		for (const [kind, usage] of this.#usage) {
-			if (usage.leftOut > 0) {
-				leftOut.push({kind, count: usage.leftOut});
+			if (usage.suppressed > 0) {
+				suppressed.push({kind, count: usage.suppressed});
 			}
 
-			usage.written = 0;
-			usage.leftOut = 0;
+			usage.allowed = 0;
+			usage.suppressed = 0;
 		}
 
-		return leftOut;
+		return suppressed;
 	}
 }
