--- a/packages/gateway/src/mod.ts
+++ b/packages/gateway/src/mod.ts
@@ -1,5 +1,5 @@
 /**
-A gateway: entry instances that pass requests through to backend servers, and control instances that hold what they route by.
+A gateway: entry instances, which forward requests to backend servers, and control instances, which store the state by which requests are routed.
 
 @module
 */
