--- a/packages/replication/src/_action-batch.ts
+++ b/packages/replication/src/_action-batch.ts
@@ -2,7 +2,7 @@
 	type HardState, type LogEntry, type PersistAction, type ReplicaActions, type Snapshot,
 } from '@valehitch/consensus';
 
-/** The actions of several steps, to be carried out as one. */
+/** The actions of several steps, combined so that they can be executed together. */
 export class ActionBatch {
 	readonly messages: Array<ReplicaActions['messages'][number]> = [];
 	readonly committed: LogEntry[] = [];
@@ -14,7 +14,7 @@
 	#snapshot: Snapshot | undefined;
 	#discardsLog = false;
 
-	/** What must be on the disk for all of it. */
+	/** The combined data to persist before the other actions are executed. */
 	get persist(): PersistAction | undefined {
 		if (this.#hardState === undefined && this.#snapshot === undefined && this.#entries.length === 0) {
 			return undefined;
@@ -25,7 +25,7 @@
 		};
 	}
 
-	/** Adds the actions of the next step. Those of a step that discards the log begin a batch of their own. */
+	/** Adds the actions of the next step. A step that discards the log must be the first of its batch. */
 	add({persist, messages, committed, accepted, rejected, restore}: ReplicaActions): void {
 		this.messages.push(...messages);
 		this.committed.push(...committed);
--- a/packages/replication/src/mod.ts
+++ b/packages/replication/src/mod.ts
@@ -1,5 +1,5 @@
 /**
-A replica of the log on a running instance: its steps on the disk, its state machine, and its messages as they go over a link.
+Runs a replica of the log on an instance: persists its steps, applies committed entries to a state machine, and encodes messages between replicas.
 
 @module
 */
--- a/packages/replication/src/replica-codec.test.ts
+++ b/packages/replication/src/replica-codec.test.ts
@@ -30,14 +30,14 @@
 	},
 ];
 
-test('each message between replicas comes over a link as it was', t => {
+test('each message between replicas is unchanged after encoding and decoding', t => {
 	for (const message of messages) {
 		const wire = packr.unpack(packr.pack(writeReplicaMessage(message))) as ReplicaWire;
 		t.deepEqual(plain(readReplicaMessage(wire)), plain(message));
 	}
 });
 
-/** The same with bytes as plain numbers, since a link gives them as a Buffer. */
+/** Replaces byte arrays by plain arrays, because decoding returns them as Buffer. */
 function plain(value: unknown): unknown {
 	if (value instanceof Uint8Array) {
 		return [...value];
--- a/packages/replication/src/replica-codec.ts
+++ b/packages/replication/src/replica-codec.ts
@@ -9,7 +9,7 @@
 
 type AppendReplyTuple = readonly [kind: 1, term: number, success: boolean, matchIndex: number, round: number];
 
-type RareMessage = Exclude<ReplicaMessage, AppendRequest | AppendReply>;
+type OtherMessage = Exclude<ReplicaMessage, AppendRequest | AppendReply>;
 
 /** A message between replicas with its sender and receiver. */
 export type ReplicaDelivery = {
@@ -18,17 +18,17 @@
 	readonly message: ReplicaMessage;
 };
 
-/** A message between replicas as it goes over a link: heartbeats without names, since they go over all the time. */
-export type ReplicaWire = AppendRequestTuple | AppendReplyTuple | readonly [kind: 2, message: RareMessage];
+/** The encoded form of a message between replicas. Heartbeats and their replies are tuples without member names, because they are sent continuously. */
+export type ReplicaWire = AppendRequestTuple | AppendReplyTuple | readonly [kind: 2, message: OtherMessage];
 
 /**
-Writes a message between replicas for a link.
+Encodes a message between replicas.
 
 @param message The message.
-@returns What goes over.
+@returns The encoded message.
 @example
 ```ts
-send(to, writeReplicaMessage(message));
+send(to, encodeReplicaMessage(message));
 ```
 */
 export function writeReplicaMessage(message: ReplicaMessage): ReplicaWire {
@@ -36,33 +36,33 @@
 		.with({type: 'append-request'}, ({term, previousIndex, previousTerm, commitIndex, round, entries}) =>
 			[0, term, previousIndex, previousTerm, commitIndex, round, entries])
 		.with({type: 'append-reply'}, ({term, success, matchIndex, round}) => [1, term, success, matchIndex, round])
-		.otherwise(rare => [2, rare]);
+		.otherwise(other => [2, other]);
 }
 
 /**
-Reads a message between replicas that came over a link.
+Decodes a message between replicas.
 
-@param wire What `writeReplicaMessage` gave.
+@param encoded The output of `encodeReplicaMessage`.
 @returns The message.
 @example
 ```ts
-replica.take(readReplicaMessage(wire));
+driver.push({type: 'message', from, message: decodeReplicaMessage(wire)});
 ```
 */
-export function readReplicaMessage(wire: ReplicaWire): ReplicaMessage {
-	if (wire[0] === 0) {
-		const [, term, previousIndex, previousTerm, commitIndex, round, entries] = wire;
+export function readReplicaMessage(encoded: ReplicaWire): ReplicaMessage {
+	if (encoded[0] === 0) {
+		const [, term, previousIndex, previousTerm, commitIndex, round, entries] = encoded;
 		return {
 			type: 'append-request', term, previousIndex, previousTerm, commitIndex, round, entries,
 		};
 	}
 
-	if (wire[0] === 1) {
-		const [, term, success, matchIndex, round] = wire;
+	if (encoded[0] === 1) {
+		const [, term, success, matchIndex, round] = encoded;
 		return {
 			type: 'append-reply', term, success, matchIndex, round,
 		};
 	}
 
-	return wire[1];
+	return encoded[1];
 }
--- a/packages/replication/src/replica-driver.test.ts
+++ b/packages/replication/src/replica-driver.test.ts
@@ -8,7 +8,7 @@
 import test, {type ExecutionContext} from 'ava';
 import {ReplicaDriver} from './replica-driver.js';
 
-/** A driver of the only voter of a group; its disk can be made to fail. */
+/** Starts a driver for the only voter of a group, on a disk that can be made full. */
 async function startDriver(t: ExecutionContext) {
 	const disk = {isFull: false, syncs: 0};
 	const files: FileFunctions = {
@@ -31,15 +31,15 @@
 			};
 		},
 	};
-	const place = await mkdtemp(path.join(tmpdir(), 'valehitch-driver-'));
-	const opened = await openDataFolder(place, {files});
+	const directory = await mkdtemp(path.join(tmpdir(), 'valehitch-driver-'));
+	const opened = await openDataFolder(directory, {files});
 	const folder = opened.unsafeCoerce();
 	const self: ReplicaId = toReplicaId('entry-1', folder.takeStored().identity);
 	const committed: string[] = [];
 	const failures: Failure[] = [];
-	const waiting: Array<() => void> = [];
+	const waiters: Array<() => void> = [];
 	const wake = (): void => {
-		for (const resolve of waiting.splice(0)) {
+		for (const resolve of waiters.splice(0)) {
 			resolve();
 		}
 	};
@@ -49,7 +49,7 @@
 		folder,
 		clock: {now: () => new Date(0), monotonic: () => performance.now()},
 		send() {
-			t.fail('Got a message, wanted none from the only voter');
+			t.fail('The only voter of a group must not send messages');
 		},
 		apply(actions) {
 			committed.push(...actions.committed.flatMap(({payload}) => payload.type === 'command' ? [new TextDecoder().decode(payload.data)] : []));
@@ -63,41 +63,41 @@
 	t.teardown(async () => {
 		await driver.stop();
 		await folder.close();
-		await rm(place, {recursive: true});
+		await rm(directory, {recursive: true});
 	});
 	const propose = (text: string): void => {
 		driver.push({type: 'propose', proposals: [{proposalId: text, data: new TextEncoder().encode(text)}]});
 	};
 
-	const settled = async (): Promise<void> => new Promise(resolve => {
-		waiting.push(resolve);
+	const nextStep = async (): Promise<void> => new Promise(resolve => {
+		waiters.push(resolve);
 	});
 	driver.push({type: 'tick'});
-	await settled();
+	await nextStep();
 	return {
-		disk, committed, failures, propose, settled, driver,
+		disk, committed, failures, propose, nextStep, driver,
 	};
 }
 
-test('commands that wait share one sync', async t => {
-	const {disk, committed, propose, settled} = await startDriver(t);
+test('queued commands share one disk sync', async t => {
+	const {disk, committed, propose, nextStep} = await startDriver(t);
 	const before = disk.syncs;
 	for (let number = 0; number < 100; number++) {
 		propose(`command ${number}`);
 	}
 
-	await settled();
+	await nextStep();
 	t.is(committed.length, 100);
 	t.is(disk.syncs, before + 1);
 });
 
-test('a full disk stops the replica once, and what was not written is not acknowledged', async t => {
-	const {disk, committed, failures, propose, settled, driver} = await startDriver(t);
+test('a full disk stops the replica once, and a command that was not written is not acknowledged', async t => {
+	const {disk, committed, failures, propose, nextStep, driver} = await startDriver(t);
 	propose('kept');
-	await settled();
+	await nextStep();
 	disk.isFull = true;
 	propose('lost');
-	await settled();
+	await nextStep();
 	disk.isFull = false;
 	propose('late');
 	await driver.stop();
@@ -106,8 +106,8 @@
 	t.regex(failures[0]?.message ?? '', /ENOSPC/v);
 });
 
-/** Files whose syncs wait until the disk is let go on. */
-function busyFiles(disk: {isBusy: boolean; goOn: () => void}): FileFunctions {
+/** Files whose syncs can be stalled by the test. */
+function stallableFiles(disk: {isBusy: boolean; goOn: () => void}): FileFunctions {
 	return {
 		...systemFiles,
 		async create(file) {
@@ -128,10 +128,10 @@
 	};
 }
 
-test('what the others said while the disk was busy is read before their silence is judged', async t => {
-	const place = await mkdtemp(path.join(tmpdir(), 'valehitch-driver-'));
+test('messages received while the disk was busy are processed before the election timeout is evaluated', async t => {
+	const directory = await mkdtemp(path.join(tmpdir(), 'valehitch-driver-'));
 	const disk = {isBusy: false, goOn: (): void => undefined};
-	const opened = await openDataFolder(place, {files: busyFiles(disk)});
+	const opened = await openDataFolder(directory, {files: stallableFiles(disk)});
 	const folder = opened.unsafeCoerce();
 	const self: ReplicaId = toReplicaId('entry-1', folder.takeStored().identity);
 	const leader = toReplicaId('entry-2', 'other');
@@ -148,13 +148,13 @@
 			// Nothing is committed.
 		},
 		onStepped() {
-			// What was sent tells enough.
+			// The sent messages show when a step has run.
 		},
 		onFailure({message}) {
 			t.fail(message);
 		},
 	});
-	const hear = (): void => {
+	const receiveHeartbeat = (): void => {
 		driver.push({
 			type: 'message', from: leader, message: {
 				type: 'append-request', term: 1, previousIndex: 0, previousTerm: 0, entries: [], commitIndex: 0, round: 1,
@@ -163,10 +163,10 @@
 	};
 
 	disk.isBusy = true;
-	hear();
+	receiveHeartbeat();
 	await delay(0);
 	driver.push({type: 'tick'});
-	hear();
+	receiveHeartbeat();
 	clock.time = 60_000;
 	disk.isBusy = false;
 	disk.goOn();
@@ -177,5 +177,5 @@
 	t.deepEqual(sent, ['append-reply', 'append-reply']);
 	await driver.stop();
 	await folder.close();
-	await rm(place, {recursive: true});
+	await rm(directory, {recursive: true});
 });
--- a/packages/replication/src/replica-driver.ts
+++ b/packages/replication/src/replica-driver.ts
@@ -5,30 +5,30 @@
 import {type DataFolder} from '@valehitch/storage';
 import {ActionBatch} from './_action-batch.js';
 
-/** The share of the longest time of the disk that is left with each further write, so that it is forgotten after some dozen. */
+/** The factor by which the maximum write time decays with each further write, so that a slow write no longer counts after about a dozen others. */
 const persistDecay = 0.8;
 
-/** What the driver of a replica needs. */
+/** Options of a replica driver. */
 export type ReplicaDriverOptions = {
-	/** What the replica starts from. */
+	/** The initial state of the replica. */
 	readonly start: CreateReplicaOptions;
 	readonly folder: DataFolder;
 	readonly clock: Clock;
-	/** Sends a message to another replica; it may be lost. */
+	/** Sends a message to another replica; delivery is not guaranteed. */
 	readonly send: (to: ReplicaId, message: ReplicaMessage) => void;
-	/** Takes what was committed, in order, once it is on the disk. */
+	/** Applies committed actions, in order, after they are written to disk. */
 	readonly apply: (actions: CommittedActions) => void;
-	/** Told after each batch of steps, when all of it is on the disk. */
+	/** Called after each batch of steps is written to disk. */
 	readonly onStepped: (state: ReplicaState) => void;
-	/** Told once why the replica stopped for good. */
+	/** Called once, with the reason, when the replica stops permanently. */
 	readonly onFailure: (failed: Failure) => void;
 };
 
-/** What the state machine takes from a batch of steps. */
+/** The part of a batch of steps that the state machine applies. */
 export type CommittedActions = Pick<ReplicaActions, 'accepted' | 'rejected' | 'restore' | 'committed'>;
 
 /**
-Drives a replica: collects events, takes the steps, puts on the disk what they ask for with one sync, then sends and applies.
+Drives a replica: collects events, runs a step for each, persists the results with one disk sync, and then sends messages and applies committed entries.
 
 @example
 ```ts
@@ -41,7 +41,7 @@
 	#state: ReplicaState;
 	#events: ReplicaEvent[] = [];
 	#running: Promise<void> | undefined;
-	/** The longest that the disk took of late. */
+	/** The maximum recent write time, which decays with each write. */
 	#persistMilliseconds = 0;
 	#isStopped = false;
 
@@ -56,33 +56,33 @@
 	}
 
 	/**
-	Takes an event; the step follows as soon as the step before is on the disk.
+	Queues an event; its step runs after the previous steps are written to disk.
 
-	@param event What happened.
+	@param event The event.
 	*/
 	push(event: ReplicaEvent): void {
 		if (!this.#isStopped) {
 			this.#events.push(event);
-			this.#run();
+			this.#startProcessing();
 		}
 	}
 
-	/** Takes no more events, and waits until those in progress are on the disk. */
+	/** Rejects further events, and waits until the steps in progress are written to disk. */
 	async stop(): Promise<void> {
 		this.#isStopped = true;
 		await this.#running;
 	}
 
-	#run(): void {
-		this.#running ??= this.#work();
+	#startProcessing(): void {
+		this.#running ??= this.#processEvents();
 	}
 
-	async #work(): Promise<void> {
-		// Events that arrive in the same turn of the loop belong to the same batch.
+	async #processEvents(): Promise<void> {
+		// Events that arrive in the same turn of the event loop are processed in the same batch.
 		await Promise.resolve();
 		try {
 			while (!this.#isStopped && this.#events.length > 0) {
-				await this.#takeSteps(inOrder(this.#events.splice(0), this.#persistMilliseconds));
+				await this.#runSteps(orderEvents(this.#events.splice(0), this.#persistMilliseconds));
 			}
 		} catch (error) {
 			this.#fail(failure('internal', error instanceof Error ? error.message : String(error)));
@@ -91,33 +91,33 @@
 		this.#running = undefined;
 	}
 
-	async #takeSteps(events: readonly ReplicaEvent[]): Promise<void> {
+	async #runSteps(events: readonly ReplicaEvent[]): Promise<void> {
 		const {clock} = this.#options;
 		let batch = new ActionBatch();
 		for (const event of events) {
 			const {state, actions} = step(this.#state, event, clock.monotonic());
 			this.#state = state;
 			if (actions.persist?.discardsLog === true) {
-				await this.#carryOut(batch);
+				await this.#execute(batch);
 				batch = new ActionBatch();
 			}
 
 			batch.add(actions);
 		}
 
-		await this.#carryOut(batch);
+		await this.#execute(batch);
 		if (!this.#isStopped) {
 			this.#options.onStepped(this.#state);
 		}
 	}
 
-	async #carryOut(batch: ActionBatch): Promise<void> {
+	async #execute(batch: ActionBatch): Promise<void> {
 		const {persist} = batch;
 		const {clock, folder} = this.#options;
 		if (persist !== undefined && !this.#isStopped) {
-			const begunAt = clock.monotonic();
+			const startedAt = clock.monotonic();
 			const written = await folder.persist(persist);
-			this.#persistMilliseconds = Math.max(clock.monotonic() - begunAt, persistDecay * this.#persistMilliseconds);
+			this.#persistMilliseconds = Math.max(clock.monotonic() - startedAt, persistDecay * this.#persistMilliseconds);
 			written.ifLeft(failed => {
 				this.#fail(failed);
 			});
@@ -147,8 +147,8 @@
 	}
 }
 
-/** All proposals that wait go into one step, so that they share one append and one sync. One tick comes last: what the others said while the disk was busy is read before their silence is judged. */
-function inOrder(events: readonly ReplicaEvent[], persistMilliseconds: number): readonly ReplicaEvent[] {
+/** Combines all queued proposals into one step, so that they share one append and one sync, and moves a single tick to the end, so that messages received while the disk was busy are processed before timeouts are evaluated. */
+function orderEvents(events: readonly ReplicaEvent[], persistMilliseconds: number): readonly ReplicaEvent[] {
 	const proposals = events.flatMap(event => event.type === 'propose' ? event.proposals : []);
 	const ordered = events.filter(({type}) => type !== 'propose' && type !== 'tick');
 	if (proposals.length > 0) {
--- a/packages/replication/src/state-machine.ts
+++ b/packages/replication/src/state-machine.ts
@@ -3,64 +3,64 @@
 import {type Either, Left} from 'purify-ts';
 import {type CommittedActions} from './replica-driver.js';
 
-/** Where an entry stands in the log. */
+/** The position of an entry in the log. */
 export type LogPosition = {
 	readonly term: number;
 	readonly index: number;
 };
 
-/** State that changes only by the commands of the log, in their order. */
-export type ReplicatedState<Command, Answer> = {
-	readonly apply: (command: Command, position: LogPosition) => Either<Failure, Answer>;
-	/** The whole state as bytes. */
+/** State that changes only by applying the commands of the log in order. */
+export type ReplicatedState<Command, Result> = {
+	readonly apply: (command: Command, position: LogPosition) => Either<Failure, Result>;
+	/** Serializes the whole state. */
 	readonly toSnapshot: () => Uint8Array;
 };
 
-/** One command that was applied. */
-export type Applied<Command, Answer> = LogPosition & {
+/** An applied command with its result. */
+export type Applied<Command, Result> = LogPosition & {
 	readonly command: Command;
-	readonly result: Either<Failure, Answer>;
-	/** Whether its proposer waits for the result on this replica. */
+	readonly result: Either<Failure, Result>;
+	/** Whether the proposer is waiting for the result on this replica. */
 	readonly isAwaited: boolean;
 };
 
-/** What the state machine applies, and what it tells. */
-export type StateMachineOptions<Command, Answer, State> = {
-	/** Gives the state of a log without entries, or that of a snapshot. */
+/** Options of a state machine. */
+export type StateMachineOptions<Command, Result, State> = {
+	/** Creates the state from a snapshot, or the initial state without one. */
 	readonly create: (snapshot?: Uint8Array) => State;
-	/** Reads a command of the log. */
+	/** Decodes a command from the log. */
 	readonly decode: (data: Uint8Array) => Command;
-	/** Told of each command, after it was applied. */
-	readonly onApplied: (applied: Applied<Command, Answer>) => void;
-	/** Told of each replica set that was committed. */
+	/** Called after each command is applied. */
+	readonly onApplied: (applied: Applied<Command, Result>) => void;
+	/** Called with each replica set that is committed or restored from a snapshot. */
 	readonly onReplicas: (replicas: ReplicaSet) => void;
 };
 
-type Waiting<Answer> = {
-	readonly settle: (result: Either<Failure, Answer>) => void;
+type PendingProposal<Result> = {
+	readonly settle: (result: Either<Failure, Result>) => void;
 	position?: LogPosition;
 };
 
 const retryMilliseconds = 500;
 
 /**
-Applies the committed entries of the log to a replicated state, and hands each proposer its result.
+Applies the committed entries of the log to a replicated state, and passes the results to their proposers.
 
 @example
 ```ts
 const machine = new StateMachine({create, decode, onApplied, onReplicas});
 ```
 */
-export class StateMachine<Command, Answer, State extends ReplicatedState<Command, Answer>> {
-	readonly #options: StateMachineOptions<Command, Answer, State>;
+export class StateMachine<Command, Result, State extends ReplicatedState<Command, Result>> {
+	readonly #options: StateMachineOptions<Command, Result, State>;
 	#state: State;
 	#appliedIndex = 0;
 	#bytesSinceSnapshot = 0;
 	#entriesSinceSnapshot = 0;
-	readonly #waiting = new Map<string, Waiting<Answer>>();
-	readonly #byIndex = new Map<number, string>();
+	readonly #pending = new Map<string, PendingProposal<Result>>();
+	readonly #proposalsByIndex = new Map<number, string>();
 
-	constructor(options: StateMachineOptions<Command, Answer, State>) {
+	constructor(options: StateMachineOptions<Command, Result, State>) {
 		this.#options = options;
 		this.#state = options.create();
 	}
@@ -75,50 +75,50 @@
 		return this.#appliedIndex;
 	}
 
-	/** How many proposals wait for their result. */
+	/** The number of proposals whose result is pending. */
 	get waitingCount(): number {
-		return this.#waiting.size;
+		return this.#pending.size;
 	}
 
-	/** How much log a restart would have to read again. */
+	/** The amount of log applied since the last snapshot, which a restart would have to replay. */
 	get sinceSnapshot(): {readonly entries: number; readonly bytes: number} {
 		return {entries: this.#entriesSinceSnapshot, bytes: this.#bytesSinceSnapshot};
 	}
 
 	/**
-	Waits for the result of a proposal.
+	Waits for the result of a proposal; must be called before the proposal is pushed to the driver.
 
-	@param proposalId The proposal, which is not pushed yet.
-	@returns Its result, once its entry was applied or is known to be lost.
+	@param proposalId The proposal.
+	@returns The result, once the entry is applied, or a failure once it is known that no result will follow.
 	*/
-	async resultOf(proposalId: string): Promise<Either<Failure, Answer>> {
+	async resultOf(proposalId: string): Promise<Either<Failure, Result>> {
 		return new Promise(settle => {
-			this.#waiting.set(proposalId, {settle});
+			this.#pending.set(proposalId, {settle});
 		});
 	}
 
 	/**
-	Ends the wait for a proposal.
+	Stops waiting for the result of a proposal.
 
 	@param proposalId The proposal.
-	@param failed What its proposer gets, where no result came before.
+	@param failed The failure that the proposer receives if the result is still pending.
 	*/
 	giveUp(proposalId: string, failed: Failure): void {
 		this.#settle(proposalId, Left(failed));
 	}
 
 	/**
-	Applies what a batch of steps committed.
+	Applies the committed entries of a batch of steps.
 
 	@param actions The batch.
 	*/
 	apply({accepted, rejected, restore, committed}: CommittedActions): void {
 		for (const {proposalId, index, term} of accepted) {
-			this.#noteAccepted(proposalId, {index, term});
+			this.#recordAccepted(proposalId, {index, term});
 		}
 
 		for (const proposalId of rejected) {
-			this.#settle(proposalId, Left(notLeader()));
+			this.#settle(proposalId, Left(notLeaderFailure()));
 		}
 
 		if (restore !== undefined) {
@@ -131,7 +131,7 @@
 	}
 
 	/**
-	Replaces the state by a snapshot.
+	Restores the state from a snapshot.
 
 	@param snapshot The snapshot.
 	*/
@@ -140,39 +140,39 @@
 		this.#appliedIndex = lastIndex;
 		this.snapshotTaken();
 		this.#options.onReplicas(replicas);
-		for (const [index, proposalId] of this.#byIndex) {
+		for (const [index, proposalId] of this.#proposalsByIndex) {
 			if (index <= lastIndex) {
-				this.#settle(proposalId, Left(unknownOutcome('Got a snapshot in place of the entry of the command, wanted its result')));
+				this.#settle(proposalId, Left(unknownOutcome('The entry of the command was replaced by a snapshot, so that its result is unknown')));
 			}
 		}
 	}
 
-	/** Begins to count anew how much log was applied. */
+	/** Resets the counters of the log applied since the last snapshot. */
 	snapshotTaken(): void {
 		this.#bytesSinceSnapshot = 0;
 		this.#entriesSinceSnapshot = 0;
 	}
 
-	#noteAccepted(proposalId: string, position: LogPosition): void {
-		const waiting = this.#waiting.get(proposalId);
-		if (waiting === undefined) {
+	#recordAccepted(proposalId: string, position: LogPosition): void {
+		const pending = this.#pending.get(proposalId);
+		if (pending === undefined) {
 			return;
 		}
 
-		// An entry of an older term was cut from the log here; another replica may still hold it and get it committed.
-		const earlier = this.#byIndex.get(position.index);
+		// An entry of an older term at this index was truncated here; another replica may still have it and commit it.
+		const earlier = this.#proposalsByIndex.get(position.index);
 		if (earlier !== undefined) {
-			this.#settle(earlier, Left(unknownOutcome('Got the entry of the command cut from the log, wanted its result')));
+			this.#settle(earlier, Left(unknownOutcome('The entry of the command was truncated from the log, so that its result is unknown')));
 		}
 
-		waiting.position = position;
-		this.#byIndex.set(position.index, proposalId);
+		pending.position = position;
+		this.#proposalsByIndex.set(position.index, proposalId);
 	}
 
 	#applyEntry({index, term, payload}: LogEntry): void {
 		this.#appliedIndex = index;
 		this.#entriesSinceSnapshot++;
-		const proposalId = this.#byIndex.get(index);
+		const proposalId = this.#proposalsByIndex.get(index);
 		if (payload.type === 'replica-set') {
 			this.#options.onReplicas(payload.replicas);
 		}
@@ -181,7 +181,7 @@
 			this.#bytesSinceSnapshot += payload.data.byteLength;
 			const command = this.#options.decode(payload.data);
 			const result = this.#state.apply(command, {term, index});
-			const isAwaited = proposalId !== undefined && this.#waiting.get(proposalId)?.position?.term === term;
+			const isAwaited = proposalId !== undefined && this.#pending.get(proposalId)?.position?.term === term;
 			if (isAwaited) {
 				this.#settle(proposalId, result);
 			}
@@ -191,24 +191,24 @@
 			});
 		}
 
-		// The entry of another leader stands where the proposal would have stood.
+		// Unless it was settled above, an entry of another leader was committed at the index of the proposal.
 		if (proposalId !== undefined) {
-			this.#settle(proposalId, Left(notLeader()));
+			this.#settle(proposalId, Left(notLeaderFailure()));
 		}
 	}
 
-	#settle(proposalId: string, result: Either<Failure, Answer>): void {
-		const waiting = this.#waiting.get(proposalId);
-		if (waiting === undefined) {
+	#settle(proposalId: string, result: Either<Failure, Result>): void {
+		const pending = this.#pending.get(proposalId);
+		if (pending === undefined) {
 			return;
 		}
 
-		this.#waiting.delete(proposalId);
-		if (waiting.position !== undefined && this.#byIndex.get(waiting.position.index) === proposalId) {
-			this.#byIndex.delete(waiting.position.index);
+		this.#pending.delete(proposalId);
+		if (pending.position !== undefined && this.#proposalsByIndex.get(pending.position.index) === proposalId) {
+			this.#proposalsByIndex.delete(pending.position.index);
 		}
 
-		waiting.settle(result);
+		pending.settle(result);
 	}
 }
 
@@ -216,6 +216,6 @@
 	return failure('no-quorum', message, {outcome: 'unknown', retryAfterMilliseconds: retryMilliseconds});
 }
 
-function notLeader(): Failure {
-	return failure('no-quorum', 'Got a command on a replica that does not lead, wanted it on the leader', {retryAfterMilliseconds: retryMilliseconds});
+function notLeaderFailure(): Failure {
+	return failure('no-quorum', 'The command cannot be committed: this replica is not the leader', {retryAfterMilliseconds: retryMilliseconds});
 }
--- a/packages/replication/src/step-waiters.ts
+++ b/packages/replication/src/step-waiters.ts
@@ -1,17 +1,17 @@
-/** Lets callers wait until a replica has taken its next step. */
+/** Allows callers to wait for the next step of a replica. */
 export class StepWaiters {
-	readonly #waiting: Array<() => void> = [];
+	readonly #waiters: Array<() => void> = [];
 
-	/** Waits until `wake` is called. */
+	/** Waits until the next call of `notifyAll`. */
 	async next(): Promise<void> {
 		await new Promise<void>(resolve => {
-			this.#waiting.push(resolve);
+			this.#waiters.push(resolve);
 		});
 	}
 
-	/** Lets all go on that wait. */
+	/** Resumes all waiting callers. */
 	wake(): void {
-		for (const resolve of this.#waiting.splice(0)) {
+		for (const resolve of this.#waiters.splice(0)) {
 			resolve();
 		}
 	}
