--- a/packages/gateway/src/control/found-group.test.ts
+++ b/packages/gateway/src/control/found-group.test.ts
@@ -1,7 +1,7 @@
 import {type ReplicaId, toReplicaId} from '@valehitch/consensus';
 import {type InstanceId} from '@valehitch/core';
 import test from 'ava';
-import {foundGroup} from './found-group.js';
+import {foundGroup, type FoundGroupOptions} from './found-group.js';
 import {type JoinReply} from './peer-message.js';
 
 const founders = ['10.0.0.1', '10.0.0.2', '10.0.0.3'] as InstanceId[];
@@ -13,7 +13,7 @@
 	};
 }
 
-const first = {
+const first: Omit<FoundGroupOptions, 'replies'> = {
 	self: founders[0]!, replica: one, isFounding: true, founders,
 };
 
--- a/packages/gateway/src/rollouts/choose-side.test.ts
+++ b/packages/gateway/src/rollouts/choose-side.test.ts
@@ -1,6 +1,6 @@
 import {type ServiceId, type VersionId} from '@valehitch/core';
 import test from 'ava';
-import {chooseSide} from './choose-side.js';
+import {chooseSide, type ChooseSideOptions} from './choose-side.js';
 import {type RunningRollout} from './rollout.js';
 
 const target = 'v2' as VersionId;
@@ -12,19 +12,19 @@
 test('the share of sessions assigned to the target is close to the canary share, and each session keeps its cohort', t => {
 	let onTarget = 0;
 	for (let index = 0; index < 4000; index++) {
-		const options = {
+		const options: ChooseSideOptions = {
 			subject: `${index.toString(16)}f00d`, hasSession: false, pinned: undefined, canaryShare: 0.1,
 		};
-		const side = chooseSide(rollout, options);
-		t.is(chooseSide({...rollout, age: 9000}, options), side);
-		onTarget += side === 'target' ? 1 : 0;
+		const cohort = chooseSide(rollout, options);
+		t.is(chooseSide({...rollout, age: 9000}, options), cohort);
+		onTarget += cohort === 'target' ? 1 : 0;
 	}
 
 	t.true(onTarget > 320 && onTarget < 480, `${onTarget} of 4000`);
 });
 
 test('a session that may have started on the old version stays there for the first half', t => {
-	const options = {
+	const options: ChooseSideOptions = {
 		subject: 'any', hasSession: true, pinned: undefined, canaryShare: 1,
 	};
 	t.is(chooseSide(rollout, options), 'others');
@@ -32,9 +32,11 @@
 });
 
 test('a session keeps its version for the first half, and one on the target keeps it afterwards', t => {
-	const options = {subject: 'any', hasSession: true, canaryShare: 1};
-	t.is(chooseSide(rollout, {...options, pinned: oldVersion}), 'others');
-	t.is(chooseSide({...rollout, age: 10_000}, {...options, pinned: oldVersion}), 'target');
+	const options: ChooseSideOptions = {
+		subject: 'any', hasSession: true, pinned: oldVersion, canaryShare: 1,
+	};
+	t.is(chooseSide(rollout, options), 'others');
+	t.is(chooseSide({...rollout, age: 10_000}, options), 'target');
 	t.is(chooseSide({...rollout, age: 10_000}, {...options, canaryShare: 0, pinned: target}), 'target');
 });
 
@@ -43,11 +45,11 @@
 	let returned = 0;
 	for (let age = 11_600; age <= 15_600; age += 400) {
 		for (let index = 0; index < 200; index++) {
-			const side = chooseSide({...rollout, stage: 'shifting', age}, {
+			const cohort = chooseSide({...rollout, stage: 'shifting', age}, {
 				subject: `${index.toString(16)}cafe`, hasSession: true, pinned: oldVersion, canaryShare: 0.1,
 			});
-			returned += side === 'others' && reached.has(index) ? 1 : 0;
-			if (side === 'target') {
+			returned += cohort === 'others' && reached.has(index) ? 1 : 0;
+			if (cohort === 'target') {
 				reached.add(index);
 			}
 		}
@@ -58,7 +60,7 @@
 });
 
 test('all new requests go to the target after completion, and none after a rollback', t => {
-	const options = {
+	const options: ChooseSideOptions = {
 		subject: 'any', hasSession: false, pinned: target, canaryShare: 0,
 	};
 	t.is(chooseSide({...rollout, stage: 'completed'}, options), 'target');
