--- a/packages/gateway/src/control/control-group.ts
+++ b/packages/gateway/src/control/control-group.ts
@@ -175,10 +175,10 @@
 	async propose(command: GatewayCommand): Promise<Either<Failure, GatewayAnswer>> {
 		const confirmedIndex = this.confirmedIndex();
 		if (confirmedIndex === undefined) {
-			return Left(failure('no-quorum', 'Got a command on a replica without a valid lease, wanted it on the leader', {retryAfterMilliseconds: retryMilliseconds}));
+			return Left(failure('no-quorum', 'The command cannot be committed: this replica is not a leader with a valid lease', {retryAfterMilliseconds: retryMilliseconds}));
 		}
 
-		// Operators send a change again that was committed late; with a slow disk another entry would be late as well.
+		// Operators retry a change that was committed too late; on a slow disk, appending another entry would be too late as well.
 		const unchanged = this.#machine.appliedIndex >= confirmedIndex ? this.state.answerOf(command) : undefined;
 		if (unchanged !== undefined) {
 			return Right(unchanged);
--- a/packages/gateway/src/control/found-group.ts
+++ b/packages/gateway/src/control/found-group.ts
@@ -33,13 +33,13 @@
 	}
 
 	const others: ReplicaId[] = [];
-	for (const founder of founders) {
-		const emptyReply = replies.find(reply => reply.isEmpty && instanceOf(reply.replica) === founder);
-		if (founder !== self && (emptyReply === undefined || founder < self)) {
+	for (const member of founders) {
+		const emptyReply = replies.find(reply => reply.isEmpty && instanceOf(reply.replica) === member);
+		if (member !== self && (emptyReply === undefined || member < self)) {
 			return undefined;
 		}
 
-		if (founder !== self && emptyReply !== undefined) {
+		if (member !== self && emptyReply !== undefined) {
 			others.push(emptyReply.replica);
 		}
 	}
--- a/packages/gateway/src/control/server-news.ts
+++ b/packages/gateway/src/control/server-news.ts
@@ -88,7 +88,7 @@
 
 	/** Starts the periodic tasks, restores the servers that the previous run saved, and requests the servers that the other instances know; resolves once the saved servers are restored. */
 	async start(): Promise<void> {
-		// A round marks silent servers, so it must run only after the input that is already waiting was read.
+		// A round marks silent servers, so it must run after pending input, which may contain their announcements, has been read.
 		this.#stopSyncTimer = intervalAfterInput(syncMilliseconds, () => {
 			this.share();
 		});
--- a/packages/gateway/src/servers/server-directory.ts
+++ b/packages/gateway/src/servers/server-directory.ts
@@ -44,7 +44,7 @@
 export class ServerDirectory {
 	readonly #options: Required<ServerDirectoryOptions>;
 	/** The stop of a server is kept longer than an instance that missed it keeps the server. */
-	readonly #forgetEndedMilliseconds: number;
+	readonly #endedRetentionMilliseconds: number;
 	readonly #servers = new Map<ServerId, DirectoryEntry>();
 	/** When unknown servers were reported as stopped, in milliseconds on the monotonic clock; a late announcement must not add them again. */
 	readonly #endedUnknown = new Map<ServerId, number>();
@@ -52,7 +52,7 @@
 
 	constructor(options: ServerDirectoryOptions) {
 		this.#options = {forgetMilliseconds: defaultForgetMilliseconds, ...options};
-		this.#forgetEndedMilliseconds = 2 * this.#options.forgetMilliseconds;
+		this.#endedRetentionMilliseconds = 2 * this.#options.forgetMilliseconds;
 	}
 
 	/** The number of the last change. */
@@ -148,14 +148,14 @@
 		const {silentMilliseconds, forgetMilliseconds} = this.#options;
 		const silenced: ServerRecord[] = [];
 		for (const [id, at] of this.#endedUnknown) {
-			if (now - at >= this.#forgetEndedMilliseconds) {
+			if (now - at >= this.#endedRetentionMilliseconds) {
 				this.#endedUnknown.delete(id);
 			}
 		}
 
 		for (const [id, entry] of this.#servers) {
 			const elapsed = now - entry.lastHeardAt;
-			const isExpired = entry.endedAt === undefined ? elapsed >= forgetMilliseconds : now - entry.endedAt >= this.#forgetEndedMilliseconds;
+			const isExpired = entry.endedAt === undefined ? elapsed >= forgetMilliseconds : now - entry.endedAt >= this.#endedRetentionMilliseconds;
 			if (isExpired) {
 				this.#servers.delete(id);
 				continue;
