--- a/packages/gateway/src/entry/authorize-at-start.ts
+++ b/packages/gateway/src/entry/authorize-at-start.ts
@@ -5,22 +5,22 @@
 import {type GatewayRequest} from './gateway-request.js';
 import {startWait} from './start-wait.js';
 
-/** What the wait of a request needs. */
+/** Options of {@linkcode authorizeAtStart}. */
 export type AuthorizeAtStartOptions = {
 	readonly context: Pick<EntryContext, 'table' | 'lease' | 'clock' | 'nextNews'>;
 	/** When the request arrived, in milliseconds on the monotonic clock. */
 	readonly arrivedAt: number;
 };
 
-/** The part of a caller's patience that a request waits for the first confirmed configuration: a start has it within half a second, and most callers come back only once after a refusal. */
+/** The share of the caller's timeout that a request may wait for the first confirmed configuration. An instance receives one within half a second of its start, and most callers retry only once after a refusal. */
 const configurationWaitShare = 0.25;
 
 /**
-Authorizes a request, and lets it wait a short while where this instance has only just started, or woken, and has no confirmed configuration yet.
+Authorizes a request. If this instance has just started or resumed from suspension and has no confirmed configuration yet, the request waits for one for a bounded time.
 
 @param request The request.
-@param options What it waits for.
-@returns The route and the workspace, or why the request may not be sent.
+@param options The context and the time of arrival.
+@returns The route and the workspace, or the reason why the request may not be sent.
 @example
 ```ts
 const authorized = await authorizeAtStart(request, {context, arrivedAt});
@@ -28,15 +28,15 @@
 */
 export async function authorizeAtStart(request: GatewayRequest, {context, arrivedAt}: AuthorizeAtStartOptions): Promise<Either<Failure, AuthorizedRequest>> {
 	const {lease, clock, nextNews} = context;
-	const until = arrivedAt + startWait(request.patience ?? 0, configurationWaitShare);
+	const waitUntil = arrivedAt + startWait(request.patience ?? 0, configurationWaitShare);
 	for (;;) {
 		const now = clock.monotonic();
 		const authorized = authorizeRequest(request, {lease, table: context.table(), now});
-		const isOnItsWay = !lease.wasConfirmed || lease.isDoubted;
-		if (authorized.isRight() || !isOnItsWay || now >= until) {
+		const isConfirmationPending = !lease.wasConfirmed || lease.isDoubted;
+		if (authorized.isRight() || !isConfirmationPending || now >= waitUntil) {
 			return authorized;
 		}
 
-		await nextNews(until - now);
+		await nextNews(waitUntil - now);
 	}
 }
--- a/packages/gateway/src/entry/authorize-request.ts
+++ b/packages/gateway/src/entry/authorize-request.ts
@@ -5,31 +5,31 @@
 import {type ConfigurationLease} from './configuration-lease.js';
 import {type GatewayRequest} from './gateway-request.js';
 
-/** What decides whether a request may be sent now. */
+/** Options of {@linkcode authorizeRequest}. */
 export type AuthorizeRequestOptions = {
-	/** The newest configuration; undefined before the first. */
+	/** The current configuration; undefined until the first one is received. */
 	readonly table: RouteTable | undefined;
 	readonly lease: ConfigurationLease;
 	/** Milliseconds on the monotonic clock. */
 	readonly now: number;
 };
 
-/** A request that may be sent. */
+/** The route and the workspace of an authorized request. */
 export type AuthorizedRequest = {
 	readonly route: Route;
-	/** The workspace that holds the key; undefined on routes that need none. */
+	/** The workspace that the API key belongs to; undefined on routes that need no key. */
 	readonly workspace: WorkspaceAccess | undefined;
 };
 
-/** Time in which a control instance should be found again. */
+/** The retry delay sent to the caller: the time in which the instance usually reaches a control instance again. */
 const retryMilliseconds = 300;
 
 /**
-Finds the route of a request and checks its key; asked again right before each send, since either may have been taken away meanwhile.
+Finds the route of a request and checks its API key. Called again before every send, because the route or the key may have been removed in the meantime.
 
 @param request The request.
-@param options The configuration and how sure it is.
-@returns The route and the workspace, or why the request may not be sent.
+@param options The configuration and its lease.
+@returns The route and the workspace, or the reason why the request may not be sent.
 @example
 ```ts
 authorizeRequest(request, {table, lease, now});
@@ -37,17 +37,17 @@
 */
 export function authorizeRequest(request: GatewayRequest, {table, lease, now}: AuthorizeRequestOptions): Either<Failure, AuthorizedRequest> {
 	if (table === undefined) {
-		return Left(failure('no-configuration', 'Got no configuration yet, wanted one to route by', {retryAfterMilliseconds: retryMilliseconds}));
+		return Left(failure('no-configuration', 'This instance has not received a configuration yet', {retryAfterMilliseconds: retryMilliseconds}));
 	}
 
-	// Right after a start the configuration may be older than the newest, so it does not decide yet that something is not allowed.
-	return authorizeBy(table, request, {lease, now}).mapLeft(failed => lease.wasConfirmed ? failed : expired(lease.age(now)));
+	// Right after a start the configuration may be outdated, so it must not be the reason for a permanent refusal.
+	return authorizeWithTable(table, request, {lease, now}).mapLeft(failed => lease.wasConfirmed ? failed : leaseExpired(lease.age(now)));
 }
 
-function authorizeBy(table: RouteTable, {host, path, key}: GatewayRequest, {lease, now}: Omit<AuthorizeRequestOptions, 'table'>): Either<Failure, AuthorizedRequest> {
+function authorizeWithTable(table: RouteTable, {host, path, key}: GatewayRequest, {lease, now}: Omit<AuthorizeRequestOptions, 'table'>): Either<Failure, AuthorizedRequest> {
 	const route = table.routeOf(host, path);
 	if (route === undefined) {
-		return Left(failure('not-found', `Got ${host} ${path}, wanted a route of configuration ${table.version}`));
+		return Left(failure('not-found', `No route matches ${host} ${path} in configuration ${table.version}`));
 	}
 
 	if (!table.needsKeys || route.isPublic) {
@@ -56,15 +56,15 @@
 
 	const workspace = key === undefined ? undefined : table.holderOf(key);
 	if (workspace === undefined) {
-		return Left(failure('unauthenticated', `Got ${key === undefined ? 'no key' : 'a key that no workspace holds'}, wanted one of configuration ${table.version}`));
+		return Left(failure('unauthenticated', key === undefined ? 'The request has no API key' : `The API key belongs to no workspace in configuration ${table.version}`));
 	}
 
 	return lease.isValid(now)
 		? Right({route, workspace})
-		: Left(expired(lease.age(now)));
+		: Left(leaseExpired(lease.age(now)));
 }
 
-function expired(age: number): Failure {
-	const confirmed = age === Number.POSITIVE_INFINITY ? 'never confirmed' : `last confirmed ${Math.round(age)} ms ago`;
-	return failure('configuration-expired', `Got a configuration ${confirmed}, wanted it recent enough to decide by`, {retryAfterMilliseconds: retryMilliseconds});
+function leaseExpired(age: number): Failure {
+	const confirmed = age === Number.POSITIVE_INFINITY ? 'has never been confirmed' : `was last confirmed ${Math.round(age)} ms ago`;
+	return failure('configuration-expired', `The configuration ${confirmed}, which is too long ago to authorize requests`, {retryAfterMilliseconds: retryMilliseconds});
 }
--- a/packages/gateway/src/entry/caller-answer.ts
+++ b/packages/gateway/src/entry/caller-answer.ts
@@ -4,16 +4,16 @@
 import {type EntryContext} from './entry-context.js';
 import {type GatewayRequest, type Header} from './gateway-request.js';
 
-/** The request that is answered. */
+/** Options of {@linkcode CallerAnswer}. */
 export type CallerAnswerOptions = {
 	readonly request: GatewayRequest;
 	readonly response: ServerResponse;
 	readonly kind: RouteKind;
-	/** Milliseconds on the monotonic clock. */
+	/** When the request arrived, in milliseconds on the monotonic clock. */
 	readonly arrivedAt: number;
 };
 
-/** A whole answer of a backend server. */
+/** A complete answer of a backend server, with its body in memory. */
 export type WholeAnswer = {
 	readonly status: number;
 	readonly headers: readonly Header[];
@@ -23,12 +23,12 @@
 const millisecondsPerSecond = 1000;
 
 /**
-Writes the answer of one request to its caller.
+Writes the answer to one request to its caller.
 
 @example
 ```ts
 const answer = new CallerAnswer(context, {request, response, kind: 'safe', arrivedAt});
-answer.refuse(failure('no-server', 'Got none'));
+answer.refuse(failure('no-server', 'No server is available'));
 ```
 */
 export class CallerAnswer {
@@ -42,28 +42,28 @@
 		this.#options = options;
 	}
 
-	/** Whether the caller has got a part of a stream. */
+	/** Whether a part of a stream was written to the caller. */
 	get hasBegun(): boolean {
 		return this.#hasBegun;
 	}
 
-	/** The time from the arrival to the head of the answer, in milliseconds; undefined before it. */
+	/** The time from the arrival of the request to the head of the answer, in milliseconds; undefined until the head is written. */
 	get headAfter(): number | undefined {
 		return this.#headAfter;
 	}
 
-	/** The response that events are written to. */
+	/** The response to which events are written. */
 	get response(): ServerResponse {
 		return this.#options.response;
 	}
 
-	/** Whether the caller is gone before its answer was written. */
+	/** Whether the answer has not been written completely; once the response is closed, the caller has disconnected. */
 	get isAbandoned(): boolean {
 		return !this.#options.response.writableFinished;
 	}
 
 	/**
-	Begins a stream; the head of the first server stays.
+	Writes the head of a stream. Later calls have no effect, so the head of the first server is kept when the stream resumes at another one.
 
 	@param status The status.
 	@param headers The headers.
@@ -82,18 +82,18 @@
 		this.#options.response.end();
 	}
 
-	/** Breaks a stream off, so that it cannot be taken for a complete one. */
+	/** Aborts a stream by closing the connection, so that the caller cannot take it for a complete one. */
 	breakOff(): void {
 		this.#options.response.destroy();
 	}
 
-	/** Passes on a whole answer of a backend server. */
+	/** Forwards the complete answer of a backend server. */
 	passOn({status, headers, body}: WholeAnswer): void {
 		this.#writeHead(status, [...headers, ['Content-Length', String(body.byteLength)]]);
 		this.#options.response.end(body);
 	}
 
-	/** Answers with a failure of our own. */
+	/** Answers with a failure of the gateway itself. */
 	refuse(failed: Failure): void {
 		const {dialect, metrics} = this.#context;
 		const {status, headers, body} = dialect.refuse(this.#options.request, failed);
--- a/packages/gateway/src/entry/caller-server.ts
+++ b/packages/gateway/src/entry/caller-server.ts
@@ -3,22 +3,22 @@
 } from 'node:http';
 import {type DecisionLog} from '../logs/decision-log.js';
 
-/** What the callers' server needs. */
+/** Options of {@linkcode createCallerServer}. */
 export type CallerServerOptions = {
 	readonly log: DecisionLog;
 	/** Handles a request; never throws. */
 	readonly handle: (message: IncomingMessage, response: ServerResponse) => Promise<void>;
 };
 
-/** Headers of a request, in bytes; the configuration's limit is of this size and cannot be changed on a running server. */
+/** The maximum size of a request's headers, in bytes. The server takes this limit only when it is created, so the limit in the configuration is not applied. */
 const maximumHeaderBytes = 32_768;
-/** The time that an idle connection is kept before any configuration says otherwise, in milliseconds. */
+/** How long an idle connection is kept open until the first configuration arrives, in milliseconds. */
 const defaultIdleMilliseconds = 30_000;
 
 /**
-Makes the server for callers; it does not listen yet.
+Creates the HTTP server for callers, without listening.
 
-@param options Who handles requests.
+@param options The request handler and the log.
 @returns The server.
 @example
 ```ts
@@ -29,7 +29,7 @@
 	const server = createServer({
 		maxHeaderSize: maximumHeaderBytes,
 		keepAliveTimeout: defaultIdleMilliseconds,
-		// The time of a request is bounded by its route, and its headers come from trusted callers behind the balancer.
+		// The route limits the duration of a request, and headers come from trusted callers behind the load balancer.
 		requestTimeout: 0,
 		headersTimeout: 0,
 		insecureHTTPParser: false,
--- a/packages/gateway/src/entry/choose-next-model.ts
+++ b/packages/gateway/src/entry/choose-next-model.ts
@@ -1,31 +1,31 @@
 import {type ModelId} from '@valehitch/core';
 
-/** What decides whether an answer is asked for again of a larger model. */
+/** Options of {@linkcode chooseNextModel}. */
 export type ChooseNextModelOptions = {
-	/** The models, smallest first. */
+	/** The models, ordered from the smallest to the largest. */
 	readonly sizes: readonly ModelId[];
 	/** The model that answered. */
 	readonly current: ModelId;
-	/** The model's own opinion of the answer, from 0 to 100; undefined where it gives none. */
+	/** The model's own confidence in its answer, from 0 to 100; undefined if it reports none. */
 	readonly confidence: number | undefined;
-	/** Below this confidence a larger model is asked where time is no matter, from 0 to 100. */
+	/** The confidence, from 0 to 100, below which the request escalates to a larger model if there is plenty of time. */
 	readonly leastConfidence: number;
-	/** Milliseconds that are left for the first event to be on time. */
+	/** The time left until the target latency of the first event, in milliseconds. */
 	readonly timeLeft: number;
-	/** Milliseconds that the largest model takes to the first event. */
+	/** The expected latency of the first event of the largest model, in milliseconds. */
 	readonly expectedTime: number;
 };
 
-/** Up to this share of the time that is left, the larger model's usual time is no matter: the scatter of single requests. */
-const calmShare = 0.5;
+/** The threshold is not lowered while the expected latency takes at most this share of the time left; the rest allows for the variance of single requests. */
+const fullThresholdShare = 0.5;
 
 /**
-Chooses the model that should answer in place of the one that did: the largest, since the sizes between answer few of the hard requests.
+Chooses the model that a request escalates to: always the largest one, because models of intermediate size answer few of the hard requests.
 
-The nearer the largest model's usual time comes to the time that is left, the less sure the answer must be for the step: under load the servers' time goes to the requests that need it most, before it is too short for all.
+The confidence threshold falls as the expected latency of the largest model approaches the time left. Under load, this reserves the servers for the requests that need them most, before there is too little time for all.
 
-@param options What decides.
-@returns The model, or undefined where the answer is good enough or there is no time for another.
+@param options The models, the confidence of the answer and the time left.
+@returns The model, or undefined if the answer is good enough or there is no time for another one.
 @example
 ```ts
 chooseNextModel({sizes, current, confidence: 31, leastConfidence: 50, timeLeft: 1800, expectedTime: 700});
@@ -38,6 +38,6 @@
 	}
 
 	const slack = timeLeft <= 0 ? 0 : 1 - (expectedTime / timeLeft);
-	const needed = leastConfidence * Math.min(1, slack / (1 - calmShare));
-	return confidence < needed ? largest : undefined;
+	const threshold = leastConfidence * Math.min(1, slack / (1 - fullThresholdShare));
+	return confidence < threshold ? largest : undefined;
 }
--- a/packages/gateway/src/entry/dialect.ts
+++ b/packages/gateway/src/entry/dialect.ts
@@ -4,7 +4,7 @@
 	type AnswerHead, type GatewayRequest, type Header, type SendFacts,
 } from './gateway-request.js';
 
-/** An answer of the gateway's own. */
+/** An answer that the gateway generates itself. */
 export type OwnAnswer = {
 	readonly status: number;
 	readonly headers: readonly Header[];
@@ -12,17 +12,17 @@
 };
 
 /**
-How requests and answers look on the wire; an adapter supplies it, and decides nothing.
+The wire format of requests and answers. It is supplied by an adapter, which contains no routing logic.
 */
 export type Dialect = {
-	/** Reads the head of a request. */
+	/** Parses the head of a request. */
 	readonly readRequest: (message: IncomingMessage) => GatewayRequest;
-	/** The headers that a backend server gets. */
+	/** Returns the headers to send to a backend server. */
 	readonly sendHeaders: (request: GatewayRequest, facts: SendFacts) => readonly Header[];
-	/** Reads the head of a backend server's answer. */
+	/** Parses the head of a backend server's answer. */
 	readonly readAnswer: (status: number, headers: IncomingHttpHeaders) => AnswerHead;
-	/** The headers of a backend server's answer that the caller gets. */
+	/** Returns the headers of a backend server's answer that are forwarded to the caller. */
 	readonly answerHeaders: (message: IncomingMessage) => readonly Header[];
-	/** The answer to a request that failed here. */
+	/** Returns the answer to a request that failed in the gateway. */
 	readonly refuse: (request: GatewayRequest, failed: Failure) => OwnAnswer;
 };
--- a/packages/gateway/src/entry/expiry-failure.ts
+++ b/packages/gateway/src/entry/expiry-failure.ts
@@ -1,21 +1,21 @@
 import {type Failure, failure} from '@valehitch/core';
 
-/** What is known of a request whose time is over. */
+/** Options of {@linkcode expiryFailure}. */
 export type ExpiryFailureOptions = {
 	/** Whether a send of the request may have reached a server. */
 	readonly mayHaveRun: boolean;
-	/** How long the request was here, in milliseconds. */
+	/** The time since the request arrived, in milliseconds. */
 	readonly waited: number;
-	/** What became of the last send. */
+	/** The problem of the last send. */
 	readonly lastProblem: string;
-	/** When a place should be free again, in milliseconds. */
+	/** The retry delay suggested to the caller, in milliseconds. */
 	readonly retryAfter: number;
 };
 
 /**
-The failure of a request whose time is over: one that never left, since no connection opened, has not run, and its caller may send it again.
+Returns the failure of a request whose deadline has passed. If no connection was ever established, the request has not run and the caller may retry it.
 
-@param options What is known.
+@param options The state of the request.
 @returns The failure.
 @example
 ```ts
@@ -24,6 +24,6 @@
 */
 export function expiryFailure({mayHaveRun, waited, lastProblem, retryAfter}: ExpiryFailureOptions): Failure {
 	return mayHaveRun
-		? failure('deadline-exceeded-after-dispatch', `Got no answer within ${waited} ms (${lastProblem})`)
-		: failure('no-server', `Got no connection to a server within ${waited} ms (${lastProblem})`, {retryAfterMilliseconds: retryAfter});
+		? failure('deadline-exceeded-after-dispatch', `No server answered within ${waited} ms (${lastProblem})`)
+		: failure('no-server', `No connection to a server could be established within ${waited} ms (${lastProblem})`, {retryAfterMilliseconds: retryAfter});
 }
--- a/packages/gateway/src/entry/gateway-request.ts
+++ b/packages/gateway/src/entry/gateway-request.ts
@@ -1,68 +1,68 @@
 import {type ModelId} from '@valehitch/core';
 
-/** A header as it came: name and value. */
+/** The name and value of a header, as received. */
 export type Header = readonly [name: string, value: string];
 
-/** A part of a prompt. */
+/** A part of a prompt, identified for prompt caching. */
 export type PromptPart = {
 	readonly id: string;
 	/** Its length in tokens. */
 	readonly tokens: number;
 };
 
-/** What a caller asks for, read once from the wire. */
+/** A caller's request, parsed from the wire format. */
 export type GatewayRequest = {
 	/** The caller's id of this request; the backend server echoes it. */
 	readonly id: string;
 	readonly method: string;
-	/** The path with the query, unchanged. */
+	/** The path and query, unchanged. */
 	readonly target: string;
 	readonly path: string;
 	readonly host: string;
-	/** The headers that are passed on. */
+	/** The headers to forward. */
 	readonly headers: readonly Header[];
 	readonly key: string | undefined;
-	/** How long the caller waits, in milliseconds; undefined where it does not say. */
+	/** The caller's timeout, in milliseconds; undefined if not given. */
 	readonly patience: number | undefined;
 	/** Whether the gateway chooses the model. */
 	readonly choosesModel: boolean;
-	/** The parts of the prompt that other requests share, in order; empty for plain requests. */
+	/** The parts of the prompt in order, which other requests may share; empty for requests without a prompt. */
 	readonly promptParts: readonly PromptPart[];
 	readonly inputTokens: number;
 	readonly outputTokens: number;
 	readonly session: string | undefined;
-	/** The last event that the caller has of a stream that broke; undefined for a new one. */
+	/** The id of the last event that the caller received of an interrupted stream; undefined for a new stream. */
 	readonly lastEventId: string | undefined;
 };
 
-/** What a backend server is told beside the request itself. */
+/** The metadata sent to a backend server with a request. */
 export type SendFacts = {
 	readonly server: string;
-	/** The model; undefined where the caller named it or there is none. */
+	/** The model; undefined if the caller chose it or the request needs none. */
 	readonly model: ModelId | undefined;
-	/** Milliseconds that are left. */
+	/** The time left until the deadline, in milliseconds. */
 	readonly patience: number;
 	readonly workspace: string | undefined;
-	/** Between 0 for the most urgent and 9; undefined for the default. */
+	/** From 0 for the most urgent to 9 for the least urgent; undefined for the default. */
 	readonly urgency: number | undefined;
 	readonly lastEventId: string | undefined;
-	/** Whether the connection may carry further requests. */
+	/** Whether the connection is kept open for further requests. */
 	readonly keepsConnection: boolean;
 };
 
-/** What the head of a backend server's answer says. */
+/** The parsed head of a backend server's answer. */
 export type AnswerHead = {
 	readonly status: number;
-	/** The request that the server says it answers; undefined where it does not say. */
+	/** The id of the request that the server answers; undefined if not given. */
 	readonly requestId: string | undefined;
-	/** Whether the server says that it did not run the request. */
+	/** Whether the server reports that it did not run the request. */
 	readonly isNotRun: boolean;
-	/** Whether another server now has the address. */
+	/** Whether the answer shows that the address now belongs to another server. */
 	readonly isOtherServer: boolean;
-	/** Whether the answer bears the server's signature. */
+	/** Whether the answer has the server's signature. */
 	readonly isSigned: boolean;
-	/** Whether something on the way encoded the body. */
+	/** Whether an intermediary encoded the body. */
 	readonly isEncoded: boolean;
-	/** The model's own opinion of the answer, from 0 to 100; undefined where there is none. */
+	/** The model's own confidence in its answer, from 0 to 100; undefined if it reports none. */
 	readonly confidence: number | undefined;
 };
--- a/packages/gateway/src/entry/handle-request.ts
+++ b/packages/gateway/src/entry/handle-request.ts
@@ -7,17 +7,17 @@
 import {type GatewayRequest} from './gateway-request.js';
 import {RequestRun} from './request-run.js';
 
-/** The longest that all but a few streams last; those that arrive with less time left would be cut off. */
-const usualStreamMilliseconds = 4700;
-/** Other instances take the request at once. */
-const elsewhereMilliseconds = 10;
-/** The most bytes of a body before any configuration says otherwise. */
+/** The duration that nearly all streams stay below. During a shutdown, streams that arrive with less time left would be cut off, so they are refused. */
+const typicalStreamMilliseconds = 4700;
+/** The retry delay during a shutdown, in milliseconds: other instances can accept the request immediately. */
+const shutdownRetryMilliseconds = 10;
+/** The maximum size of a body until the first configuration arrives, in bytes. */
 const defaultBodyBytes = 4_194_304;
 
 /**
-Handles one request of a caller.
+Handles a request of a caller.
 
-@param context What the handling works with.
+@param context The context of the instance.
 @param message The request.
 @param response The response.
 @example
@@ -36,9 +36,9 @@
 	}
 
 	const {route} = authorized.unsafeCoerce();
-	if (!mayFinish(route, {endsAt: context.endsAt(), now: arrivedAt})) {
+	if (!canFinish(route, {endsAt: context.endsAt(), now: arrivedAt})) {
 		message.resume();
-		const failed = failure('shutting-down', 'Got a request shortly before the end of this instance, wanted it elsewhere', {retryAfterMilliseconds: elsewhereMilliseconds});
+		const failed = failure('shutting-down', 'This instance is shutting down; send the request to another instance', {retryAfterMilliseconds: shutdownRetryMilliseconds});
 		refuse(context, {request, response, failed});
 		return;
 	}
@@ -58,13 +58,13 @@
 	}).run();
 }
 
-/** Whether a request that arrives now can be expected to end before the instance does. */
-function mayFinish({kind, timeout}: Route, {endsAt, now}: {readonly endsAt: number | undefined; readonly now: number}): boolean {
+/** Checks whether a request that arrives now is expected to finish before the instance stops. */
+function canFinish({kind, timeout}: Route, {endsAt, now}: {readonly endsAt: number | undefined; readonly now: number}): boolean {
 	if (endsAt === undefined) {
 		return true;
 	}
 
-	const needed = kind === 'streaming' ? Math.min(timeout, usualStreamMilliseconds) : timeout;
+	const needed = kind === 'streaming' ? Math.min(timeout, typicalStreamMilliseconds) : timeout;
 	return now + needed < endsAt;
 }
 
--- a/packages/gateway/src/entry/start-wait.ts
+++ b/packages/gateway/src/entry/start-wait.ts
@@ -1,16 +1,16 @@
-const longestStartWaitMilliseconds = 1000;
+const maximumStartupWaitMilliseconds = 1000;
 
 /**
-Tells how long a request waits for what an instance lacks right after a start.
+Computes how long a request may wait for state that an instance does not have yet right after its start.
 
-@param patience How long the caller waits in all, in milliseconds.
-@param share The part of it that the request may wait.
+@param timeout The caller's timeout, in milliseconds.
+@param share The share of the timeout that the request may wait.
 @returns Milliseconds.
 @example
 ```ts
-startWait(8000, 0.06); // 480
+startupWait(8000, 0.06); // 480
 ```
 */
-export function startWait(patience: number, share: number): number {
-	return Math.min(longestStartWaitMilliseconds, share * patience);
+export function startWait(timeout: number, share: number): number {
+	return Math.min(maximumStartupWaitMilliseconds, share * timeout);
 }
