--- a/packages/gateway/src/entry/entry-servers.ts
+++ b/packages/gateway/src/entry/entry-servers.ts
@@ -18,22 +18,22 @@
 } from './held-server.js';
 import {ServerStandings} from './server-standings.js';
 
-/** An engine batches: twice the mean load costs it little, a prompt that it must read again costs more. */
+/** The maximum load of a server relative to the mean load. Engines batch requests, so even twice the mean load costs less than processing a prompt without its cached prefix. */
 const loadBound = 1.5;
-/** With the loads of all instances known, comparing more servers costs nothing but the comparison. */
+/** The number of servers that are sampled and compared. Since the loads of all instances are known, a larger sample costs only the comparison. */
 const samples = 4;
-/** The busier the own zone must be before another helps, as a share of its slots. */
+/** How much busier the local zone must be, as a share of its slots, before servers of another zone are used. */
 const zonePenalty = 0.1;
-/** The pause after a connection that was not opened; doubles up to the longest. */
-const firstAvoidMilliseconds = 500;
-const longestAvoidMilliseconds = 8000;
-/** The end of a server is remembered for longer than any control instance that missed it goes on telling of the server. */
+/** The backoff after a failed connection; doubles with each further failure up to the maximum. */
+const initialBackoffMilliseconds = 500;
+const maximumBackoffMilliseconds = 8000;
+/** The end of a server is remembered for longer than a control instance that missed it keeps reporting the server. */
 const forgetEndedMilliseconds = 2 * defaultForgetMilliseconds;
-/** A silent server is forgotten before control forgets it, so that its end is told to whoever still holds it. */
+/** Silent servers are forgotten here before the control instances forget them, so that the end of a server still reaches every instance that knows it. */
 const forgetSilentMilliseconds = defaultForgetMilliseconds / 2;
 
 /**
-The backend servers as one entry instance knows them: what control says, what it has in flight itself, and how its own sends ended.
+The backend servers known to an entry instance: the state that control instances report, the instance's own requests in flight, and the results of its sends.
 
 @example
 ```ts
@@ -50,72 +50,72 @@
 	});
 
 	readonly #zones = new ZoneSuspicion();
-	readonly #standings = new ServerStandings();
+	readonly #liveness = new ServerStandings();
 
 	constructor(options: EntryServersOptions) {
 		this.#options = options;
 	}
 
 	/**
-	Takes records of a control instance.
+	Applies records of a control instance.
 
-	@param records What changed.
-	@param options The control instance, the time, and whether the records are all that it has.
-	@returns The records that are new, or whose state is.
+	@param records The changed records.
+	@param options The control instance, the time, and whether the records are its full state.
+	@returns The records that were added or whose state changed.
 	*/
-	take(records: readonly ServerRecord[], {source, now, isWhole = false}: TakeRecordsOptions): readonly ServerRecord[] {
-		this.#standings.hear(source, {isWhole});
+	take(records: readonly ServerRecord[], {source, now, isWhole: isFullState = false}: TakeRecordsOptions): readonly ServerRecord[] {
+		this.#liveness.hear(source, {isFullState});
 		const changed: ServerRecord[] = [];
 		for (const record of records) {
-			const held = this.#servers.get(record.id);
-			if (held === undefined || compareStarts(record, held.record) > 0) {
-				this.#join(record, {source, now});
+			const tracked = this.#servers.get(record.id);
+			if (tracked === undefined || compareStarts(record, tracked.record) > 0) {
+				this.#add(record, {source, now});
 				changed.push(record);
-			} else if (this.#update(held, record, {source, now})) {
-				changed.push(held.record);
+			} else if (this.#update(tracked, record, {source, now})) {
+				changed.push(tracked.record);
 			}
 		}
 
-		this.#forget(now);
+		this.#removeExpired(now);
 		return changed;
 	}
 
 	/**
-	Notes that a control instance does not answer: what it said of servers counts again once it does.
+	Records that a control instance is not responding. Its reports are ignored until it responds again.
 
 	@param source The control instance.
 	*/
 	loseSource(source: InstanceId): void {
-		this.#standings.lose(source);
+		this.#liveness.lose(source);
 	}
 
 	/**
 	Chooses a server.
 
-	@param options What is wanted.
-	@returns The server, or undefined where none takes work.
+	@param options The criteria.
+	@returns The server, or undefined if none is available.
 	*/
-	find({service, isWanted, excluded, subject, now}: FindServerOptions): ServerRecord | undefined {
+	find({service, isWanted, excluded, subject: promptKey, now}: FindServerOptions): ServerRecord | undefined {
 		const views: ServerView[] = [];
-		for (const held of this.#servers.values()) {
-			if (held.record.service !== service || held.record.state !== 'ready' || !isWanted(held.record.version)) {
+		for (const tracked of this.#servers.values()) {
+			if (tracked.record.service !== service || tracked.record.state !== 'ready' || !isWanted(tracked.record.version)) {
 				continue;
 			}
 
-			views.push(this.#viewOf(held, now));
+			views.push(this.#viewOf(tracked, now));
 		}
 
-		const wish = {
+		const criteria = {
 			target: service, excluded, zone: this.#options.zone, random: this.#options.random, zonePenalty, samples, loadBound,
-			prefix: subject === undefined ? undefined : prefixHash(subject.name),
-			homeScope: subject?.homeScope ?? 'none',
+			prefix: promptKey === undefined ? undefined : prefixHash(promptKey.name),
+			homeScope: promptKey?.homeScope ?? 'none',
 		};
-		// Where every server is suspect, a suspect one is better than none.
-		const choice = chooseServer(views, wish).altLazy(() => chooseServer(views.map(view => ({...view, expired: false, ejected: false})), wish));
+		// If every server is expired or ejected, use one of them rather than none.
+		const choice = chooseServer(views, criteria).altLazy(() => chooseServer(views.map(view => ({...view, expired: false, ejected: false})), criteria));
 		return choice.map(({server}) => this.#servers.get(server)?.record).toMaybe().extractNullable() ?? undefined;
 	}
 
-	/** The work of this instance at each server that has any. */
+	/** The load of this instance at each server where it has requests in flight. */
 	get loads(): LoadMessage['loads'] {
 		const loads: Array<readonly [ServerId, number]> = [];
 		for (const [id, {inFlight, work}] of this.#servers) {
@@ -128,105 +128,105 @@
 	}
 
 	/**
-	Counts a request that is sent to a server.
+	Counts a request sent to a server.
 
 	@param id The server.
-	@param work Its work until its answer begins, in units of a short request.
-	@returns Counts what is left of it.
+	@param work The load of the request until its answer starts, in units of a short request.
+	@returns The load of the send, to be reduced as the request progresses.
 	*/
 	begin(id: ServerId, work: number): SendLoad {
 		return this.#servers.get(id)?.begin(work) ?? unknownLoad;
 	}
 
 	/**
-	Notes that something came from a server.
+	Records that data was received from a server.
 
 	@param id The server.
 	@param now Milliseconds on the monotonic clock.
 	*/
 	hear(id: ServerId, now: number): void {
-		const held = this.#servers.get(id);
-		if (held !== undefined) {
-			held.heardAt = now;
-			this.#zones.heard(held.record.zone);
+		const tracked = this.#servers.get(id);
+		if (tracked !== undefined) {
+			tracked.heardAt = now;
+			this.#zones.heard(tracked.record.zone);
 		}
 	}
 
 	/**
-	When anything came from a server last.
+	Returns when data was last received from a server.
 
 	@param id The server.
-	@returns Milliseconds on the monotonic clock; 0 for never.
+	@returns Milliseconds on the monotonic clock; 0 if no data was received yet.
 	*/
 	heardAt(id: ServerId): number {
 		return this.#servers.get(id)?.heardAt ?? 0;
 	}
 
 	/**
-	Tells whether a record is of the process that is known now: how a send to a former one ended says nothing of the next.
+	Checks whether a record belongs to the current process of its server. The result of a send to an earlier process says nothing about the current one.
 
 	@param server The record.
-	@returns Whether no later process of the server is known.
+	@returns Whether the record belongs to the latest known process.
 	*/
 	isCurrent(server: ServerRecord): boolean {
-		const held = this.#servers.get(server.id);
-		return held !== undefined && compareStarts(held.record, server) === 0;
+		const tracked = this.#servers.get(server.id);
+		return tracked !== undefined && compareStarts(tracked.record, server) === 0;
 	}
 
 	/**
-	Tells what is known of the process of a record.
+	Returns the state of the process of a record.
 
 	@param server The record.
-	@returns Its state; `draining` also where it has ended since.
+	@returns The state; a process that drained before it ended remains `draining`.
 	*/
 	processStateOf(server: ServerRecord): ProcessState {
 		return this.#servers.get(server.id)?.stateOf(server) ?? 'unknown';
 	}
 
 	/**
-	Learns how a send ended.
+	Records the result of a send.
 
 	@param id The server.
-	@param result What it came to.
+	@param result The result.
 	@param now Milliseconds on the monotonic clock.
-	@returns Whether the server gets no work for a while from now on.
+	@returns Whether the server is now excluded for some time.
 	*/
 	record(id: ServerId, result: SendResult, now: number): boolean {
-		const held = this.#servers.get(id);
-		if (held === undefined) {
+		const tracked = this.#servers.get(id);
+		if (tracked === undefined) {
 			return false;
 		}
 
 		if (result === 'gone') {
-			held.noteEnd(now);
+			tracked.noteEnd(now);
 			return true;
 		}
 
 		if (result === 'unreachable' || result === 'ended') {
-			held.avoidUntil = now + Math.min(longestAvoidMilliseconds, firstAvoidMilliseconds * (2 ** held.unreachable));
-			held.unreachable++;
+			tracked.avoidUntil = now + Math.min(maximumBackoffMilliseconds, initialBackoffMilliseconds * (2 ** tracked.unreachable));
+			tracked.unreachable++;
 			if (result === 'unreachable') {
-				this.#zones.unreachable(held.record.zone, {server: id, now});
+				this.#zones.unreachable(tracked.record.zone, {server: id, now});
 			}
 
 			return true;
 		}
 
-		held.unreachable = 0;
-		return this.#ejection.record(id, {failed: result === 'failed', now, servers: this.#countOf(held.record.service)});
+		tracked.unreachable = 0;
+		return this.#ejection.record(id, {failed: result === 'failed', now, servers: this.#countReady(tracked.record.service)});
 	}
 
-	/** Takes a process that was not known, and drops what is known of the one before it, under its id or at its address. */
-	#join(record: ServerRecord, {source, now}: {readonly source: InstanceId; readonly now: number}): void {
-		for (const [id, former] of this.#servers) {
-			if (id === record.id || hasReplaced(record, former.record)) {
-				former.noteEnd(now);
-				this.#drop(former);
+	/** Adds a new process, and discards the state of the process that it replaces, which has the same id or address. */
+	#add(record: ServerRecord, {source, now}: {readonly source: InstanceId; readonly now: number}): void {
+		for (const [id, previous] of this.#servers) {
+			if (id === record.id || hasReplaced(record, previous.record)) {
+				previous.noteEnd(now);
+				this.#discardState(previous);
 			}
 		}
 
-		this.#standings.forget(record.id);
-		this.#standings.tell(record.id, {source, isSilent: record.isSilent});
+		this.#liveness.forget(record.id);
+		this.#liveness.tell(record.id, {source, isSilent: record.isSilent});
 		this.#servers.set(record.id, new HeldServer(record, {
 			now,
 			onWork: change => {
@@ -235,47 +235,47 @@
 		}));
 	}
 
-	/** Takes a further record of a process that is known; tells whether its state is new. */
-	#update(held: HeldServer, record: ServerRecord, {source, now}: {readonly source: InstanceId; readonly now: number}): boolean {
-		held.toldAt = now;
-		if (compareStarts(record, held.record) < 0) {
+	/** Applies a record to a known process; returns whether its state changed. */
+	#update(tracked: HeldServer, record: ServerRecord, {source, now}: {readonly source: InstanceId; readonly now: number}): boolean {
+		tracked.toldAt = now;
+		if (compareStarts(record, tracked.record) < 0) {
 			return false;
 		}
 
-		this.#standings.tell(record.id, {source, isSilent: record.isSilent});
-		const {state} = held.record;
+		this.#liveness.tell(record.id, {source, isSilent: record.isSilent});
+		const {state} = tracked.record;
 		if (isGraver(state, record.state)) {
-			this.#options.onOutdated?.(record, {held: held.record, source});
+			this.#options.onOutdated?.(record, {held: tracked.record, source});
 		}
 
-		held.isLeaving ||= record.state === 'draining';
-		held.record = mergeServerRecord(held.record, record);
-		return held.record.state !== state;
+		tracked.isLeaving ||= record.state === 'draining';
+		tracked.record = mergeServerRecord(tracked.record, record);
+		return tracked.record.state !== state;
 	}
 
-	/** Drops what is believed of a process that has ended: suspicion, loads of peers, kept connections, sends in progress. */
-	#drop(held: HeldServer): void {
-		const {id, zone} = held.record;
+	/** Discards the state of an ended process: outlier and zone statistics, loads of peers, idle connections, and sends in progress. */
+	#discardState(tracked: HeldServer): void {
+		const {id, zone} = tracked.record;
 		this.#ejection.forget(id);
 		this.#zones.forget(zone, id);
 		this.#options.share.forget(id);
-		this.#options.onReplaced(held.record);
-		held.endProcess();
+		this.#options.onReplaced(tracked.record);
+		tracked.endProcess();
 	}
 
-	#viewOf(held: HeldServer, now: number): ServerView {
+	#viewOf(tracked: HeldServer, now: number): ServerView {
 		const {zone, share} = this.#options;
-		const {id, zone: serverZone} = held.record;
-		return held.view({
+		const {id, zone: serverZone} = tracked.record;
+		return tracked.view({
 			now,
 			othersLoad: share.othersOn(id),
-			isSilent: this.#standings.of(id) === 'silent',
+			isSilent: this.#liveness.of(id) === 'silent',
 			isBehindCut: serverZone !== zone && this.#zones.isSuspect(serverZone, now),
 			isEjected: this.#ejection.isEjected(id, now),
 		});
 	}
 
-	#countOf(service: ServiceId): number {
+	#countReady(service: ServiceId): number {
 		let count = 0;
 		for (const {record} of this.#servers.values()) {
 			count += record.service === service && record.state === 'ready' ? 1 : 0;
@@ -284,15 +284,15 @@
 		return count;
 	}
 
-	#forget(now: number): void {
-		for (const [id, held] of this.#servers) {
-			const untold = now - held.toldAt;
-			const isOver = held.record.state === 'gone'
-				? untold > forgetEndedMilliseconds
-				: untold > forgetSilentMilliseconds && !this.#standings.isHeldByAny(id);
-			if (isOver && held.inFlight === 0) {
+	#removeExpired(now: number): void {
+		for (const [id, tracked] of this.#servers) {
+			const unreportedFor = now - tracked.toldAt;
+			const isExpired = tracked.record.state === 'gone'
+				? unreportedFor > forgetEndedMilliseconds
+				: unreportedFor > forgetSilentMilliseconds && !this.#liveness.isHeldByAny(id);
+			if (isExpired && tracked.inFlight === 0) {
 				this.#servers.delete(id);
-				this.#standings.forget(id);
+				this.#liveness.forget(id);
 			}
 		}
 	}
--- a/packages/gateway/src/entry/evidence-counter.ts
+++ b/packages/gateway/src/entry/evidence-counter.ts
@@ -4,22 +4,22 @@
 import {type RouteId} from '../configuration/routing-configuration.js';
 import {type VersionEvidence} from '../rollouts/version-evidence.js';
 
-/** One answer of a backend server, good or not. */
+/** A successful or failed answer of a backend server. */
 export type AnswerSeen = {
 	readonly service: ServiceId;
 	readonly version: VersionId;
 	readonly route: RouteId;
 	readonly model: ModelId | undefined;
 	readonly isFailure: boolean;
-	/** The time to the first byte in milliseconds; undefined for a failure. */
+	/** The time to first byte, in milliseconds; undefined for a failure. */
 	readonly latency: number | undefined;
 };
 
-/** The counters of versions that are gone are dropped beyond this many. */
+/** The maximum number of counters; beyond it the least recently used ones, such as those of removed versions, are discarded. */
 const maximumCounters = 512;
 
 /**
-Counts what this entry instance sees of each version, for the judgement of roll-outs.
+Counts the answers of each version as seen by this entry instance, as evidence for the evaluation of rollouts.
 
 @example
 ```ts
@@ -28,22 +28,22 @@
 ```
 */
 export class EvidenceCounter {
-	readonly #names: Pick<VersionEvidence, 'entry' | 'run'>;
+	readonly #labels: Pick<VersionEvidence, 'entry' | 'run'>;
 	readonly #counters = new Map<string, VersionEvidence>();
 
-	constructor(names: {readonly entry: InstanceId; readonly run: string}) {
-		this.#names = names;
+	constructor(labels: {readonly entry: InstanceId; readonly run: string}) {
+		this.#labels = labels;
 	}
 
 	/**
-	Counts an answer.
+	Records an answer.
 
 	@param seen The answer.
 	*/
 	note({service, version, route, model = '' as ModelId, isFailure, latency = 0}: AnswerSeen): void {
 		const key = [service, version, route, model].join(' ');
 		const known = this.#counters.get(key) ?? {
-			...this.#names, service, version, route, model, answers: 0, failures: 0, latencySum: 0,
+			...this.#labels, service, version, route, model, answers: 0, failures: 0, latencySum: 0,
 		};
 		this.#counters.delete(key);
 		this.#counters.set(key, {
@@ -59,7 +59,7 @@
 	}
 
 	/**
-	The counters of some services.
+	Returns the counters of some services.
 
 	@param services The services.
 	@returns The counters.
--- a/packages/gateway/src/entry/find-server-options.ts
+++ b/packages/gateway/src/entry/find-server-options.ts
@@ -1,19 +1,19 @@
 import {type ServerId, type ServiceId, type VersionId} from '@valehitch/core';
 import {type HomeScope} from '@valehitch/routing';
 
-/** What a prompt has in common with others, and where its home is looked for. */
+/** The cache key of a prompt, and the scope in which its home server is chosen. */
 export type PromptSubject = {
 	readonly name: string;
 	readonly homeScope: HomeScope;
 };
 
-/** What is wanted of a server. */
+/** The criteria for choosing a server. */
 export type FindServerOptions = {
 	readonly service: ServiceId;
-	/** Whether a version will do. */
+	/** Whether a version is acceptable. */
 	readonly isWanted: (version: VersionId) => boolean;
 	readonly excluded: ReadonlySet<ServerId>;
-	/** What the prompt has in common with others; undefined where no cache matters. */
+	/** The cache key of the prompt; undefined if caching does not matter. */
 	readonly subject: PromptSubject | undefined;
 	/** Milliseconds on the monotonic clock. */
 	readonly now: number;
--- a/packages/gateway/src/entry/held-server.ts
+++ b/packages/gateway/src/entry/held-server.ts
@@ -3,47 +3,47 @@
 import {compareStarts} from '../servers/compare-starts.js';
 import {type ServerRecord, type ServerState} from '../servers/server-record.js';
 
-/** The load of one send at its server. */
+/** The load that a send puts on its server. */
 export type SendLoad = {
-	/** Counts the prompt as read: from now on the server only generates, beside others. */
+	/** Reduces the load to that of a request whose answer has started, since the server has processed the prompt and only generates from now on. */
 	readonly answerBegins: () => void;
-	/** Counts the request as ended. */
+	/** Removes the load. */
 	readonly end: () => void;
-	/** Aborted once the process that got the request is known to have ended. */
+	/** Aborted when the process that received the request is known to have ended. */
 	readonly processEnd: AbortSignal;
 };
 
-/** What is known of one process of a server: what it said of itself, that a later one has taken its place, or nothing. */
+/** The state of one process of a server: the state it announced, or whether it was replaced by a later one or is unknown. */
 export type ProcessState = ServerState | 'replaced' | 'unknown';
 
-/** What an entry instance knows of a server besides its own sends in flight. */
+/** What an entry instance knows about a server apart from its own requests in flight. */
 export type ServerSurroundings = {
 	/** Milliseconds on the monotonic clock. */
 	readonly now: number;
-	/** The work of the other entry instances there. */
+	/** The load of the other entry instances at the server. */
 	readonly othersLoad: number;
-	/** Whether all control instances that answer call it silent. */
+	/** Whether all responding control instances report it as silent. */
 	readonly isSilent: boolean;
-	/** Whether its zone seems to be cut off from this one. */
+	/** Whether its zone appears to be partitioned from this one. */
 	readonly isBehindCut: boolean;
 	readonly isEjected: boolean;
 };
 
-/** How a server is first held. */
+/** Options of {@linkcode TrackedServer}. */
 export type HeldServerOptions = {
 	/** Milliseconds on the monotonic clock. */
 	readonly now: number;
-	/** Told by how much the work changed, in units of a short request. */
+	/** Called with each change of the load, in units of a short request. */
 	readonly onWork: (change: number) => void;
 };
 
-/** The work of a request whose answer has begun, in units of a short request: a batch generates for many at once, while it reads one prompt after the other. */
-const streamingWork = 1;
+/** The load of a request whose answer has started, in units of a short request. An engine generates the answers of a batch in parallel, but processes prompts one at a time. */
+const streamingLoad = 1;
 
-/** The uptime from which the server choice gives a full share. */
+/** The uptime from which the load balancer gives a server its full share, in milliseconds. */
 const warmMilliseconds = 30_000;
 
-/** The load at a server that is not known any more: nothing is counted. */
+/** The load of a send to a server that is no longer known; it has no effect. */
 export const unknownLoad: SendLoad = {
 	answerBegins() {
 		// Nothing was counted.
@@ -55,86 +55,86 @@
 };
 
 /**
-One process of a backend server as an entry instance knows it: what control says, what is in flight there, and how it was reached of late.
+One process of a backend server as known to an entry instance: the state that control instances report, the requests in flight, and recent connection failures.
 
-A server that starts again under its id is held anew, so that nothing of its former process counts against it or for it.
+A server that restarts under the same id gets a new object, so that the history of its earlier process does not affect it.
 
 @example
 ```ts
-const held = new HeldServer(record, {now, onWork});
-const load = held.begin(1);
+const server = new TrackedServer(record, {now, onLoadChange});
+const load = server.beginSend(1);
 load.end();
 ```
 */
 export class HeldServer {
 	record: ServerRecord;
 	readonly addedAt: number;
-	/** When anything was last told of it or of its end, in milliseconds on the monotonic clock. */
+	/** When a control instance last reported it or its end was last recorded, in milliseconds on the monotonic clock. */
 	toldAt: number;
-	/** When anything came from it last, in milliseconds on the monotonic clock; 0 for never. */
+	/** When data was last received from it, in milliseconds on the monotonic clock; 0 if none was received yet. */
 	heardAt = 0;
-	/** No work goes there before this time, in milliseconds on the monotonic clock. */
+	/** The end of the backoff before which no requests are sent to it, in milliseconds on the monotonic clock. */
 	avoidUntil = 0;
-	/** Whether the process said that it shuts down. */
+	/** Whether the process has announced that it is draining. */
 	isLeaving = false;
-	/** The connections in a row that did not open. */
+	/** The number of consecutive connection failures. */
 	unreachable = 0;
 	readonly #onWork: HeldServerOptions['onWork'];
 	readonly #processEnd = new AbortController();
 	#inFlight = 0;
-	#work = 0;
+	#load = 0;
 
 	constructor(record: ServerRecord, {now, onWork}: HeldServerOptions) {
 		this.record = record;
 		this.addedAt = now;
 		this.toldAt = now;
 		this.#onWork = onWork;
-		// Each send in progress listens; hundreds at once are usual.
+		// Each send in progress adds a listener; hundreds at a time are normal.
 		setMaxListeners(0, this.#processEnd.signal);
 	}
 
-	/** Whether the process is known to have ended, since a later one has taken its place. */
+	/** Whether the process is known to have ended because a later one replaced it. */
 	get hasEnded(): boolean {
 		return this.#processEnd.signal.aborted;
 	}
 
-	/** The requests in flight. */
+	/** The number of requests in flight. */
 	get inFlight(): number {
 		return this.#inFlight;
 	}
 
-	/** The work of the requests in flight, in units of a short request. */
+	/** The load of the requests in flight, in units of a short request. */
 	get work(): number {
-		return this.#work;
+		return this.#load;
 	}
 
 	/**
-	Counts a request that is sent to it.
+	Counts a request sent to the server.
 
-	@param work Its work until its answer begins, in units of a short request.
-	@returns Counts what is left of it.
+	@param work The load of the request until its answer starts, in units of a short request.
+	@returns The load of the send, to be reduced as the request progresses.
 	*/
 	begin(work: number): SendLoad {
-		this.#count(1, work);
-		let left = work;
+		this.#adjust(1, work);
+		let remaining = work;
 		return {
 			answerBegins: () => {
-				const less = Math.max(0, left - streamingWork);
-				left -= less;
-				this.#count(0, -less);
+				const reduction = Math.max(0, remaining - streamingLoad);
+				remaining -= reduction;
+				this.#adjust(0, -reduction);
 			},
 			end: () => {
-				this.#count(-1, -left);
+				this.#adjust(-1, -remaining);
 			},
 			processEnd: this.#processEnd.signal,
 		};
 	}
 
 	/**
-	Tells what is known of the process of a record.
+	Returns the state of the process of a record.
 
 	@param server A record of this server.
-	@returns The state of its process; `draining` also where that has ended since.
+	@returns The state; a process that drained before it ended remains `draining`.
 	*/
 	stateOf(server: ServerRecord): ProcessState {
 		if (compareStarts(this.record, server) > 0) {
@@ -149,9 +149,9 @@
 	}
 
 	/**
-	The server as the choice of servers sees it.
+	Returns the view of the server that the load balancer uses.
 
-	@param surroundings What is known of it besides.
+	@param conditions What else is known about the server.
 	@returns The view.
 	*/
 	view({now, othersLoad, isSilent, isBehindCut, isEjected}: ServerSurroundings): ServerView {
@@ -163,18 +163,18 @@
 			reportedActive: othersLoad,
 			ownAtReport: 0,
 			reportAge: 0,
-			ownInFlight: this.#work,
+			ownInFlight: this.#load,
 			draining: false,
 			expired: isSilent || this.avoidUntil > now || isBehindCut,
 			ejected: isEjected,
-			// Servers warm up within milliseconds here, so that the slow start of cold replicas would only unbalance them.
+			// These servers warm up within milliseconds, so a slow start would only unbalance the load.
 			uptime: Math.max(warmMilliseconds, now - this.addedAt),
 			loaded: new Set([service]),
 		};
 	}
 
 	/**
-	Notes that the process has ended.
+	Records that the process has ended.
 
 	@param now Milliseconds on the monotonic clock.
 	*/
@@ -183,14 +183,14 @@
 		this.toldAt = now;
 	}
 
-	/** Ends all sends in progress: their process has ended, and nothing on their connections tells it where it lost its power. */
+	/** Aborts all sends in progress, because the process has ended. If its machine lost power, the connections themselves do not report this. */
 	endProcess(): void {
 		this.#processEnd.abort();
 	}
 
-	#count(requests: number, work: number): void {
+	#adjust(requests: number, work: number): void {
 		this.#inFlight += requests;
-		this.#work = this.#inFlight === 0 ? 0 : this.#work + work;
+		this.#load = this.#inFlight === 0 ? 0 : this.#load + work;
 		this.#onWork(work);
 	}
 }
--- a/packages/gateway/src/entry/latency-book.ts
+++ b/packages/gateway/src/entry/latency-book.ts
@@ -1,57 +1,57 @@
 import {type Clock} from '@valehitch/core';
 
-/** The weight of the newest time in the mean. */
-const weight = 0.15;
-/** The weight with which the calm time follows the mean up: some thousand answers, so that a burst of some seconds does not pass for calm. */
-const calmWeight = 0.001;
-/** After this time without an answer half of what the mean is above the calm time is forgotten, in milliseconds: queues of servers empty within seconds, and what is not used because it was slow would never be seen to be fast again. */
+/** The weight of the latest sample in the moving average. */
+const meanWeight = 0.15;
+/** The weight with which the baseline follows the mean upwards. The baseline takes about a thousand answers to adapt, so that a burst of a few seconds does not raise it. */
+const baselineWeight = 0.001;
+/** The half-life with which the mean decays towards the baseline, in milliseconds. Server queues drain within seconds, and without decay a model that is avoided because it was slow would never be measured again. */
 const halfLifeMilliseconds = 2000;
 
-/** The part of a time that does not grow with the prompt, as tokens: the wait for the step in progress and for the first token. */
+/** The part of the latency that is independent of the prompt, expressed in tokens: the wait for the current engine step and for the first token. */
 const fixedTokens = 1000;
 
-/** A time that was measured. */
+/** A measured latency. */
 export type MeasuredTime = {
-	/** Milliseconds to the first byte. */
+	/** The time to first byte, in milliseconds. */
 	readonly milliseconds: number;
-	/** The tokens of the prompt; 0 where there is none. */
+	/** The length of the prompt, in tokens; 0 if there is no prompt. */
 	readonly tokens: number;
 };
 
-/** The time that is asked for. */
+/** Options for estimating a latency. */
 export type ExpectedTimeOptions = {
-	/** The tokens of the prompt, 0 where there is none; those of the mean prompt by default. */
+	/** The length of the prompt, in tokens; 0 if there is no prompt. Defaults to the mean length. */
 	readonly tokens?: number;
-	/** The time where none was seen, in milliseconds. */
+	/** The estimate if no latency has been recorded, in milliseconds. */
 	readonly fallback: number;
 };
 
-type Times = {
-	/** Milliseconds, for a prompt of the mean size. */
+type Statistics = {
+	/** The mean latency of a prompt of mean size, in milliseconds. */
 	readonly mean: number;
-	/** The lowest mean of late, in milliseconds. */
-	readonly calm: number;
-	/** The mean size of the prompts, in tokens with the fixed part. */
+	/** The baseline: the lowest recent mean, in milliseconds. */
+	readonly baseline: number;
+	/** The mean size of the prompts, in tokens, including the fixed part. */
 	readonly size: number;
-	/** When the mean was brought up to date, in milliseconds on the monotonic clock. */
+	/** When the mean was last updated, in milliseconds on the monotonic clock. */
 	readonly at: number;
 };
 
 /**
-Mean times to the first byte, by what they depend on, in proportion to the prompt; without answers they fade to the calm times.
+Estimates the time to first byte per key as a moving average, in proportion to the length of the prompt. Without new samples, the estimates decay towards their baselines.
 
-Prompts of one route differ a hundredfold, and a server reads the longest for seconds: by the mean alone, servers that are at work would be given up as silent.
+The prompts of one route differ in length by a factor of a hundred, and the longest take seconds to process. If the mean alone were used, busy servers would be considered unresponsive.
 
 @example
 ```ts
-const book = new LatencyBook(clock);
-book.note('route-1 large', {milliseconds: 640, tokens: 2000});
-book.expected('route-1 large', {tokens: 5000, fallback: 500});
+const latencies = new LatencyEstimator(clock);
+latencies.record('route-1 large', {milliseconds: 640, tokens: 2000});
+latencies.estimate('route-1 large', {tokens: 5000, fallback: 500});
 ```
 */
 export class LatencyBook {
 	readonly #clock: Pick<Clock, 'monotonic'>;
-	readonly #times = new Map<string, Times>();
+	readonly #statistics = new Map<string, Statistics>();
 
 	/**
 	@param clock The clock.
@@ -61,48 +61,48 @@
 	}
 
 	/**
-	Takes a time.
+	Records a latency.
 
-	@param key What it depends on.
-	@param time The time, and the size of the prompt.
+	@param key The key, such as a route and a model.
+	@param sample The latency and the length of the prompt.
 	*/
 	note(key: string, {milliseconds, tokens}: MeasuredTime): void {
 		const at = this.#clock.monotonic();
-		const before = this.#timesOf(key) ?? {
-			mean: milliseconds, calm: milliseconds, size: fixedTokens + tokens, at,
+		const previous = this.#decayed(key) ?? {
+			mean: milliseconds, baseline: milliseconds, size: fixedTokens + tokens, at,
 		};
-		const mean = before.mean + (weight * (milliseconds - before.mean));
-		const size = before.size + (weight * (fixedTokens + tokens - before.size));
-		this.#times.set(key, {
-			mean, calm: Math.min(mean, before.calm + (calmWeight * (mean - before.calm))), size, at,
+		const mean = previous.mean + (meanWeight * (milliseconds - previous.mean));
+		const size = previous.size + (meanWeight * (fixedTokens + tokens - previous.size));
+		this.#statistics.set(key, {
+			mean, baseline: Math.min(mean, previous.baseline + (baselineWeight * (mean - previous.baseline))), size, at,
 		});
 	}
 
 	/**
-	The time that a prompt of some size takes on the mean.
+	Estimates the latency of a prompt.
 
-	@param key What it depends on.
-	@param options The size, and the time where none was seen.
+	@param key The key, such as a route and a model.
+	@param options The length of the prompt and the fallback.
 	@returns Milliseconds.
 	*/
 	expected(key: string, {tokens, fallback}: ExpectedTimeOptions): number {
-		const times = this.#timesOf(key);
-		if (times === undefined) {
+		const statistics = this.#decayed(key);
+		if (statistics === undefined) {
 			return fallback;
 		}
 
-		return tokens === undefined ? times.mean : times.mean * (fixedTokens + tokens) / times.size;
+		return tokens === undefined ? statistics.mean : statistics.mean * (fixedTokens + tokens) / statistics.size;
 	}
 
-	/** The times as they have faded until now. */
-	#timesOf(key: string): Times | undefined {
-		const times = this.#times.get(key);
-		if (times === undefined) {
+	/** Returns the statistics of a key, decayed to the current time. */
+	#decayed(key: string): Statistics | undefined {
+		const statistics = this.#statistics.get(key);
+		if (statistics === undefined) {
 			return undefined;
 		}
 
 		const now = this.#clock.monotonic();
-		const left = 2 ** ((times.at - now) / halfLifeMilliseconds);
-		return {...times, mean: times.calm + (left * (times.mean - times.calm)), at: now};
+		const decay = 2 ** ((statistics.at - now) / halfLifeMilliseconds);
+		return {...statistics, mean: statistics.baseline + (decay * (statistics.mean - statistics.baseline)), at: now};
 	}
 }
--- a/packages/gateway/src/entry/load-share.ts
+++ b/packages/gateway/src/entry/load-share.ts
@@ -1,13 +1,13 @@
 import {type InstanceId, type ServerId} from '@valehitch/core';
 import {type LoadMessage} from '../control/peer-message.js';
 
-/** What the exchange of loads needs. */
+/** Options of {@linkcode LoadExchange}. */
 export type LoadShareOptions = {
-	/** The loads of this instance that are not zero. */
+	/** Returns the non-zero loads of this instance. */
 	readonly own: () => LoadMessage['loads'];
-	/** The entry instances that are told; a bounded number. */
+	/** Returns the entry instances that receive the loads; their number is bounded. */
 	readonly peers: () => readonly InstanceId[];
-	/** Sends a message that may be lost. */
+	/** Sends a message without guaranteed delivery. */
 	readonly send: (to: InstanceId, message: LoadMessage) => void;
 };
 
@@ -16,37 +16,37 @@
 	readonly at: number;
 };
 
-/** After this time without a message a peer's loads count no more, in milliseconds: four times the longest pause between two messages. */
+/** The time without a message after which the loads of a peer expire, in milliseconds. It is about twice the longest pause between two messages, so a single lost message does not expire them. */
 const staleMilliseconds = 1200;
-/** Work that changed by less than this since the last message is not worth another, in units of a short request. */
-const leastChange = 2;
-/** The messages to peers for each change of the own work, so that the exchange costs a bounded part of what the requests do, however many peers there are. */
-const messagesPerChange = 2;
-/** The messages that can be saved up: a few flushes. */
-const maximumSaved = 20;
-/** A load that does not change is told again after this time, in milliseconds, so that a lost message does not last. */
+/** The minimum change of the load since the last message that triggers another one, in units of a short request. */
+const minimumChange = 2;
+/** The number of messages earned by each change of the local load. It limits the cost of the exchange relative to that of the requests, regardless of the number of peers. */
+const creditsPerChange = 2;
+/** The maximum number of earned messages, enough for a few flushes. */
+const maximumCredits = 20;
+/** The interval at which unchanged loads are sent again, in milliseconds, to recover from lost messages. */
 const repeatMilliseconds = 500;
 
 /**
-Shares with the nearest entry instances how much work each has at which server, so that their choices do not meet at the same one.
+Exchanges the load at each server with the nearest entry instances, so that they do not all choose the same server.
 
-Reports of the servers would come too late: half a second is longer than most requests take.
+Load reports from the servers themselves would be too old: they arrive every half second, and most requests take less.
 
 @example
 ```ts
-const share = new LoadShare({own, peers, send});
-share.noteChange(1);
-share.flush(now);
+const exchange = new LoadExchange({ownLoads, peers, send});
+exchange.recordChange(1);
+exchange.flush(now);
 ```
 */
 export class LoadShare {
 	readonly #options: LoadShareOptions;
 	readonly #peers = new Map<InstanceId, PeerLoads>();
 	#sums = new Map<ServerId, number>();
-	/** How much the own work changed since the last message, up and down together. */
-	#changed = 0;
-	/** The messages that may be sent now. */
-	#saved = 0;
+	/** The sum of the absolute changes of the local load since the last message. */
+	#pendingChange = 0;
+	/** The number of earned messages. */
+	#credits = 0;
 	#sentAt = 0;
 	#wasIdle = true;
 
@@ -55,17 +55,17 @@
 	}
 
 	/**
-	Notes that an own load changed.
+	Records a change of the local load.
 
-	@param work By how much, in units of a short request.
+	@param change The change, in units of a short request.
 	*/
-	noteChange(work: number): void {
-		this.#changed += Math.abs(work);
-		this.#saved = Math.min(maximumSaved, this.#saved + messagesPerChange);
+	noteChange(change: number): void {
+		this.#pendingChange += Math.abs(change);
+		this.#credits = Math.min(maximumCredits, this.#credits + creditsPerChange);
 	}
 
 	/**
-	Sends the own loads where they changed enough, and drops those of peers that fell silent.
+	Sends the local loads if they changed enough, and removes those of peers that stopped sending.
 
 	@param now Milliseconds on the monotonic clock.
 	*/
@@ -73,15 +73,15 @@
 		this.#expire(now);
 		const peers = this.#options.peers();
 		const elapsed = now - this.#sentAt;
-		const mayTell = this.#changed >= leastChange && this.#saved >= peers.length;
-		const mustTell = elapsed >= repeatMilliseconds && !(this.#wasIdle && this.#changed === 0);
-		if (!mayTell && !mustTell) {
+		const shouldSendChange = this.#pendingChange >= minimumChange && this.#credits >= peers.length;
+		const shouldRepeat = elapsed >= repeatMilliseconds && !(this.#wasIdle && this.#pendingChange === 0);
+		if (!shouldSendChange && !shouldRepeat) {
 			return;
 		}
 
 		const message: LoadMessage = {type: 'load', loads: this.#options.own()};
-		this.#changed = 0;
-		this.#saved = Math.max(0, this.#saved - peers.length);
+		this.#pendingChange = 0;
+		this.#credits = Math.max(0, this.#credits - peers.length);
 		this.#sentAt = now;
 		this.#wasIdle = message.loads.length === 0;
 		for (const peer of peers) {
@@ -90,7 +90,7 @@
 	}
 
 	/**
-	Takes the loads of a peer; they replace those it told before.
+	Applies the loads of a peer, which replace its previous ones.
 
 	@param from The peer.
 	@param message Its loads.
@@ -98,21 +98,21 @@
 	*/
 	receive(from: InstanceId, {loads}: LoadMessage, now: number): void {
 		this.#peers.set(from, {loads: new Map(loads), at: now});
-		this.#sum();
+		this.#updateSums();
 	}
 
 	/**
-	The work of the peers at a server.
+	Returns the load of the peers at a server.
 
 	@param server The server.
-	@returns The sum of what they told.
+	@returns The sum of the reported loads, in units of a short request.
 	*/
 	othersOn(server: ServerId): number {
 		return this.#sums.get(server) ?? 0;
 	}
 
 	/**
-	Forgets what peers told of a server whose process has ended.
+	Discards the reported loads at a server whose process has ended.
 
 	@param server The server.
 	*/
@@ -121,7 +121,7 @@
 			this.#peers.set(peer, {loads: new Map([...loads].filter(([id]) => id !== server)), at});
 		}
 
-		this.#sum();
+		this.#updateSums();
 	}
 
 	#expire(now: number): void {
@@ -134,11 +134,11 @@
 		}
 
 		if (isExpired) {
-			this.#sum();
+			this.#updateSums();
 		}
 	}
 
-	#sum(): void {
+	#updateSums(): void {
 		const sums = new Map<ServerId, number>();
 		for (const {loads} of this.#peers.values()) {
 			for (const [server, load] of loads) {
--- a/packages/gateway/src/entry/placement.ts
+++ b/packages/gateway/src/entry/placement.ts
@@ -9,21 +9,21 @@
 import {type PromptSubject} from './find-server-options.js';
 import {type GatewayRequest, type PromptPart} from './gateway-request.js';
 
-/** Which request is placed. */
+/** Options of {@linkcode Placement}. */
 export type PlacementOptions = {
 	readonly request: GatewayRequest;
 	readonly route: Route;
-	/** The bytes of its body. */
+	/** The size of the request body, in bytes. */
 	readonly bytes: number;
 };
 
-/** What the choice of servers works with. */
+/** The part of the context that a placement uses. */
 export type PlacementContext = Pick<EntryContext, 'servers' | 'pins' | 'repeats' | 'clock' | 'random' | 'bounds' | 'rolloutOf'>;
 
-type VersionWish = (version: VersionId) => boolean;
+type VersionPredicate = (version: VersionId) => boolean;
 
 /**
-Chooses the servers for the sends of one request: by the roll-out of the service, the version of the session and of a stream that began, and the prompt's place in a cache.
+Chooses the servers for the sends of one request, based on the rollout of the service, the version of the session or of a stream in progress, and the prompt cache.
 
 @example
 ```ts
@@ -32,7 +32,7 @@
 ```
 */
 export class Placement {
-	/** The service of the route that was drawn for the request. */
+	/** The service chosen for the request by the traffic split of the route. */
 	readonly service: ServiceId;
 	readonly #context: PlacementContext;
 	readonly #request: GatewayRequest;
@@ -40,13 +40,13 @@
 	readonly #excluded = new Set<ServerId>();
 	readonly #shared: readonly PromptPart[];
 	readonly #homeScope: HomeScope;
-	#begunVersion: VersionId | undefined;
+	#startedVersion: VersionId | undefined;
 
 	constructor(context: PlacementContext, {request, route, bytes}: PlacementOptions) {
 		this.#context = context;
 		this.#request = request;
 		this.#route = route;
-		this.service = drawService(route, context.random);
+		this.service = chooseService(route, context.random);
 		this.#shared = route.usesPromptCache ? sharedParts(request.promptParts) : [];
 		this.#homeScope = this.#chooseHomeScope(bytes);
 	}
@@ -54,18 +54,18 @@
 	/**
 	Chooses a server.
 
-	@param model The model that should answer; undefined where the caller named it or there is none.
-	@param options `isSuspect`: whether a server ended under the request. It leaves the home of its prompt then, so that requests that were beside it there do not meet it again at the next server, and are told from it.
-	@returns The server, or undefined where none takes the request.
+	@param model The model; undefined if the caller chose it or the request needs none.
+	@param options `isSuspect`: whether a server process ended during the request. A suspect request does not use the home server of its prompt. Otherwise the requests that were in flight with it would meet it again at the next server, and could not be told apart from it.
+	@returns The server, or undefined if none is available.
 	*/
 	choose(model: ModelId | undefined, {isSuspect = false}: {readonly isSuspect?: boolean} = {}): ServerRecord | undefined {
 		const {servers, pins, clock} = this.#context;
 		const now = clock.monotonic();
 		const {session} = this.#request;
-		const subject = isSuspect ? undefined : this.#subject(model);
-		for (const isWanted of this.#wishes(now)) {
+		const promptKey = isSuspect ? undefined : this.#promptKey(model);
+		for (const isWanted of this.#versionPreferences(now)) {
 			const server = servers.find({
-				service: this.service, isWanted, excluded: this.#excluded, subject, now,
+				service: this.service, isWanted, excluded: this.#excluded, subject: promptKey, now,
 			});
 			if (server !== undefined) {
 				if (session !== undefined) {
@@ -80,10 +80,10 @@
 	}
 
 	/**
-	Tells whether another server than one takes the request.
+	Checks whether a server other than the given one is available for the request.
 
 	@param server The server.
-	@returns Whether there is one that was not tried.
+	@returns Whether there is one that has not been tried.
 	*/
 	hasAnother(server: ServerRecord): boolean {
 		const {servers, clock} = this.#context;
@@ -93,45 +93,45 @@
 		return another !== undefined;
 	}
 
-	/** Keeps the further sends from a server that was tried; where it has started again since, its next process was not. */
+	/** Excludes a server from further sends, unless it has restarted in the meantime, since its new process has not been tried. */
 	exclude(server: ServerRecord): void {
 		if (this.#context.servers.isCurrent(server)) {
 			this.#excluded.add(server.id);
 		}
 	}
 
-	/** Notes the version that began the stream; it goes on there while that version has servers. */
+	/** Records the version that started the stream; it resumes on that version as long as it has servers. */
 	begin(version: VersionId): void {
-		this.#begunVersion = version;
+		this.#startedVersion = version;
 	}
 
 	#chooseHomeScope(bytes: number): HomeScope {
-		const last = this.#shared.at(-1);
-		if (last === undefined) {
+		const lastShared = this.#shared.at(-1);
+		if (lastShared === undefined) {
 			return 'none';
 		}
 
 		const {repeats, clock} = this.#context;
 		const repeatsOnRoute = repeats.of(this.#route.id);
-		repeatsOnRoute.note(last.id, clock.monotonic());
+		repeatsOnRoute.note(lastShared.id, clock.monotonic());
 		const sharedTokens = this.#shared.reduce((sum, {tokens}) => sum + tokens, 0);
 		return chooseHomeScope({sharedTokens, repeatShare: repeatsOnRoute.share, bytes});
 	}
 
-	/** What the prompt has in common with others on the model; each model has a cache of its own. */
-	#subject(model: ModelId | undefined): PromptSubject | undefined {
-		const last = this.#shared.at(-1);
-		return last === undefined ? undefined : {name: `${last.id} ${model ?? ''}`, homeScope: this.#homeScope};
+	/** Returns the cache key of the prompt. It includes the model, since each model has its own cache. */
+	#promptKey(model: ModelId | undefined): PromptSubject | undefined {
+		const lastShared = this.#shared.at(-1);
+		return lastShared === undefined ? undefined : {name: `${lastShared.id} ${model ?? ''}`, homeScope: this.#homeScope};
 	}
 
-	/** Which versions will do, the best first. */
-	#wishes(now: number): readonly VersionWish[] {
+	/** Returns predicates for the acceptable versions, in order of preference. */
+	#versionPreferences(now: number): readonly VersionPredicate[] {
 		const target = this.#context.rolloutOf(this.service)?.target;
 		const side = this.#side(now);
-		const ofSide: VersionWish = version => side === 'any' || (side === 'target') === (version === target);
-		const begun = this.#begunVersion;
-		const wishes = begun === undefined ? [ofSide] : [(version: VersionId) => version === begun, ofSide];
-		return side === 'target' ? [...wishes, () => true] : wishes;
+		const matchesSide: VersionPredicate = version => side === 'any' || (side === 'target') === (version === target);
+		const startedVersion = this.#startedVersion;
+		const preferences = startedVersion === undefined ? [matchesSide] : [(version: VersionId) => version === startedVersion, matchesSide];
+		return side === 'target' ? [...preferences, () => true] : preferences;
 	}
 
 	#side(now: number): RolloutSide {
@@ -150,18 +150,18 @@
 	}
 }
 
-/** The parts that other requests can share: the last one belongs to the request alone, unless there is no other. */
+/** Returns the parts that other requests can share: all but the last one, or the only one. */
 function sharedParts(parts: readonly PromptPart[]): readonly PromptPart[] {
 	return parts.length > 1 ? parts.slice(0, -1) : parts;
 }
 
-/** Draws a service of a route by its weight. */
-function drawService({services}: Route, random: () => number): ServiceId {
+/** Chooses a service of a route at random by weight. */
+function chooseService({services}: Route, random: () => number): ServiceId {
 	const total = services.reduce((sum, {weight}) => sum + weight, 0);
-	let left = random() * total;
+	let remaining = random() * total;
 	for (const {service, weight} of services) {
-		left -= weight;
-		if (left < 0) {
+		remaining -= weight;
+		if (remaining < 0) {
 			return service;
 		}
 	}
--- a/packages/gateway/src/entry/repeat-book.ts
+++ b/packages/gateway/src/entry/repeat-book.ts
@@ -2,26 +2,26 @@
 import {RepeatShare} from '@valehitch/routing';
 import {type RouteId} from '../configuration/routing-configuration.js';
 
-/** The most routes that are kept, the least recently used going first: few have prompts, and each remembers up to a thousand subjects. */
+/** The maximum number of tracked routes, after which the least recently used one is discarded. Few routes have prompts, and each tracks up to a thousand subjects. */
 const maximumRoutes = 32;
 
 /**
-How often the subjects of prompts repeat, by route.
+Tracks per route how often the subjects of prompts repeat.
 
 @example
 ```ts
-const repeats = new RepeatBook();
-repeats.of(route.id).note('5c1e07a2', now);
+const repeats = new RepeatTracker();
+repeats.forRoute(route.id).note('5c1e07a2', now);
 ```
 */
 export class RepeatBook {
 	readonly #shares = new RecentMap<RouteId, RepeatShare>(maximumRoutes);
 
 	/**
-	The repeats on a route.
+	Returns the tracker of a route, creating it if necessary.
 
 	@param route The route.
-	@returns Its counts, which count further requests too.
+	@returns The tracker, which also records further requests.
 	*/
 	of(route: RouteId): RepeatShare {
 		return this.#shares.touch(route, () => new RepeatShare());
--- a/packages/gateway/src/entry/server-standings.ts
+++ b/packages/gateway/src/entry/server-standings.ts
@@ -1,80 +1,80 @@
 import {type InstanceId, type ServerId} from '@valehitch/core';
 
-/** What control instances say of a server together; `unknown` where none that answers tells of it. */
+/** The combined report of the control instances about a server; `unknown` if no responding one reports it. */
 export type ServerStanding = 'alive' | 'silent' | 'unknown';
 
 /**
-What each control instance says of each server: a server is silent once all that answer call it so.
+The liveness of servers as reported by each control instance. A server is silent if all responding control instances report it as silent.
 
-A control instance that is cut off from the others misses the announcements of the servers that announce themselves there, so that its word alone proves nothing.
+A control instance that is partitioned from the others misses the announcements that servers send to them, so its report alone is not sufficient.
 
 @example
 ```ts
-const standings = new ServerStandings();
-standings.tell(server, {source, isSilent: true});
-standings.of(server); // 'silent'
+const liveness = new ServerLivenessTable();
+liveness.report(server, {source, isSilent: true});
+liveness.of(server); // 'silent'
 ```
 */
 export class ServerStandings {
-	readonly #isSilentBy = new Map<ServerId, Map<InstanceId, boolean>>();
-	readonly #lost = new Set<InstanceId>();
+	readonly #reports = new Map<ServerId, Map<InstanceId, boolean>>();
+	readonly #unresponsive = new Set<InstanceId>();
 
 	/**
-	Notes what a control instance says of a server.
+	Records the report of a control instance about a server.
 
 	@param server The server.
-	@param word The control instance, and whether the server has announced itself to none for long, as far as that instance knows.
+	@param report The control instance, and whether as far as it knows the server has not announced itself to any control instance for long.
 	*/
 	tell(server: ServerId, {source, isSilent}: {readonly source: InstanceId; readonly isSilent: boolean}): void {
-		const words = this.#isSilentBy.get(server) ?? new Map<InstanceId, boolean>();
-		this.#isSilentBy.set(server, words.set(source, isSilent));
+		const reports = this.#reports.get(server) ?? new Map<InstanceId, boolean>();
+		this.#reports.set(server, reports.set(source, isSilent));
 	}
 
 	/**
-	Notes that a control instance does not answer: its word counts again once it does.
+	Records that a control instance is not responding. Its reports are ignored until it responds again.
 
 	@param source The control instance.
 	*/
 	lose(source: InstanceId): void {
-		this.#lost.add(source);
+		this.#unresponsive.add(source);
 	}
 
 	/**
-	Notes that a control instance answers.
+	Records that a control instance responds.
 
 	@param source The control instance.
-	@param options `isWhole`: whether it tells all that it has, so that what it said before counts no more.
+	@param options `isWhole`: whether it sent its full state, which replaces its earlier reports.
 	*/
-	hear(source: InstanceId, {isWhole}: {readonly isWhole: boolean}): void {
-		this.#lost.delete(source);
-		if (!isWhole) {
+	hear(source: InstanceId, {isFullState}: {readonly isFullState: boolean}): void {
+		this.#unresponsive.delete(source);
+		if (!isFullState) {
 			return;
 		}
 
-		for (const words of this.#isSilentBy.values()) {
-			words.delete(source);
+		for (const reports of this.#reports.values()) {
+			reports.delete(source);
 		}
 	}
 
 	/**
-	Forgets a server.
+	Removes the reports about a server.
 
 	@param server The server.
 	*/
 	forget(server: ServerId): void {
-		this.#isSilentBy.delete(server);
+		this.#reports.delete(server);
 	}
 
 	/**
-	What the control instances that answer say of a server.
+	Returns the combined report of the responding control instances about a server.
 
 	@param server The server.
-	@returns Alive where one says so, silent where all that tell of it do.
+	@returns `alive` if any of them reports it as alive, and `silent` if all that report it do so as silent.
 	*/
 	of(server: ServerId): ServerStanding {
 		let standing: ServerStanding = 'unknown';
-		for (const [source, isSilent] of this.#isSilentBy.get(server) ?? []) {
-			if (this.#lost.has(source)) {
+		for (const [source, isSilent] of this.#reports.get(server) ?? []) {
+			if (this.#unresponsive.has(source)) {
 				continue;
 			}
 
@@ -89,13 +89,13 @@
 	}
 
 	/**
-	Tells whether any control instance called a server alive last, also one that does not answer: it tells of a server only where something changes.
+	Checks whether the last report of any control instance about a server was alive. Unresponsive ones are included, because control instances report only changes.
 
 	@param server The server.
-	@returns Whether one did.
+	@returns Whether there is such a report.
 	*/
 	isHeldByAny(server: ServerId): boolean {
-		const words = this.#isSilentBy.get(server)?.values() ?? [];
-		return [...words].includes(false);
+		const reports = this.#reports.get(server)?.values() ?? [];
+		return [...reports].includes(false);
 	}
 }
--- a/packages/gateway/src/entry/version-pins.ts
+++ b/packages/gateway/src/entry/version-pins.ts
@@ -1,10 +1,10 @@
 import {type VersionId} from '@valehitch/core';
 
-/** How long sessions are remembered. */
+/** Options of {@linkcode VersionPins}. */
 export type VersionPinsOptions = {
-	/** The time without a request after which a session has ended, in milliseconds. */
+	/** The idle time after which a session ends, in milliseconds. */
 	readonly sessionMilliseconds: number;
-	/** The most sessions that are remembered; 20,000 by default, about 3 MB. */
+	/** The maximum number of tracked sessions; 20,000 by default, which takes about 3 MB. */
 	readonly maximumSessions?: number;
 };
 
@@ -14,13 +14,13 @@
 };
 
 /**
-Remembers on which version each session ran last.
+Tracks the version that each session last ran on.
 
 @example
 ```ts
 const pins = new VersionPins({sessionMilliseconds: 5000});
-pins.note('crew-7', version, now);
-pins.of('crew-7', now);
+pins.pin('crew-7', version, now);
+pins.versionOf('crew-7', now);
 ```
 */
 export class VersionPins {
@@ -32,11 +32,11 @@
 	}
 
 	/**
-	The version of a session.
+	Returns the version of a session.
 
 	@param session The session.
 	@param now Milliseconds on the monotonic clock.
-	@returns The version; undefined where the session is not known or has ended.
+	@returns The version; undefined if the session is unknown or has ended.
 	*/
 	of(session: string, now: number): VersionId | undefined {
 		const pin = this.#pins.get(session);
@@ -44,10 +44,10 @@
 	}
 
 	/**
-	Notes a request of a session.
+	Records a request of a session.
 
 	@param session The session.
-	@param version The version that it runs on.
+	@param version The version that the request runs on.
 	@param now Milliseconds on the monotonic clock.
 	*/
 	note(session: string, version: VersionId, now: number): void {
