--- a/packages/gateway/src/entry/configuration-lease.ts
+++ b/packages/gateway/src/entry/configuration-lease.ts
@@ -1,19 +1,19 @@
 import {type SuspensionWatch} from '@valehitch/core';
 
-/** How long a confirmation counts. */
+/** Options of {@linkcode ConfigurationLease}. */
 export type ConfigurationLeaseOptions = {
-	/** Milliseconds. */
+	/** How long a confirmation is valid, in milliseconds. */
 	readonly duration: number;
-	/** Tells when the machine may last have been suspended. */
+	/** Reports when the machine may last have resumed from a suspension. */
 	readonly suspension: Pick<SuspensionWatch, 'lastWake'>;
-	/** Called where the machine may have been suspended, so that the age of the last confirmation is not known any more. */
+	/** Called when the machine may have been suspended, after which the age of the last confirmation is unknown. */
 	readonly onDoubt: () => void;
 };
 
 /**
-Tells whether the configuration of an entry instance was lately known to be the newest; without that, a key may have been taken away meanwhile.
+Tracks whether the configuration of an entry instance was recently confirmed to be current. Without a recent confirmation, an API key may have been revoked.
 
-The monotonic clock goes on while the process is frozen, so that a lease that ran out meanwhile is noticed before the next send. While the machine is suspended it stands still: a confirmation from before counts no more then, and one question to control, a few milliseconds, brings the next.
+The monotonic clock advances while the process is paused, so a lease that expired in the meantime is noticed before the next send. It stops while the machine is suspended, so a suspension invalidates earlier confirmations. A single request to a control instance, which takes a few milliseconds, then renews the lease.
 
 @example
 ```ts
@@ -26,7 +26,7 @@
 	readonly #options: ConfigurationLeaseOptions;
 	#confirmedAt = Number.NEGATIVE_INFINITY;
 	#isDoubted = false;
-	/** The wake that is taken account of, in milliseconds on the monotonic clock. */
+	/** The last resume that was handled, in milliseconds on the monotonic clock. */
 	#wokeAt: number;
 
 	constructor(options: ConfigurationLeaseOptions) {
@@ -35,29 +35,29 @@
 	}
 
 	/**
-	Notes that the configuration was the newest at a time.
+	Records that the configuration was current at a given time.
 
-	@param at Milliseconds on the monotonic clock, from a question that was sent since the machine last woke.
+	@param at Milliseconds on the monotonic clock. The request that led to the confirmation must have been sent after the machine last resumed.
 	*/
 	confirm(at: number): void {
-		this.#look();
+		this.#checkSuspension();
 		this.#confirmedAt = Math.max(this.#confirmedAt, at);
 		this.#isDoubted &&= this.#confirmedAt === Number.NEGATIVE_INFINITY;
 	}
 
-	/** Whether the configuration was ever confirmed in this run of the process. */
+	/** Whether the configuration has been confirmed since the process started. */
 	get wasConfirmed(): boolean {
 		return this.#isDoubted || this.#confirmedAt !== Number.NEGATIVE_INFINITY;
 	}
 
-	/** Whether the machine may have been suspended since the last confirmation, so that the next one is on its way. */
+	/** Whether the machine may have been suspended since the last confirmation; the next one has then already been requested. */
 	get isDoubted(): boolean {
-		this.#look();
+		this.#checkSuspension();
 		return this.#isDoubted;
 	}
 
 	/**
-	Tells whether the lease holds.
+	Checks whether the lease is valid.
 
 	@param now Milliseconds on the monotonic clock.
 	@returns Whether the last confirmation is recent enough.
@@ -67,17 +67,17 @@
 	}
 
 	/**
-	The age of the last confirmation.
+	Returns the age of the last confirmation.
 
 	@param now Milliseconds on the monotonic clock.
-	@returns Milliseconds; infinite before the first, and where it is not known.
+	@returns Milliseconds; infinite before the first confirmation and after a suspension.
 	*/
 	age(now: number): number {
-		this.#look();
+		this.#checkSuspension();
 		return now - this.#confirmedAt;
 	}
 
-	#look(): void {
+	#checkSuspension(): void {
 		const {suspension, onDoubt} = this.#options;
 		const wokeAt = suspension.lastWake();
 		if (wokeAt > this.#wokeAt) {
--- a/packages/gateway/src/entry/control-watch.ts
+++ b/packages/gateway/src/entry/control-watch.ts
@@ -3,32 +3,32 @@
 import {type DecisionLog} from '../logs/decision-log.js';
 import {type GatewayMetrics} from '../logs/gateway-metrics.js';
 
-/** What the questions of an entry instance bring, with the time for which they are sure. */
+/** A reply of a control instance, with the time for which it confirms the state. */
 export type ControlNews = {
 	readonly source: InstanceId;
 	readonly reply: WatchReply;
-	/** Whether the reply holds all that the source knows, since its process is another one than at the last reply. */
+	/** Whether the reply holds the full state of the source rather than the changes; true if its process restarted since the last reply. */
 	readonly isWhole: boolean;
-	/** The time at which the source's state was surely the newest, in milliseconds on the own monotonic clock; undefined where it is not known. */
+	/** The latest time at which the state of the source is known to have been current, in milliseconds on the local monotonic clock; undefined if unknown. */
 	readonly confirmedAt: number | undefined;
 };
 
-/** What the watch on control needs. */
+/** Options of {@linkcode ControlWatch}. */
 export type ControlWatchOptions = {
 	readonly clock: Clock;
 	readonly suspension: Pick<SuspensionWatch, 'lastWake'>;
 	readonly log: DecisionLog;
 	readonly metrics: GatewayMetrics;
-	/** The control instances that the settings name. */
+	/** The control instances listed in the settings. */
 	readonly seeds: () => readonly InstanceId[];
-	/** What goes with a question, besides what is remembered for each source. */
+	/** Returns the fields of a watch request, other than the position that is tracked for each source. */
 	readonly question: (host: InstanceId) => Pick<WatchMessage, 'zone' | 'configurationVersion' | 'rolloutDigest' | 'evidence'>;
-	/** Asks a control instance; undefined where no reply came within the timeout in milliseconds. */
+	/** Sends a watch request to a control instance; resolves to undefined if no reply arrived within the timeout in milliseconds. */
 	readonly ask: (to: InstanceId, message: WatchMessage, timeout: number) => Promise<WatchReply | undefined>;
 	readonly onNews: (news: ControlNews) => void;
-	/** Told of a control instance that answered before and does not any more. */
+	/** Called when a control instance stops replying. */
 	readonly onLost: (source: InstanceId) => void;
-	/** Waits, in milliseconds. */
+	/** Waits for a number of milliseconds. */
 	readonly wait: (milliseconds: number) => Promise<void>;
 };
 
@@ -40,17 +40,17 @@
 	failures: number;
 };
 
-/** As many control instances are asked at the same time; enough that one answers while any two are lost. */
-const sourcesAtOnce = 3;
-/** A control instance holds a question for up to 800 ms; the rest is for the way. */
+/** The number of control instances that are watched at the same time; one still replies if any two are lost. */
+const parallelSources = 3;
+/** The timeout of a watch request. A control instance holds a request for up to 800 ms; the rest allows for network latency. */
 const watchTimeoutMilliseconds = 1400;
-/** The pause after a question without a reply. */
+/** The delay after a watch request that got no reply. */
 const retryMilliseconds = 100;
-/** The pause between two questions, which bounds what a storm of changes costs. */
+/** The delay between two watch requests, which limits the cost of a burst of changes. */
 const pauseMilliseconds = 20;
 
 /**
-Keeps asking a few control instances for news, and moves on to others where one does not answer.
+Watches a few control instances for changes by long polling, and moves on to others when one does not reply.
 
 @example
 ```ts
@@ -61,7 +61,7 @@
 export class ControlWatch {
 	readonly #options: ControlWatchOptions;
 	readonly #sources = new Map<InstanceId, Source>();
-	readonly #inUse = new Set<InstanceId>();
+	readonly #watched = new Set<InstanceId>();
 	#hosts: readonly InstanceId[] = [];
 	#isStopped = false;
 
@@ -69,10 +69,10 @@
 		this.#options = options;
 	}
 
-	/** Starts to ask. */
+	/** Starts watching. */
 	start(): void {
-		for (let index = 0; index < sourcesAtOnce; index++) {
-			void this.#ask();
+		for (let index = 0; index < parallelSources; index++) {
+			void this.#pollContinuously();
 		}
 	}
 
@@ -80,32 +80,32 @@
 		this.#isStopped = true;
 	}
 
-	/** Asks the control instances that are asked anyway for a confirmation at once, since the questions in progress may be held. */
+	/** Requests an immediate confirmation from the watched control instances, since the requests in progress may be held. */
 	confirm(): void {
-		for (const host of this.#inUse) {
-			void this.#askOnce(host, {isUrgent: true});
+		for (const host of this.#watched) {
+			void this.#poll(host, {isUrgent: true});
 		}
 	}
 
-	async #ask(): Promise<void> {
+	async #pollContinuously(): Promise<void> {
 		while (!this.#isStopped) {
-			const host = this.#next();
+			const host = this.#chooseHost();
 			if (host === undefined) {
 				await this.#options.wait(retryMilliseconds);
 				continue;
 			}
 
-			this.#inUse.add(host);
-			while (!this.#isStopped && await this.#askOnce(host)) {
+			this.#watched.add(host);
+			while (!this.#isStopped && await this.#poll(host)) {
 				await this.#options.wait(pauseMilliseconds);
 			}
 
-			this.#inUse.delete(host);
+			this.#watched.delete(host);
 			await this.#options.wait(retryMilliseconds);
 		}
 	}
 
-	async #askOnce(host: InstanceId, {isUrgent = false} = {}): Promise<boolean> {
+	async #poll(host: InstanceId, {isUrgent = false} = {}): Promise<boolean> {
 		const {clock, suspension, question, ask, onNews, metrics, log} = this.#options;
 		const source = this.#sourceOf(host);
 		const sentAt = clock.monotonic();
@@ -130,25 +130,25 @@
 			});
 		}
 
-		const isWhole = reply.run !== source.run;
+		const isFullState = reply.run !== source.run;
 		Object.assign(source, {
 			run: reply.run, cursor: reply.cursor, suspectCursor: reply.suspectCursor, isAnswering: true, failures: 0,
 		});
 		this.#hosts = reply.hosts as readonly InstanceId[];
-		// The reply left no earlier than the question and the time that it was held, so this is the earliest time of the confirmation.
-		// Where the machine was suspended since the question, nobody knows how old the reply is.
+		// The reply was sent no earlier than the request plus the time it was held, so this is a lower bound for the time of the confirmation.
+		// If the machine was suspended after the request was sent, the age of the reply is unknown.
 		const isAgeKnown = reply.confirmedAgo !== undefined && sentAt >= suspension.lastWake();
 		const confirmedAt = isAgeKnown ? sentAt + reply.held - reply.confirmedAgo : undefined;
 		onNews({
-			source: host, reply, isWhole, confirmedAt,
+			source: host, reply, isWhole: isFullState, confirmedAt,
 		});
 		return true;
 	}
 
-	/** The control instance that is not asked yet and failed least often of late. */
-	#next(): InstanceId | undefined {
+	/** Returns the control instance with the fewest recent failures among those that are not watched. */
+	#chooseHost(): InstanceId | undefined {
 		const known = [...new Set([...this.#hosts, ...this.#options.seeds()])];
-		const free = known.filter(host => !this.#inUse.has(host));
+		const free = known.filter(host => !this.#watched.has(host));
 		return free.toSorted((one, other) => this.#sourceOf(one).failures - this.#sourceOf(other).failures)[0];
 	}
 
--- a/packages/gateway/src/entry/entry-context.ts
+++ b/packages/gateway/src/entry/entry-context.ts
@@ -13,15 +13,15 @@
 import {type RepeatBook} from './repeat-book.js';
 import {type VersionPins} from './version-pins.js';
 
-/** The bounds of a deployment that the handling of requests keeps. */
+/** The limits of a deployment that apply to the handling of requests. */
 export type EntryBounds = {
-	/** The share of a service's requests that a version on trial may get. */
+	/** The maximum share of a service's requests that a canary version may receive. */
 	readonly canaryShare: number;
-	/** Below this confidence, from 0 to 100, a larger model is asked. */
+	/** The confidence, from 0 to 100, below which a request escalates to a larger model. */
 	readonly leastConfidence: number;
 };
 
-/** What the handling of each request works with. */
+/** The state and services shared by the handling of all requests. */
 export type EntryContext = {
 	readonly clock: Clock;
 	readonly random: RandomSource;
@@ -37,14 +37,14 @@
 	readonly pins: VersionPins;
 	readonly repeats: RepeatBook;
 	readonly evidence: EvidenceCounter;
-	/** The newest configuration; undefined before the first. */
+	/** Returns the current configuration; undefined until the first one is received. */
 	readonly table: () => RouteTable | undefined;
-	/** Waits for news of control, for some milliseconds at the most. */
+	/** Waits for the next reply of a control instance, up to a timeout in milliseconds. */
 	readonly nextNews: (timeout: number) => Promise<void>;
-	/** Waits until backend servers came or changed, for some milliseconds at the most. */
+	/** Waits until backend servers are added or change, up to a timeout in milliseconds. */
 	readonly nextServers: (timeout: number) => Promise<void>;
-	/** The newest roll-out of a service. */
+	/** Returns the latest rollout of a service. */
 	readonly rolloutOf: (service: ServiceId) => RunningRollout | undefined;
-	/** When the instance ends, in milliseconds on the monotonic clock; undefined while no stop has begun. */
+	/** Returns when the instance stops, in milliseconds on the monotonic clock; undefined unless it is shutting down. */
 	readonly endsAt: () => number | undefined;
 };
--- a/packages/gateway/src/entry/entry-instance-options.ts
+++ b/packages/gateway/src/entry/entry-instance-options.ts
@@ -11,13 +11,13 @@
 import {type Dialect} from './dialect.js';
 import {type EntryBounds} from './entry-context.js';
 
-/** Where the instance listens. */
+/** The address to listen on. */
 export type ListenAddress = {
 	readonly host: string;
 	readonly port: number;
 };
 
-/** What an entry instance needs. */
+/** Options of {@linkcode EntryInstance}. */
 export type EntryInstanceOptions = {
 	readonly self: InstanceId;
 	readonly zone: ZoneId;
@@ -28,24 +28,25 @@
 	readonly metrics: GatewayMetrics;
 	readonly dialect: Dialect;
 	readonly bounds: EntryBounds;
-	/** How long a confirmation of the configuration counts, in milliseconds. */
+	/** How long a confirmation of the configuration is valid, in milliseconds. */
 	readonly leaseMilliseconds: number;
-	/** The time without a request after which a session has ended, in milliseconds. */
+	/** The idle time after which a session ends, in milliseconds. */
 	readonly sessionMilliseconds: number;
-	/** The further sends for each request, over all instances alike. */
+	/** The retry budget, as a ratio of retries to requests; the same on all instances. */
 	readonly retryShare: number;
-	/** The time over which further sends are a share of the requests, in milliseconds. */
+	/** The time window over which the retry budget applies, in milliseconds. */
 	readonly retryWindowMilliseconds: number;
-	/** Names this run of the process. */
+	/** Identifies this run of the process. */
 	readonly run: string;
-	/** The control instances that the settings name. */
+	/** Returns the control instances listed in the settings. */
 	readonly seeds: () => readonly InstanceId[];
+	/** Sends a watch request to a control instance; resolves to undefined if no reply arrived within the timeout in milliseconds. */
 	readonly ask: (to: InstanceId, message: WatchMessage, timeout: number) => Promise<WatchReply | undefined>;
-	/** Sends a message that wants no reply. */
+	/** Sends a message without waiting for a reply. */
 	readonly send: (to: InstanceId, message: LoadMessage) => void;
-	/** Tells a control instance; whether it said that it has it within the timeout in milliseconds. */
+	/** Reports suspects to a control instance; resolves to whether it acknowledged them within the timeout in milliseconds. */
 	readonly tell: (to: InstanceId, message: SuspectsMessage, timeout: number) => Promise<boolean>;
 	readonly wait: (milliseconds: number) => Promise<void>;
-	/** Reads a configuration as the operator wrote it. */
+	/** Parses a configuration document. */
 	readonly parse: (document: string) => Either<Failure, RoutingConfiguration>;
 };
--- a/packages/gateway/src/entry/entry-instance.ts
+++ b/packages/gateway/src/entry/entry-instance.ts
@@ -23,17 +23,17 @@
 import {SuspectReporter} from './suspect-reporter.js';
 import {VersionPins} from './version-pins.js';
 
-/** Further sends that one instance may make in a window without any traffic: the platform allows between two and eight for each instance of its deployments. */
+/** The retries that an instance may make in a time window without traffic. The platform allows each instance of its deployments between two and eight. */
 const retrySlack = 2;
-/** An idle connection is kept this many times longer than callers use it, so that none closes under a request. */
+/** Idle connections are kept open for this multiple of the callers' idle timeout, so that the server does not close a connection that a caller is about to reuse. */
 const idleFactor = 2;
-/** The time between two looks whether loads changed: below the time that most requests take, in milliseconds. */
-const shareMilliseconds = 80;
-/** The time for which connections are kept open after a stop began, while the balancer takes this instance out. */
+/** The interval at which changed loads are sent to peers, in milliseconds; shorter than most requests take. */
+const loadFlushMilliseconds = 80;
+/** The interval at which idle connections are closed while the instance drains, in milliseconds. */
 const drainPollMilliseconds = 50;
 
 /**
-One entry instance: it takes requests, routes them by what control tells, and goes on with what it knows where control is not reached.
+An entry instance: accepts requests and routes them by the state received from control instances. It continues with the last known state while no control instance is reachable.
 
 @example
 ```ts
@@ -45,17 +45,17 @@
 	readonly #options: EntryInstanceOptions;
 	readonly #context: EntryContext;
 	readonly #watch: ControlWatch;
-	readonly #share: LoadShare;
+	readonly #loadExchange: LoadShare;
 	readonly #reporter: SuspectReporter;
 	readonly #rollouts: KnownRollouts;
 	readonly #server: Server;
-	readonly #news = new StepWaiters();
-	readonly #serverNews = new StepWaiters();
-	/** What each control instance was told of the counters. */
-	readonly #told = new Map<InstanceId, EvidenceDelta>();
+	readonly #replyWaiters = new StepWaiters();
+	readonly #serverWaiters = new StepWaiters();
+	/** The evidence counters last sent to each control instance. */
+	readonly #evidenceDeltas = new Map<InstanceId, EvidenceDelta>();
 	#table: RouteTable | undefined;
 	#peers: readonly InstanceId[] = [];
-	#shareTimer: NodeJS.Timeout | undefined;
+	#loadTimer: NodeJS.Timeout | undefined;
 	#hadLease = false;
 	#inProgress = 0;
 	#endsAt: number | undefined;
@@ -64,7 +64,7 @@
 		const {clock, random, zone, self, run} = options;
 		this.#options = options;
 		this.#rollouts = new KnownRollouts(options);
-		this.#share = new LoadShare({
+		this.#loadExchange = new LoadShare({
 			own: () => this.#context.servers.loads,
 			peers: () => this.#peers,
 			send: options.send,
@@ -73,7 +73,7 @@
 		const servers = new EntryServers({
 			zone,
 			random,
-			share: this.#share,
+			share: this.#loadExchange,
 			onReplaced: dropIdleConnections,
 			onOutdated({id, state}, {held, source}) {
 				options.metrics.outdatedRecords.inc();
@@ -108,17 +108,17 @@
 			repeats: new RepeatBook(),
 			evidence: new EvidenceCounter({entry: self, run}),
 			table: () => this.#table,
-			nextNews: async timeout => Promise.race([this.#news.next(), options.wait(timeout)]),
-			nextServers: async timeout => Promise.race([this.#serverNews.next(), options.wait(timeout)]),
+			nextNews: async timeout => Promise.race([this.#replyWaiters.next(), options.wait(timeout)]),
+			nextServers: async timeout => Promise.race([this.#serverWaiters.next(), options.wait(timeout)]),
 			rolloutOf: service => this.#rollouts.of(service),
 			endsAt: () => this.#endsAt,
 		};
 		this.#watch = new ControlWatch({
 			...options,
 			suspension,
-			question: host => this.#question(host),
+			question: host => this.#watchFields(host),
 			onNews: news => {
-				this.#takeNews(news, clock.monotonic());
+				this.#applyReply(news, clock.monotonic());
 			},
 			onLost(source) {
 				servers.loseSource(source);
@@ -130,22 +130,22 @@
 		});
 	}
 
-	/** Whether requests should be sent here: there is a configuration that is known to be recent, and no stop has begun. */
+	/** Whether the instance is ready for requests: it has a configuration with a valid lease and is not shutting down. */
 	get isReady(): boolean {
 		const now = this.#options.clock.monotonic();
 		return this.#endsAt === undefined && this.#table !== undefined && (!this.#table.needsKeys || this.#context.lease.isValid(now));
 	}
 
 	/**
-	Starts to ask control and to listen.
+	Starts to watch the control instances and to listen for callers.
 
 	@throws If the port cannot be opened.
 	*/
 	async start(): Promise<void> {
 		this.#watch.start();
-		this.#shareTimer = setInterval(() => {
-			this.#share.flush(this.#options.clock.monotonic());
-		}, shareMilliseconds);
+		this.#loadTimer = setInterval(() => {
+			this.#loadExchange.flush(this.#options.clock.monotonic());
+		}, loadFlushMilliseconds);
 		const {host, port} = this.#options.listen;
 		await new Promise<void>((resolve, reject) => {
 			this.#server.once('error', reject);
@@ -154,25 +154,25 @@
 	}
 
 	/**
-	Says from now on that the instance is not ready, and asks callers to close their connections with each answer.
+	Begins the shutdown: from now on, the instance reports that it is not ready, and answers ask callers to close their connections.
 
-	@param endsAt Milliseconds on the monotonic clock when all connections will be closed.
+	@param endsAt When all connections will be closed, in milliseconds on the monotonic clock.
 	*/
 	beginStop(endsAt: number): void {
 		this.#endsAt = endsAt;
 	}
 
 	/**
-	Takes a message of another entry instance.
+	Handles a message from another entry instance.
 
-	@param from The instance.
-	@param message How much work it has at which server.
+	@param from The sender.
+	@param message The load of the sender at each server.
 	*/
 	receive(from: InstanceId, message: LoadMessage): void {
-		this.#share.receive(from, message, this.#options.clock.monotonic());
+		this.#loadExchange.receive(from, message, this.#options.clock.monotonic());
 	}
 
-	/** Closes connections without a request, so that their callers go elsewhere before the end. */
+	/** Closes idle connections, so that their callers connect to other instances before this one stops. */
 	closeIdle(): void {
 		this.#server.closeIdleConnections();
 	}
@@ -180,7 +180,7 @@
 	/**
 	Waits until no request is in progress.
 
-	@param until Milliseconds on the monotonic clock after which not to wait any more.
+	@param until The time at which to stop waiting, in milliseconds on the monotonic clock.
 	*/
 	async drained(until: number): Promise<void> {
 		while (this.#inProgress > 0 && this.#options.clock.monotonic() < until) {
@@ -192,7 +192,7 @@
 	/** Closes all connections. */
 	close(): void {
 		this.#watch.stop();
-		clearInterval(this.#shareTimer);
+		clearInterval(this.#loadTimer);
 		this.#server.close();
 		this.#server.closeAllConnections();
 	}
@@ -210,9 +210,9 @@
 		}
 	}
 
-	#question(host: InstanceId): Pick<WatchMessage, 'zone' | 'configurationVersion' | 'rolloutDigest' | 'evidence'> {
-		const delta = this.#told.get(host) ?? new EvidenceDelta();
-		this.#told.set(host, delta);
+	#watchFields(host: InstanceId): Pick<WatchMessage, 'zone' | 'configurationVersion' | 'rolloutDigest' | 'evidence'> {
+		const delta = this.#evidenceDeltas.get(host) ?? new EvidenceDelta();
+		this.#evidenceDeltas.set(host, delta);
 		return {
 			zone: this.#options.zone,
 			configurationVersion: this.#table?.version,
@@ -221,15 +221,15 @@
 		};
 	}
 
-	#takeNews({source, reply, isWhole, confirmedAt}: ControlNews, now: number): void {
+	#applyReply({source, reply, isWhole: isFullState, confirmedAt}: ControlNews, now: number): void {
 		const {log} = this.#options;
 		const {lease, servers, suspects} = this.#context;
 		suspects.take(reply.suspects, source);
 		this.#reporter.hear(source, reply.run);
-		const changed = servers.take(reply.records, {source, now, isWhole});
+		const changed = servers.take(reply.records, {source, now, isWhole: isFullState});
 		this.#peers = reply.entries;
 		if (changed.length > 0) {
-			this.#serverNews.wake();
+			this.#serverWaiters.wake();
 		}
 
 		for (const {id, state, service, version, startedAt, sequence} of changed) {
@@ -239,14 +239,14 @@
 		}
 
 		if (reply.configuration !== undefined) {
-			this.#adopt(reply.configuration.document, source);
+			this.#adoptConfiguration(reply.configuration.document, source);
 		}
 
 		if (confirmedAt !== undefined) {
 			lease.confirm(confirmedAt);
 		}
 
-		this.#news.wake();
+		this.#replyWaiters.wake();
 		this.#rollouts.take(reply, {confirmedAt, now});
 		const hasLease = lease.isValid(now);
 		if (hasLease !== this.#hadLease) {
@@ -255,7 +255,7 @@
 		}
 	}
 
-	#adopt(document: string, source: InstanceId): void {
+	#adoptConfiguration(document: string, source: InstanceId): void {
 		const parsed = this.#options.parse(document);
 		parsed.caseOf({
 			Left: ({message}) => {
--- a/packages/gateway/src/entry/suspect-reporter.ts
+++ b/packages/gateway/src/entry/suspect-reporter.ts
@@ -2,89 +2,89 @@
 import {type SuspectBook, type SuspectRecord} from '@valehitch/routing';
 import {type SuspectsMessage} from '../control/peer-message.js';
 
-/** What the reports need. */
+/** Options of {@linkcode SuspectReporter}. */
 export type SuspectReporterOptions = {
 	readonly book: Pick<SuspectBook, 'get' | 'told'>;
-	/** Tells a control instance; whether it said that it has it within the timeout in milliseconds. */
+	/** Sends a report to a control instance; resolves to whether it was acknowledged within the timeout in milliseconds. */
 	readonly tell: (to: InstanceId, message: SuspectsMessage, timeout: number) => Promise<boolean>;
 };
 
-type Host = {
+type ReportTarget = {
 	readonly run: string;
 	readonly pending: Set<RequestFingerprint>;
-	isTelling: boolean;
+	isSending: boolean;
 };
 
-/** A control instance answers at once; one that did not in this time is told again with its next news. In milliseconds. */
-const tellMilliseconds = 600;
+/** The timeout of a report, in milliseconds. Control instances acknowledge reports immediately; one that does not gets the full report again when it is next heard from. */
+const reportTimeoutMilliseconds = 600;
 
 /**
-Tells the control instances that this entry instance asks what it learned of requests that end servers: at once, since such a request is at the next instance within half a second.
+Reports requests that crash servers to the watched control instances. Reports are sent immediately, because such a request reaches the next instance within half a second.
 
-With the questions alone it would wait for the answer to the one in progress, 0.8 s.
+Sent along with the watch requests, a report would have to wait up to 0.8 s for the reply to the one in progress.
 
 @example
 ```ts
 const reporter = new SuspectReporter({book, tell});
-reporter.hear(control, run);
-reporter.note(fingerprint);
+reporter.addControl(control, run);
+reporter.report(fingerprint);
 ```
 */
 export class SuspectReporter {
 	readonly #options: SuspectReporterOptions;
-	readonly #hosts = new Map<InstanceId, Host>();
+	readonly #targets = new Map<InstanceId, ReportTarget>();
 
 	constructor(options: SuspectReporterOptions) {
 		this.#options = options;
 	}
 
 	/**
-	Notes that a control instance gave news; one that is new here, or has started anew, is told all that others know too.
+	Records that a control instance replied. If it is not known yet or has restarted, all records that are shared with control instances are reported to it.
 
-	@param host The control instance.
-	@param run Names the run of its process.
+	@param target The control instance.
+	@param run Identifies the run of its process.
 	*/
-	hear(host: InstanceId, run: string): void {
-		if (this.#hosts.get(host)?.run === run) {
+	hear(target: InstanceId, run: string): void {
+		if (this.#targets.get(target)?.run === run) {
 			return;
 		}
 
-		this.#hosts.set(host, {run, pending: new Set(this.#options.book.told.map(({fingerprint}) => fingerprint)), isTelling: false});
-		void this.#tell(host);
+		this.#targets.set(target, {run, pending: new Set(this.#options.book.told.map(({fingerprint}) => fingerprint)), isSending: false});
+		void this.#sendPending(target);
 	}
 
 	/**
-	Tells of a request of which something was learned here.
+	Reports a request whose record was changed by this instance.
 
 	@param fingerprint The request.
 	*/
 	note(fingerprint: RequestFingerprint): void {
-		for (const [host, {pending}] of this.#hosts) {
+		for (const [target, {pending}] of this.#targets) {
 			pending.add(fingerprint);
-			void this.#tell(host);
+			void this.#sendPending(target);
 		}
 	}
 
-	/** Tells what is pending; what is learned meanwhile goes together with the next message. */
-	async #tell(to: InstanceId): Promise<void> {
-		const host = this.#hosts.get(to);
-		if (host === undefined || host.isTelling) {
+	/** Sends the pending records. Records that are added while a message is in flight are sent together in the next one. */
+	async #sendPending(to: InstanceId): Promise<void> {
+		const target = this.#targets.get(to);
+		if (target === undefined || target.isSending) {
 			return;
 		}
 
-		host.isTelling = true;
-		while (host.pending.size > 0) {
-			const records = this.#take(host);
-			if (!await this.#options.tell(to, {type: 'suspects', records, isRelayed: false}, tellMilliseconds)) {
-				this.#forget(to, host);
+		target.isSending = true;
+		while (target.pending.size > 0) {
+			const records = this.#takePending(target);
+			if (!await this.#options.tell(to, {type: 'suspects', records, isRelayed: false}, reportTimeoutMilliseconds)) {
+				this.#remove(to, target);
 				return;
 			}
 		}
 
-		host.isTelling = false;
+		target.isSending = false;
 	}
 
-	#take({pending}: Host): readonly SuspectRecord[] {
+	#takePending({pending}: ReportTarget): readonly SuspectRecord[] {
 		const records: SuspectRecord[] = [];
 		for (const fingerprint of pending) {
 			const record = this.#options.book.get(fingerprint);
@@ -97,10 +97,10 @@
 		return records;
 	}
 
-	/** With its next news it is new here. */
-	#forget(to: InstanceId, host: Host): void {
-		if (this.#hosts.get(to) === host) {
-			this.#hosts.delete(to);
+	/** Removes a control instance, so that it gets the full report when it next replies. */
+	#remove(to: InstanceId, target: ReportTarget): void {
+		if (this.#targets.get(to) === target) {
+			this.#targets.delete(to);
 		}
 	}
 }
