--- a/packages/gateway/src/entry/_test-lease.ts
+++ b/packages/gateway/src/entry/_test-lease.ts
@@ -1,12 +1,12 @@
 import {ConfigurationLease, type ConfigurationLeaseOptions} from './configuration-lease.js';
 
-/** A lease for tests, of a machine that was never suspended unless `changes` says so. */
+/** Creates a lease for tests; by default the machine was never suspended. */
 export function testLease(changes: Partial<ConfigurationLeaseOptions> = {}): ConfigurationLease {
 	return new ConfigurationLease({
 		duration: 4500,
 		suspension: {lastWake: () => Number.NEGATIVE_INFINITY},
 		onDoubt() {
-			// Nobody asks control.
+			// There is no control instance to ask.
 		},
 		...changes,
 	});
--- a/packages/gateway/src/entry/_test-request.ts
+++ b/packages/gateway/src/entry/_test-request.ts
@@ -1,6 +1,6 @@
 import {type GatewayRequest} from './gateway-request.js';
 
-/** A plain request for tests. */
+/** Creates a minimal request for tests. */
 export function testRequest(changes: Partial<GatewayRequest> = {}): GatewayRequest {
 	return {
 		id: 'a1',
--- a/packages/gateway/src/entry/_test-run.ts
+++ b/packages/gateway/src/entry/_test-run.ts
@@ -24,10 +24,10 @@
 import {RepeatBook} from './repeat-book.js';
 import {VersionPins} from './version-pins.js';
 
-/** The control instance that tells of the servers. */
+/** The control instance that reports the servers. */
 export const control = '10.0.0.1' as InstanceId;
 
-/** Requests and answers as plain as they can be: each answer is the server's own. */
+/** A minimal dialect; it treats every answer as signed by the server for the request. */
 const plainDialect: Dialect = {
 	readRequest: () => testRequest(),
 	sendHeaders: (_request, {model}) => [['Host', 'desk.example'], ['Model', model ?? 'none']],
@@ -68,9 +68,9 @@
 	return {status: message.statusCode ?? 0, text, ...(typeof signature === 'string' && {signature})};
 }
 
-/** A caller's requests, one after the other, through an instance that knows no server until `nextServers` says so. */
-export async function askTimes(t: ExecutionContext, times: number, options: AskOptions) {
-	const {nextServers, route = testRoute(), patience = 60_000, inputTokens = 0, latencies, log = ignore, confirmEnd = async () => false, prepare = ignore} = options;
+/** Sends a number of requests in sequence through an instance that knows no server until `nextServers` adds some. */
+export async function sendRequests(t: ExecutionContext, times: number, options: SendRequestsOptions) {
+	const {nextServers, route = testRoute(), timeout = 60_000, inputTokens = 0, latencies, log = ignore, confirmEnd = async () => false, prepare = ignore} = options;
 	const clock = {now: () => new Date(), monotonic: () => performance.now()};
 	const servers = new EntryServers({
 		zone: 'hall-a' as ZoneId, random: () => 0.5, share: {othersOn: () => 0, noteChange: ignore, forget: ignore}, onReplaced: ignore,
@@ -104,7 +104,7 @@
 		endsAt: () => undefined,
 	};
 	prepare(context);
-	const request = testRequest({patience, inputTokens, choosesModel: route.sizes.length > 0});
+	const request = testRequest({patience: timeout, inputTokens, choosesModel: route.sizes.length > 0});
 	const authorized = authorizeRequest(request, {table, lease, now: clock.monotonic()}).unsafeCoerce();
 	const entry = await listen(t, (_message, response) => {
 		void new RequestRun(context, {
@@ -119,31 +119,31 @@
 	return {answers, evidence: context.evidence.of(new Set([route.services[0]!.service]))};
 }
 
-/** What is asked, and of which servers. */
-export type AskOptions = {
+/** Options of {@linkcode sendRequests}. */
+export type SendRequestsOptions = {
 	readonly nextServers: (servers: EntryServers) => void;
 	readonly route?: ReturnType<typeof testRoute>;
-	/** Takes the log lines; nothing unless given. */
+	/** Receives the log lines; they are discarded by default. */
 	readonly log?: EntryContext['log'];
-	/** How long the caller waits, in milliseconds. */
-	readonly patience?: number;
-	/** The tokens of the prompt. */
+	/** The caller's timeout, in milliseconds. */
+	readonly timeout?: number;
+	/** The length of the prompt, in tokens. */
 	readonly inputTokens?: number;
-	/** The times that are known; none unless given. */
+	/** The known latencies; none by default. */
 	readonly latencies?: LatencyBook;
-	/** Looks whether the process of a server has ended; none has unless given. */
+	/** Checks whether the process of a server has ended; by default none has. */
 	readonly confirmEnd?: EntrySuspectsOptions['confirmEnd'];
-	/** Called with what the instance works with, before the first request. */
+	/** Called with the context of the instance before the first request. */
 	readonly prepare?: (context: EntryContext) => void;
 };
 
-/** One request through such an instance. */
-export async function askThrough(t: ExecutionContext, nextServers: (servers: EntryServers) => void, route = testRoute()) {
-	const {answers} = await askTimes(t, 1, {nextServers, route});
+/** Sends one request through such an instance. */
+export async function sendRequest(t: ExecutionContext, nextServers: (servers: EntryServers) => void, route = testRoute()) {
+	const {answers} = await sendRequests(t, 1, {nextServers, route});
 	return answers[0];
 }
 
-/** Takes what nobody reads. */
+/** A callback that does nothing. */
 export function ignore(): void {
-	// Nothing to note.
+	// Intentionally empty.
 }
--- a/packages/gateway/src/entry/authorize-at-start.test.ts
+++ b/packages/gateway/src/entry/authorize-at-start.test.ts
@@ -5,20 +5,20 @@
 import {authorizeAtStart} from './authorize-at-start.js';
 import {testLease} from './_test-lease.js';
 
-/** An instance that has just started, or woken; each wait for news takes 100 ms and brings what is given. */
-async function askAfterStart(news: ReadonlyArray<'configuration' | 'confirmation'>, {patience = 4000, hasWoken = false} = {}): Promise<readonly [outcome: string, waited: number]> {
+/** Authorizes a request at an instance that has just started or resumed. Each wait for a reply takes 100 ms and yields the next of `replies`. */
+async function authorizeAfterStart(replies: ReadonlyArray<'configuration' | 'confirmation'>, {timeout = 4000, wasSuspended = false} = {}): Promise<readonly [outcome: string, waited: number]> {
 	let now = 0;
 	let wokeAt = Number.NEGATIVE_INFINITY;
 	const lease = testLease({duration: 4500, suspension: {lastWake: () => wokeAt}});
-	const left = [...news];
+	const remaining = [...replies];
 	const configured = new RouteTable(testConfiguration());
-	let table = hasWoken ? configured : undefined;
-	if (hasWoken) {
+	let table = wasSuspended ? configured : undefined;
+	if (wasSuspended) {
 		lease.confirm(-100);
 		wokeAt = now;
 	}
 
-	const authorized = await authorizeAtStart(testRequest({patience}), {
+	const authorized = await authorizeAtStart(testRequest({patience: timeout}), {
 		arrivedAt: 0,
 		context: {
 			lease,
@@ -26,7 +26,7 @@
 			clock: {now: () => new Date(0), monotonic: () => now},
 			async nextNews(timeout) {
 				now += Math.min(timeout, 100);
-				const next = left.shift();
+				const next = remaining.shift();
 				table = next === 'configuration' ? configured : table;
 				if (next === 'confirmation') {
 					lease.confirm(now);
@@ -37,16 +37,16 @@
 	return [authorized.caseOf<string>({Left: ({kind}) => kind, Right: ({workspace}) => workspace?.id ?? 'public'}), now];
 }
 
-test('a request that comes right after a start waits until the configuration is there and confirmed', async t => {
-	t.deepEqual(await askAfterStart(['configuration', 'confirmation']), ['mills', 200]);
+test('a request right after a start waits until a configuration is received and confirmed', async t => {
+	t.deepEqual(await authorizeAfterStart(['configuration', 'confirmation']), ['mills', 200]);
 });
 
-test('a request waits no longer than a part of its patience', async t => {
-	t.deepEqual(await askAfterStart(['configuration'], {patience: 1000}), ['configuration-expired', 250]);
-	t.deepEqual(await askAfterStart([], {patience: 1000}), ['no-configuration', 250]);
-	t.deepEqual(await askAfterStart([], {patience: 60_000}), ['no-configuration', 1000]);
+test('a request waits only for a share of its timeout', async t => {
+	t.deepEqual(await authorizeAfterStart(['configuration'], {timeout: 1000}), ['configuration-expired', 250]);
+	t.deepEqual(await authorizeAfterStart([], {timeout: 1000}), ['no-configuration', 250]);
+	t.deepEqual(await authorizeAfterStart([], {timeout: 60_000}), ['no-configuration', 1000]);
 });
 
-test('a request that comes as the machine wakes waits for the next confirmation', async t => {
-	t.deepEqual(await askAfterStart(['confirmation'], {hasWoken: true}), ['mills', 100]);
+test('a request right after the machine resumes waits for the next confirmation', async t => {
+	t.deepEqual(await authorizeAfterStart(['confirmation'], {wasSuspended: true}), ['mills', 100]);
 });
--- a/packages/gateway/src/entry/authorize-request.test.ts
+++ b/packages/gateway/src/entry/authorize-request.test.ts
@@ -14,7 +14,7 @@
 	});
 }
 
-test('a request needs a route and a key that a workspace holds', t => {
+test('a request needs a route and an API key of a workspace', t => {
 	t.is(kindOf({}), 'mills');
 	t.is(kindOf({path: '/none/'}), 'not-found');
 	t.is(kindOf({key: undefined}), 'unauthenticated');
@@ -22,14 +22,14 @@
 	t.is(kindOf({}, {isNew: true}), 'no-configuration');
 });
 
-test('a key is not trusted once the configuration was confirmed too long ago; public routes go on', t => {
+test('API keys are rejected once the lease has expired, but public routes still work', t => {
 	const table = new RouteTable(testConfiguration({routes: [testRoute({isPublic: true})]}));
 	t.is(kindOf({}, {confirmedAgo: 4499}), 'mills');
 	t.is(kindOf({}, {confirmedAgo: 4500}), 'configuration-expired');
 	t.is(kindOf({key: undefined}, {confirmedAgo: 4500, table}), 'public');
 });
 
-test('a configuration that was never confirmed in this run decides nothing against a caller', t => {
+test('no request is refused permanently before the configuration is confirmed for the first time', t => {
 	const confirmedAgo = Number.POSITIVE_INFINITY;
 	t.is(kindOf({}, {confirmedAgo}), 'configuration-expired');
 	t.is(kindOf({path: '/none/'}, {confirmedAgo}), 'configuration-expired');
--- a/packages/gateway/src/entry/choose-next-model.test.ts
+++ b/packages/gateway/src/entry/choose-next-model.test.ts
@@ -3,20 +3,20 @@
 import {chooseNextModel} from './choose-next-model.js';
 
 const [small, middle, large] = ['small', 'middle', 'large'] as ModelId[];
-const calm = {
+const withAmpleTime = {
 	sizes: [small!, middle!, large!], current: small!, leastConfidence: 50, timeLeft: 2000, expectedTime: 700,
 };
 
-test('the largest model is asked where the answer is unsure and there is time', t => {
-	t.is(chooseNextModel({...calm, confidence: 49}), large);
-	t.is(chooseNextModel({...calm, confidence: 50}), undefined);
-	t.is(chooseNextModel({...calm, confidence: undefined}), undefined);
-	t.is(chooseNextModel({...calm, current: large!, confidence: 1}), undefined);
+test('a request escalates to the largest model if the confidence is low and there is time', t => {
+	t.is(chooseNextModel({...withAmpleTime, confidence: 49}), large);
+	t.is(chooseNextModel({...withAmpleTime, confidence: 50}), undefined);
+	t.is(chooseNextModel({...withAmpleTime, confidence: undefined}), undefined);
+	t.is(chooseNextModel({...withAmpleTime, current: large!, confidence: 1}), undefined);
 });
 
-test('the less time is left for the largest model, the less sure the answer must be', t => {
-	t.is(chooseNextModel({...calm, expectedTime: 1500, confidence: 26}), undefined);
-	t.is(chooseNextModel({...calm, expectedTime: 1500, confidence: 24}), large);
-	t.is(chooseNextModel({...calm, expectedTime: 2000, confidence: 0}), undefined);
-	t.is(chooseNextModel({...calm, timeLeft: -10, confidence: 0}), undefined);
+test('the confidence threshold falls with the time left for the largest model', t => {
+	t.is(chooseNextModel({...withAmpleTime, expectedTime: 1500, confidence: 26}), undefined);
+	t.is(chooseNextModel({...withAmpleTime, expectedTime: 1500, confidence: 24}), large);
+	t.is(chooseNextModel({...withAmpleTime, expectedTime: 2000, confidence: 0}), undefined);
+	t.is(chooseNextModel({...withAmpleTime, timeLeft: -10, confidence: 0}), undefined);
 });
--- a/packages/gateway/src/entry/configuration-lease.test.ts
+++ b/packages/gateway/src/entry/configuration-lease.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import {testLease} from './_test-lease.js';
 
-test('a confirmation counts for the time of the lease', t => {
+test('a confirmation is valid for the duration of the lease', t => {
 	const lease = testLease({duration: 4500});
 	t.deepEqual([lease.isValid(1000), lease.wasConfirmed], [false, false]);
 	lease.confirm(1000);
@@ -9,7 +9,7 @@
 	t.deepEqual([lease.isValid(5499), lease.isValid(5500), lease.age(1500)], [true, false, 500]);
 });
 
-test('a confirmation from before a suspension counts no more, and the next one is asked for once', t => {
+test('a suspension invalidates the confirmation and requests the next one once', t => {
 	let wokeAt = Number.NEGATIVE_INFINITY;
 	let doubts = 0;
 	const lease = testLease({
--- a/packages/gateway/src/entry/confirm-server-end.test.ts
+++ b/packages/gateway/src/entry/confirm-server-end.test.ts
@@ -5,7 +5,7 @@
 
 const host = '127.0.0.1';
 
-test('a process that takes a connection has not ended, and one whose port refuses it has', async t => {
+test('a process has ended only if its port refuses connections', async t => {
 	const server = createServer(socket => {
 		socket.resetAndDestroy();
 	}).listen(0, host);
--- a/packages/gateway/src/entry/control-watch.test.ts
+++ b/packages/gateway/src/entry/control-watch.test.ts
@@ -9,10 +9,10 @@
 	run: 'one', cursor: 3, records: [], suspectCursor: 2, suspects: [], configuration: undefined, rollouts: [], rolloutDigest: '', held: 300, confirmedAgo: 100, hosts: [control], entries: [],
 };
 
-/** A watch whose questions are answered by hand. */
+/** Starts a watch whose requests are answered by the test. */
 function startWatch(t: ExecutionContext) {
 	const time = {now: 1000, wokeAt: Number.NEGATIVE_INFINITY};
-	const asked: Array<{readonly message: WatchMessage; readonly answer: (reply: WatchReply) => void}> = [];
+	const requests: Array<{readonly message: WatchMessage; readonly answer: (reply: WatchReply) => void}> = [];
 	const confirmed: Array<number | undefined> = [];
 	const watch = new ControlWatch({
 		clock: {now: () => new Date(0), monotonic: () => time.now},
@@ -24,62 +24,62 @@
 			zone: 'hall-a' as ZoneId, configurationVersion: undefined, rolloutDigest: '', evidence: [],
 		}),
 		ask: async (_to, message) => new Promise(resolve => {
-			asked.push({message, answer: resolve});
+			requests.push({message, answer: resolve});
 		}),
 		onNews({confirmedAt}) {
 			confirmed.push(confirmedAt);
 		},
 		onLost: ignore,
-		wait: async () => settled(),
+		wait: async () => waitForCallbacks(),
 	});
 	watch.start();
 	t.teardown(() => {
 		watch.stop();
-		for (const {answer} of asked) {
+		for (const {answer} of requests) {
 			answer(reply);
 		}
 	});
 	return {
-		watch, time, asked, confirmed,
+		watch, time, requests, confirmed,
 	};
 }
 
 function ignore(): void {
-	// Nobody reads it.
+	// Intentionally empty.
 }
 
-async function settled(): Promise<void> {
+async function waitForCallbacks(): Promise<void> {
 	await new Promise(resolve => {
 		setImmediate(resolve);
 	});
 }
 
-test('a reply confirms from the time of its question', async t => {
-	const {time, asked, confirmed} = startWatch(t);
+test('a reply confirms the state as of the time its request was sent', async t => {
+	const {time, requests, confirmed} = startWatch(t);
 	time.now = 1400;
-	asked[0]!.answer(reply);
-	await settled();
+	requests[0]!.answer(reply);
+	await waitForCallbacks();
 	t.deepEqual(confirmed, [1200]);
 });
 
-test('a reply to a question from before a suspension confirms nothing, and an urgent one is not held', async t => {
-	const {watch, time, asked, confirmed} = startWatch(t);
+test('a reply to a request sent before a suspension confirms nothing, and an urgent request is not held', async t => {
+	const {watch, time, requests, confirmed} = startWatch(t);
 	time.now = 1100;
 	time.wokeAt = 1100;
 	watch.confirm();
-	t.deepEqual(asked.map(({message}) => message.isUrgent), [false, true]);
-	asked[0]!.answer(reply);
-	asked[1]!.answer({...reply, held: 0});
-	await settled();
+	t.deepEqual(requests.map(({message}) => message.isUrgent), [false, true]);
+	requests[0]!.answer(reply);
+	requests[1]!.answer({...reply, held: 0});
+	await waitForCallbacks();
 	t.deepEqual(confirmed, [undefined, 1000]);
 });
 
-test('a question says what was learned by the one before', async t => {
-	const {asked} = startWatch(t);
-	asked[0]!.answer(reply);
-	while (asked.length < 2) {
-		await settled();
+test('a request includes the position from the previous reply', async t => {
+	const {requests} = startWatch(t);
+	requests[0]!.answer(reply);
+	while (requests.length < 2) {
+		await waitForCallbacks();
 	}
 
-	t.like(asked[1]!.message, {run: 'one', cursor: 3, suspectCursor: 2});
+	t.like(requests[1]!.message, {run: 'one', cursor: 3, suspectCursor: 2});
 });
--- a/packages/gateway/src/entry/event-stream.test.ts
+++ b/packages/gateway/src/entry/event-stream.test.ts
@@ -6,7 +6,7 @@
 	return bytes && Buffer.from(bytes).toString();
 }
 
-test('only whole events come out, at whatever bytes the stream is cut', t => {
+test('only complete events are returned, wherever the stream is split', t => {
 	const whole = 'id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: c\n\n';
 	for (let cut = 1; cut < whole.length; cut++) {
 		const stream = new EventStream();
@@ -18,7 +18,7 @@
 	}
 });
 
-test('a stream that goes on elsewhere drops the event that was cut, and keeps the last whole one', t => {
+test('a stream that resumes elsewhere discards the incomplete event and keeps the id of the last complete one', t => {
 	const stream = new EventStream('4');
 	t.is(stream.lastEventId, '4');
 	t.is(textOf(stream.push(Buffer.from('id: 5\ndata: a\n\nid: 6\nda'))?.bytes), 'id: 5\ndata: a\n\n');
--- a/packages/gateway/src/entry/model-steps.test.ts
+++ b/packages/gateway/src/entry/model-steps.test.ts
@@ -9,7 +9,7 @@
 	kind: 'streaming', targetLatency: 3000, sizes: ['small', 'large'] as ModelId[],
 });
 
-function stepsAfter(latency: number | undefined, tokens = 0): ModelSteps {
+function cascadeAfter(latency: number | undefined, tokens = 0): ModelSteps {
 	const models = new ModelSteps({latencies: new LatencyBook(clock), bounds: {leastConfidence: 50}}, {route, choosesModel: true, tokens});
 	if (latency !== undefined) {
 		models.larger({confidence: 90, latency, age: latency});
@@ -18,22 +18,22 @@
 	return models;
 }
 
-test('a silent server is looked for soon, and one that is reached is given up after some times its expected time', t => {
-	t.deepEqual(stepsAfter(undefined).silence, {quiet: 500, longest: 3000, longestKept: 1500}, 'nothing is known of its times');
-	t.deepEqual(stepsAfter(10).silence, {quiet: 500, longest: 500, longestKept: 500});
-	t.deepEqual(stepsAfter(100).silence, {quiet: 500, longest: 800, longestKept: 500});
-	t.deepEqual(stepsAfter(1000).silence, {quiet: 500, longest: 8000, longestKept: 4000});
+test('the reachability check comes early, and the maximum is a multiple of the expected latency', t => {
+	t.deepEqual(cascadeAfter(undefined).silence, {quiet: 500, longest: 3000, longestKept: 1500}, 'no latency is known');
+	t.deepEqual(cascadeAfter(10).silence, {quiet: 500, longest: 500, longestKept: 500});
+	t.deepEqual(cascadeAfter(100).silence, {quiet: 500, longest: 800, longestKept: 500});
+	t.deepEqual(cascadeAfter(1000).silence, {quiet: 500, longest: 8000, longestKept: 4000});
 });
 
-test('a server with a long prompt gets more time and counts as busier than one with a short prompt', t => {
+test('a long prompt gets a longer timeout and counts as a higher load', t => {
 	const latencies = new LatencyBook(clock);
-	const stepsOf = (tokens: number) => new ModelSteps({latencies, bounds: {leastConfidence: 50}}, {route, choosesModel: true, tokens});
-	stepsOf(4000).larger({confidence: 90, latency: 500, age: 500});
-	t.deepEqual(stepsOf(49_000).silence, {quiet: 500, longest: 40_000, longestKept: 20_000});
-	t.deepEqual([0, 4000, 49_000].map(tokens => stepsOf(tokens).work), [1, 5, 50]);
+	const createCascade = (tokens: number) => new ModelSteps({latencies, bounds: {leastConfidence: 50}}, {route, choosesModel: true, tokens});
+	createCascade(4000).larger({confidence: 90, latency: 500, age: 500});
+	t.deepEqual(createCascade(49_000).silence, {quiet: 500, longest: 40_000, longestKept: 20_000});
+	t.deepEqual([0, 4000, 49_000].map(tokens => createCascade(tokens).work), [1, 5, 50]);
 });
 
-test('a long prompt gets the larger model as a short one does', t => {
+test('a long prompt escalates to the larger model just like a short one', t => {
 	const largerFor = (tokens: number) => {
 		const latencies = new LatencyBook(clock);
 		latencies.note(`${route.id} large`, {milliseconds: 600, tokens: 4000});
--- a/packages/gateway/src/entry/placement.test.ts
+++ b/packages/gateway/src/entry/placement.test.ts
@@ -8,8 +8,8 @@
 import {RepeatBook} from './repeat-book.js';
 import {VersionPins} from './version-pins.js';
 
-/** The servers that requests about one subject of a long prompt are sent to. */
-function serversChosen({isSuspect}: {readonly isSuspect: boolean}): ReadonlySet<ServerId> {
+/** Returns the servers chosen for requests that share a long prompt prefix. */
+function chosenServers({isSuspect}: {readonly isSuspect: boolean}): ReadonlySet<ServerId> {
 	let draws = 0;
 	const random = (): number => {
 		draws++;
@@ -43,10 +43,10 @@
 }
 
 function ignore(): void {
-	// Nobody is told.
+	// Intentionally empty.
 }
 
-test('a subject that is asked about often has a home, and a request that a server ended under leaves it', t => {
-	t.is(serversChosen({isSuspect: false}).size, 1);
-	t.true(serversChosen({isSuspect: true}).size > 4);
+test('requests with a common prompt prefix have a home server, which suspect requests do not use', t => {
+	t.is(chosenServers({isSuspect: false}).size, 1);
+	t.true(chosenServers({isSuspect: true}).size > 4);
 });
--- a/packages/gateway/src/entry/reach-server.test.ts
+++ b/packages/gateway/src/entry/reach-server.test.ts
@@ -5,9 +5,9 @@
 
 const timeout = 5000;
 
-test('a server that takes connections is reached, though it never answers', async t => {
+test('a server is reachable if it accepts connections, even if it never answers', async t => {
 	const server = createServer(() => {
-		// It says nothing.
+		// Sends no data.
 	});
 	server.listen(0, '127.0.0.1');
 	await once(server, 'listening');
--- a/packages/gateway/src/entry/request-run.test.ts
+++ b/packages/gateway/src/entry/request-run.test.ts
@@ -4,42 +4,42 @@
 import {testRoute} from '../configuration/_test-configuration.js';
 import {testServer} from '../servers/_test-server.js';
 import {
-	askThrough, askTimes, control, ignore, listen,
+	control, ignore, listen, sendRequest, sendRequests,
 } from './_test-run.js';
 import {type EntryServers} from './entry-servers.js';
 import {LatencyBook} from './latency-book.js';
 
-test('a request that finds no server waits for the first one', async t => {
+test('a request waits for the first server if there is none', async t => {
 	const port = await listen(t, (_message, response) => {
 		response.end('printed');
 	});
-	const answer = await askThrough(t, servers => {
+	const answer = await sendRequest(t, servers => {
 		servers.take([testServer({port})], {source: control, now: performance.now()});
 	});
 	t.deepEqual(answer, {status: 200, text: 'printed'});
 });
 
-test('a request that still finds none after its wait is refused', async t => {
+test('a request is refused if there is still no server after the wait', async t => {
 	let asked = 0;
-	const answer = await askThrough(t, () => {
+	const answer = await sendRequest(t, () => {
 		asked++;
 	});
 	t.deepEqual(answer, {status: 503, text: 'no-server'});
 	t.true(asked > 0);
 });
 
-test('a stream that has no events left is answered with the head of its server', async t => {
+test('a stream without further events is answered with the head of the server', async t => {
 	const port = await listen(t, (_message, response) => {
 		response.writeHead(200, {Signature: 'of-the-server'});
 		response.end();
 	});
-	const answer = await askThrough(t, servers => {
+	const answer = await sendRequest(t, servers => {
 		servers.take([testServer({port})], {source: control, now: performance.now()});
 	}, testRoute({kind: 'streaming', isResumable: true, timeout: 8000}));
 	t.deepEqual(answer, {status: 200, text: '', signature: 'of-the-server'});
 });
 
-test('a request whose server starts again goes to its next process at once, and the former one counts against nobody', async t => {
+test('a request whose server restarts is sent to the new process immediately, which is not blamed for the old one', async t => {
 	let known: EntryServers | undefined;
 	const requests: string[] = [];
 	const port = await listen(t, (message, response) => {
@@ -49,10 +49,10 @@
 			return;
 		}
 
-		// The former process says nothing more; control hears of the next one, at the same address.
+		// The old process sends no more data. The control instance reports the new one at the same address.
 		known?.take([testServer({port, startedAt: 2000})], {source: control, now: performance.now()});
 	});
-	const answer = await askThrough(t, servers => {
+	const answer = await sendRequest(t, servers => {
 		known = servers;
 		servers.take([testServer({port, startedAt: 1000, sequence: 40})], {source: control, now: performance.now()});
 	}, testRoute({kind: 'safe', maximumAttempts: 2, timeout: 8000}));
@@ -61,7 +61,7 @@
 	t.true(known?.isCurrent(testServer({port, startedAt: 2000})));
 });
 
-test('a kept connection that was dropped is no fault of its server, and the request goes there again', async t => {
+test('a closed keep-alive connection is not a fault of the server, and the request is sent there again', async t => {
 	const requests = new Map<unknown, number>();
 	const port = await listen(t, (message, response) => {
 		const count = (requests.get(message.socket) ?? 0) + 1;
@@ -73,7 +73,7 @@
 
 		response.end('found');
 	});
-	const {answers, evidence} = await askTimes(t, 12, {
+	const {answers, evidence} = await sendRequests(t, 12, {
 		route: testRoute({kind: 'safe', timeout: 8000, maximumAttempts: 2}),
 		nextServers(known) {
 			known.take([testServer({port})], {source: control, now: performance.now()});
@@ -84,11 +84,11 @@
 	t.deepEqual(evidence.map(({answers: count, failures}) => [count, failures]), [[12, 0]]);
 });
 
-test('a request that may have run is not refused as not run, also where it may be repeated', async t => {
+test('a request that may have run is not refused as not run, even if it may be repeated', async t => {
 	const port = await listen(t, message => {
 		message.socket.destroy();
 	});
-	const {answers} = await askTimes(t, 1, {
+	const {answers} = await sendRequests(t, 1, {
 		route: testRoute({kind: 'safe', timeout: 8000, maximumAttempts: 3}),
 		nextServers(known) {
 			known.take([testServer({port})], {source: control, now: performance.now()});
@@ -97,7 +97,7 @@
 	t.deepEqual(answers.map(({status, text}) => [status, text]), [[502, 'outcome-unknown']]);
 });
 
-/** A server of two models: the small one is unsure, and the large one does as told. */
+/** Starts a server with two models: the small one has low confidence, and the large one answers with `answerLarge`. */
 async function listenForModels(t: ExecutionContext, answerLarge: (message: IncomingMessage, response: ServerResponse) => void): Promise<number> {
 	return listen(t, (message, response) => {
 		if (message.headers.model === 'large') {
@@ -114,11 +114,11 @@
 	kind: 'streaming', isResumable: true, timeout: 60_000, targetLatency: 2000, maximumAttempts: 3, sizes: ['small', 'large'] as ModelId[],
 });
 
-test('the answer of a smaller model is kept until a better one has begun', async t => {
+test('the answer of a smaller model is discarded once a better one has started', async t => {
 	const port = await listenForModels(t, (_message, response) => {
 		response.end('id: 1\ndata: large\n\n');
 	});
-	const {answers} = await askTimes(t, 1, {
+	const {answers} = await sendRequests(t, 1, {
 		route: modelRoute,
 		nextServers(known) {
 			known.take([testServer({port})], {source: control, now: performance.now()});
@@ -127,11 +127,11 @@
 	t.deepEqual(answers.map(({text}) => text), ['id: 1\ndata: large\n\n']);
 });
 
-test('the answer of a smaller model is passed on where no server takes the better one', async t => {
+test('the answer of a smaller model is forwarded if no server runs the larger model', async t => {
 	const port = await listenForModels(t, (_message, response) => {
 		response.writeHead(429).end();
 	});
-	const {answers} = await askTimes(t, 1, {
+	const {answers} = await sendRequests(t, 1, {
 		route: modelRoute,
 		nextServers(known) {
 			known.take([testServer({port})], {source: control, now: performance.now()});
@@ -140,13 +140,13 @@
 	t.deepEqual(answers.map(({status, text}) => [status, text]), [[200, 'id: 1\ndata: small\n\n']]);
 });
 
-test('the answer of a smaller model is passed on where the better one does not come in time', async t => {
+test('the answer of a smaller model is forwarded if the better one does not arrive in time', async t => {
 	const port = await listenForModels(t, () => {
-		// It never answers.
+		// Never answers.
 	});
-	const {answers} = await askTimes(t, 1, {
+	const {answers} = await sendRequests(t, 1, {
 		route: modelRoute,
-		patience: 1000,
+		timeout: 1000,
 		nextServers(known) {
 			known.take([testServer({port})], {source: control, now: performance.now()});
 		},
@@ -154,8 +154,8 @@
 	t.deepEqual(answers.map(({status, text}) => [status, text]), [[200, 'id: 1\ndata: small\n\n']]);
 });
 
-/** The requests that reach a server which takes a while for a prompt, where short prompts usually take 100 ms. */
-async function sendsOf(t: ExecutionContext, inputTokens: number): Promise<number> {
+/** Counts the sends of a request to servers that take 1400 ms, when the expected latency of a short prompt is 100 ms. */
+async function countSends(t: ExecutionContext, inputTokens: number): Promise<number> {
 	let sends = 0;
 	const port = await listen(t, (_message, response) => {
 		sends++;
@@ -166,7 +166,7 @@
 	});
 	const latencies = new LatencyBook({monotonic: () => performance.now()});
 	latencies.note(`${modelRoute.id} small`, {milliseconds: 100, tokens: 1000});
-	const {answers} = await askTimes(t, 1, {
+	const {answers} = await sendRequests(t, 1, {
 		route: modelRoute,
 		inputTokens,
 		latencies,
@@ -178,12 +178,12 @@
 	return sends;
 }
 
-test('a long prompt is read by one server to its end, and a short one that waits there is sent elsewhere', async t => {
-	t.is(await sendsOf(t, 50_000), 1);
-	t.true(await sendsOf(t, 1000) > 1);
+test('a long prompt stays at one server, and a short one that is queued there is sent to another', async t => {
+	t.is(await countSends(t, 50_000), 1);
+	t.true(await countSends(t, 1000) > 1);
 });
 
-test('a kept answer whose connection ends before it is needed is no answer, and the caller is told so', async t => {
+test('a fallback answer whose connection broke is not used, and the caller gets a failure', async t => {
 	const port = await listen(t, (message, response) => {
 		if (message.headers.model === 'large') {
 			setTimeout(() => {
@@ -198,9 +198,9 @@
 			message.socket.resetAndDestroy();
 		}, 20);
 	});
-	const {answers} = await askTimes(t, 1, {
+	const {answers} = await sendRequests(t, 1, {
 		route: {...modelRoute, isResumable: false},
-		patience: 5000,
+		timeout: 5000,
 		nextServers(known) {
 			known.take([testServer({port})], {source: control, now: performance.now()});
 		},
@@ -208,12 +208,12 @@
 	t.deepEqual(answers.map(({status, text}) => [status, text]), [[502, 'outcome-unknown']]);
 });
 
-test('the last line of a request that a server got and did not answer in time says that it may have run, as the answer does', async t => {
+test('the last log line and the answer of a request that timed out at a server state that it may have run', async t => {
 	const port = await listen(t, ignore);
 	const lines: Array<readonly [string, Readonly<Record<string, unknown>>]> = [];
-	const {answers} = await askTimes(t, 1, {
+	const {answers} = await sendRequests(t, 1, {
 		route: testRoute({kind: 'unsafe'}),
-		patience: 300,
+		timeout: 300,
 		nextServers(servers) {
 			servers.take([testServer({port})], {source: control, now: 0});
 		},
@@ -230,7 +230,7 @@
 	kind: 'streaming', isResumable: true, timeout: 8000, targetLatency: 100, targetGap: 100,
 } as const;
 
-/** Answers with two events and a pause between them that is longer than a stall. */
+/** Answers with two events, with a pause between them that exceeds the stall timeout. */
 function answerWithPause(_message: IncomingMessage, response: ServerResponse): void {
 	response.writeHead(200);
 	response.write('id: 1\ndata: one\n\n');
@@ -241,17 +241,17 @@
 
 const bothEvents = {status: 200, text: 'id: 1\ndata: one\n\nid: 2\ndata: two\n\n'};
 
-test('a stream that stalls at the only server is kept and goes on there', async t => {
+test('a stalled stream of the only server is kept', async t => {
 	const port = await listen(t, answerWithPause);
-	const answer = await askThrough(t, servers => {
+	const answer = await sendRequest(t, servers => {
 		servers.take([testServer({port})], {source: control, now: performance.now()});
 	}, testRoute({...pausingRoute, maximumAttempts: 3}));
 	t.deepEqual(answer, bothEvents);
 });
 
-test('a stream that stalls with its last send is kept and goes on there', async t => {
+test('a stalled stream of the last allowed send is kept', async t => {
 	const ports = await Promise.all([listen(t, answerWithPause), listen(t, answerWithPause)]);
-	const answer = await askThrough(t, servers => {
+	const answer = await sendRequest(t, servers => {
 		servers.take(ports.map((port, index) => testServer({id: `server-${index}` as ServerId, port})), {source: control, now: performance.now()});
 	}, testRoute({...pausingRoute, maximumAttempts: 1}));
 	t.deepEqual(answer, bothEvents);
--- a/packages/gateway/src/entry/request-suspicion.test.ts
+++ b/packages/gateway/src/entry/request-suspicion.test.ts
@@ -6,20 +6,20 @@
 import {testServer} from '../servers/_test-server.js';
 import {testRequest} from './_test-request.js';
 import {
-	type AskOptions, askTimes, control, ignore, listen,
+	control, ignore, listen, sendRequests, type SendRequestsOptions,
 } from './_test-run.js';
 import {type EntryContext} from './entry-context.js';
 import {type EntryServers} from './entry-servers.js';
 
-/** What the caller of the tests asks, under whatever id. */
+/** The fingerprint of the request that the tests send. */
 const fingerprint = fingerprintRequest({...testRequest(), workspace: 'mills' as WorkspaceId, body: new Uint8Array()});
 const safeRoute = testRoute({kind: 'safe', timeout: 8000, maximumAttempts: 3});
 const streamRoute = testRoute({
 	kind: 'streaming', isResumable: true, timeout: 8000, targetLatency: 2000, maximumAttempts: 3, sizes: ['small', 'large'] as ModelId[],
 });
 
-/** Makes as many servers known as having ended under the request. */
-function endServers(count: number) {
+/** Records that a number of servers ended during the request. */
+function recordServerEnds(count: number) {
 	return ({suspects}: Pick<EntryContext, 'suspects'>): void => {
 		for (let index = 0; index < count; index++) {
 			suspects.book.noteEnd(fingerprint, {process: `former ${index}`, at: Date.now()});
@@ -27,71 +27,71 @@
 	};
 }
 
-/** Servers behind one port, which stand for as many processes. */
+/** Adds several servers with the same port, which represent separate processes. */
 function serversAt(port: number, count = 6) {
 	return (known: EntryServers): void => {
 		known.take(Array.from({length: count}, (_, index) => testServer({id: `server-${index}` as ServerId, port})), {source: control, now: performance.now()});
 	};
 }
 
-/** What one caller gets, and how often servers are asked for it. */
-async function askOnce(t: ExecutionContext, answer: (response: ServerResponse, model: string) => void, options: Partial<AskOptions> = {}) {
+/** Sends one request; returns its answer and the models that were requested. */
+async function requestOnce(t: ExecutionContext, answer: (response: ServerResponse, model: string) => void, options: Partial<SendRequestsOptions> = {}) {
 	const models: string[] = [];
 	const port = await listen(t, ({headers: {model}}, response) => {
 		models.push(String(model));
 		answer(response, String(model));
 	});
-	const {answers, evidence} = await askTimes(t, 1, {nextServers: serversAt(port), route: safeRoute, ...options});
+	const {answers, evidence} = await sendRequests(t, 1, {nextServers: serversAt(port), route: safeRoute, ...options});
 	return {
 		status: answers[0]?.status, text: answers[0]?.text, models, evidence,
 	};
 }
 
-function breakOff({socket}: ServerResponse): void {
+function closeConnection({socket}: ServerResponse): void {
 	socket?.destroy();
 }
 
-test('a request under which three servers ended is sent to none, and its caller gets a final answer', async t => {
-	const asked = await askOnce(t, ignore, {prepare: endServers(3)});
-	t.like(asked, {status: 400, text: 'request-quarantined', models: []});
+test('a request during which three servers ended is not sent, and its caller gets a final answer', async t => {
+	const result = await requestOnce(t, ignore, {prepare: recordServerEnds(3)});
+	t.like(result, {status: 400, text: 'request-quarantined', models: []});
 });
 
-test('a request that ends its servers is sent to three of them, and its answer does not say that it did not run', async t => {
-	const asked = await askOnce(t, breakOff, {confirmEnd: async () => true, route: {...safeRoute, maximumAttempts: 6}});
-	t.like(asked, {status: 400, text: 'request-quarantined'});
-	t.is(asked.models.length, 3);
+test('a request that crashes servers is sent to three of them, and its answer does not state that it was not run', async t => {
+	const result = await requestOnce(t, closeConnection, {confirmEnd: async () => true, route: {...safeRoute, maximumAttempts: 6}});
+	t.like(result, {status: 400, text: 'request-quarantined'});
+	t.is(result.models.length, 3);
 });
 
-test('a request whose connections break while its servers go on is no suspect', async t => {
+test('a request is not suspect if its connections break while the servers keep running', async t => {
 	let known: EntryContext | undefined;
-	const asked = await askOnce(t, breakOff, {
+	const result = await requestOnce(t, closeConnection, {
 		prepare(context) {
 			known = context;
 		},
 	});
-	t.like(asked, {status: 502, text: 'outcome-unknown'});
-	t.is(asked.models.length, 3);
+	t.like(result, {status: 502, text: 'outcome-unknown'});
+	t.is(result.models.length, 3);
 	t.true(known?.suspects.book.isEmpty);
 });
 
-test('a whole answer clears a request that two servers ended under', async t => {
+test('a complete answer clears a request during which two servers ended', async t => {
 	let known: EntryContext | undefined;
-	const asked = await askOnce(t, response => {
+	const result = await requestOnce(t, response => {
 		response.end('printed');
 	}, {
 		prepare(context) {
 			known = context;
-			endServers(2)(context);
+			recordServerEnds(2)(context);
 		},
 	});
-	t.like(asked, {status: 200, text: 'printed'});
+	t.like(result, {status: 200, text: 'printed'});
 	t.is(known?.suspects.standing(fingerprint), 'unknown');
 });
 
-test('a copy that waits at a server ends as soon as the request is quarantined elsewhere', async t => {
+test('a send that waits for an answer is cancelled when the request is quarantined elsewhere', async t => {
 	let known: EntryContext | undefined;
 	const began = performance.now();
-	const asked = await askOnce(t, () => {
+	const result = await requestOnce(t, () => {
 		setTimeout(() => {
 			known?.suspects.take([{fingerprint, ends: ['a', 'b', 'c'].map(process => ({process, at: Date.now(), isCleared: false}))}], control);
 		}, 50);
@@ -101,28 +101,28 @@
 			known = context;
 		},
 	});
-	t.like(asked, {status: 400, text: 'request-quarantined'});
-	t.is(asked.models.length, 1);
+	t.like(result, {status: 400, text: 'request-quarantined'});
+	t.is(result.models.length, 1);
 	t.true(performance.now() - began < safeRoute.timeout);
-	// That it was cancelled says nothing of its server.
-	t.deepEqual(asked.evidence.map(({failures}) => failures), []);
+	// The cancelled send does not count against its server.
+	t.deepEqual(result.evidence.map(({failures}) => failures), []);
 });
 
-test('of a doubtful request no second server is put at risk for a larger model, of others it is', async t => {
+test('a doubtful request does not escalate to a second server, a suspect one does', async t => {
 	const stream = (response: ServerResponse, model: string): void => {
 		response.writeHead(200, {Confidence: model === 'small' ? '5' : '95'});
 		response.end(`id: 1\ndata: ${model}\n\n`);
 	};
 
-	const doubtful = await askOnce(t, stream, {prepare: endServers(2), route: streamRoute});
+	const doubtful = await requestOnce(t, stream, {prepare: recordServerEnds(2), route: streamRoute});
 	t.deepEqual(doubtful.models, ['small']);
-	const suspect = await askOnce(t, stream, {prepare: endServers(1), route: streamRoute});
+	const suspect = await requestOnce(t, stream, {prepare: recordServerEnds(1), route: streamRoute});
 	t.deepEqual(suspect.models, ['small', 'large']);
 });
 
-test('a server that ends while its answer is only kept is noticed, and a whole answer of the larger model clears the request', async t => {
+test('a server that ends while its answer is held as a fallback is noticed, and a complete answer of the larger model clears the request', async t => {
 	let known: EntryContext | undefined;
-	const asked = await askOnce(t, (response, model) => {
+	const result = await requestOnce(t, (response, model) => {
 		if (model === 'large') {
 			setTimeout(() => {
 				response.writeHead(200, {Confidence: '95'});
@@ -133,7 +133,7 @@
 
 		response.writeHead(200, {Confidence: '5'});
 		response.write('id: 1\ndata: sm');
-		setTimeout(breakOff, 20, response);
+		setTimeout(closeConnection, 20, response);
 	}, {
 		route: {...streamRoute, maximumAttempts: 2},
 		confirmEnd: async () => true,
@@ -141,15 +141,15 @@
 			known = context;
 		},
 	});
-	t.is(asked.status, 200);
+	t.is(result.status, 200);
 	t.deepEqual(known?.suspects.book.get(fingerprint)?.ends.map(({isCleared}) => isCleared), [true]);
 });
 
 test('the end of one process counts once against its version, however many requests it had', async t => {
 	const port = await listen(t, (_message, response) => {
-		breakOff(response);
+		closeConnection(response);
 	});
-	const {answers, evidence} = await askTimes(t, 3, {
+	const {answers, evidence} = await sendRequests(t, 3, {
 		route: testRoute({kind: 'unsafe', timeout: 8000, maximumAttempts: 1}), nextServers: serversAt(port, 1), confirmEnd: async () => true,
 	});
 	t.deepEqual(answers.map(({status}) => status), [502, 502, 502]);
--- a/packages/gateway/src/entry/send-allowance.test.ts
+++ b/packages/gateway/src/entry/send-allowance.test.ts
@@ -5,7 +5,7 @@
 const clock = {monotonic: () => 0};
 const service = 'summaries' as ServiceId;
 
-test('a route allows so many sends, and connections that did not open use up none', t => {
+test('a route limits the number of sends, and failed connections do not count', t => {
 	const allowance = new SendAllowance({
 		route: {kind: 'safe', isResumable: false, maximumAttempts: 2}, service, budget: {allows: () => true, withdraw: () => true}, clock,
 	});
@@ -21,7 +21,7 @@
 	t.deepEqual([allowance.sends, allowance.unreachable], [2, 1]);
 });
 
-test('no send is allowed beyond the shared budget, nor to ever more servers that cannot be reached', t => {
+test('no retry is allowed beyond the shared budget or the maximum of failed connections', t => {
 	const allowance = new SendAllowance({
 		route: {kind: 'streaming', isResumable: false, maximumAttempts: 9}, service, budget: {allows: () => false, withdraw: () => false}, clock,
 	});
--- a/packages/gateway/src/entry/send-attempt.test.ts
+++ b/packages/gateway/src/entry/send-attempt.test.ts
@@ -6,8 +6,8 @@
 import {collectBody} from './collect-body.js';
 import {sendAttempt, type SendAttemptOptions} from './send-attempt.js';
 
-/** A server that treats each connection as told once it has read a request. */
-async function serve(t: ExecutionContext, treat: (socket: Socket) => void): Promise<SendAttemptOptions> {
+/** Starts a server that calls `onRequest` when a connection receives data. */
+async function serve(t: ExecutionContext, onRequest: (socket: Socket) => void): Promise<SendAttemptOptions> {
 	const sockets = new Set<Socket>();
 	const server = createServer(socket => {
 		sockets.add(socket);
@@ -15,7 +15,7 @@
 			socket.destroy();
 		});
 		socket.on('data', () => {
-			treat(socket);
+			onRequest(socket);
 		});
 	});
 	server.listen(0, '127.0.0.1');
@@ -34,26 +34,26 @@
 	};
 }
 
-function giveUpAfter(quiet: number): SendAttemptOptions['silence'] {
+function giveUpAfter(checkAfter: number): SendAttemptOptions['silence'] {
 	return {
-		quiet, longest: quiet, longestKept: quiet, isHeard: () => false, isReached: async () => false,
+		quiet: checkAfter, longest: checkAfter, longestKept: checkAfter, isHeard: () => false, isReached: async () => false,
 	};
 }
 
-/** Whether the body of the answer is taken for whole. */
-async function isWhole(options: SendAttemptOptions): Promise<boolean> {
+/** Sends a request and checks whether the body of the answer is complete. */
+async function isComplete(options: SendAttemptOptions): Promise<boolean> {
 	const outcome = await sendAttempt(options).outcome;
 	return outcome.type === 'head' && await collectBody(outcome.message, outcome.isWhole) !== undefined;
 }
 
-test('an answer without a length ends with its connection, and a reset is no such end', async t => {
+test('an answer without a length is complete if its connection is closed, but not if it is reset', async t => {
 	const head = 'HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf of it';
-	t.true(await isWhole(await serve(t, socket => {
+	t.true(await isComplete(await serve(t, socket => {
 		socket.end(head);
 	})));
-	// The kernel reports a reset on its own, or as the end where it follows closely on data.
+	// The kernel reports a reset separately, or as the end of the stream if it follows closely on data.
 	for (const delay of [0, 50]) {
-		t.false(await isWhole(await serve(t, socket => {
+		t.false(await isComplete(await serve(t, socket => {
 			socket.write(head, () => {
 				setTimeout(() => {
 					socket.resetAndDestroy();
@@ -63,13 +63,13 @@
 	}
 });
 
-test('an answer that is shorter than its length is not whole', async t => {
-	t.false(await isWhole(await serve(t, socket => {
+test('an answer that is shorter than its Content-Length is incomplete', async t => {
+	t.false(await isComplete(await serve(t, socket => {
 		socket.end('HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nhalf of it');
 	})));
 });
 
-test('what did not open a connection is told from what may have run', async t => {
+test('a failed connection is distinguished from a request that may have run', async t => {
 	const options = await serve(t, socket => {
 		socket.destroy();
 	});
@@ -82,9 +82,9 @@
 	t.is(unreachable.type, 'unreachable');
 });
 
-test('a server that says nothing is given up when told so, and a cancelled send is no fault of the server', async t => {
+test('an unresponsive server and a cancelled send have different outcomes', async t => {
 	const options = await serve(t, () => {
-		// It never answers.
+		// Never answers.
 	});
 	const silent = await sendAttempt({...options, silence: giveUpAfter(300)}).outcome;
 	t.is(silent.type, 'silent');
@@ -94,7 +94,7 @@
 	t.is(cancelled.type, 'cancelled');
 });
 
-test('bytes after an answer are not taken for the answer to the next request', async t => {
+test('extra bytes after an answer are not taken for the answer to the next request', async t => {
 	let connections = 0;
 	const options = await serve(t, socket => {
 		connections++;
@@ -103,7 +103,7 @@
 			socket.write('HTTP/1.1 200 OK\r\nContent-Length: 4\r\nNumber: stray\r\n\r\nlate');
 		}, 5);
 	});
-	t.true(await isWhole(options));
+	t.true(await isComplete(options));
 	await new Promise(resolve => {
 		setTimeout(resolve, 60);
 	});
@@ -111,7 +111,7 @@
 	t.is(outcome.type === 'head' ? outcome.message.headers.number : outcome.type, '2');
 });
 
-test('once a kept connection says nothing, no other one that was kept to that server is used again', async t => {
+test('after a reused connection is unresponsive, no idle connection to that server is reused', async t => {
 	const answered = new Set<Socket>();
 	const options = await serve(t, socket => {
 		if (!answered.has(socket)) {
@@ -119,20 +119,20 @@
 			socket.write('HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok');
 		}
 	});
-	t.deepEqual(await Promise.all([isWhole(options), isWhole(options)]), [true, true]);
+	t.deepEqual(await Promise.all([isComplete(options), isComplete(options)]), [true, true]);
 	const silent = await sendAttempt({...options, silence: giveUpAfter(100)}).outcome;
 	t.is(silent.type, 'silent');
 	const next = await sendAttempt({...options, silence: giveUpAfter(1000)}).outcome;
 	t.is(next.type, 'head');
 });
 
-test('a server that is heard on other connections, or takes new ones, is not given up before the longest time', async t => {
+test('a server that sends data on other connections or accepts new ones is given up only after the maximum', async t => {
 	const options = await serve(t, socket => {
 		setTimeout(() => {
 			socket.write('HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok');
 		}, 200);
 	});
-	const given = async (longest: number, {isHeard = false, isReached = false}: {readonly isHeard?: boolean; readonly isReached?: boolean}) => {
+	const outcomeAfter = async (longest: number, {isHeard = false, isReached = false}: {readonly isHeard?: boolean; readonly isReached?: boolean}) => {
 		const {type} = await sendAttempt({
 			...options, mayReuse: false, silence: {
 				quiet: 50, longest, longestKept: longest, isHeard: () => isHeard, isReached: async () => isReached,
@@ -142,12 +142,12 @@
 	};
 
 	const outcomes = await Promise.all([
-		given(60_000, {isHeard: true}), given(60_000, {isReached: true}), given(60_000, {}), given(100, {isHeard: true}), given(100, {isReached: true}),
+		outcomeAfter(60_000, {isHeard: true}), outcomeAfter(60_000, {isReached: true}), outcomeAfter(60_000, {}), outcomeAfter(100, {isHeard: true}), outcomeAfter(100, {isReached: true}),
 	]);
 	t.deepEqual(outcomes, ['head', 'head', 'silent', 'silent', 'silent']);
 });
 
-test('a kept connection that says nothing has a shorter longest time than a new one', async t => {
+test('the maximum is shorter on a reused connection than on a new one', async t => {
 	const answered = new Set<Socket>();
 	const options = await serve(t, socket => {
 		if (!answered.has(socket)) {
@@ -155,17 +155,17 @@
 			socket.write('HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok');
 		}
 	});
-	t.true(await isWhole(options));
-	const silence = {
+	t.true(await isComplete(options));
+	const headTimeouts = {
 		quiet: 50, longest: 60_000, longestKept: 100, isHeard: () => true, isReached: async () => true,
 	};
-	const kept = await sendAttempt({...options, silence}).outcome;
-	t.is(kept.type, 'silent');
-	const opened = await sendAttempt({...options, silence}).outcome;
+	const reused = await sendAttempt({...options, silence: headTimeouts}).outcome;
+	t.is(reused.type, 'silent');
+	const opened = await sendAttempt({...options, silence: headTimeouts}).outcome;
 	t.is(opened.type, 'head');
 });
 
-test('a send whose server is known to have started again ends at once, before and within its answer', async t => {
+test('a send is aborted when its server is known to have restarted, before and during the answer', async t => {
 	const head = 'HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf of it';
 	for (const reply of ['', head]) {
 		const process = new AbortController();
--- a/packages/gateway/src/entry/suspect-reporter.test.ts
+++ b/packages/gateway/src/entry/suspect-reporter.test.ts
@@ -5,63 +5,63 @@
 
 const [first, second] = ['10.0.0.1', '10.0.0.2'] as InstanceId[];
 
-/** Reports to control instances that answer where `answers` says so. */
-function startReporter(answers: (to: InstanceId) => boolean = () => true) {
-	const book = new SuspectBook();
-	const told: string[] = [];
+/** Creates a reporter; `answers` decides which control instances acknowledge reports. */
+function createReporter(answers: (to: InstanceId) => boolean = () => true) {
+	const suspects = new SuspectBook();
+	const sent: string[] = [];
 	const reporter = new SuspectReporter({
-		book,
+		book: suspects,
 		async tell(to, {records}) {
-			told.push(`${to} ${records.map(({fingerprint, ends}) => `${fingerprint}:${ends.length}`).join(',')}`);
+			sent.push(`${to} ${records.map(({fingerprint, ends}) => `${fingerprint}:${ends.length}`).join(',')}`);
 			await Promise.resolve();
 			return answers(to);
 		},
 	});
-	return {book, told, reporter};
+	return {suspects, sent, reporter};
 }
 
-function noteEnd(book: SuspectBook, {fingerprint, process}: {readonly fingerprint: string; readonly process: string}): RequestFingerprint {
-	book.noteEnd(fingerprint as RequestFingerprint, {process, at: 0});
+function noteEnd(suspects: SuspectBook, {fingerprint, process}: {readonly fingerprint: string; readonly process: string}): RequestFingerprint {
+	suspects.noteEnd(fingerprint as RequestFingerprint, {process, at: 0});
 	return fingerprint as RequestFingerprint;
 }
 
-async function settled(): Promise<void> {
+async function waitForCallbacks(): Promise<void> {
 	await new Promise(resolve => {
 		setImmediate(resolve);
 	});
 }
 
-test('what is learned is told at once to each control instance that gives news', t => {
-	const {book, told, reporter} = startReporter();
+test('a changed record is sent to all control instances immediately', t => {
+	const {suspects, sent, reporter} = createReporter();
 	reporter.hear(first!, 'one');
 	reporter.hear(second!, 'one');
-	reporter.note(noteEnd(book, {fingerprint: 'f1', process: 'a'}));
-	t.deepEqual(told, ['10.0.0.1 f1:1', '10.0.0.2 f1:1']);
+	reporter.note(noteEnd(suspects, {fingerprint: 'f1', process: 'a'}));
+	t.deepEqual(sent, ['10.0.0.1 f1:1', '10.0.0.2 f1:1']);
 });
 
-test('what is learned during a message goes with the next one', async t => {
-	const {book, told, reporter} = startReporter();
+test('records that change while a message is in flight are sent together in the next one', async t => {
+	const {suspects, sent, reporter} = createReporter();
 	reporter.hear(first!, 'one');
 	for (const fingerprint of ['f1', 'f2', 'f3']) {
-		reporter.note(noteEnd(book, {fingerprint, process: 'a'}));
+		reporter.note(noteEnd(suspects, {fingerprint, process: 'a'}));
 	}
 
-	await settled();
-	t.deepEqual(told, ['10.0.0.1 f1:1', '10.0.0.1 f2:1,f3:1']);
+	await waitForCallbacks();
+	t.deepEqual(sent, ['10.0.0.1 f1:1', '10.0.0.1 f2:1,f3:1']);
 });
 
-test('a control instance that did not answer, or started again, is told all that concerns others with its next news', async t => {
+test('a control instance that did not acknowledge or restarted gets all shared records when it next replies', async t => {
 	let answers = false;
-	const {book, told, reporter} = startReporter(() => answers);
+	const {suspects, sent, reporter} = createReporter(() => answers);
 	reporter.hear(first!, 'one');
-	noteEnd(book, {fingerprint: 'f1', process: 'a'});
-	reporter.note(noteEnd(book, {fingerprint: 'f1', process: 'b'}));
-	await settled();
+	noteEnd(suspects, {fingerprint: 'f1', process: 'a'});
+	reporter.note(noteEnd(suspects, {fingerprint: 'f1', process: 'b'}));
+	await waitForCallbacks();
 	answers = true;
 	reporter.hear(first!, 'one');
-	await settled();
+	await waitForCallbacks();
 	reporter.hear(first!, 'one');
 	reporter.hear(first!, 'two');
-	await settled();
-	t.deepEqual(told, ['10.0.0.1 f1:2', '10.0.0.1 f1:2', '10.0.0.1 f1:2']);
+	await waitForCallbacks();
+	t.deepEqual(sent, ['10.0.0.1 f1:2', '10.0.0.1 f1:2', '10.0.0.1 f1:2']);
 });
--- a/packages/gateway/src/entry/version-pins.test.ts
+++ b/packages/gateway/src/entry/version-pins.test.ts
@@ -4,7 +4,7 @@
 
 const version = 'v1' as VersionId;
 
-test('a session keeps its version while its requests follow each other, and memory is bounded', t => {
+test('a session keeps its version until it is idle for too long, and the number of sessions is limited', t => {
 	const pins = new VersionPins({sessionMilliseconds: 5000, maximumSessions: 2});
 	pins.note('one', version, 0);
 	t.is(pins.of('one', 4999), version);
