--- a/packages/gateway/src/entry/choose-next-model.test.ts
+++ b/packages/gateway/src/entry/choose-next-model.test.ts
@@ -1,9 +1,9 @@
 import {type ModelId} from '@valehitch/core';
 import test from 'ava';
-import {chooseNextModel} from './choose-next-model.js';
+import {chooseNextModel, type ChooseNextModelOptions} from './choose-next-model.js';
 
 const [small, middle, large] = ['small', 'middle', 'large'] as ModelId[];
-const withAmpleTime = {
+const withAmpleTime: Omit<ChooseNextModelOptions, 'confidence'> = {
 	sizes: [small!, middle!, large!], current: small!, leastConfidence: 50, timeLeft: 2000, expectedTime: 700,
 };
 
--- a/packages/gateway/src/entry/placement.test.ts
+++ b/packages/gateway/src/entry/placement.test.ts
@@ -4,7 +4,7 @@
 import {testServer} from '../servers/_test-server.js';
 import {testRequest} from './_test-request.js';
 import {EntryServers} from './entry-servers.js';
-import {Placement} from './placement.js';
+import {Placement, type PlacementContext} from './placement.js';
 import {RepeatBook} from './repeat-book.js';
 import {VersionPins} from './version-pins.js';
 
@@ -20,7 +20,7 @@
 		zone: 'hall-a' as ZoneId, random, share: {othersOn: () => 0, noteChange: ignore, forget: ignore}, onReplaced: ignore,
 	});
 	servers.take(Array.from({length: 8}, (_, index) => testServer({id: `server-${index}` as ServerId})), {source: '10.0.0.1' as InstanceId, now: 0});
-	const context = {
+	const context: PlacementContext = {
 		clock: {now: () => new Date(0), monotonic: () => 0},
 		random,
 		servers,
--- a/packages/gateway/src/entry/send-attempt.test.ts
+++ b/packages/gateway/src/entry/send-attempt.test.ts
@@ -4,7 +4,7 @@
 import test, {type ExecutionContext} from 'ava';
 import {testServer} from '../servers/_test-server.js';
 import {collectBody} from './collect-body.js';
-import {sendAttempt, type SendAttemptOptions} from './send-attempt.js';
+import {sendAttempt, type SendAttemptOptions, type SilenceBounds} from './send-attempt.js';
 
 /** Starts a server that calls `onRequest` when a connection receives data. */
 async function serve(t: ExecutionContext, onRequest: (socket: Socket) => void): Promise<SendAttemptOptions> {
@@ -156,7 +156,7 @@
 		}
 	});
 	t.true(await isComplete(options));
-	const headTimeouts = {
+	const headTimeouts: SilenceBounds = {
 		quiet: 50, longest: 60_000, longestKept: 100, isHeard: () => true, isReached: async () => true,
 	};
 	const reused = await sendAttempt({...options, silence: headTimeouts}).outcome;
