--- a/packages/gateway/src/entry/authorize-at-start.ts
+++ b/packages/gateway/src/entry/authorize-at-start.ts
@@ -27,7 +27,7 @@
 ```
 */
 export async function authorizeAtStart(request: GatewayRequest, {context, arrivedAt}: AuthorizeAtStartOptions): Promise<Either<Failure, AuthorizedRequest>> {
-	const {lease, clock, nextNews} = context;
+	const {lease, clock, nextNews: nextReply} = context;
 	const waitUntil = arrivedAt + startWait(request.patience ?? 0, configurationWaitShare);
 	for (;;) {
 		const now = clock.monotonic();
@@ -37,6 +37,6 @@
 			return authorized;
 		}
 
-		await nextNews(waitUntil - now);
+		await nextReply(waitUntil - now);
 	}
 }
--- a/packages/gateway/src/entry/await-first-server.ts
+++ b/packages/gateway/src/entry/await-first-server.ts
@@ -25,13 +25,15 @@
 const hasWaited = await awaitFirstServer(context, {allowance, arrivedAt, deadlineAt});
 ```
 */
-export async function awaitFirstServer({clock, nextServers}: Pick<EntryContext, 'clock' | 'nextServers'>, {allowance, arrivedAt, deadlineAt}: AwaitFirstServerOptions): Promise<boolean> {
+export async function awaitFirstServer(context: Pick<EntryContext, 'clock' | 'nextServers'>, options: AwaitFirstServerOptions): Promise<boolean> {
+	const {clock, nextServers: nextServerChange} = context;
+	const {allowance, arrivedAt, deadlineAt} = options;
 	const waitUntil = arrivedAt + startWait(deadlineAt - arrivedAt, serverWaitShare);
 	const remaining = waitUntil - clock.monotonic();
 	if (allowance.sends > 0 || allowance.unreachable > 0 || remaining <= 0) {
 		return false;
 	}
 
-	await nextServers(remaining);
+	await nextServerChange(remaining);
 	return true;
 }
--- a/packages/gateway/src/entry/choose-next-model.ts
+++ b/packages/gateway/src/entry/choose-next-model.ts
@@ -31,13 +31,13 @@
 chooseNextModel({sizes, current, confidence: 31, leastConfidence: 50, timeLeft: 1800, expectedTime: 700});
 ```
 */
-export function chooseNextModel({sizes, current, confidence, leastConfidence, timeLeft, expectedTime}: ChooseNextModelOptions): ModelId | undefined {
+export function chooseNextModel({sizes, current, confidence, leastConfidence: minimumConfidence, timeLeft, expectedTime: expectedLatency}: ChooseNextModelOptions): ModelId | undefined {
 	const largest = sizes.at(-1);
 	if (largest === undefined || largest === current || confidence === undefined) {
 		return undefined;
 	}
 
-	const slack = timeLeft <= 0 ? 0 : 1 - (expectedTime / timeLeft);
-	const threshold = leastConfidence * Math.min(1, slack / (1 - fullThresholdShare));
+	const slack = timeLeft <= 0 ? 0 : 1 - (expectedLatency / timeLeft);
+	const threshold = minimumConfidence * Math.min(1, slack / (1 - fullThresholdShare));
 	return confidence < threshold ? largest : undefined;
 }
--- a/packages/gateway/src/entry/configuration-lease.ts
+++ b/packages/gateway/src/entry/configuration-lease.ts
@@ -78,13 +78,13 @@
 	}
 
 	#checkSuspension(): void {
-		const {suspension, onDoubt} = this.#options;
+		const {suspension, onDoubt: onSuspension} = this.#options;
 		const wokeAt = suspension.lastWake();
 		if (wokeAt > this.#wokeAt) {
 			this.#wokeAt = wokeAt;
 			this.#isDoubted = this.wasConfirmed;
 			this.#confirmedAt = Number.NEGATIVE_INFINITY;
-			onDoubt();
+			onSuspension();
 		}
 	}
 }
--- a/packages/gateway/src/entry/control-watch.ts
+++ b/packages/gateway/src/entry/control-watch.ts
@@ -106,11 +106,11 @@
 	}
 
 	async #poll(host: InstanceId, {isUrgent = false} = {}): Promise<boolean> {
-		const {clock, suspension, question, ask, onNews, metrics, log} = this.#options;
+		const {clock, suspension, question: watchFields, ask, onNews: onUpdate, metrics, log} = this.#options;
 		const source = this.#sourceOf(host);
 		const sentAt = clock.monotonic();
 		const reply = await ask(host, {
-			type: 'watch', isUrgent, run: source.run, cursor: source.cursor, suspectCursor: source.suspectCursor, ...question(host),
+			type: 'watch', isUrgent, run: source.run, cursor: source.cursor, suspectCursor: source.suspectCursor, ...watchFields(host),
 		}, watchTimeoutMilliseconds);
 		metrics.watches.inc({result: reply === undefined ? 'lost' : 'answered'});
 		if (reply === undefined) {
@@ -139,7 +139,7 @@
 		// If the machine was suspended after the request was sent, the age of the reply is unknown.
 		const isAgeKnown = reply.confirmedAgo !== undefined && sentAt >= suspension.lastWake();
 		const confirmedAt = isAgeKnown ? sentAt + reply.held - reply.confirmedAgo : undefined;
-		onNews({
+		onUpdate({
 			source: host, reply, isWhole: isFullState, confirmedAt,
 		});
 		return true;
--- a/packages/gateway/src/entry/entry-servers.ts
+++ b/packages/gateway/src/entry/entry-servers.ts
@@ -95,10 +95,10 @@
 	@param options The criteria.
 	@returns The server, or undefined if none is available.
 	*/
-	find({service, isWanted, excluded, subject: promptKey, now}: FindServerOptions): ServerRecord | undefined {
+	find({service, isWanted: isAcceptable, excluded, subject: promptKey, now}: FindServerOptions): ServerRecord | undefined {
 		const views: ServerView[] = [];
 		for (const tracked of this.#servers.values()) {
-			if (tracked.record.service !== service || tracked.record.state !== 'ready' || !isWanted(tracked.record.version)) {
+			if (tracked.record.service !== service || tracked.record.state !== 'ready' || !isAcceptable(tracked.record.version)) {
 				continue;
 			}
 
@@ -264,11 +264,11 @@
 	}
 
 	#viewOf(tracked: HeldServer, now: number): ServerView {
-		const {zone, share} = this.#options;
+		const {zone, share: loads} = this.#options;
 		const {id, zone: serverZone} = tracked.record;
 		return tracked.view({
 			now,
-			othersLoad: share.othersOn(id),
+			othersLoad: loads.othersOn(id),
 			isSilent: this.#liveness.of(id) === 'silent',
 			isBehindCut: serverZone !== zone && this.#zones.isSuspect(serverZone, now),
 			isEjected: this.#ejection.isEjected(id, now),
--- a/packages/gateway/src/entry/model-steps.ts
+++ b/packages/gateway/src/entry/model-steps.ts
@@ -97,7 +97,7 @@
 	@returns The larger model; undefined if the answer is good enough.
 	*/
 	larger({confidence, latency, age}: LargerModelOptions): ModelId | undefined {
-		const {latencies, bounds: {leastConfidence}} = this.#context;
+		const {latencies, bounds: {leastConfidence: minimumConfidence}} = this.#context;
 		const {sizes, targetLatency} = this.#route;
 		const largest = sizes.at(-1);
 		if (this.#current === undefined || largest === undefined) {
@@ -109,7 +109,7 @@
 			sizes,
 			current: this.#current,
 			confidence,
-			leastConfidence,
+			leastConfidence: minimumConfidence,
 			timeLeft: targetLatency - age,
 			// Estimated for the mean prompt length: escalation is limited to bound the load, and for a long prompt a good answer is worth a delay.
 			expectedTime: latencies.expected(this.#key(largest), {fallback: defaultLatencyShare * targetLatency}),
--- a/packages/gateway/src/entry/placement.ts
+++ b/packages/gateway/src/entry/placement.ts
@@ -63,9 +63,9 @@
 		const now = clock.monotonic();
 		const {session} = this.#request;
 		const promptKey = isSuspect ? undefined : this.#promptKey(model);
-		for (const isWanted of this.#versionPreferences(now)) {
+		for (const isAcceptable of this.#versionPreferences(now)) {
 			const server = servers.find({
-				service: this.service, isWanted, excluded: this.#excluded, subject: promptKey, now,
+				service: this.service, isWanted: isAcceptable, excluded: this.#excluded, subject: promptKey, now,
 			});
 			if (server !== undefined) {
 				if (session !== undefined) {
--- a/packages/gateway/src/entry/relay-stream.ts
+++ b/packages/gateway/src/entry/relay-stream.ts
@@ -32,7 +32,8 @@
 const end = await relayStream({message, isWhole, response, events, stallTimeout: 1500, canGoOnElsewhere, onHeard, onFirstEvent});
 ```
 */
-export async function relayStream({message, isWhole: isComplete, response, events, stallTimeout, canGoOnElsewhere: canResumeElsewhere, onHeard, onFirstEvent}: RelayStreamOptions): Promise<RelayEnd> {
+export async function relayStream(options: RelayStreamOptions): Promise<RelayEnd> {
+	const {message, isWhole: isComplete, response, events, stallTimeout, canGoOnElsewhere: canResumeElsewhere, onHeard: onData, onFirstEvent} = options;
 	return new Promise(resolve => {
 		let hasForwarded = false;
 		let isFinished = false;
@@ -98,7 +99,7 @@
 
 		restartStallTimer();
 		message.on('data', (chunk: Uint8Array) => {
-			onHeard();
+			onData();
 			restartStallTimer();
 			const part = events.push(chunk);
 			if (part !== undefined && !isFinished) {
--- a/packages/gateway/src/entry/send-attempt.ts
+++ b/packages/gateway/src/entry/send-attempt.ts
@@ -70,13 +70,13 @@
 ```
 */
 export function sendAttempt(options: SendAttemptOptions): SentAttempt {
-	const {server, method, target, headers, body, mayReuse, processEnd} = options;
-	if (mayReuse) {
+	const {server, method, target, headers, body, mayReuse: mayReuseConnection, processEnd} = options;
+	if (mayReuseConnection) {
 		dropStaleConnections(server);
 	}
 
 	const request = openRequest({
-		host: server.host, port: server.port, method, path: target, agent: mayReuse ? keptConnections : false, setHost: false, headers: headers.flat(), signal: processEnd,
+		host: server.host, port: server.port, method, path: target, agent: mayReuseConnection ? keptConnections : false, setHost: false, headers: headers.flat(), signal: processEnd,
 	});
 	let isCancelled = false;
 	let isOpen = false;
--- a/packages/gateway/src/entry/take-outcome.ts
+++ b/packages/gateway/src/entry/take-outcome.ts
@@ -77,8 +77,8 @@
 ```
 */
 export async function takeOutcome(outcome: SendOutcome, options: TakeOutcomeOptions): Promise<OutcomeStep> {
-	const {context, request, suspicion: suspect, verdicts: results, server, isOver} = options;
-	if (isOver()) {
+	const {context, request, suspicion: suspect, verdicts: results, server, isOver: hasEnded} = options;
+	if (hasEnded()) {
 		return {type: 'ended'};
 	}
 
@@ -158,10 +158,10 @@
 }
 
 async function handleFailedAnswer({message, isWhole: isComplete}: ReceivedHead, {status, isSigned}: AnswerHead, options: TakeOutcomeOptions): Promise<OutcomeStep> {
-	const {context: {dialect}, suspicion: suspect, verdicts: results, models, server, isOver} = options;
+	const {context: {dialect}, suspicion: suspect, verdicts: results, models, server, isOver: hasEnded} = options;
 	const headers = dialect.answerHeaders(message);
 	const body = await collectBody(message, isComplete);
-	if (isOver()) {
+	if (hasEnded()) {
 		return {type: 'ended'};
 	}
 
@@ -182,11 +182,11 @@
 }
 
 async function handlePlainAnswer({message, isWhole: isComplete}: ReceivedHead, options: TakeOutcomeOptions): Promise<OutcomeStep> {
-	const {context: {dialect, clock}, suspicion: suspect, verdicts: results, models, server, sentAt, isOver} = options;
+	const {context: {dialect, clock}, suspicion: suspect, verdicts: results, models, server, sentAt, isOver: hasEnded} = options;
 	const headers = dialect.answerHeaders(message);
 	const status = message.statusCode ?? 0;
 	const body = await collectBody(message, isComplete);
-	if (isOver()) {
+	if (hasEnded()) {
 		return {type: 'ended'};
 	}
 
@@ -239,8 +239,9 @@
 }
 
 async function relayAnswer({message, isWhole: isComplete}: ReceivedHead, options: TakeOutcomeOptions & {readonly head: AnswerHead; readonly latency: number}): Promise<OutcomeStep> {
-	const {context, request, suspicion: suspect, route, verdicts: results, models, answer, events, server, isOver, onStream, canGoOnElsewhere: canResumeElsewhere, head, latency} = options;
-	onStream();
+	const {context, request, suspicion: suspect, route, verdicts: results, models} = options;
+	const {answer, events, server, isOver: hasEnded, onStream: onStreamStart, canGoOnElsewhere: canResumeElsewhere, head, latency} = options;
+	onStreamStart();
 	const headers = context.dialect.answerHeaders(message);
 	const end = await relayStream({
 		message,
@@ -264,7 +265,7 @@
 		return {type: 'streamed', confidence: head.confidence};
 	}
 
-	if (isOver() || end === 'caller-left') {
+	if (hasEnded() || end === 'caller-left') {
 		return {type: 'ended'};
 	}
 
