--- a/packages/platform/src/decode-announcement.ts
+++ b/packages/platform/src/decode-announcement.ts
@@ -9,26 +9,26 @@
 
 const highestPort = 65_535;
 
-// Anything may write to this address. What does not fit names no server, so no field has a default.
+// Any client can send requests to this address. An invalid announcement must not create a server, so no field has a default.
 const announcementSchema = z.object({
 	service: z.string().min(1),
-	address: z.string().regex(/^[^\s:]+:\d{1,5}$/v, 'Wanted a host and a port').refine(isPortInRange, 'Wanted a port from 1 to 65535'),
+	address: z.string().regex(/^[^\s:]+:\d{1,5}$/v, 'Expected a host and a port').refine(isPortInRange, 'Expected a port from 1 to 65535'),
 	zone: z.string().min(1),
 	version: z.string().min(1),
 	slots: z.int().positive(),
 	state: z.enum(['ready', 'draining']),
-	// Counts the announcements of one process of the server, not those of all servers.
+	// A sequence number per server process.
 	seq: z.int().nonnegative(),
-	// When the process of the server started; not all deployments say it.
+	// When the server process started. Not all deployments provide it.
 	born: z.int().positive().optional(),
 });
 
 /**
-Reads the heartbeat of a backend server.
+Decodes the announcement of a backend server.
 
-@param server The id in the path.
+@param server The server id from the path.
 @param bytes The body.
-@returns The record, or `malformed-request` with the first problem and its place.
+@returns The record, or `malformed-request` with the first problem and the path of the field.
 @example
 ```ts
 decodeAnnouncement('i-7f3a91c2', body);
@@ -36,19 +36,19 @@
 */
 export function decodeAnnouncement(server: string, bytes: Uint8Array): Either<Failure, ServerRecord> {
 	const id = decodeServerId(server);
-	return id.chain(known => parseJsonBody({bytes, schema: announcementSchema}).map(announcement => recordOf(known, announcement)));
+	return id.chain(serverId => parseJsonBody({bytes, schema: announcementSchema}).map(announcement => toRecord(serverId, announcement)));
 }
 
-function recordOf(id: ServerId, {address, seq, born, ...announced}: z.output<typeof announcementSchema>): ServerRecord {
+function toRecord(id: ServerId, {address, seq, born, ...fields}: z.output<typeof announcementSchema>): ServerRecord {
 	return {
 		id,
-		service: toId<ServiceId>(announced.service),
+		service: toId<ServiceId>(fields.service),
 		host: hostOf(address),
 		port: portOf(address),
-		zone: toId<ZoneId>(announced.zone),
-		version: toId<VersionId>(announced.version),
-		slots: announced.slots,
-		state: announced.state,
+		zone: toId<ZoneId>(fields.zone),
+		version: toId<VersionId>(fields.version),
+		slots: fields.slots,
+		state: fields.state,
 		startedAt: born,
 		sequence: seq,
 		isSilent: false,
--- a/packages/platform/src/decode-configuration.test.ts
+++ b/packages/platform/src/decode-configuration.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import {decodeConfiguration} from './decode-configuration.js';
 
-const sound = {
+const valid = {
 	version: 7,
 	routes: [
 		{
@@ -18,8 +18,8 @@
 	tenants: [{name: 'mills', apiKeys: ['k1'], priority: 1}],
 };
 
-test('a configuration of the platform is read into that of the product', t => {
-	const configuration = decodeConfiguration(JSON.stringify(sound)).unsafeCoerce();
+test('a configuration of the platform is decoded into a routing configuration', t => {
+	const configuration = decodeConfiguration(JSON.stringify(valid)).unsafeCoerce();
 	t.like(configuration, {version: 7, limits: {idleTimeout: 15_000}});
 	t.like(configuration.routes[0], {
 		id: 'drafts', kind: 'streaming', sizes: ['small', 'large'], services: [
@@ -32,13 +32,13 @@
 });
 
 for (const [name, document, kind, wanted] of [
-	['a document that is cut short', JSON.stringify(sound).slice(0, -40), 'malformed-request', /not JSON/v],
-	['a timeout of 0', JSON.stringify({...sound, routes: [{...sound.routes[1], timeoutMs: 0}]}), 'invalid-configuration', /routes\.0\.timeoutMs/v],
-	['a route without a service', JSON.stringify({...sound, routes: [{...sound.routes[1], service: undefined}]}), 'invalid-configuration', /Route labels/v],
-	['an unknown service', JSON.stringify({...sound, services: []}), 'invalid-configuration', /Route drafts: got service models/v],
-	['no version', JSON.stringify({...sound, version: undefined}), 'invalid-configuration', /version/v],
+	['a truncated document', JSON.stringify(valid).slice(0, -40), 'malformed-request', /not JSON/v],
+	['a timeout of 0', JSON.stringify({...valid, routes: [{...valid.routes[1], timeoutMs: 0}]}), 'invalid-configuration', /routes\.0\.timeoutMs/v],
+	['a route without a service', JSON.stringify({...valid, routes: [{...valid.routes[1], service: undefined}]}), 'invalid-configuration', /Route labels/v],
+	['an unknown service', JSON.stringify({...valid, services: []}), 'invalid-configuration', /Route drafts: got service models/v],
+	['no version', JSON.stringify({...valid, version: undefined}), 'invalid-configuration', /version/v],
 ] as const) {
-	test(`${name} is refused with its place`, t => {
+	test(`${name} is refused with its location`, t => {
 		const failed = decodeConfiguration(document).swap().unsafeCoerce();
 		t.is(failed.kind, kind);
 		t.regex(failed.message, wanted);
--- a/packages/platform/src/decode-configuration.ts
+++ b/packages/platform/src/decode-configuration.ts
@@ -15,17 +15,17 @@
 	host: z.string(),
 	pathPrefix: z.string(),
 	kind: z.enum(kinds),
-	timeoutMs: z.number().positive('Wanted a timeout above 0'),
+	timeoutMs: z.number().positive('Expected a timeout above 0'),
 	targetLatencyMs: z.number().positive().optional(),
 	targetGapMs: z.number().positive().optional(),
 	priority: z.number().default(0),
 	sizes: z.array(z.string()).default([]),
-	// A route names either one service or several with weights.
+	// A route has either one service or several weighted ones.
 	service: z.string().optional(),
 	trafficSplit: z.array(z.object({service: z.string(), weight: z.number().nonnegative()})).optional(),
 	maxAttempts: z.int().positive().default(1),
 	public: z.boolean().default(false),
-	// The page's name for routes whose requests share prompts: they should reach the same server again, but need not.
+	// The platform's name for routes whose requests share prompts. Such requests should preferably reach the same server again.
 	sticky: z.boolean().default(false),
 	resumable: z.boolean().default(false),
 });
@@ -33,7 +33,7 @@
 const serviceSchema = z.object({
 	name: z.string(),
 	maxConns: z.number().positive().default(100),
-	// The page's name for what a service of model engines offers.
+	// The platform's name for the models that a service of model engines offers.
 	engine: z.object({models: z.array(z.object({name: z.string(), cost: z.number()})).default([])}).optional(),
 });
 
@@ -47,17 +47,17 @@
 		headerTimeoutMs: z.number().positive().default(3000),
 		idleTimeoutMs: z.number().positive().default(15_000),
 	}).prefault({}),
-	// The page's name for workspaces.
+	// The platform's name for workspaces.
 	tenants: z.array(z.object({name: z.string(), apiKeys: z.array(z.string()).default([]), priority: z.number().optional()})).optional(),
 });
 
 type WireRoute = z.output<typeof routeSchema>;
 
 /**
-Reads a configuration as the operator sends it.
+Decodes a configuration document of the operator.
 
-@param document The text.
-@returns The configuration, or `malformed-request` or `invalid-configuration` with the first problem and its place.
+@param document The JSON text.
+@returns The configuration, or `malformed-request` or `invalid-configuration` with the first problem and its location.
 @example
 ```ts
 decodeConfiguration('{"version":7,"routes":[],"services":[]}');
@@ -71,7 +71,7 @@
 function toConfiguration({version, routes, services, limits, tenants}: z.output<typeof configurationSchema>): Either<Failure, RoutingConfiguration> {
 	const withoutService = routes.find(route => route.service === undefined && route.trafficSplit === undefined);
 	if (withoutService !== undefined) {
-		return Left(failure('invalid-configuration', `Route ${withoutService.name}: got no service, wanted one or several with weights`));
+		return Left(failure('invalid-configuration', `Route ${withoutService.name} has neither a service nor a traffic split`));
 	}
 
 	return checkRoutingConfiguration({
--- a/packages/platform/src/decode-server-id.ts
+++ b/packages/platform/src/decode-server-id.ts
@@ -3,14 +3,14 @@
 } from '@valehitch/core';
 import {type Either, Left, Right} from 'purify-ts';
 
-/** Longer than any id of the platform's servers; bounds what a call without sense can make this process remember. */
+/** Longer than any server id of the platform. It limits the memory that invalid requests can occupy. */
 const maximumLength = 256;
 
 /**
-Reads the id of a backend server from the path of a call.
+Decodes the id of a backend server from the path of a request.
 
-@param text The part of the path.
-@returns The id, or `malformed-request` where it is empty or too long.
+@param text The path segment.
+@returns The id, or `malformed-request` if it is empty or too long.
 @example
 ```ts
 decodeServerId('i-7f3a91c2');
@@ -18,7 +18,7 @@
 */
 export function decodeServerId(text: string): Either<Failure, ServerId> {
 	if (text === '' || text.length > maximumLength) {
-		return Left(failure('malformed-request', `Got an id of ${text.length} characters in the path, wanted 1 to ${maximumLength}`));
+		return Left(failure('malformed-request', `The server id in the path has ${text.length} characters; expected 1 to ${maximumLength}`));
 	}
 
 	return Right(toId<ServerId>(text));
--- a/packages/platform/src/platform-dialect.test.ts
+++ b/packages/platform/src/platform-dialect.test.ts
@@ -3,7 +3,7 @@
 import test from 'ava';
 import {platformDialect} from './platform-dialect.js';
 
-/** A message with the parts that the dialect reads. */
+/** Creates a message with the properties that the dialect reads. */
 function message(pairs: ReadonlyArray<readonly [string, string]>): IncomingMessage {
 	const headers = Object.fromEntries(pairs.map(([name, value]) => [name.toLowerCase(), value]));
 	const parts: Pick<IncomingMessage, 'headers' | 'rawHeaders' | 'url' | 'method'> = {
@@ -35,7 +35,7 @@
 	['Session', 's1'],
 ]);
 
-test('a request is read once into typed fields', t => {
+test('a request is parsed into typed fields', t => {
 	t.like(platformDialect.readRequest(caller), {
 		id: 'a1', host: 'desk.example', path: '/lohu/2f', target: '/lohu/2f?a=1', key: 'secret', patience: 8000, choosesModel: true, promptParts: [
 			{id: '5c', tokens: 800},
@@ -45,7 +45,7 @@
 	});
 });
 
-test('a server gets neither the key nor what only the gateway may set, and gets what the gateway sets once', t => {
+test('a server gets neither the API key nor the caller\'s values of reserved headers, and gets those of the gateway once', t => {
 	const request = platformDialect.readRequest(caller);
 	const sent = platformDialect.sendHeaders(request, {
 		server: 'i-7', model: 'small' as ModelId, patience: 7500, workspace: 'mills', urgency: 1, lastEventId: '12', keepsConnection: true,
@@ -72,7 +72,7 @@
 	});
 });
 
-test('on a route without a key no workspace is named, whatever the caller sent', t => {
+test('a request without a workspace has no tenant header, even if the caller sent one', t => {
 	const request = platformDialect.readRequest(caller);
 	const sent = platformDialect.sendHeaders(request, {
 		server: 'i-7', model: undefined, patience: 7500, workspace: undefined, urgency: undefined, lastEventId: undefined, keepsConnection: false,
@@ -80,7 +80,7 @@
 	t.false(sent.some(([name]) => ['tenant', 'hold', 'request-priority'].includes(name.toLowerCase())));
 });
 
-test('only what a server says itself counts as not run', t => {
+test('a request counts as not run only if the server states it', t => {
 	t.like(platformDialect.readAnswer(503, {'not-executed': '1'}), {isNotRun: true, isOtherServer: false});
 	t.like(platformDialect.readAnswer(421, {'instance-id': 'i-2'}), {isNotRun: true, isOtherServer: true});
 	t.like(platformDialect.readAnswer(503, {}), {isNotRun: false});
@@ -89,8 +89,8 @@
 	});
 });
 
-test('a refusal says when to come back, in seconds with a fraction', t => {
-	const {status, headers} = platformDialect.refuse(platformDialect.readRequest(caller), failure('overloaded', 'Got a full queue', {retryAfterMilliseconds: 250}));
+test('a refusal has a Retry-After header in fractional seconds', t => {
+	const {status, headers} = platformDialect.refuse(platformDialect.readRequest(caller), failure('overloaded', 'The queue is full', {retryAfterMilliseconds: 250}));
 	t.is(status, 503);
 	t.deepEqual(headers.find(([name]) => name === 'Retry-After'), ['Retry-After', '0.25']);
 });
--- a/packages/platform/src/platform-dialect.ts
+++ b/packages/platform/src/platform-dialect.ts
@@ -6,22 +6,22 @@
 } from '@valehitch/gateway';
 import {connectionHeaders, reservedHeaders, wireHeader} from './wire-header.js';
 
-/** The value of the model header with which the caller leaves the choice to the gateway. */
+/** The value of the model header that leaves the choice of the model to the gateway. */
 const anyModel = '*';
 const bearerPattern = /^bearer[ ]+(.+)$/iv;
 const millisecondsPerSecond = 1000;
 
 /**
-The headers and answers of the platform's requests.
+The dialect of the platform: its request headers and answers.
 */
 export const platformDialect: Dialect = {
 	readRequest,
 	sendHeaders,
 	readAnswer(status, headers) {
-		const confidence = text(headers[wireHeader.confidence]);
+		const confidence = firstValue(headers[wireHeader.confidence]);
 		return {
 			status,
-			requestId: text(headers[wireHeader.requestId]),
+			requestId: firstValue(headers[wireHeader.requestId]),
 			isNotRun: headers[wireHeader.notRun] !== undefined || status === 421,
 			isOtherServer: status === 421,
 			isSigned: headers[wireHeader.signature] !== undefined,
@@ -29,7 +29,7 @@
 			confidence: confidence === undefined ? undefined : Number(confidence),
 		};
 	},
-	answerHeaders: message => headersOf(message).filter(([name]) => !connectionHeaders.has(name.toLowerCase())),
+	answerHeaders: message => headerPairs(message).filter(([name]) => !connectionHeaders.has(name.toLowerCase())),
 	refuse(request, failed) {
 		const {title, status} = errorAnswers[failed.kind];
 		const body = JSON.stringify({
@@ -47,43 +47,43 @@
 function readRequest(message: IncomingMessage): GatewayRequest {
 	const {headers, url = '/', method = 'GET'} = message;
 	const key = bearerPattern.exec(headers.authorization ?? '')?.[1];
-	const patience = text(headers[wireHeader.patience]);
-	const [input = '0', output = '0'] = (text(headers[wireHeader.tokens]) ?? '').split(',');
+	const timeout = firstValue(headers[wireHeader.patience]);
+	const [input = '0', output = '0'] = (firstValue(headers[wireHeader.tokens]) ?? '').split(',');
 	return {
-		id: text(headers[wireHeader.requestId]) ?? '',
+		id: firstValue(headers[wireHeader.requestId]) ?? '',
 		method,
 		target: url,
 		path: url.split('?', 1)[0] ?? url,
 		host: (headers.host ?? '').replace(/:\d+$/v, ''),
-		headers: headersOf(message).filter(([name]) => isPassedOn(name.toLowerCase(), message)),
+		headers: headerPairs(message).filter(([name]) => isForwarded(name.toLowerCase(), message)),
 		key,
-		patience: patience === undefined ? undefined : Number(patience),
+		patience: timeout === undefined ? undefined : Number(timeout),
 		choosesModel: headers[wireHeader.model] === anyModel,
-		promptParts: promptParts(text(headers[wireHeader.promptParts])),
+		promptParts: parsePromptParts(firstValue(headers[wireHeader.promptParts])),
 		inputTokens: Number(input) || 0,
 		outputTokens: Number(output) || 0,
-		session: text(headers[wireHeader.session]),
-		lastEventId: text(headers[wireHeader.lastEventId]),
+		session: firstValue(headers[wireHeader.session]),
+		lastEventId: firstValue(headers[wireHeader.lastEventId]),
 	};
 }
 
-/** A model that the caller names is the caller's; the mark for any model is replaced. */
-function isPassedOn(name: string, {headers}: IncomingMessage): boolean {
+/** Checks whether a header of the caller is forwarded. A model chosen by the caller is; the value for any model is replaced. */
+function isForwarded(name: string, {headers}: IncomingMessage): boolean {
 	if (name === wireHeader.model) {
 		return headers[wireHeader.model] !== anyModel;
 	}
 
-	return !reservedHeaders.has(name) && !connectionHeaders.has(name) && !namedByConnection(headers.connection).has(name);
+	return !reservedHeaders.has(name) && !connectionHeaders.has(name) && !connectionOptions(headers.connection).has(name);
 }
 
-/** The connection header can name further headers that concern the connection only. */
-function namedByConnection(value = ''): ReadonlySet<string> {
+/** Returns the hop-by-hop headers that the Connection header lists. */
+function connectionOptions(value = ''): ReadonlySet<string> {
 	return new Set(value.toLowerCase().split(',').map(name => name.trim()));
 }
 
-function sendHeaders({headers}: GatewayRequest, {server, model, patience, workspace, urgency, lastEventId, keepsConnection}: SendFacts): readonly Header[] {
-	const own: Array<readonly [name: string, value: string | undefined]> = [
-		['Deadline-Ms', String(patience)],
+function sendHeaders({headers}: GatewayRequest, {server, model, patience: timeout, workspace, urgency, lastEventId, keepsConnection}: SendFacts): readonly Header[] {
+	const gatewayHeaders: Array<readonly [name: string, value: string | undefined]> = [
+		['Deadline-Ms', String(timeout)],
 		['Expect-Instance', server],
 		['Tenant', workspace],
 		['Model', model],
@@ -91,7 +91,7 @@
 		['Last-Event-Id', lastEventId],
 	];
 	const sent: Header[] = [...headers];
-	for (const [name, value] of own) {
+	for (const [name, value] of gatewayHeaders) {
 		if (value !== undefined) {
 			sent.push([name, value]);
 		}
@@ -100,8 +100,8 @@
 	return [...sent, ['Connection', keepsConnection ? 'keep-alive' : 'close']];
 }
 
-/** The prompt's parts; one without a length counts as empty. */
-function promptParts(value: string | undefined): readonly PromptPart[] {
+/** Parses the parts of the prompt; a part without a length counts as empty. */
+function parsePromptParts(value: string | undefined): readonly PromptPart[] {
 	if (value === undefined) {
 		return [];
 	}
@@ -112,7 +112,7 @@
 	});
 }
 
-function headersOf({rawHeaders}: IncomingMessage): readonly Header[] {
+function headerPairs({rawHeaders}: IncomingMessage): readonly Header[] {
 	const pairs: Header[] = [];
 	for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
 		pairs.push([rawHeaders[index]!, rawHeaders[index + 1]!]);
@@ -121,6 +121,6 @@
 	return pairs;
 }
 
-function text(value: string | readonly string[] | undefined): string | undefined {
+function firstValue(value: string | readonly string[] | undefined): string | undefined {
 	return typeof value === 'string' ? value : value?.[0];
 }
--- a/packages/platform/src/wire-header.ts
+++ b/packages/platform/src/wire-header.ts
@@ -1,13 +1,13 @@
-/** The headers of the platform, in lower case, by what they hold. */
+/** The names of the platform's headers, in lower case. */
 export const wireHeader = {
-	/** The id of one try of a caller; each retry has another. */
+	/** The id of one attempt of a caller; each retry has a new one. */
 	requestId: 'attempt-id',
-	/** Milliseconds that the caller still waits; a duration in spite of its name. */
+	/** The caller's remaining timeout in milliseconds; a duration in spite of its name. */
 	patience: 'deadline-ms',
-	/** The id of the backend server that should answer, not of an instance of ours. */
+	/** The id of the backend server that should answer; not the id of an entry instance. */
 	expectedServer: 'expect-instance',
 	model: 'model',
-	/** Prompt tokens and the most output tokens, before anything was used. */
+	/** The number of prompt tokens and the maximum number of output tokens, as known before the request runs. */
 	tokens: 'token-usage',
 	promptParts: 'prompt-prefix',
 	session: 'session',
@@ -15,17 +15,17 @@
 	authorization: 'authorization',
 	workspace: 'tenant',
 	urgency: 'request-priority',
-	/** The signature over the whole answer, whatever its status. */
+	/** The signature over the complete answer, regardless of its status. */
 	signature: 'response-signature',
-	/** Says that the backend server did not run the request. */
+	/** Present if the backend server did not run the request. */
 	notRun: 'not-executed',
-	/** The backend server that answers, where another one was expected. */
+	/** The id of the answering backend server, if another one was expected. */
 	answeringServer: 'instance-id',
 	confidence: 'confidence',
 	encoding: 'content-encoding',
 } as const;
 
-/** The headers that only the gateway may set, so that a caller's are dropped. */
+/** The headers that only the gateway may set; the caller's values are removed. */
 export const reservedHeaders: ReadonlySet<string> = new Set([
 	wireHeader.expectedServer,
 	'expect-version',
@@ -42,7 +42,7 @@
 	'kv-backup',
 ]);
 
-/** The headers that concern one connection only (RFC 9110, section 7.6.1). */
+/** The hop-by-hop headers (RFC 9110, section 7.6.1) and other headers that are not forwarded. */
 export const connectionHeaders: ReadonlySet<string> = new Set([
 	'connection', 'keep-alive', 'proxy-connection', 'proxy-authenticate', 'proxy-authorization', 'te', 'trailer', 'transfer-encoding', 'upgrade', 'content-length', 'expect',
 ]);
