--- a/packages/platform/src/handle-control.ts
+++ b/packages/platform/src/handle-control.ts
@@ -17,22 +17,22 @@
 };
 
 const rolloutSchema = z.object({service: z.string(), target: z.string(), durationS: z.number().positive()});
-/** The states that the platform knows; the move of all new work to the new version is a part of running. */
+/** The rollout states of the platform's API. It has no separate state for shifting all traffic to the new version. */
 const stateNames: Readonly<Record<RolloutStage, string>> = {
 	canary: 'running', shifting: 'running', completed: 'completed', 'rolled-back': 'rolled_back',
 };
 const maximumBodyBytes = 8_388_608;
 const millisecondsPerSecond = 1000;
-/** What is logged of an id that may be anything: those of servers are shorter, and a line stays small. */
-const loggedCharacters = 64;
-const done: Answer = {status: 200, body: '{}'};
+/** The maximum length at which an unvalidated id is logged, so that log lines stay small. Valid server ids are shorter. */
+const maximumLoggedCharacters = 64;
+const emptyAnswer: Answer = {status: 200, body: '{}'};
 
 /**
-Answers the calls of operators and backend servers.
+Handles the HTTP requests of operators and backend servers.
 
 @param control The control instance.
-@param request The call.
-@param response The answer.
+@param request The request.
+@param response The response.
 @example
 ```ts
 startHttpServer({host, port, headerBytes: 16384, handler: async (request, response) => handleControl(control, request, response), onError});
@@ -40,7 +40,7 @@
 */
 export async function handleControl(control: ControlInstance, request: IncomingMessage, response: ServerResponse): Promise<void> {
 	const body = await readBody(request, maximumBodyBytes);
-	const answer = body.isLeft() ? Left(body.extract()) : await answerCall(control, request, body.unsafeCoerce());
+	const answer = body.isLeft() ? Left(body.extract()) : await routeRequest(control, request, body.unsafeCoerce());
 	const {status, body: text} = answer.caseOf<Answer>({
 		Left: failed => ({status: errorAnswers[failed.kind].status, body: JSON.stringify({error: failed.kind, detail: failed.message})}),
 		Right: value => value,
@@ -49,14 +49,14 @@
 	response.end(text);
 }
 
-async function answerCall(control: ControlInstance, {method, url = ''}: IncomingMessage, body: Uint8Array): Promise<Either<Failure, Answer>> {
+async function routeRequest(control: ControlInstance, {method, url = ''}: IncomingMessage, body: Uint8Array): Promise<Either<Failure, Answer>> {
 	const [collection, name, ...rest] = url.split('?', 1)[0]!.split('/').slice(2);
-	const call = `${method} ${collection}${name === undefined ? '' : '/'}`;
+	const endpoint = `${method} ${collection}${name === undefined ? '' : '/'}`;
 	if (!url.startsWith('/-/') || rest.length > 0) {
-		return Left(failure('not-found', `Got ${method} ${url}, wanted a call that is known here`));
+		return Left(failure('not-found', `No endpoint matches ${method} ${url}`));
 	}
 
-	switch (call) {
+	switch (endpoint) {
 		case 'PUT config': {
 			return putConfiguration(control, new TextDecoder().decode(body));
 		}
@@ -79,12 +79,12 @@
 			const record = decodeAnnouncement(name!, body);
 			return record.caseOf<Promise<Either<Failure, Answer>>>({
 				async Left(failed) {
-					control.refuseAnnouncement({server: name!.slice(0, loggedCharacters), reason: failed.message});
+					control.refuseAnnouncement({server: name!.slice(0, maximumLoggedCharacters), reason: failed.message});
 					return Left(failed);
 				},
 				async Right(announced) {
 					await control.announce(announced);
-					return Right(done);
+					return Right(emptyAnswer);
 				},
 			});
 		}
@@ -94,10 +94,10 @@
 		}
 
 		case 'DELETE quarantine/': {
-			const lifted = await control.liftQuarantine(toId<RequestFingerprint>(name!));
-			return lifted
-				? Right({status: 200, body: JSON.stringify(lifted)})
-				: Left(failure('not-found', `Got ${name!.slice(0, loggedCharacters)}, wanted the fingerprint of a request that is listed`));
+			const released = await control.liftQuarantine(toId<RequestFingerprint>(name!));
+			return released
+				? Right({status: 200, body: JSON.stringify(released)})
+				: Left(failure('not-found', `No quarantined request has the fingerprint ${name!.slice(0, maximumLoggedCharacters)}`));
 		}
 
 		case 'DELETE instances/': {
@@ -106,13 +106,13 @@
 				Left: async failed => Left(failed),
 				async Right(ended) {
 					await control.removeServer(ended);
-					return Right(done);
+					return Right(emptyAnswer);
 				},
 			});
 		}
 
 		default: {
-			return Left(failure('not-found', `Got ${method} ${url}, wanted a call that is known here`));
+			return Left(failure('not-found', `No endpoint matches ${method} ${url}`));
 		}
 	}
 }
@@ -123,7 +123,7 @@
 		Left: async failed => Left(failed),
 		async Right(configuration) {
 			const submitted = await control.operators.submitConfiguration(configuration, document);
-			return submitted.map(() => done);
+			return submitted.map(() => emptyAnswer);
 		},
 	});
 }
@@ -136,7 +136,7 @@
 			const started = await control.operators.startRollout({
 				service: toId<ServiceId>(service), target: toId<VersionId>(target), duration: durationS * millisecondsPerSecond,
 			});
-			return started.map(() => done);
+			return started.map(() => emptyAnswer);
 		},
 	});
 }
--- a/packages/platform/src/platform-settings.test.ts
+++ b/packages/platform/src/platform-settings.test.ts
@@ -26,7 +26,7 @@
   sessionS: 5
 `;
 
-test('the settings of the platform are read once into the words of the product', t => {
+test('the settings file of the platform is parsed', t => {
 	const settings = parsePlatformSettings(text, 'node.yaml').unsafeCoerce();
 	t.like(settings, {
 		instance: '10.1.0.40', zone: 'hall-a', callers: {host: '10.1.0.40', port: 8227}, control: undefined, peers: {
@@ -36,7 +36,7 @@
 	});
 });
 
-test('a missing and a wrong field are named with their place', t => {
+test('missing and invalid fields are reported with their location', t => {
 	const problems = parsePlatformSettings(text.replace('heartbeatMs: 1200\n', '').replace('8227', 'x'), 'node.yaml').swap().unsafeCoerce();
 	const lines = problems.map(problem => formatProblem(problem));
 	t.is(lines.length, 2);
--- a/packages/platform/src/platform-settings.ts
+++ b/packages/platform/src/platform-settings.ts
@@ -6,48 +6,48 @@
 import {type Either} from 'purify-ts';
 import * as z from 'zod';
 
-/** What a process is told by the platform, in the words of the product. */
+/** The settings that the platform gives to a process. */
 export type PlatformSettings = {
-	/** The platform's name of the process, for logs. */
+	/** The platform's name for the process, used in logs. */
 	readonly name: string;
-	/** This instance; its address serves as its name, since nothing else is known of the others. */
+	/** The id of this instance. It is the IP address, because only the addresses of the other instances are known. */
 	readonly instance: InstanceId;
 	readonly zone: ZoneId;
-	/** Where callers connect; undefined on control instances. */
+	/** The address for callers; undefined on control instances. */
 	readonly callers: ListenAddress | undefined;
-	/** Where the balancer asks for readiness; undefined on control instances. */
+	/** The address of the readiness check for the load balancer; undefined on control instances. */
 	readonly readiness: ListenAddress | undefined;
-	/** Where backend servers and operators connect; undefined on entry instances. */
+	/** The address for backend servers and operators; undefined on entry instances. */
 	readonly control: ListenAddress | undefined;
-	/** Where the other instances connect; the port is the same on all. */
+	/** The address for other instances; the port is the same on all of them. */
 	readonly peers: ListenAddress;
-	/** The control instances that were known when the file was written. */
+	/** The control instances known when the file was written. */
 	readonly seeds: readonly InstanceId[];
-	/** Whether the whole system starts for the first time. */
+	/** Whether the deployment starts for the first time. */
 	readonly isFounding: boolean;
 	readonly dataFolder: string | undefined;
-	/** The time between two announcements of a backend server, in milliseconds. */
+	/** The interval between announcements of a backend server, in milliseconds. */
 	readonly heartbeat: number;
-	/** The time that a stop may take, in milliseconds. */
+	/** The maximum duration of a shutdown, in milliseconds. */
 	readonly grace: number;
-	/** The time after which a key that was taken away must not work any more, in milliseconds. */
+	/** The time after which a revoked API key must no longer be accepted, in milliseconds. */
 	readonly revocation: number;
-	/** The share of a service's requests that a version on trial may get. */
+	/** The maximum share of a service's requests that a canary version may receive. */
 	readonly canaryShare: number;
-	/** The further sends for each request, over all instances. */
+	/** The retry budget over all instances, as a ratio of retries to requests. */
 	readonly retryShare: number;
-	/** The time over which further sends are counted, in milliseconds. */
+	/** The time window over which the retry budget applies, in milliseconds. */
 	readonly retryWindow: number;
-	/** The time without a request after which a session has ended, in milliseconds. */
+	/** The idle time after which a session ends, in milliseconds. */
 	readonly sessionTimeout: number;
 };
 
-/** The platform writes `null` where a process has no such value. */
+/** Accepts `null`, which the platform writes if a process has no such value. */
 function optional(schema: z.ZodType<string>) {
 	return schema.nullish().transform(value => value ?? undefined);
 }
 
-const address = z.string().regex(/^\d+\.\d+\.\d+\.\d+:\d+$/v, 'Wanted an address such as 10.1.0.40:8227');
+const address = z.string().regex(/^\d+\.\d+\.\d+\.\d+:\d+$/v, 'Expected an address such as 10.1.0.40:8227');
 
 const fileSchema = z.object({
 	node: z.string(),
@@ -72,11 +72,11 @@
 const millisecondsPerSecond = 1000;
 
 /**
-Parses the settings file that the platform writes; fields that are not known are passed over.
+Parses the settings file written by the platform. Unknown fields are ignored.
 
 @param text The text of the file.
-@param file The file's name for problems.
-@returns The settings, or every problem found, each with its line.
+@param file The file name used in problems.
+@returns The settings, or all problems found, each with its line.
 @example
 ```ts
 parsePlatformSettings(await readFile(file, 'utf8'), file);
--- a/packages/platform/src/settings-file.test.ts
+++ b/packages/platform/src/settings-file.test.ts
@@ -8,7 +8,7 @@
 	node: 'front-1', ip: '10.1.0.40', zone: 'hall-a', listen: {front: '10.1.0.40:8227'}, portRange: [7340, 7355], seeds: ['10.1.0.43:8229'], heartbeatMs: 1200, bounds: {graceS: 8},
 };
 
-test('a change is read once, and a file that is missing or cut short is a problem and not an end', async t => {
+test('a change is read once, and a missing or truncated file is reported as a problem', async t => {
 	const folder = await mkdtemp(path.join(tmpdir(), 'valehitch-settings-'));
 	t.teardown(async () => rm(folder, {recursive: true, force: true}));
 	const name = path.join(folder, 'node.yaml');
@@ -23,7 +23,7 @@
 	t.is(unchanged.unsafeCoerce(), undefined);
 	await rm(name);
 	const removed = await file.readChange();
-	t.regex(String(removed.swap().unsafeCoerce()), /no settings from .*node\.yaml/v);
+	t.regex(String(removed.swap().unsafeCoerce()), /Cannot read settings from .*node\.yaml/v);
 	await writeFile(name, text.slice(0, 40));
 	const cut = await file.readChange();
 	t.true(cut.isLeft());
