--- a/packages/platform/src/mod.ts
+++ b/packages/platform/src/mod.ts
@@ -1,5 +1,5 @@
 /**
-The adapter to the users' platform: its settings, calls and headers in, the gateway's types out; it decides nothing.
+The adapter to the users' platform. It translates the platform's settings, HTTP API and headers to the types of the gateway, and contains no routing logic.
 
 @module
 */
--- a/packages/platform/src/run-program.ts
+++ b/packages/platform/src/run-program.ts
@@ -4,16 +4,16 @@
 import {startProcess} from './wire-process.js';
 
 const failureExitCode = 1;
-const variable = 'VALEHITCH_CONFIG';
+const settingsVariable = 'VALEHITCH_CONFIG';
 const defaultFile = '/etc/valehitch/node.yaml';
-/** The settings file may change without a signal; the seeds in it matter only to a process that lost all others. */
-const rereadMilliseconds = 2000;
+/** The interval at which the settings file is checked for changes, since it may change without a signal. It can be long, because the seeds in the file matter only to a process that has lost contact with all other instances. */
+const reloadMilliseconds = 2000;
 
-/** What SIGHUP asks for; until the process runs, there is nothing to reload, and the signal must not end it. */
+/** Reloads the settings on SIGHUP. It does nothing until the process has started, because the signal must not end the process. */
 let reload = async (): Promise<void> => undefined;
 
 /**
-Runs the program: reads its settings, starts the process, and takes signals and changed settings until it is stopped.
+Runs the program: reads the settings, starts the process, and handles signals and changed settings until it is stopped.
 
 @throws If a port cannot be opened.
 @example
@@ -25,7 +25,7 @@
 	process.on('SIGHUP', () => {
 		void reload();
 	});
-	const file = new SettingsFile(process.env[variable] ?? defaultFile);
+	const file = new SettingsFile(process.env[settingsVariable] ?? defaultFile);
 	const read = await file.read();
 	if (read.isLeft()) {
 		process.stderr.write(`${read.extract().join('\n')}\n`);
@@ -60,5 +60,5 @@
 	});
 	setInterval(() => {
 		void reload();
-	}, rereadMilliseconds);
+	}, reloadMilliseconds);
 }
--- a/packages/platform/src/wire-process.ts
+++ b/packages/platform/src/wire-process.ts
@@ -17,17 +17,17 @@
 
 /** A running process. */
 export type RunningProcess = {
-	/** Takes settings that changed. */
+	/** Applies changed settings. */
 	readonly reload: (settings: PlatformSettings) => void;
-	/** Notes that changed settings could not be taken; the process goes on with those that it has. */
+	/** Logs that changed settings are invalid; the process continues with the previous ones. */
 	readonly keepSettings: (problems: SettingsProblems) => void;
-	/** Ends the requests in progress and everything else. */
+	/** Drains the requests in progress and shuts the process down. */
 	readonly stop: () => Promise<void>;
 };
 
-/** What the deploy file decides, and not the settings. */
+/** Options that come from the deployment rather than the settings file. */
 export type StartProcessOptions = {
-	/** The port of the metrics; none are served unless given. */
+	/** The port of the metrics endpoint; there is none by default. */
 	readonly metricsPort?: number | undefined;
 };
 
@@ -36,7 +36,7 @@
 	entry?: EntryInstance;
 };
 
-type Base = {
+type ProcessContext = {
 	readonly settings: () => PlatformSettings;
 	readonly log: DecisionLog;
 	readonly metrics: GatewayMetrics;
@@ -45,28 +45,28 @@
 };
 
 const standardOutput = 1;
-/** The file in the data folder that the directory of backend servers is saved in. */
+/** The file in the data folder in which the directory of backend servers is saved. */
 const savedServersName = 'servers.json';
-/** The same for the requests that end servers. */
+/** The file in the data folder in which requests that crash servers are saved. */
 const savedSuspectsName = 'suspects.json';
-/** Every instance of a deployment may connect; the platform has no key that all share. */
+/** A constant, so that every instance of a deployment may connect: the platform provides no shared key. */
 const peerKey = 'valehitch';
-/** A cut is noticed after two of these, well within the time that the platform allows. */
+/** The ping interval of peer connections, in milliseconds. A partition is detected after two intervals, well within the time that the platform allows. */
 const pingMilliseconds = 700;
 const headerBytes = 32_768;
-/** The part of the revocation time that is left for the acknowledgement's way and for timers that fire late. */
+/** The margin of the lease within the revocation time, in milliseconds, for network latency of the acknowledgement and for late timers. */
 const leaseMarginMilliseconds = 500;
-/** The lease leaves room for the slack of the clock as a share of the revocation time. */
+/** The maximum duration of the lease as a share of the revocation time; the rest allows for clock drift. */
 const leaseShare = 0.9;
-/** The part of the retry budget that the instances use; the rest covers uneven traffic. */
-const retryBudgetShare = 0.85;
-/** The part of the bound on a version on trial that is used; the rest covers uneven sessions. */
-const canaryShare = 0.6;
-/** Below this confidence a larger model is asked; of the values tried, the best on the calm days (docs/design/platform.md). */
-const leastConfidence = 50;
-/** The balancer asks once a second and takes an instance out after two misses. */
-const takenOutMilliseconds = 2600;
-/** The time that is left of the grace period for closing. */
+/** The share of the retry budget that the instances use; the rest allows for uneven traffic. */
+const usedRetryShare = 0.85;
+/** The share of the limit for canary traffic that is used; the rest allows for uneven sessions. */
+const usedCanaryShare = 0.6;
+/** The confidence below which a request escalates to a larger model. Of the values tried, it gave the best results on calm days (docs/design/platform.md). */
+const minimumConfidence = 50;
+/** The time in which the load balancer removes an instance that is not ready, in milliseconds: it checks once a second and removes an instance after two failed checks. */
+const removalMilliseconds = 2600;
+/** The part of the grace period that is reserved for closing connections, in milliseconds. */
 const closeMarginMilliseconds = 700;
 
 /** The origin of `performance.now()` is the start of the process. */
@@ -75,10 +75,10 @@
 const clock: Clock = {now: () => new Date(), monotonic: () => performance.now()};
 
 /**
-Builds a process from its settings: the one place where the parts are put together.
+Starts a process from its settings. This is the composition root of the program.
 
 @param settings The settings.
-@param options Where metrics are served.
+@param options The metrics port.
 @returns The running process.
 @throws If a port cannot be opened.
 @example
@@ -98,13 +98,13 @@
 		key: peerKey,
 		...settings.peers,
 		pingMilliseconds,
-		onMessage: async (from, message) => answerPeer(parts, from, message),
-		onRequest: async (from, message) => answerPeer(parts, from, message),
+		onMessage: async (from, message) => handlePeerMessage(parts, from, message),
+		onRequest: async (from, message) => handlePeerMessage(parts, from, message),
 		onFailure(from, error) {
 			log('peer-message-failed', {from, reason: error instanceof Error ? error.stack ?? error.message : String(error)}, 'error');
 		},
 	});
-	const base: Base = {
+	const context: ProcessContext = {
 		settings: () => current, log, metrics, network, run,
 	};
 	const metricsServer = metricsPort === undefined ? undefined : await serveMetrics(metrics, {host: settings.peers.host, port: metricsPort});
@@ -113,13 +113,13 @@
 	});
 	const stopParts: Array<() => Promise<void>> = [];
 	if (settings.control !== undefined) {
-		const started = await startControlPart(base, settings.control);
+		const started = await startControlPart(context, settings.control);
 		parts.control = started.control;
 		stopParts.push(started.stop);
 	}
 
 	if (settings.callers !== undefined) {
-		const started = await startEntryPart(base, settings.callers);
+		const started = await startEntryPart(context, settings.callers);
 		parts.entry = started.entry;
 		stopParts.push(started.stop);
 	}
@@ -143,8 +143,8 @@
 	};
 }
 
-/** Control instances answer everything but loads, which concern entry instances only. */
-async function answerPeer({control, entry}: Parts, from: InstanceId, message: PeerMessage): Promise<unknown> {
+/** Handles a message of a peer: load messages go to the entry instance, all others to the control instance. */
+async function handlePeerMessage({control, entry}: Parts, from: InstanceId, message: PeerMessage): Promise<unknown> {
 	if (message.type === 'load') {
 		entry?.receive(from, message);
 		return undefined;
@@ -153,19 +153,19 @@
 	return control?.answer(from, message);
 }
 
-async function startControlPart(base: Base, listen: ListenAddress) {
-	const {settings, log, network} = base;
-	const {instance, isFounding, heartbeat, dataFolder = 'data'} = settings();
+async function startControlPart(context: ProcessContext, listen: ListenAddress) {
+	const {settings, log, network} = context;
+	const {instance, isFounding, heartbeat: heartbeatInterval, dataFolder = 'data'} = settings();
 	const control = new ControlInstance({
-		...base,
+		...context,
 		self: instance,
 		clock,
 		random: Math.random,
 		isFounding,
 		processStartedAt,
 		seeds: () => settings().seeds,
-		heartbeatMilliseconds: heartbeat,
-		// The platform starts one process for a folder, and knows no locks that hold.
+		heartbeatMilliseconds: heartbeatInterval,
+		// The platform starts only one process per data folder, and provides no reliable file locks.
 		openFolder: async () => openDataFolder(dataFolder, {lock: async () => Right(async () => undefined)}),
 		savedServers: saveList({
 			list: 'servers', file: new SmallFile(path.join(dataFolder, savedServersName)), log, schema: serverRecordSchema,
@@ -176,7 +176,7 @@
 		send(to, message) {
 			network.send(peerAddress(settings(), to), message);
 		},
-		ask: async (to, message, timeout) => askPeer(base, to, {message, timeout}),
+		ask: async (to, message, timeout) => requestPeer(context, to, {message, timeout}),
 	});
 	await control.start();
 	const server = await startHttpServer({
@@ -196,37 +196,37 @@
 	};
 }
 
-async function startEntryPart(base: Base, listen: ListenAddress) {
-	const {settings} = base;
-	const {instance, zone, revocation, canaryShare: bound, retryShare, retryWindow, sessionTimeout, grace, readiness} = settings();
+async function startEntryPart(context: ProcessContext, listen: ListenAddress) {
+	const {settings} = context;
+	const {instance, zone, revocation: revocationTimeout, canaryShare: canaryLimit, retryShare: retryRatio, retryWindow, sessionTimeout, grace: gracePeriod, readiness} = settings();
 	const entry = new EntryInstance({
-		...base,
+		...context,
 		self: instance,
 		zone,
 		listen,
 		clock,
 		random: Math.random,
 		dialect: platformDialect,
-		bounds: {canaryShare: canaryShare * bound, leastConfidence},
-		leaseMilliseconds: Math.min(revocation - leaseMarginMilliseconds, leaseShare * revocation),
+		bounds: {canaryShare: usedCanaryShare * canaryLimit, leastConfidence: minimumConfidence},
+		leaseMilliseconds: Math.min(revocationTimeout - leaseMarginMilliseconds, leaseShare * revocationTimeout),
 		sessionMilliseconds: sessionTimeout,
-		retryShare: retryBudgetShare * retryShare,
+		retryShare: usedRetryShare * retryRatio,
 		retryWindowMilliseconds: retryWindow,
 		seeds: () => settings().seeds,
-		ask: async (to, message, timeout) => askPeer(base, to, {message, timeout}) as Promise<WatchReply | undefined>,
+		ask: async (to, message, timeout) => requestPeer(context, to, {message, timeout}) as Promise<WatchReply | undefined>,
 		send(to, message) {
-			base.network.send(peerAddress(settings(), to), message);
+			context.network.send(peerAddress(settings(), to), message);
 		},
-		tell: async (to, message, timeout) => await askPeer(base, to, {message, timeout}) !== undefined,
-		wait: elapsed,
+		tell: async (to, message, timeout) => await requestPeer(context, to, {message, timeout}) !== undefined,
+		wait: delay,
 		parse: decodeConfiguration,
 	});
 	await entry.start();
 	const readinessServer = readiness === undefined ? undefined : await serveReadiness(entry, readiness);
 	const stop = async (): Promise<void> => {
-		const stopBy = clock.monotonic() + grace - closeMarginMilliseconds;
+		const stopBy = clock.monotonic() + gracePeriod - closeMarginMilliseconds;
 		entry.beginStop(stopBy);
-		await elapsed(Math.min(takenOutMilliseconds, grace - closeMarginMilliseconds));
+		await delay(Math.min(removalMilliseconds, gracePeriod - closeMarginMilliseconds));
 		await entry.drained(stopBy);
 		entry.close();
 		readinessServer?.close();
@@ -261,17 +261,17 @@
 	return server;
 }
 
-async function askPeer({network, settings}: Base, to: InstanceId, {message, timeout}: {readonly message: PeerMessage; readonly timeout: number}): Promise<unknown> {
+async function requestPeer({network, settings}: ProcessContext, to: InstanceId, {message, timeout}: {readonly message: PeerMessage; readonly timeout: number}): Promise<unknown> {
 	const reply = await network.request(peerAddress(settings(), to), message, {timeoutMilliseconds: timeout});
 	return reply.toMaybe().extractNullable() ?? undefined;
 }
 
-/** The port of the peers is the same on all instances, and an instance is named by its address. */
+/** Returns the address of a peer: its id is its IP address, and all instances use the same port. */
 function peerAddress({peers}: PlatformSettings, to: InstanceId) {
 	return {instance: to, host: to, port: peers.port};
 }
 
-async function elapsed(milliseconds: number): Promise<void> {
+async function delay(milliseconds: number): Promise<void> {
 	return new Promise(resolve => {
 		setTimeout(resolve, milliseconds);
 	});
