--- a/packages/platform/src/platform-dialect.test.ts
+++ b/packages/platform/src/platform-dialect.test.ts
@@ -1,5 +1,6 @@
 import {type IncomingMessage} from 'node:http';
 import {failure, type ModelId} from '@valehitch/core';
+import {type AnswerHead, type GatewayRequest} from '@valehitch/gateway';
 import test from 'ava';
 import {platformDialect} from './platform-dialect.js';
 
@@ -42,7 +43,7 @@
 			{id: '91', tokens: 410},
 			{id: 'e4', tokens: 250},
 		], inputTokens: 1460, outputTokens: 80, session: 's1', lastEventId: undefined,
-	});
+	} satisfies Partial<GatewayRequest>);
 });
 
 test('a server gets neither the API key nor the caller\'s values of reserved headers, and gets those of the gateway once', t => {
@@ -81,8 +82,8 @@
 });
 
 test('a request counts as not run only if the server states it', t => {
-	t.like(platformDialect.readAnswer(503, {'not-executed': '1'}), {isNotRun: true, isOtherServer: false});
-	t.like(platformDialect.readAnswer(421, {'instance-id': 'i-2'}), {isNotRun: true, isOtherServer: true});
+	t.like(platformDialect.readAnswer(503, {'not-executed': '1'}), {isNotRun: true, isOtherServer: false} satisfies Partial<AnswerHead>);
+	t.like(platformDialect.readAnswer(421, {'instance-id': 'i-2'}), {isNotRun: true, isOtherServer: true} satisfies Partial<AnswerHead>);
 	t.like(platformDialect.readAnswer(503, {}), {isNotRun: false});
 	t.like(platformDialect.readAnswer(200, {'response-signature': 's', confidence: '31', 'attempt-id': 'a1'}), {
 		isSigned: true, confidence: 31, requestId: 'a1', isEncoded: false,
--- a/packages/platform/src/platform-settings.test.ts
+++ b/packages/platform/src/platform-settings.test.ts
@@ -32,8 +32,9 @@
 		instance: '10.1.0.40', zone: 'hall-a', callers: {host: '10.1.0.40', port: 8227}, control: undefined, peers: {
 			host: '10.1.0.40',
 			port: 7340,
-		}, seeds: ['10.1.0.43'], isFounding: true, dataFolder: undefined, grace: 8000,
+		}, seeds: ['10.1.0.43'], isFounding: true, dataFolder: undefined,
 	});
+	t.is(settings.grace, 8000);
 });
 
 test('missing and invalid fields are reported with their location', t => {
