--- a/packages/gateway/src/entry/request-suspicion.ts
+++ b/packages/gateway/src/entry/request-suspicion.ts
@@ -42,7 +42,7 @@
 	/** The failure for a quarantined request. It is final: it neither asks the caller to retry nor states that the request has not run. */
 	get refusal(): Failure {
 		const ends = this.#suspects.book.get(this.fingerprint)?.ends.length ?? 0;
-		return failure('request-quarantined', `The request is quarantined because ${ends} backend servers ended while processing it (fingerprint ${this.fingerprint})`);
+		return failure('request-quarantined', `The request is quarantined because ${ends} backend servers ended while processing it (${this.fingerprint})`);
 	}
 
 	/**
