--- a/packages/gateway/src/entry/placement.test.ts
+++ b/packages/gateway/src/entry/placement.test.ts
@@ -4,12 +4,12 @@
 import {testServer} from '../servers/_test-server.js';
 import {testRequest} from './_test-request.js';
 import {EntryServers} from './entry-servers.js';
-import {Placement} from './placement.js';
+import {Placement, type PlacementContext} from './placement.js';
 import {RepeatBook} from './repeat-book.js';
 import {VersionPins} from './version-pins.js';
 
-/** The servers that requests about one subject of a long prompt are sent to. */
-function serversChosen({isSuspect}: {readonly isSuspect: boolean}): ReadonlySet<ServerId> {
+/** Returns the servers chosen for requests that share a long prompt prefix. */
+function chosenServers({isSuspect}: {readonly isSuspect: boolean}): ReadonlySet<ServerId> {
 	let draws = 0;
 	const random = (): number => {
 		draws++;
@@ -20,7 +20,7 @@
 		zone: 'hall-a' as ZoneId, random, share: {othersOn: () => 0, noteChange: ignore, forget: ignore}, onReplaced: ignore,
 	});
 	servers.take(Array.from({length: 8}, (_, index) => testServer({id: `server-${index}` as ServerId})), {source: '10.0.0.1' as InstanceId, now: 0});
-	const context = {
+	const context: PlacementContext = {
 		clock: {now: () => new Date(0), monotonic: () => 0},
 		random,
 		servers,
@@ -43,10 +43,10 @@
 }
 
 function ignore(): void {
-	// Nobody is told.
+	// Intentionally empty.
 }
 
-test('a subject that is asked about often has a home, and a request that a server ended under leaves it', t => {
-	t.is(serversChosen({isSuspect: false}).size, 1);
-	t.true(serversChosen({isSuspect: true}).size > 4);
+test('requests with a common prompt prefix have a home server, which suspect requests do not use', t => {
+	t.is(chosenServers({isSuspect: false}).size, 1);
+	t.true(chosenServers({isSuspect: true}).size > 4);
 });
