--- a/packages/daemon/src/entry/attempt-end.ts
+++ b/packages/daemon/src/entry/attempt-end.ts
@@ -2,23 +2,23 @@
 import {match} from 'ts-pattern';
 import {type AttemptOutput} from './attempt-output.js';
 
-/** How an attempt ended, or what is known of it where it fell silent. */
+/** The result of an attempt, or what is known so far about an attempt that has stalled. */
 export type AttemptEnd = {
 	readonly outcome: Outcome;
-	/** What came of it, in words. */
+	/** A human-readable description of the result. */
 	readonly reason: string;
-	/** Whether it failed by the server's fault. */
+	/** Whether the failure is attributed to the server. */
 	readonly failed: boolean;
 };
 
 /**
-Tells from its last output how an attempt ended, or what is known of one that fell silent.
+Derives the result of an attempt from its last output, or from the `silent` output of an attempt that has stalled.
 
-@param output The output.
-@returns The end.
+@param output The last output of the attempt.
+@returns The result.
 @example
 ```ts
-attemptEnd({type: 'never-sent', message: 'Got no connection'}).outcome; // 'notRun'
+attemptEnd({type: 'never-sent', message: 'Connection refused'}).outcome; // 'notRun'
 ```
 */
 export function attemptEnd(output: AttemptOutput): AttemptEnd {
@@ -27,7 +27,7 @@
 		.with({type: 'not-run'}, ({message}) => ({outcome: 'notRun', reason: message, failed: false}))
 		.with({type: 'never-sent'}, ({message}) => ({outcome: 'notRun', reason: message, failed: true}))
 		.with({type: 'failed'}, ({message}) => ({outcome: 'ran', reason: message, failed: true}))
-		// Where the server has ended, the next attempt finds that out.
+		// Closing an idle connection is no fault of the server; if the server is down, the next attempt detects it.
 		.with({type: 'kept-connection-lost'}, ({message}) => ({outcome: 'unknown', reason: message, failed: false}))
 		.with({type: 'broken'}, {type: 'silent'}, ({message}) => ({outcome: 'unknown', reason: message, failed: true}))
 		.exhaustive();
--- a/packages/daemon/src/entry/attempt-output.ts
+++ b/packages/daemon/src/entry/attempt-output.ts
@@ -1,39 +1,39 @@
 import {type TokenUsage} from '@valehitch/core';
 
-/** The head of an answer, as the caller is to get it. */
+/** The status and headers of an answer, as they are sent to the caller. */
 export type AnswerHead = {
 	readonly status: number;
-	/** Headers to hand on, such as `Content-Type`. */
+	/** Headers forwarded to the caller, such as `Content-Type`. */
 	readonly headers: Readonly<Record<string, string>>;
 };
 
 /** A piece of an answer. */
 export type AnswerPiece = {
-	/** Counts from the start of the whole answer; for a streamed chat in UTF-16 code units of its text, else in bytes. */
+	/** The position in the whole answer: in UTF-16 code units of the text for a streamed chat, otherwise in bytes. */
 	readonly offset: number;
 	readonly length: number;
 	readonly tokens: number;
-	/** What the caller gets. */
+	/** The data that is written to the caller. */
 	readonly payload: string | Uint8Array;
-	/** The text that a resume goes on after; undefined where the answer cannot be resumed exactly. */
+	/** The generated text, which a resumed attempt continues; undefined if the answer cannot be resumed exactly. */
 	readonly text?: string;
 };
 
-/** What comes of one attempt, in order; every type but `head`, `piece` and `silent` is the last. */
+/** An output of an attempt. Every type except `head`, `piece` and `silent` is terminal. */
 export type AttemptOutput
-	/** No byte of the request left. */
+	/** No byte of the request was sent. */
 	= | {readonly type: 'never-sent'; readonly message: string}
-		/** The server's own word that it did not run the request. */
+		/** The server reported that it did not run the request. */
 		| {readonly type: 'not-run'; readonly message: string; readonly retryAfterMilliseconds?: number}
 		| {readonly type: 'head'; readonly head: AnswerHead}
 		| {readonly type: 'piece'; readonly piece: AnswerPiece}
-		/** The answer is whole; the offset is its length, and the trailer comes after the last piece. */
+		/** The answer is complete. The offset is its length; the trailer is written after the last piece. */
 		| {readonly type: 'complete'; readonly offset: number; readonly usage: TokenUsage; readonly trailer: string}
-		/** The server's own word, or proof, that the request ran and failed. */
+		/** The server reported that the request ran and failed, or its response proves it. */
 		| {readonly type: 'failed'; readonly message: string}
-		/** The connection broke after the request was sent. */
+		/** The connection was lost after the request was sent. */
 		| {readonly type: 'broken'; readonly message: string}
-		/** A kept connection broke before the answer began: the server closed it at that moment, or ended. */
+		/** A reused connection was lost before the answer began: the server closed it as idle, or exited. */
 		| {readonly type: 'kept-connection-lost'; readonly message: string}
-		/** Nothing came for too long; more may still come. */
+		/** No data arrived within the stall timeout; more may still follow. */
 		| {readonly type: 'silent'; readonly message: string};
--- a/packages/daemon/src/entry/bills/bill-copy.ts
+++ b/packages/daemon/src/entry/bills/bill-copy.ts
@@ -1,22 +1,22 @@
 import {type Bill, type RequestId} from '@valehitch/core';
 import {type OpenBill} from '../messages.js';
 
-/** The copy of a bill that a second instance holds: open while its request is in progress, then settled. */
+/** A copy of a bill that another instance holds: open while the request is in progress, settled afterwards. */
 export type BillCopy
 	= | {readonly state: 'open'; readonly bill: OpenBill}
 		| {readonly state: 'settled'; readonly bill: Bill};
 
-/** Copies as they go over a link. */
+/** Copies grouped by state, as they are sent to a holder. */
 export type SplitCopies = {
 	readonly opened: OpenBill[];
 	readonly settled: Bill[];
 };
 
 /**
-Splits copies by their state.
+Groups copies by state.
 
 @param copies The copies.
-@returns The open ones and the settled ones.
+@returns The open and the settled copies.
 @example
 ```ts
 const {opened, settled} = splitCopies(copies.values());
@@ -36,10 +36,10 @@
 }
 
 /**
-Puts copies under their requests.
+Adds copies to a map, by request. An open copy does not replace a settled one.
 
-@param copies Where they are put.
-@param split The copies, as they came over a link.
+@param copies The map to update.
+@param split The received copies.
 @example
 ```ts
 mergeCopies(copies, message);
--- a/packages/daemon/src/entry/bills/bill-keeper.test.ts
+++ b/packages/daemon/src/entry/bills/bill-keeper.test.ts
@@ -16,14 +16,14 @@
 
 type Name = typeof names[number];
 
-/** What the callers saw of a request. */
+/** The caller's view of a request. */
 type Seen = {
 	readonly owner: Name;
-	/** Whether the keeper said that the bill is settled, so that the caller got its last byte. */
+	/** Whether the store has settled the bill, so that the caller received the last byte. */
 	settled: boolean;
 };
 
-/** Three instances, links that can be cut, and a ledger that can be away: judged only by what callers and the ledger saw. */
+/** A simulation of three instances with links that can be cut and a ledger that can be unreachable. Only what callers and the ledger observe is checked. */
 class World {
 	readonly ledger = new Map<RequestId, Bill[]>();
 	readonly seen = new Map<RequestId, Seen>();
@@ -74,7 +74,7 @@
 		}
 	}
 
-	/** Lets time pass, messages arrive and the watches look. */
+	/** Advances the clock, runs the periodic maintenance of all instances and delivers messages. */
 	async pass(): Promise<void> {
 		this.#now += lostAfterMilliseconds + 1;
 		for (const {keeper, held} of this.#instances.values()) {
@@ -204,32 +204,32 @@
 	}
 }
 
-/** Every bill that was opened and whose request may have been answered is in the ledger; all entries of a request agree on the answer that its caller got. */
+/** Checks that each answered request is in the ledger as answered, that each bill of a lost instance is in the ledger, and that no bill of a running instance was recovered as unknown. */
 function check(world: World, ended: ReadonlySet<Name>): void {
 	for (const [request, {owner, settled}] of world.seen) {
 		const bills = world.ledger.get(request) ?? [];
 		if (settled && !bills.some(({outcome}) => outcome === 'answered')) {
-			throw new Error(`Got no bill for ${request} of ${owner}, whose answer went out`);
+			throw new Error(`No answered bill in the ledger for ${request} of ${owner}, although its answer was sent`);
 		}
 
 		if (ended.has(owner) && bills.length === 0) {
-			throw new Error(`Got no bill for ${request} of ${owner}, which was lost`);
+			throw new Error(`No bill in the ledger for ${request} of ${owner}, which was lost`);
 		}
 
 		if (!ended.has(owner) && bills.some(({outcome}) => outcome === 'unknown')) {
-			throw new Error(`Got a recovered bill for ${request} of ${owner}, which is there`);
+			throw new Error(`A bill was recovered for ${request} of ${owner}, which is running`);
 		}
 	}
 }
 
-test('whichever instance is lost, and whatever was cut before, each opened bill reaches the ledger', async t => {
+test('each opened bill reaches the ledger after the loss of any instance and any earlier link failures', async t => {
 	await t.notThrowsAsync(async () => fc.assert(fc.asyncProperty(fc.array(step, {maxLength: 40}), fc.constantFrom(...names), fc.boolean(), async (steps, victim, isRestarted) => {
 		const world = new World();
 		for (const next of steps) {
 			await take(world, next);
 		}
 
-		// One loss at a time: the copies were placed anew after the last cut.
+		// Only one failure is tolerated at a time, so the copies are replaced after the last link failure.
 		world.cut.clear();
 		await world.pass();
 		world.kill(victim);
@@ -242,7 +242,7 @@
 	}), {seed, numRuns: 400}));
 });
 
-test('an instance may be lost at any moment, and another one after the copies were placed anew', async t => {
+test('no bill is lost when an instance is lost at any moment and another one after the copies were replaced', async t => {
 	const calm = step.filter(({type}) => type !== 'cut');
 	await t.notThrowsAsync(async () => fc.assert(fc.asyncProperty(fc.array(calm, {maxLength: 40}), fc.shuffledSubarray([...names], {minLength: 2, maxLength: 2}), async (steps, victims) => {
 		const world = new World();
@@ -261,7 +261,7 @@
 	}), {seed, numRuns: 400}));
 });
 
-test('bills are settled while the ledger is away, and reach it when it is back', async t => {
+test('bills are settled while the ledger is unreachable and reach it once it is available', async t => {
 	const world = new World();
 	world.ledgerIsThere = false;
 	await world.open('a');
@@ -275,7 +275,7 @@
 	t.is(world.outboxes, 0);
 });
 
-test('without another instance and without the ledger, a bill is refused; above the bound too', async t => {
+test('a bill is refused without another instance and the ledger, or above the limit of pending bills', async t => {
 	const outbox = new LedgerOutbox({
 		propose: async () => Left(failure('no-quorum', 'Got no quorum')),
 		async wait() {
--- a/packages/daemon/src/entry/bills/bill-keeper.ts
+++ b/packages/daemon/src/entry/bills/bill-keeper.ts
@@ -11,30 +11,30 @@
 import {CopyLink} from './copy-link.js';
 import {type LedgerOutbox} from './ledger-outbox.js';
 
-/** What the keeper of this instance's bills needs. */
+/** Options of a {@linkcode BillStore}. */
 export type BillKeeperOptions = {
 	readonly self: Member;
-	/** Tells this start of the instance from another. */
+	/** Identifies the process of this instance; a restart changes it. */
 	readonly start: string;
-	/** When this instance started, in milliseconds since 1970. */
+	/** When this instance started, in milliseconds since the Unix epoch. */
 	readonly startedAt: number;
 	readonly clock: Clock;
 	readonly outbox: LedgerOutbox;
-	/** The instances that are there. */
+	/** The active instances. */
 	readonly members: () => readonly Member[];
-	/** Sends a message to a holder and waits for its reply. */
+	/** Sends a message to a holder and returns its reply. */
 	readonly request: (to: Member, message: HoldBillsMessage) => Promise<Either<Failure, HoldBillsReply>>;
-	/** The most bills that may wait for the ledger; above it, new requests are refused. 20 000 by default. */
+	/** The maximum number of bills that are open or not acknowledged by the ledger; beyond it, new requests are refused. 20,000 by default. */
 	readonly maximumBills?: number;
-	/** Milliseconds for which an instance that refused or did not answer is passed over; 5000 by default. */
+	/** How long an instance that refused or did not reply is not chosen as a holder, in milliseconds; 5000 by default. */
 	readonly avoidMilliseconds?: number;
 };
 
 type Entry = {
 	copy: BillCopy;
-	/** Where the copy is held; undefined where it is not. */
+	/** The replicator of the copy's holder; undefined if there is no holder. */
 	link: CopyLink | undefined;
-	/** Whether a place for the copy is being looked for. */
+	/** Whether a holder for the copy is being sought. */
 	isPlacing: boolean;
 };
 
@@ -44,19 +44,19 @@
 const retryAfterMilliseconds = 1000;
 
 /**
-Keeps this instance's bills from before the first dispatch until the ledger has them, with a copy in another process.
+Stores the bills of this instance from before the first dispatch until the ledger has acknowledged them, with a copy in another process.
 
 @example
 ```ts
-const opened = await keeper.open({workspace, request, openedAt});
-await keeper.settle(bill);
+const opened = await bills.open({workspace, request, openedAt});
+await bills.settle(bill);
 ```
 */
 export class BillKeeper {
 	readonly #options: BillKeeperOptions;
 	readonly #entries = new Map<RequestId, Entry>();
 	readonly #links = new Map<InstanceId, CopyLink>();
-	/** Until when an instance is passed over, on the monotonic clock. */
+	/** Until when each instance is not chosen as a holder, in milliseconds of the monotonic clock. */
 	readonly #avoided = new Map<InstanceId, number>();
 	#lastSequence = 0;
 
@@ -64,21 +64,21 @@
 		this.#options = options;
 	}
 
-	/** How many bills are open or not acknowledged yet. */
+	/** The number of bills that are open or not acknowledged yet. */
 	get size(): number {
 		return this.#entries.size;
 	}
 
 	/**
-	Opens a bill, before the first dispatch of its request.
+	Opens a bill before the first dispatch of its request.
 
 	@param opened The bill.
-	@returns Nothing where a copy is held or the ledger can take its place, else `no-quorum`.
+	@returns Nothing if another instance holds a copy or the ledger is reachable, otherwise a `no-quorum` failure.
 	*/
 	async open(opened: Omit<OpenBill, 'origin'>): Promise<Either<Failure, void>> {
 		const {outbox, startedAt, maximumBills = defaultMaximumBills} = this.#options;
 		if (this.#entries.size >= maximumBills) {
-			return Left(failure('no-quorum', `Got ${this.#entries.size} bills that wait for the ledger, wanted fewer than ${maximumBills}`, {retryAfterMilliseconds}));
+			return Left(failure('no-quorum', `Too many bills are waiting for the ledger: ${this.#entries.size} of at most ${maximumBills}`, {retryAfterMilliseconds}));
 		}
 
 		const bill: OpenBill = {...opened, origin: {startedAt, sequence: ++this.#lastSequence}};
@@ -89,11 +89,11 @@
 		}
 
 		this.#entries.delete(bill.request);
-		return Left(failure('no-quorum', 'Got neither another instance nor the ledger to hold the bill, wanted one of them', {retryAfterMilliseconds}));
+		return Left(failure('no-quorum', 'Neither another instance nor the ledger is available to store the bill', {retryAfterMilliseconds}));
 	}
 
 	/**
-	Gives up an open bill whose request provably did not run.
+	Discards an open bill whose request provably did not run.
 
 	@param request The request.
 	*/
@@ -105,13 +105,13 @@
 	Settles an open bill.
 
 	@param settled The bill.
-	@returns When a second instance or the ledger has it.
-	@throws If the bill is not open.
+	@returns Resolves when another instance or the ledger has the settled bill.
+	@throws {RangeError} If the bill is not open.
 	*/
 	async settle(settled: Omit<Bill, 'origin'>): Promise<void> {
 		const entry = this.#entries.get(settled.request);
 		if (entry === undefined) {
-			throw new RangeError(`Got the settlement of request ${settled.request}, wanted that of an open bill`);
+			throw new RangeError(`Cannot settle the bill of request ${settled.request}: it is not open`);
 		}
 
 		const bill: Bill = {...settled, origin: entry.copy.bill.origin};
@@ -125,7 +125,7 @@
 	}
 
 	/**
-	Takes over the settled bill of an instance that is lost, with a copy in another process like one of its own.
+	Takes over the settled bill of a lost instance and stores a copy in another process, as for a bill of this instance.
 
 	@param bill The bill.
 	*/
@@ -136,7 +136,7 @@
 		void this.#place(entry);
 	}
 
-	/** Tells the holders that this instance is there, and finds new holders where one is lost; called every few seconds. */
+	/** Renews the copies with their holders and replaces lost holders; called periodically. */
 	renew(): void {
 		const members = new Set(this.#options.members().map(({instance}) => instance));
 		for (const [instance, link] of this.#links) {
@@ -151,10 +151,10 @@
 	}
 
 	/**
-	Answers a holder that asks whether copies are still needed.
+	Replies to a holder that asks which copies are still needed.
 
-	@param message What it asks about.
-	@returns Which it is to keep.
+	@param message The question of the holder.
+	@returns The copies that the holder must keep.
 	*/
 	answerOwned({requests}: OwnedBillsMessage): OwnedBillsReply {
 		return {start: this.#options.start, needed: requests.filter(request => this.#entries.has(request))};
@@ -170,7 +170,7 @@
 		this.#entries.delete(request);
 	}
 
-	/** Looks for places for the copies whose holder is lost. */
+	/** Finds new holders for copies without a current one. */
 	#replace(): void {
 		for (const entry of this.#entries.values()) {
 			if (!entry.isPlacing && (entry.link === undefined || !this.#isCurrent(entry.link))) {
--- a/packages/daemon/src/entry/bills/choose-holder.ts
+++ b/packages/daemon/src/entry/bills/choose-holder.ts
@@ -2,22 +2,22 @@
 import {sha256} from '../../digest.js';
 import {type Member} from '../../member.js';
 
-/** What the choice of a holder depends on besides the members. */
+/** Options of {@linkcode chooseHolder}. */
 export type ChooseHolderOptions = {
-	/** The instance whose copies are to be held. */
+	/** The instance that needs a holder. */
 	readonly self: Pick<Member, 'instance' | 'zone'>;
-	/** Instances that refused or did not answer. */
+	/** Instances that refused or did not reply. */
 	readonly excluded: ReadonlySet<InstanceId>;
 };
 
 /**
-Chooses the instance that holds the copies of this one's bills: another process, in the same zone where there is one.
+Chooses the instance that holds the copies of this instance's bills: another one, preferably in the same zone.
 
-The order within a zone differs from instance to instance (rendezvous hashing; Thaler and Ravishankar, 1998), so that the copies spread.
+Within a zone, rendezvous hashing (Thaler and Ravishankar, 1998) gives each instance its own order of holders, which distributes the copies.
 
-@param members The instances that are there.
-@param options This instance, and which to leave out.
-@returns The holder, or undefined where there is none.
+@param members The active instances.
+@param options This instance, and the instances to exclude.
+@returns The holder, or undefined if none is available.
 @example
 ```ts
 chooseHolder(members, {self, excluded: new Set()});
--- a/packages/daemon/src/entry/bills/copy-link.ts
+++ b/packages/daemon/src/entry/bills/copy-link.ts
@@ -5,14 +5,14 @@
 import {type HoldBillsMessage, type HoldBillsReply, type OpenBill} from '../messages.js';
 import {type BillCopy, splitCopies} from './bill-copy.js';
 
-/** What a link to a holder needs. */
+/** Options of a {@linkcode CopyReplicator}. */
 export type CopyLinkOptions = {
 	readonly self: InstanceId;
-	/** Tells this start of the instance from another. */
+	/** Identifies the process of this instance; a restart changes it. */
 	readonly start: string;
-	/** Sends a message to the holder and waits for its reply. */
+	/** Sends a message to the holder and returns its reply. */
 	readonly request: (message: HoldBillsMessage) => Promise<Either<Failure, HoldBillsReply>>;
-	/** Called once, when the holder refused or did not answer. */
+	/** Called once, when the holder refused or did not reply. */
 	readonly onFailed: () => void;
 };
 
@@ -25,11 +25,11 @@
 const maximumChanges = 500;
 
 /**
-Keeps one holder's copies current, with one message on its way at a time: changes that come meanwhile share the next message.
+Replicates bill copies to one holder. Only one message is in flight at a time; changes made in the meantime are sent together in the next one.
 
 @example
 ```ts
-const isHeld = await link.put({state: 'open', bill});
+const isHeld = await replicator.put({state: 'open', bill});
 ```
 */
 export class CopyLink {
@@ -44,21 +44,21 @@
 		this.#options = options;
 	}
 
-	/** Whether the holder refused or did not answer; the link is of no more use. */
+	/** Whether the holder refused or did not reply; a failed replicator cannot be used again. */
 	get failed(): boolean {
 		return this.#failed;
 	}
 
-	/** How many copies the holder has. */
+	/** The number of copies that the holder should have. */
 	get size(): number {
 		return this.#held.size;
 	}
 
 	/**
-	Has a copy held, in place of an earlier one of the same request.
+	Stores a copy on the holder, replacing an earlier one of the same request.
 
 	@param copy The copy.
-	@returns Whether it is held.
+	@returns Whether the holder accepted the copy.
 	*/
 	async put(copy: BillCopy): Promise<boolean> {
 		if (this.#failed) {
@@ -75,7 +75,7 @@
 	}
 
 	/**
-	Gives a copy up; the holder hears of it with the next message.
+	Drops a copy; the holder is informed with the next message.
 
 	@param request The request of the bill.
 	*/
@@ -85,7 +85,7 @@
 		}
 	}
 
-	/** Shows the holder that this instance is there, and finds out whether it lost the copies. */
+	/** Sends a message even without changes, which shows the holder that this instance is alive and reveals whether the holder lost copies. */
 	renew(): void {
 		if (this.#held.size > 0 || this.#changed.size > 0) {
 			void this.#send();
--- a/packages/daemon/src/entry/bills/held-bills.ts
+++ b/packages/daemon/src/entry/bills/held-bills.ts
@@ -4,18 +4,18 @@
 import {type HoldBillsMessage, type HoldBillsReply, type OwnedBillsReply} from '../messages.js';
 import {type BillCopy, mergeCopies} from './bill-copy.js';
 
-/** What the holder of copies needs. */
+/** Options of a {@linkcode BillCopyStore}. */
 export type HeldBillsOptions = {
 	readonly clock: Clock;
-	/** The most copies that are held. */
+	/** The maximum number of copies. */
 	readonly maximumCopies: number;
-	/** Milliseconds of silence after which an owner that is no member any more counts as lost. */
+	/** How long an owner may send nothing, in milliseconds, before it is asked about its copies or, if it is not an active member any more, considered lost. */
 	readonly lostAfterMilliseconds: number;
-	/** Takes each bill that is settled for a lost owner. */
+	/** Called with each bill that is settled for a lost owner. */
 	readonly onRecovered: (bill: Bill) => void;
 };
 
-/** An owner that was silent for long, and the copies held for it. */
+/** An owner that has not sent updates for a while, and the copies held for it. */
 export type SilentOwner = {
 	readonly owner: InstanceId;
 	readonly requests: readonly RequestId[];
@@ -28,14 +28,14 @@
 };
 
 /**
-Holds the copies of other instances' bills, and settles them when their owner is lost.
+Holds copies of other instances' bills and settles them when their owner is lost.
 
-A copy that was still open is settled with the outcome `unknown` and without a charge: nobody can show that its answer was delivered.
+A copy that is still open is settled with the outcome `unknown` and without a charge, since there is no proof that the answer was delivered.
 
 @example
 ```ts
-const reply = held.hold(message);
-held.recover(new Set(members.map(({instance}) => instance)));
+const reply = copies.hold(message);
+copies.recover(new Set(members.map(({instance}) => instance)));
 ```
 */
 export class HeldBills {
@@ -47,7 +47,7 @@
 		this.#options = options;
 	}
 
-	/** How many copies are held. */
+	/** The number of copies held. */
 	get size(): number {
 		let total = 0;
 		for (const {copies} of this.#owners.values()) {
@@ -57,16 +57,16 @@
 		return total;
 	}
 
-	/** Begins a planned stop: owners are told to have their copies held elsewhere. */
+	/** Begins a graceful shutdown: further updates are refused, so that owners choose another holder. */
 	stop(): void {
 		this.#stopping = true;
 	}
 
 	/**
-	Changes the copies held for an owner.
+	Updates the copies held for an owner.
 
-	@param message What the owner wants held.
-	@returns Whether it is held, and how many copies there are.
+	@param message The changes of the owner.
+	@returns Whether the changes were accepted, and the number of copies of the owner.
 	*/
 	hold(message: HoldBillsMessage): HoldBillsReply {
 		const owner = this.#ownerOf(message);
@@ -90,9 +90,9 @@
 	}
 
 	/**
-	Settles the copies of each owner that is lost.
+	Settles the copies of each lost owner.
 
-	@param members The instances that are there.
+	@param members The active instances.
 	*/
 	recover(members: ReadonlySet<InstanceId>): void {
 		const silentSince = this.#options.clock.monotonic() - this.#options.lostAfterMilliseconds;
@@ -105,7 +105,7 @@
 		}
 	}
 
-	/** The owners to ask whether they still need their copies held. */
+	/** Returns the owners that must be asked which copies they still need. */
 	silent(): readonly SilentOwner[] {
 		const silentSince = this.#options.clock.monotonic() - this.#options.lostAfterMilliseconds;
 		const found: SilentOwner[] = [];
@@ -119,10 +119,10 @@
 	}
 
 	/**
-	Takes the answer of an owner that was silent; one that restarted does not know its earlier bills.
+	Applies the reply of a silent owner. An owner that has restarted does not know its earlier bills, so they are settled here.
 
-	@param asked The owner and what it was asked about.
-	@param reply What it said.
+	@param asked The owner and the requests it was asked about.
+	@param reply The reply of the owner.
 	*/
 	takeReply({owner: instance, requests}: SilentOwner, reply: OwnedBillsReply): void {
 		const owner = this.#owners.get(instance);
@@ -156,7 +156,7 @@
 		return owner;
 	}
 
-	/** The owner holds its bills and finds another holder. */
+	/** Drops the copies of an owner, which still has its bills and chooses another holder. */
 	#release(instance: InstanceId): void {
 		this.#owners.delete(instance);
 	}
--- a/packages/daemon/src/entry/bills/keep-run-known.test.ts
+++ b/packages/daemon/src/entry/bills/keep-run-known.test.ts
@@ -7,7 +7,7 @@
 import {Left, Right} from 'purify-ts';
 import {keepRunKnown} from './keep-run-known.js';
 
-test('the ledger is told at once and several times in its memory, and a word that is lost is told', async t => {
+test('a run is reported at once and several times per retention period, and a failed report is signalled', async t => {
 	const running = {instance: toId<InstanceId>('entry-1'), startedAt: 1000};
 	const told: InstanceRun[] = [];
 	const failures: string[] = [];
--- a/packages/daemon/src/entry/bills/keep-run-known.ts
+++ b/packages/daemon/src/entry/bills/keep-run-known.ts
@@ -2,29 +2,29 @@
 import {type Failure} from '@valehitch/core';
 import {type Either} from 'purify-ts';
 
-/** How the ledger hears of a run. */
+/** Options of {@linkcode startRunHeartbeat}. */
 export type KeepRunKnownOptions = {
-	/** How long the ledger remembers a run that it does not hear of, in milliseconds. */
+	/** How long the ledger remembers a run without a report, in milliseconds. */
 	readonly rememberedMilliseconds: number;
-	/** Tells the ledger that a run goes on. */
+	/** Reports to the ledger that a run continues. */
 	readonly tell: (running: InstanceRun) => Promise<Either<Failure, unknown>>;
-	/** Told why the ledger did not hear of it; it is told again at the next time. */
+	/** Called when a report failed; the run is reported again at the next interval. */
 	readonly onFailure: (failed: Failure) => void;
 };
 
 const mostMilliseconds = 3_600_000;
-/** So that some words may be lost. */
+/** Reports per period that the ledger remembers a run, so that some of them may be lost. */
 const wordsPerMemory = 4;
 
 /**
-Tells the ledger at once and then every hour that this run goes on, since it refuses the bills of one that it has forgotten.
+Reports a run to the ledger now and then at least hourly, since the ledger refuses bills of a run that it has forgotten.
 
 @param running The run.
-@param options How the ledger hears of it.
-@returns Ends it.
+@param options How to report the run.
+@returns A function that stops the reports.
 @example
 ```ts
-const stop = keepRunKnown({instance, startedAt}, {rememberedMilliseconds, tell, onFailure});
+const stop = startRunHeartbeat({instance, startedAt}, {rememberedMilliseconds, report, onFailure});
 ```
 */
 export function keepRunKnown(running: InstanceRun, {rememberedMilliseconds, tell, onFailure}: KeepRunKnownOptions): () => void {
--- a/packages/daemon/src/entry/bills/ledger-outbox.test.ts
+++ b/packages/daemon/src/entry/bills/ledger-outbox.test.ts
@@ -11,12 +11,12 @@
 	instance: toId<InstanceId>('a'), zone: toId<ZoneId>('zone-a'), host: '127.0.0.1', port: 1,
 };
 
-test('a bill that no second instance holds goes to the ledger without the wait in which bills gather', async t => {
+test('a bill without a copy on another instance is sent to the ledger without the batching delay', async t => {
 	const outbox = new LedgerOutbox({
 		propose: async () => Right({revision: 0, recorded: 0, expired: []}),
 		async wait() {
 			await new Promise(() => {
-				// The time to gather never ends.
+				// The batching delay never ends.
 			});
 		},
 	});
--- a/packages/daemon/src/entry/bills/ledger-outbox.ts
+++ b/packages/daemon/src/entry/bills/ledger-outbox.ts
@@ -2,14 +2,14 @@
 import {type Bill, type Failure, type RequestId} from '@valehitch/core';
 import {type Either} from 'purify-ts';
 
-/** What the outbox needs. */
+/** Options of a {@linkcode LedgerOutbox}. */
 export type LedgerOutboxOptions = {
 	readonly propose: (command: Command) => Promise<Either<Failure, CommandAnswer>>;
-	/** Waits, so that bills share a command and a failed one is not sent again at once. */
+	/** Waits for the batching delay or the retry delay. */
 	readonly wait: (milliseconds: number) => Promise<void>;
-	/** Milliseconds in which bills gather for a command; 100 by default. */
+	/** How long bills are collected for one command, in milliseconds; 100 by default. */
 	readonly gatherMilliseconds?: number;
-	/** Milliseconds to wait before bills are sent again; 250 by default. */
+	/** The retry delay after a failed command, in milliseconds; 250 by default. */
 	readonly retryMilliseconds?: number;
 };
 
@@ -23,7 +23,7 @@
 const defaultRetryMilliseconds = 250;
 
 /**
-Sends settled bills to the ledger in batches until they are acknowledged.
+Sends settled bills to the ledger in batches and retries until they are acknowledged.
 
 @example
 ```ts
@@ -34,7 +34,7 @@
 	readonly #options: LedgerOutboxOptions;
 	readonly #waiting = new Map<RequestId, Waiting>();
 	#sending = false;
-	/** Ends the wait in which bills gather. */
+	/** Ends the batching delay early. */
 	#endGathering: (() => void) | undefined;
 	#isReachable = true;
 	#closed = false;
@@ -43,21 +43,21 @@
 		this.#options = options;
 	}
 
-	/** How many bills are not acknowledged yet. */
+	/** The number of bills that are not acknowledged yet. */
 	get size(): number {
 		return this.#waiting.size;
 	}
 
-	/** Whether the ledger acknowledged what was sent last. */
+	/** Whether the ledger acknowledged the last batch. */
 	get isReachable(): boolean {
 		return this.#isReachable;
 	}
 
 	/**
-	Adds a settled bill.
+	Adds a settled bill to the outbox.
 
 	@param bill The bill.
-	@returns When the ledger has it.
+	@returns Resolves when the ledger has acknowledged the bill.
 	*/
 	async add(bill: Bill): Promise<void> {
 		return new Promise(resolve => {
@@ -66,12 +66,12 @@
 		});
 	}
 
-	/** Sends what gathers at once: a caller waits for it. */
+	/** Sends the pending batch without the rest of its delay, since a caller is waiting for it. */
 	hurry(): void {
 		this.#endGathering?.();
 	}
 
-	/** Ends the tries; nothing is sent any more. */
+	/** Stops sending and retrying. */
 	close(): void {
 		this.#closed = true;
 	}
--- a/packages/daemon/src/entry/bills/watch-bills.ts
+++ b/packages/daemon/src/entry/bills/watch-bills.ts
@@ -5,17 +5,17 @@
 import {type BillKeeper} from './bill-keeper.js';
 import {type HeldBills, type SilentOwner} from './held-bills.js';
 
-/** What is watched. */
+/** Options of {@linkcode startBillMaintenance}. */
 export type WatchBillsOptions = {
 	readonly bills: BillKeeper;
 	readonly held: HeldBills;
 	readonly members: () => readonly Member[];
 	readonly network: PeerNetwork<PeerMessage>;
-	/** Milliseconds between two looks; 1000 by default. */
+	/** The interval, in milliseconds; 1000 by default. */
 	readonly everyMilliseconds?: number;
 };
 
-/** A running watch. */
+/** The running maintenance. */
 export type BillsWatch = {
 	readonly stop: () => void;
 };
@@ -23,18 +23,18 @@
 const defaultEveryMilliseconds = 1000;
 
 /**
-Looks every second after the copies of bills: finds new holders for this instance's, settles those of owners that are lost, and asks owners that are silent.
+Periodically maintains the copies of bills: replaces lost holders of this instance's bills, settles the copies of lost owners, and asks silent owners which copies they still need.
 
-@param options What is watched.
-@returns The running watch.
+@param options The bills, the copies and how to reach their owners.
+@returns The running maintenance.
 @example
 ```ts
-const watch = watchBills({bills, held, members, network});
-watch.stop();
+const maintenance = startBillMaintenance({bills, copies, members, network});
+maintenance.stop();
 ```
 */
 export function watchBills(options: WatchBillsOptions): BillsWatch {
-	// An owner whose word waits to be read is not silent: its open bills would be settled as unknown.
+	// Runs after pending input is read: an owner whose message has arrived but is unread is not silent, and its open bills must not be settled as unknown.
 	const stop = intervalAfterInput(options.everyMilliseconds ?? defaultEveryMilliseconds, () => {
 		const members = options.members();
 		options.bills.renew();
--- a/packages/daemon/src/entry/caller-headers.ts
+++ b/packages/daemon/src/entry/caller-headers.ts
@@ -2,15 +2,15 @@
 import {type Failure, failure} from '@valehitch/core';
 import {type Either, Left, Right} from 'purify-ts';
 
-/** What a caller's headers say besides its key. */
+/** The request headers of a caller, without its API key. */
 export type CallerHeaders = {
-	/** The class for the policy program, or an empty text. */
+	/** The request class for the policy program, or an empty string. */
 	readonly class: string;
-	/** `new`, a session token, or an empty text. */
+	/** `new`, a session token, or an empty string. */
 	readonly session: string;
-	/** The idempotency key; undefined where there is none. */
+	/** The idempotency key; undefined if the header is absent. */
 	readonly key: string | undefined;
-	/** Milliseconds from arrival to the last byte; undefined where the caller does not say. */
+	/** The time from arrival to the last byte, in milliseconds; undefined if the header is absent. */
 	readonly deadlineMilliseconds: number | undefined;
 };
 
@@ -28,10 +28,10 @@
 const authorizationRule = {name: 'Authorization', pattern: /^.*$/sv, wanted: 'one Bearer key'};
 
 /**
-Reads the headers of a caller's request.
+Parses the headers of a caller's request.
 
 @param request The request.
-@returns The headers, or `malformed-request` that names the header which is doubled or not valid.
+@returns The headers, or a `malformed-request` failure that names the duplicate or invalid header.
 @example
 ```ts
 readCallerHeaders(request).map(headers => headers.key);
@@ -70,9 +70,9 @@
 		return Right(value);
 	}
 
-	return malformed(rule, value === '' ? 'an empty text' : `${value.slice(0, 32)} (${value.length} characters)`);
+	return malformed(rule, value === '' ? 'an empty value' : `${value.slice(0, 32)} (${value.length} characters)`);
 }
 
 function malformed(rule: HeaderRule, got: string): Either<Failure, never> {
-	return Left(failure('malformed-request', `${rule.name}: got ${got}, wanted ${rule.wanted}`));
+	return Left(failure('malformed-request', `Invalid ${rule.name} header: expected ${rule.wanted}, got ${got}`));
 }
--- a/packages/daemon/src/entry/chat-adapter.ts
+++ b/packages/daemon/src/entry/chat-adapter.ts
@@ -20,12 +20,12 @@
 import {stallMillisecondsOf} from './stall-milliseconds.js';
 import {observeAttempt} from './traffic/observe-attempt.js';
 
-/** What a chat adapter needs besides the plan. */
+/** Options of a {@linkcode ChatAdapter}. */
 export type ChatAdapterOptions = {
 	readonly context: EntryContext;
-	/** When the last byte is due, in milliseconds on the monotonic clock. */
+	/** When the last byte is due, in milliseconds of the monotonic clock. */
 	readonly deadline: number;
-	/** Plans the request anew, by the configuration in force. */
+	/** Plans the request again with the configuration in force. */
 	readonly planAgain: () => Either<Failure, ChatPlan>;
 };
 
@@ -34,7 +34,7 @@
 const noPrices: Prices = {input: 0, output: 0};
 
 /**
-The adapter of a chat request.
+The request adapter for chat completions.
 
 @example
 ```ts
@@ -52,7 +52,7 @@
 		this.#prefix = prefixHash(promptOf(plan.body));
 	}
 
-	/** The request with its version chosen; planned anew where the version was lost. */
+	/** The current plan; replaced when the chosen version became unavailable and the request was planned again. */
 	get plan(): ChatPlan {
 		return this.#plan;
 	}
@@ -173,7 +173,7 @@
 			picker.record(server, failed);
 		}
 
-		// A lost connection says nothing of the version.
+		// A lost connection is no evidence for or against the version.
 		if (output.type === 'complete' || output.type === 'failed') {
 			ratings.noteOutcome({
 				...asVersion(target), workspace, rule: rule.name, ranAt: clock.now().getTime(),
@@ -189,7 +189,7 @@
 
 function asVersion(target: RequestTarget): VersionTarget {
 	if (target.type !== 'version') {
-		throw new TypeError(`Got service ${target.service}, wanted a version of a model`);
+		throw new TypeError(`Expected a model version as the target, got service ${target.service}`);
 	}
 
 	return target;
--- a/packages/daemon/src/entry/chat-body.ts
+++ b/packages/daemon/src/entry/chat-body.ts
@@ -15,14 +15,14 @@
 	max_tokens: z.int().min(1).max(1_000_000).optional(),
 });
 
-/** A body in the chat-completions shape; members that are not known are handed on. */
+/** A chat-completions request body; unknown members are passed through. */
 export type ChatBody = z.infer<typeof chatSchema>;
 
 /**
-Parses the body of a chat completion.
+Parses and validates a chat-completions request body.
 
-@param bytes The body.
-@returns The body, or `malformed-request` that names the field.
+@param bytes The body, as UTF-8 JSON.
+@returns The body, or a `malformed-request` failure that names the invalid field.
 @example
 ```ts
 parseChatBody(bytes).map(body => body.model);
@@ -33,7 +33,7 @@
 	try {
 		json = JSON.parse(new TextDecoder('utf-8', {fatal: true}).decode(bytes));
 	} catch (error) {
-		return Left(failure('malformed-request', `Got a body that is not JSON in UTF-8: ${error instanceof Error ? error.message : 'not readable'}`));
+		return Left(failure('malformed-request', `Request body is not valid UTF-8 JSON: ${error instanceof Error ? error.message : 'not readable'}`));
 	}
 
 	const parsed = chatSchema.safeParse(json);
@@ -45,18 +45,18 @@
 	return Left(failure('malformed-request', `${issue?.path.join('.') ?? ''}: ${issue?.message ?? 'not valid'}`));
 }
 
-/** What the headers add to the facts. */
+/** Request facts that come from the headers. */
 export type FactOptions = {
 	readonly class: string;
 	readonly session: boolean;
 };
 
 /**
-Gathers what a policy program may ask about a request.
+Collects the facts that a policy program can refer to.
 
 @param body The body.
-@param options What the headers say.
-@returns The facts; prompt tokens are estimated at four characters each.
+@param options The facts from the headers.
+@returns The facts; the number of prompt tokens is estimated at four characters per token.
 @example
 ```ts
 factsOf(body, {class: 'lookup', session: false});
@@ -79,10 +79,10 @@
 }
 
 /**
-The beginning of a prompt, by which engines cache it.
+Returns the beginning of a prompt, which identifies the engines' prompt cache entry.
 
 @param body The body.
-@returns The text of the messages up to the length that counts.
+@returns The text of the first messages, until it has at least 256 characters.
 @example
 ```ts
 prefixHash(promptOf(body));
--- a/packages/daemon/src/entry/chat-chunk.ts
+++ b/packages/daemon/src/entry/chat-chunk.ts
@@ -20,15 +20,15 @@
 
 const wholeSchema = z.looseObject({choices: z.array(z.unknown()), usage: usageSchema.nullish()});
 
-/** One event of a streamed chat answer. */
+/** One event of a streamed chat completion. */
 export type ChatChunk = {
-	/** The event as it is handed on where no usage is to be told: as it came, byte for byte, unless it tells of usage or has several lines. */
+	/** The event to forward when no usage is reported: byte for byte as received, unless it contains usage or spans several lines. */
 	readonly event: string;
-	/** The event's members, without the usage. */
+	/** The members of the event, without `usage`. */
 	readonly json: Readonly<Record<string, unknown>>;
-	/** The text that it adds; empty for one that only frames the answer. */
+	/** The text added by the event; empty for an event without content, such as the initial role. */
 	readonly text: string;
-	/** Whether it holds more than a piece of the one text, so that a resume could not be exact. */
+	/** Whether the event contains anything besides text of the first choice, such as a tool call; an answer with such an event cannot be resumed exactly. */
 	readonly opaque: boolean;
 	readonly usage?: TokenUsage;
 };
@@ -36,10 +36,10 @@
 const textMembers: ReadonlySet<string> = new Set(['role', 'content']);
 
 /**
-Reads the data of one event of a streamed chat answer.
+Parses the data of one event of a streamed chat completion.
 
 @param data The event's data.
-@returns The chunk, or undefined where the data is none.
+@returns The chunk, or undefined if the data is not a chunk or reports an error.
 @example
 ```ts
 readChatChunk('{"choices": [{"index": 0, "delta": {"content": "Tag "}}]}')?.text; // 'Tag '
@@ -65,10 +65,10 @@
 }
 
 /**
-Reads the usage that a whole chat answer reports.
+Reads the token usage from a non-streamed chat completion.
 
-@param body The answer.
-@returns The usage, zeros where it reports none, or undefined where the body is no chat answer.
+@param body The response body.
+@returns The usage, zeros if none is reported, or undefined if the body is not a chat completion.
 @example
 ```ts
 readWholeUsage(body)?.output;
@@ -84,11 +84,11 @@
 }
 
 /**
-Writes an event of a streamed chat answer.
+Serializes an event of a streamed chat completion.
 
 @param json The event.
-@param usage The usage to report, where the event reports it.
-@returns The bytes as text.
+@param usage The usage to include, if any.
+@returns The server-sent event.
 @example
 ```ts
 writeChatChunk(chunk.json);
--- a/packages/daemon/src/entry/checked-answer.ts
+++ b/packages/daemon/src/entry/checked-answer.ts
@@ -2,7 +2,7 @@
 import * as z from 'zod';
 import {type AnswerHead, type AnswerPiece} from './attempt-output.js';
 
-/** A whole answer that is to be judged. */
+/** A complete answer that a cascade evaluates. */
 export type JudgedAnswer = {
 	readonly head: AnswerHead | undefined;
 	readonly pieces: readonly AnswerPiece[];
@@ -16,10 +16,10 @@
 });
 
 /**
-Reads from a whole chat answer what a cascade judges it by.
+Extracts the properties of a complete chat answer by which a cascade decides whether to escalate.
 
-@param answer The answer in one piece.
-@returns What the check of the answer looks at.
+@param answer The complete answer.
+@returns The properties; empty values if the body is not a chat completion.
 @example
 ```ts
 escalationSign(readCheckedAnswer(answer), rule.escalation);
--- a/packages/daemon/src/entry/claim-keeper.ts
+++ b/packages/daemon/src/entry/claim-keeper.ts
@@ -6,29 +6,29 @@
 } from '@valehitch/core';
 import {type Either} from 'purify-ts';
 
-/** A claim that this instance may take. */
+/** A claim to take for a request. */
 export type ClaimRequest = Pick<TakeClaimCommand, 'workspace' | 'key' | 'requestDigest' | 'request'>;
 
-/** A claim that this instance took, or may have taken. */
+/** A claim that this instance has taken, or may have taken. */
 export type OwnClaim = {
 	readonly workspace: WorkspaceId;
 	readonly key: IdempotencyKey;
 	readonly request: RequestId;
 };
 
-/** What the keeper of claims needs. */
+/** Options of a {@linkcode ClaimClient}. */
 export type ClaimKeeperOptions = {
 	readonly instance: InstanceId;
 	readonly clock: Clock;
-	/** Passes a claim command to the control role. */
+	/** Sends a claim command to the control role. */
 	readonly propose: (command: ClaimCommand) => Promise<Either<Failure, {readonly claim: ClaimOutcome}>>;
-	/** Has the open claims of an instance that is gone turned to unknown. */
+	/** Marks the open claims of a lost instance as unknown. */
 	readonly forget: (instance: InstanceId) => Promise<Either<Failure, unknown>>;
-	/** Waits before a settlement is sent again. */
+	/** Waits before a command is retried. */
 	readonly wait: (milliseconds: number) => Promise<void>;
-	/** Told of a settlement that the control role refused; it is not sent again. */
+	/** Called when the control role refused a settlement; it is not retried. */
 	readonly onRefused: (claim: OwnClaim, failed: Failure) => void;
-	/** Milliseconds before a settlement is sent again; 250 by default. */
+	/** The retry delay, in milliseconds; 250 by default. */
 	readonly retryMilliseconds?: number;
 };
 
@@ -39,7 +39,7 @@
 const beginMilliseconds = 2000;
 
 /**
-Takes claims on idempotency keys and keeps their settlements until the control role has acknowledged them.
+Takes claims on idempotency keys, and retries their settlements until the control role acknowledges them.
 
 @example
 ```ts
@@ -57,13 +57,13 @@
 		this.#options = options;
 	}
 
-	/** Gives up what an earlier run of this instance left open; claims are taken after that. */
+	/** Marks the claims that an earlier process of this instance left open as unknown. Taking a claim waits for that, for at most two seconds. */
 	begin(): void {
 		this.#begun = this.forget(this.#options.instance);
 	}
 
 	/**
-	Has the open claims of an instance that is gone turned to unknown; tries until that is acknowledged.
+	Marks the open claims of a lost instance as unknown; retries until that is acknowledged.
 
 	@param instance The instance.
 	*/
@@ -79,16 +79,16 @@
 		}
 	}
 
-	/** How many settlements are not acknowledged yet. */
+	/** The number of settlements that are not acknowledged yet. */
 	get size(): number {
 		return this.#unsettled.size;
 	}
 
 	/**
-	Takes a claim, unless another request has it.
+	Takes a claim unless another request holds it.
 
 	@param claim The claim.
-	@returns Where the claim stands; `no-quorum` where that is not known, and then it may have been taken.
+	@returns The state of the claim, or `no-quorum` if it is unknown; the claim may have been taken then.
 	*/
 	async take(claim: ClaimRequest): Promise<Either<Failure, ClaimOutcome>> {
 		const {propose, instance, wait} = this.#options;
@@ -100,17 +100,17 @@
 	}
 
 	/**
-	Settles a claim; the settlement is sent until it is acknowledged.
+	Settles a claim in the background; the settlement is retried until it is acknowledged.
 
 	@param claim The claim.
-	@param settlement How it ended.
+	@param settlement The result to record.
 	*/
 	settle(claim: OwnClaim, settlement: ClaimSettlement): void {
 		this.#unsettled.add(claim);
 		void this.#send(claim, settlement);
 	}
 
-	/** Ends the tries; claims that are not settled turn to unknown in time. */
+	/** Stops retrying. The control role marks claims that were not settled as unknown when they time out. */
 	close(): void {
 		this.#closed = true;
 		this.#unsettled.clear();
--- a/packages/daemon/src/entry/engine-call.ts
+++ b/packages/daemon/src/entry/engine-call.ts
@@ -9,7 +9,7 @@
 import {StallTimer} from './stall-timer.js';
 import {unansweredOutput} from './unanswered-output.js';
 
-/** One attempt on an engine. */
+/** A single attempt to call an engine. */
 export type EngineCall = {
 	readonly requestId: RequestId;
 	readonly attempt: number;
@@ -17,21 +17,21 @@
 	readonly versionKey: string;
 	readonly body: ChatBody;
 	readonly streamed: boolean;
-	/** The priority handed to the engine; lower is sooner. */
+	/** The priority sent to the engine; lower values are served first. */
 	readonly priority: number;
-	/** The text so far, which the engine goes on right after; empty for an answer from the start. */
+	/** The text generated so far, which the engine continues; empty for a new answer. */
 	readonly resumeText: string;
-	/** The tokens in that text. */
+	/** The number of tokens in that text. */
 	readonly tokensBefore: number;
 	/** The base address of the engine. */
 	readonly address: string;
-	/** Whether the attempt opens a connection of its own. */
+	/** Whether the attempt must open a new connection. */
 	readonly freshConnection: boolean;
-	/** Ends the attempt; its connection is destroyed. */
+	/** Aborts the attempt and destroys its connection. */
 	readonly signal: AbortSignal;
-	/** Milliseconds without a word after which the engine counts as silent. */
+	/** The time without data after which the engine is reported as silent, in milliseconds. */
 	readonly stallMilliseconds: number;
-	/** The most bytes that an answer may have. */
+	/** The maximum size of the answer, in bytes. */
 	readonly maximumBytes: number;
 };
 
@@ -39,12 +39,12 @@
 const okStatus = 200;
 
 /**
-Calls an engine by the chat-completions protocol.
+Calls an engine with the chat-completions protocol.
 
-The answer is read only as fast as the caller of the generator asks for more, so that a slow reader slows the engine down. Ending the generator early destroys the connection.
+The answer is read only as fast as the generator is consumed, so backpressure reaches the engine. Returning from the generator early destroys the connection.
 
 @param call The call.
-@returns What comes of the attempt; the last output tells how it ended.
+@returns The outputs of the attempt; the last one is its result.
 @example
 ```ts
 for await (const output of callEngine(call)) { ... }
@@ -52,7 +52,7 @@
 */
 export async function * callEngine(call: EngineCall): AsyncGenerator<AttemptOutput, void> {
 	const stall = new StallTimer(call.stallMilliseconds);
-	yield * reportSilence(readOutputs(call, stall), {stall, message: `Got nothing from the engine for ${call.stallMilliseconds} ms`});
+	yield * reportSilence(readOutputs(call, stall), {stall, message: `No data received from the engine for ${call.stallMilliseconds} ms`});
 }
 
 async function * readOutputs(call: EngineCall, stall: StallTimer): AsyncGenerator<AttemptOutput, void> {
@@ -98,7 +98,7 @@
 
 	if (answer.status !== okStatus) {
 		answer.message.resume();
-		return [{type: 'failed', message: `Got status ${answer.status} from the engine, wanted 200`}];
+		return [{type: 'failed', message: `Engine responded with status ${answer.status}, expected 200`}];
 	}
 
 	if (call.streamed) {
@@ -119,13 +119,13 @@
 async function readWhole({message, headers}: HttpAnswer, {maximumBytes}: EngineCall): Promise<readonly AttemptOutput[]> {
 	const body = await readBody(message, maximumBytes);
 	if (body.isLeft()) {
-		return [{type: 'broken', message: 'Got no whole answer from the engine'}];
+		return [{type: 'broken', message: 'Response from the engine is incomplete'}];
 	}
 
 	const payload = body.unsafeCoerce();
 	const usage: TokenUsage | undefined = readWholeUsage(payload);
 	if (usage === undefined) {
-		return [{type: 'failed', message: 'Got an answer from the engine that is no chat completion'}];
+		return [{type: 'failed', message: 'Response from the engine is not a chat completion'}];
 	}
 
 	const length = payload.byteLength;
--- a/packages/daemon/src/entry/engine-events.test.ts
+++ b/packages/daemon/src/entry/engine-events.test.ts
@@ -33,7 +33,7 @@
 	const outputs: AttemptOutput[] = [];
 	for await (const output of readEngineEvents(message, {
 		head, resumeFrom: 0, tokensBefore: 0, maximumBytes: 10_000, onBytes() {
-			// Nothing waits for bytes here.
+			// These tests have no stall timer.
 		},
 	})) {
 		outputs.push(output);
@@ -46,7 +46,7 @@
 	return outputs;
 }
 
-test('pieces of one read are handed on as one, byte for byte', async t => {
+test('pieces received in one read are joined and forwarded byte for byte', async t => {
 	const {address} = await startEngine(t, (_request, response) => {
 		response.end(whole);
 	});
@@ -64,7 +64,7 @@
 	]);
 });
 
-test('the connection of a whole streamed answer is used again', async t => {
+test('the connection of a complete streamed answer is reused', async t => {
 	const {address, sockets} = await startEngine(t, (_request, response) => {
 		response.end(whole);
 	});
@@ -76,7 +76,7 @@
 	t.is(sockets.length, 1);
 });
 
-test('a connection on which more may come after the last event is destroyed', async t => {
+test('a connection whose response stays open after the last event is destroyed', async t => {
 	const {address, sockets} = await startEngine(t, (_request, response) => {
 		response.write(whole);
 	});
@@ -90,7 +90,7 @@
 	t.true(socket?.closed);
 });
 
-test('what came before a malformed event is handed on before the failure', async t => {
+test('pieces before a malformed event are forwarded before the failure', async t => {
 	const {address} = await startEngine(t, (_request, response) => {
 		response.end(`${chunk('Tag ')}data: {]\n\n${whole}`);
 	});
--- a/packages/daemon/src/entry/engine-events.ts
+++ b/packages/daemon/src/entry/engine-events.ts
@@ -5,30 +5,30 @@
 import {type ChatChunk, readChatChunk, writeChatChunk} from './chat-chunk.js';
 import {joinPieces} from './join-pieces.js';
 
-/** How a streamed answer is read. */
+/** Options for {@linkcode readEngineEvents}. */
 export type EngineEventOptions = {
-	/** The head that the caller is answered with. */
+	/** The status and headers sent to the caller. */
 	readonly head: AnswerHead;
-	/** The length of the text that was there before, in UTF-16 code units. */
+	/** The length of the text that a resumed answer continues, in UTF-16 code units. */
 	readonly resumeFrom: number;
-	/** The tokens in that text; added to the usage that the caller is told. */
+	/** The number of tokens in that text, which is counted as output in the usage reported to the caller. */
 	readonly tokensBefore: number;
-	/** The most bytes that the answer may have. */
+	/** The maximum size of the answer, in bytes. */
 	readonly maximumBytes: number;
-	/** Called whenever bytes come. */
+	/** Called when bytes are received, and after each output that the consumer has taken. */
 	readonly onBytes: () => void;
 };
 
 const lastEvent = '[DONE]';
 
 /**
-Reads a streamed chat answer: pieces with their exact offsets, and how it ended.
+Reads a streamed chat completion as pieces with exact offsets, followed by its result.
 
-An answer is whole only when `data: [DONE]` came; a malformed event is a failure of the engine. Pieces that come with the same read are joined, and the connection of an answer that was read to its end is used again.
+An answer is complete only if it ends with `data: [DONE]`. A malformed event is a failure of the engine. Pieces received in the same read are joined. If the response was read to its end, its connection is reused.
 
-@param message The answer.
-@param options How to read it.
-@returns The pieces and the end.
+@param message The response.
+@param options The head, the resume position and the limits.
+@returns The outputs of the attempt.
 @example
 ```ts
 for await (const output of readEngineEvents(message, options)) { ... }
@@ -50,7 +50,7 @@
 			options.onBytes();
 			size += bytes.byteLength;
 			if (size > options.maximumBytes) {
-				yield {type: 'failed', message: `Got more than ${options.maximumBytes} bytes from the engine`};
+				yield {type: 'failed', message: `Response from the engine exceeds ${options.maximumBytes} bytes`};
 				return;
 			}
 
@@ -65,16 +65,16 @@
 			}
 		}
 	} catch (error) {
-		yield {type: 'broken', message: `Got a broken stream from the engine: ${error instanceof Error ? error.message : 'not readable'}`};
+		yield {type: 'broken', message: `Connection to the engine was lost during the response: ${error instanceof Error ? error.message : 'not readable'}`};
 		return;
 	} finally {
 		release(message);
 	}
 
-	yield {type: 'broken', message: 'Got a stream from the engine that ended before its proper end'};
+	yield {type: 'broken', message: 'Response from the engine ended without the [DONE] event'};
 }
 
-/** Leaves the connection of an answer that came to its end for other requests; any other is destroyed. */
+/** Returns the connection to the pool if the response is complete, and destroys it otherwise. */
 function release(message: IncomingMessage): void {
 	if (message.complete) {
 		message.resume();
@@ -84,7 +84,7 @@
 	message.destroy();
 }
 
-/** Turns events into outputs; what only frames the answer is kept for the next piece or for the end. */
+/** Converts events into outputs. Events without content are buffered and sent with the next piece or with the trailer. */
 class AnswerReader {
 	ended = false;
 	#offset: number;
@@ -98,7 +98,7 @@
 		this.#tokensBefore = tokensBefore;
 	}
 
-	/** Reads events up to the end of the answer; what comes after it is passed over. */
+	/** Converts events up to the end of the answer and ignores any that follow. */
 	readAll(events: readonly string[]): readonly AttemptOutput[] {
 		const outputs: AttemptOutput[] = [];
 		for (const data of events) {
@@ -124,7 +124,7 @@
 		const chunk = readChatChunk(data);
 		if (chunk === undefined) {
 			this.ended = true;
-			return {type: 'failed', message: 'Got an event from the engine that is no chunk of a chat completion'};
+			return {type: 'failed', message: 'Event from the engine is not a chat completion chunk'};
 		}
 
 		this.#usage = chunk.usage ?? this.#usage;
@@ -136,7 +136,7 @@
 		return this.#piece(chunk);
 	}
 
-	/** The text that was there before counts as output, not as input, of the whole answer. */
+	/** Moves the tokens of the resumed text, which the engine counts as input, to the output of the whole answer. */
 	#wholeUsage({input, output}: TokenUsage): TokenUsage {
 		return {input: Math.max(0, input - this.#tokensBefore), output: output + this.#tokensBefore};
 	}
--- a/packages/daemon/src/entry/entry-context.ts
+++ b/packages/daemon/src/entry/entry-context.ts
@@ -12,29 +12,29 @@
 import {type AdmissionPools} from './traffic/admission-pools.js';
 import {type ServerPicker} from './traffic/server-picker.js';
 
-/** What the handlers of callers' requests work with. */
+/** The shared state of the handlers of callers' requests. */
 export type EntryContext = DaemonBase & {
 	readonly servers: ServerTable;
-	/** This instance's bills. */
+	/** The bills of this instance. */
 	readonly bills: BillKeeper;
-	/** The copies of other instances' bills. */
+	/** The copies of bills that this instance holds for others. */
 	readonly held: HeldBills;
 	readonly claims: ClaimKeeper;
 	readonly requests: RequestCounter;
 	/** The requests in progress. */
 	readonly runs: Set<RequestRun>;
-	/** How many requests are in progress on each version. */
+	/** The number of requests in progress for each version. */
 	readonly inProgress: InProgress;
-	/** Admits requests by the capacity of the servers. */
+	/** Limits requests to the capacity of the servers. */
 	readonly admission: AdmissionPools;
-	/** Picks servers, and knows those whose requests fail. */
+	/** Selects servers and ejects failing ones. */
 	readonly picker: ServerPicker;
-	/** How long the stages of attempts took. */
+	/** The durations of the stages of recent attempts. */
 	readonly history: StageHistory;
-	/** Why the latest requests went where they went. */
+	/** The routing decisions of recent requests. */
 	readonly decisions: DecisionRing;
-	/** The configuration in force; undefined before the first. */
+	/** The configuration in force; undefined until the first one is activated. */
 	readonly active: () => ActiveConfiguration | undefined;
-	/** Estimates, local stops and what is seen of versions. */
+	/** Quality estimates, locally stopped versions, and observed outcomes of versions. */
 	readonly ratings: RatingsPart;
 };
--- a/packages/daemon/src/entry/find-server.ts
+++ b/packages/daemon/src/entry/find-server.ts
@@ -2,11 +2,11 @@
 import {type KnownServer, type ServerTable} from '@valehitch/membership';
 
 /**
-Finds a backend server that is there.
+Finds a known backend server by its id.
 
-@param servers The servers that announced themselves.
-@param id The server.
-@returns The server, or undefined where it is gone.
+@param servers The known servers.
+@param id The id of the server.
+@returns The server, or undefined if it is not known any more.
 @example
 ```ts
 findServer(servers, server)?.announcement.shuttingDown;
--- a/packages/daemon/src/entry/handle-caller.ts
+++ b/packages/daemon/src/entry/handle-caller.ts
@@ -16,11 +16,11 @@
 const retryAfterStopMilliseconds = 1000;
 
 /**
-Handles each request on the callers' port.
+Handles a request on the listener for callers.
 
 @param request The request.
 @param response The response.
-@param context What the entry works with.
+@param context The shared state of the entry part.
 @example
 ```ts
 await handleCaller(request, response, context);
@@ -60,7 +60,7 @@
 	} else if (request.url?.startsWith('/services/') === true) {
 		await handleService(call, context);
 	} else {
-		refuse(call, failure('not-found', `Got path ${request.url ?? ''}, wanted /v1/chat/completions or /services/NAME/...`), context);
+		refuse(call, failure('not-found', `Unknown path ${request.url ?? ''}; expected /v1/chat/completions or /services/NAME/...`), context);
 	}
 
 	context.timeline.record('request-answered', {requestId, workspace: call.workspace, details: {status: response.statusCode}});
@@ -69,7 +69,7 @@
 async function handleChatPath(call: AuthenticatedCall, context: EntryContext): Promise<void> {
 	const {method} = call.request;
 	if (method !== 'POST') {
-		refuse(call, failure('method-not-allowed', `Got ${method ?? ''}, wanted POST`), context);
+		refuse(call, failure('method-not-allowed', `Method ${method ?? ''} is not allowed; expected POST`), context);
 		return;
 	}
 
@@ -80,18 +80,18 @@
 
 function authenticate(arrival: Arrival, context: EntryContext): Either<Failure, AuthenticatedCall> {
 	if (context.requests.stopping) {
-		return Left(failure('shutting-down', 'Got a request during a planned stop', {retryAfterMilliseconds: retryAfterStopMilliseconds}));
+		return Left(failure('shutting-down', 'The instance is shutting down', {retryAfterMilliseconds: retryAfterStopMilliseconds}));
 	}
 
 	const active = context.active();
 	if (active === undefined) {
-		return Left(failure('no-configuration', 'Got a request before the first configuration', {retryAfterMilliseconds: retryAfterStopMilliseconds}));
+		return Left(failure('no-configuration', 'The instance has not received a configuration yet', {retryAfterMilliseconds: retryAfterStopMilliseconds}));
 	}
 
 	return readCallerHeaders(arrival.request).chain(headers => {
 		const workspace = active.workspaces.get(bearerDigest(arrival.request) ?? '');
 		return workspace === undefined
-			? Left(failure('unauthenticated', 'Got no key of a workspace, wanted Authorization: Bearer KEY'))
+			? Left(failure('unauthenticated', 'Missing or unknown API key; expected Authorization: Bearer KEY'))
 			: Right({
 				...arrival, workspace, headers, active,
 			});
--- a/packages/daemon/src/entry/handle-chat.ts
+++ b/packages/daemon/src/entry/handle-chat.ts
@@ -17,10 +17,10 @@
 import {type Demand} from './traffic/admission-pools.js';
 
 const expectedOutputTokens = 200;
-/** How often a request that may have run asks for a server that is back; its caller cannot send it again safely. */
+/** The interval at which a request that may have run looks for an available server again, since its caller cannot safely resend it. */
 const comeBackMilliseconds = 1000;
 
-/** An authenticated request of a caller. */
+/** An authenticated request from a caller. */
 export type AuthenticatedCall = {
 	readonly request: IncomingMessage;
 	readonly response: ServerResponse;
@@ -28,15 +28,15 @@
 	readonly workspace: WorkspaceId;
 	readonly headers: CallerHeaders;
 	readonly active: ActiveConfiguration;
-	/** When the request arrived, in milliseconds on the monotonic clock. */
+	/** When the request arrived, in milliseconds of the monotonic clock. */
 	readonly arrivedAt: number;
 };
 
 /**
-Serves one chat completion from the body to the settled bill.
+Handles a chat completion, from reading the body to settling the bill.
 
 @param call The request.
-@param context What the entry works with.
+@param context The shared state of the entry part.
 @example
 ```ts
 await handleChat(call, context);
@@ -77,7 +77,7 @@
 	readonly context: EntryContext;
 };
 
-/** The rating of an answer comes late, and tells the version by the request's id. */
+/** Remembers which version answered, since a rating arrives later and refers to the request by its id only. */
 function rememberForRating({requestId, workspace, rule, escalatesTo, model: first}: ChatPlan, {answeredBy: {model, version}, ranAt, context}: Answered): void {
 	const isAccepted = escalatesTo !== undefined && model === first;
 	context.ratings.remember({
@@ -109,11 +109,11 @@
 }
 
 /**
-The idempotency key of a request, where it carries one, with the digest of method, path and body.
+Returns the idempotency key of a request with the digest of its method, path and body.
 
 @param call The request.
 @param body Its body.
-@returns The key, or undefined where there is none.
+@returns The key and the digest, or undefined if the request has no idempotency key.
 @example
 ```ts
 requestKey(call, body)?.digest;
--- a/packages/daemon/src/entry/handle-service.ts
+++ b/packages/daemon/src/entry/handle-service.ts
@@ -18,10 +18,10 @@
 const servicePriority = 5;
 
 /**
-Serves one call to a plain service.
+Handles a call to a plain service.
 
 @param call The request.
-@param context What the entry works with.
+@param context The shared state of the entry part.
 @example
 ```ts
 await handleService(call, context);
@@ -63,15 +63,15 @@
 	const service = toId<ServiceId>(groups?.service ?? '');
 	const path = groups?.path ?? '/';
 	if (!Object.hasOwn(document.services, service)) {
-		return Left(failure('not-found', `Got path ${request.url ?? ''}, wanted /services/NAME/... of a configured service`));
+		return Left(failure('not-found', `Unknown path ${request.url ?? ''}; expected /services/NAME/... of a configured service`));
 	}
 
 	if (document.workspaces[workspace]?.services.includes(service) !== true) {
-		return Left(failure('forbidden', `Got service ${service}, wanted one that workspace ${workspace} may use`));
+		return Left(failure('forbidden', `Workspace ${workspace} is not allowed to use service ${service}`));
 	}
 
 	if (!mayServe({leaseValid: !isolated, serve: settings.isolation.serve, versionState: 'plain-service'})) {
-		return Left(failure('no-configuration', 'Got a call on an instance without a configuration lease, which serves nothing', {retryAfterMilliseconds: 1000}));
+		return Left(failure('no-configuration', 'The instance has no valid configuration lease and serves no calls without one', {retryAfterMilliseconds: 1000}));
 	}
 
 	const method = request.method ?? 'GET';
@@ -82,7 +82,7 @@
 	});
 }
 
-/** A call that may be repeated needs no claim. */
+/** A repeatable call needs no claim. */
 function lifePlan({call: {headers, arrivedAt}, service, repeatable}: ServicePlan, hasKey: boolean): RequestPlan {
 	const claimed = hasKey && !repeatable;
 	return {
--- a/packages/daemon/src/entry/in-progress.ts
+++ b/packages/daemon/src/entry/in-progress.ts
@@ -2,7 +2,7 @@
 import {type VersionTarget} from '@valehitch/policy';
 
 /**
-Counts this instance's requests in progress on each version.
+Counts the requests in progress on this instance for each version.
 
 @example
 ```ts
@@ -14,20 +14,20 @@
 	readonly #counts = new Map<string, number>();
 
 	/**
-	Tells how many requests are in progress on a version.
+	Returns the number of requests in progress for a version.
 
 	@param target The version.
-	@returns Their number.
+	@returns The number of requests.
 	*/
 	get({model, version}: VersionTarget): number {
 		return this.#counts.get(versionKey(model, version)) ?? 0;
 	}
 
 	/**
-	Counts a request.
+	Adds a request to the count.
 
-	@param target The version that it runs on.
-	@returns Ends the count of it.
+	@param target The version that serves the request.
+	@returns A function that removes the request from the count.
 	*/
 	begin({model, version}: VersionTarget): () => void {
 		const key = versionKey(model, version);
--- a/packages/daemon/src/entry/join-pieces.ts
+++ b/packages/daemon/src/entry/join-pieces.ts
@@ -1,10 +1,10 @@
 import {type AnswerPiece, type AttemptOutput} from './attempt-output.js';
 
 /**
-Joins pieces of text that follow one another, so that what came with one read costs one step and one write.
+Joins adjacent text pieces, so that the data of one read needs one state machine step and one write.
 
-@param outputs What came with one read, in order.
-@returns The same with neighbouring pieces of text in one.
+@param outputs The outputs of one read, in order.
+@returns The outputs with adjacent text pieces joined.
 @example
 ```ts
 joinPieces([first, second, complete]); // [firstAndSecond, complete]
--- a/packages/daemon/src/entry/life/attempt-set.ts
+++ b/packages/daemon/src/entry/life/attempt-set.ts
@@ -1,32 +1,32 @@
 import {type AnswerHead, type AnswerPiece, type AttemptOutput} from '../attempt-output.js';
 
-/** What the attempts of a request need. */
+/** Options of an {@linkcode AttemptSet}. */
 export type AttemptSetOptions = {
-	/** Takes each output of an attempt that is not cancelled. */
+	/** Called with each output of an attempt that is not cancelled. */
 	readonly onOutput: (attempt: number, output: AttemptOutput) => void;
-	/** Told of an error that a call threw; the attempt counts as broken. */
+	/** Called with an error that a call threw; the attempt is reported as broken. */
 	readonly onError: (error: unknown) => void;
-	/** Waits until the caller has room for more. */
+	/** Waits until the caller can receive more data. */
 	readonly drained: () => Promise<void>;
 };
 
-/** A call to a backend server, which the signal ends. */
+/** A call to a backend server, which the signal aborts. */
 export type AttemptCall = (signal: AbortSignal) => AsyncIterable<AttemptOutput>;
 
-/** One attempt, as far as the adapters keep it. */
+/** The state of one attempt. */
 export type Attempt = {
 	readonly controller: AbortController;
-	/** The offset at which it began. */
+	/** The offset in the answer at which the attempt began. */
 	readonly resumeFrom: number;
 	head: AnswerHead | undefined;
 	trailer: string;
-	/** The pieces that are held. */
+	/** The buffered pieces of the answer. */
 	pieces: AnswerPiece[];
-	/** Whether nothing more comes of it, so that nothing is left to cancel. */
+	/** Whether the call has ended, so that there is nothing to cancel. */
 	isOver: boolean;
 };
 
-/** How to start an attempt. */
+/** Options of {@linkcode AttemptSet.start}. */
 export type StartAttemptOptions = {
 	readonly number: number;
 	readonly resumeFrom: number;
@@ -34,7 +34,7 @@
 };
 
 /**
-The calls to backend servers that are in progress for one request.
+The attempts of one request, that is, its calls to backend servers.
 
 @example
 ```ts
@@ -51,20 +51,20 @@
 	}
 
 	/**
-	Finds an attempt.
+	Returns an attempt.
 
 	@param number The attempt's number.
-	@returns The attempt, or undefined where it was cancelled or never sent.
+	@returns The attempt, or undefined if it was cancelled or not started.
 	*/
 	get(number: number): Attempt | undefined {
 		return this.#attempts.get(number);
 	}
 
 	/**
-	Starts an attempt and hands its outputs on, as fast as the caller takes them.
+	Starts an attempt and forwards its outputs as fast as the caller receives them.
 
-	@param options Which attempt, and the call.
-	@returns When nothing more comes of the attempt.
+	@param options The attempt's number, its offset and the call.
+	@returns Resolves when the attempt has ended.
 	*/
 	async start({number, resumeFrom, call}: StartAttemptOptions): Promise<void> {
 		const attempt: Attempt = {
@@ -75,14 +75,14 @@
 			await this.#pump(number, attempt, call);
 		} catch (error) {
 			this.#options.onError(error);
-			this.#handOn(number, attempt, {type: 'broken', message: 'The adapter failed'});
+			this.#handOn(number, attempt, {type: 'broken', message: 'Unexpected error in the request adapter'});
 		}
 
 		attempt.isOver = true;
 	}
 
 	/**
-	Ends an attempt: its connection is destroyed and nothing of it is handed on.
+	Cancels an attempt: its connection is destroyed and its outputs are not forwarded any more.
 
 	@param number The attempt's number.
 	*/
@@ -94,7 +94,7 @@
 		}
 	}
 
-	/** Ends all attempts. */
+	/** Cancels all attempts. */
 	cancelAll(): void {
 		for (const number of this.#attempts.keys()) {
 			this.cancel(number);
--- a/packages/daemon/src/entry/life/caller-writer.ts
+++ b/packages/daemon/src/entry/life/caller-writer.ts
@@ -4,14 +4,14 @@
 import {answerProblem, toProblem} from '@valehitch/transport';
 import {type AnswerHead} from '../attempt-output.js';
 
-/** What the writer needs. */
+/** Options of a {@linkcode CallerWriter}. */
 export type CallerWriterOptions = {
 	readonly response: ServerResponse;
 	readonly requestId: string;
 };
 
 /**
-Writes one answer to the caller.
+Writes the answer of one request to the caller.
 
 @example
 ```ts
@@ -31,7 +31,7 @@
 	}
 
 	/**
-	Begins the answer; does nothing when it has begun.
+	Sends the status and headers, unless they have been sent.
 
 	@param head The status and the headers.
 	*/
@@ -43,7 +43,7 @@
 	}
 
 	/**
-	Writes a piece.
+	Writes a piece of the answer.
 
 	@param payload The piece.
 	*/
@@ -52,9 +52,9 @@
 	}
 
 	/**
-	Ends an answer that is whole.
+	Ends a complete answer.
 
-	@param trailer What comes after the last piece.
+	@param trailer The data after the last piece.
 	*/
 	finish(trailer: string): void {
 		if (trailer === '') {
@@ -66,7 +66,7 @@
 	}
 
 	/**
-	Answers with a failure; an answer that has begun is ended so that it cannot be taken for a whole one.
+	Responds with a failure. An answer that has begun is aborted, so that the caller cannot mistake it for a complete one.
 
 	@param failed The failure.
 	*/
@@ -87,16 +87,16 @@
 	}
 
 	/**
-	Answers with what an earlier request under the same key was answered.
+	Responds with the stored answer of an earlier request with the same idempotency key.
 
-	@param answer The kept answer, with its body.
+	@param answer The stored answer, with its body.
 	*/
 	replay(answer: KeptAnswer): void {
 		this.#response.writeHead(answer.status, {...answer.headers, 'Valehitch-Replayed': 'true'});
 		this.#response.end(answer.body);
 	}
 
-	/** Waits until the caller has room for more, or left. */
+	/** Waits until the caller can receive more data or has disconnected. */
 	async drained(): Promise<void> {
 		const response = this.#response;
 		if (!response.writableNeedDrain || response.destroyed) {
--- a/packages/daemon/src/entry/life/choose-events.ts
+++ b/packages/daemon/src/entry/life/choose-events.ts
@@ -4,14 +4,14 @@
 const retryAfterMilliseconds = 1000;
 
 /**
-Chooses another version after one was lost before any dispatch.
+Chooses another version after one became unavailable before any dispatch.
 
 @param adapter The adapter of the request.
-@param lost The version that was lost.
-@returns The event that tells the version, or that there is none.
+@param lost The unavailable version.
+@returns The event with the version, or with the reason why there is none.
 @example
 ```ts
-run.take(chooseVersionEvent(adapter, lost));
+execution.handleEvent(chooseVersionEvent(adapter, lost));
 ```
 */
 export function chooseVersionEvent(adapter: RequestAdapter, lost: RequestTarget): RequestEvent {
@@ -21,22 +21,22 @@
 	});
 }
 
-/** What the choice of a server depends on besides the action. */
+/** Options of {@linkcode chooseServerEvent}. */
 export type ChooseServerEventOptions = {
 	readonly adapter: RequestAdapter;
-	/** Whether an answer can go on right after what the caller got. */
+	/** Whether the answer can be resumed exactly after the part that the caller has received. */
 	readonly isResumable: boolean;
 };
 
 /**
-Chooses a server for an attempt; there is none for a resume that could not be exact.
+Chooses a server for an attempt. A resume that could not be exact gets no server.
 
-@param action What the life of the request asks for.
+@param action The action of the request's state machine.
 @param options The adapter, and whether the answer can be resumed.
-@returns The event that tells the server, or that there is none.
+@returns The event with the server, or with the reason why there is none.
 @example
 ```ts
-run.take(chooseServerEvent(action, {adapter, isResumable: true}));
+execution.handleEvent(chooseServerEvent(action, {adapter, isResumable: true}));
 ```
 */
 export function chooseServerEvent(action: ChooseServerAction, {adapter, isResumable}: ChooseServerEventOptions): RequestEvent {
--- a/packages/daemon/src/entry/life/dispatch-attempt.ts
+++ b/packages/daemon/src/entry/life/dispatch-attempt.ts
@@ -6,13 +6,13 @@
 import {type AttemptSet} from './attempt-set.js';
 import {type AnswerSoFar, type DispatchAction, type RequestAdapter} from './request-adapter.js';
 
-/** What a dispatch works with. */
+/** Options of {@linkcode dispatchAttempt}. */
 export type DispatchAttemptOptions = {
 	readonly requestId: RequestId;
 	readonly workspace: WorkspaceId;
 	readonly adapter: RequestAdapter;
 	readonly attempts: AttemptSet;
-	/** What the caller got. */
+	/** The part of the answer that the caller has received. */
 	readonly soFar: AnswerSoFar;
 	readonly context: Pick<EntryContext, 'servers' | 'timeline'>;
 };
@@ -20,11 +20,11 @@
 const fromTheStart: AnswerSoFar = {text: '', tokens: 0};
 
 /**
-Sends an attempt, after asking right before it whether the version and the server may still get work.
+Sends an attempt, after a final check that the target and the server may still receive requests.
 
 @param dispatch The attempt.
-@param options What it works with.
-@returns The event of a denial; undefined where the attempt was sent.
+@param options The request, its adapter and its attempts.
+@returns The event of a denial, or undefined if the attempt was sent.
 @example
 ```ts
 const denied = dispatchAttempt(action, options);
--- a/packages/daemon/src/entry/life/kept-answer.ts
+++ b/packages/daemon/src/entry/life/kept-answer.ts
@@ -3,19 +3,19 @@
 import {sha256} from '../../digest.js';
 import {type AnswerHead} from '../attempt-output.js';
 
-/** The answer that a claim keeps. */
+/** The parts of an answer to store with a claim. */
 export type KeptAnswerParts = {
 	readonly head: AnswerHead;
 	readonly payloads: ReadonlyArray<string | Uint8Array>;
-	/** The largest body that is kept, in bytes. */
+	/** The maximum size of a stored body, in bytes. */
 	readonly maximumBytes: number;
 };
 
 /**
-Makes the answer that a claim keeps for a replay.
+Creates the answer that is stored with a claim for replay.
 
-@param parts The answer.
-@returns The answer with its digest, and its body where it is small enough.
+@param parts The parts of the answer.
+@returns The answer with its digest, and with its body if it is not too large.
 @example
 ```ts
 toKeptAnswer({head, payloads: [payload], maximumBytes: 16_384}).digest;
--- a/packages/daemon/src/entry/life/life-timers.ts
+++ b/packages/daemon/src/entry/life/life-timers.ts
@@ -2,10 +2,10 @@
 import {type RequestTimer} from '@valehitch/routing';
 import {timeoutAfterInput} from '@valehitch/transport';
 
-/** What the timers need. */
+/** Options of {@linkcode RequestTimers}. */
 export type LifeTimersOptions = {
 	readonly clock: Clock;
-	/** Called when a timer is due. */
+	/** Called when a timer expires. */
 	readonly onDue: (timer: RequestTimer) => void;
 };
 
@@ -27,16 +27,16 @@
 	}
 
 	/**
-	Sets a timer; one that is set already moves.
+	Sets a timer; a timer that is already set is rescheduled.
 
 	@param timer The timer.
-	@param at When it is due, in milliseconds on the monotonic clock.
+	@param at When it expires, in milliseconds of the monotonic clock.
 	*/
 	set(timer: RequestTimer, at: number): void {
 		this.clear(timer);
 		const {clock, onDue} = this.#options;
 		const milliseconds = Math.max(0, at - clock.monotonic());
-		// An answer that is here by the deadline is taken, also where this process was held up.
+		// Input that arrived before the deadline is processed first, even if this process was paused.
 		this.#timers.set(timer, timeoutAfterInput(milliseconds, () => {
 			this.#timers.delete(timer);
 			onDue(timer);
--- a/packages/daemon/src/entry/life/output-event.ts
+++ b/packages/daemon/src/entry/life/output-event.ts
@@ -3,14 +3,14 @@
 import {type AttemptOutput} from '../attempt-output.js';
 
 /**
-Makes the event in the life of a request from what came of an attempt.
+Converts an output of an attempt into an event of the request's state machine.
 
 @param attempt The attempt's number.
-@param output What came of it.
+@param output The output.
 @returns The event.
 @example
 ```ts
-toRequestEvent(1, {type: 'never-sent', message: 'Got no connection'}); // {type: 'attempt-never-sent', attempt: 1}
+toRequestEvent(1, {type: 'never-sent', message: 'Connection refused'}); // {type: 'attempt-never-sent', attempt: 1}
 ```
 */
 export function toRequestEvent(attempt: number, output: AttemptOutput): AttemptEvent {
--- a/packages/daemon/src/entry/life/request-adapter.ts
+++ b/packages/daemon/src/entry/life/request-adapter.ts
@@ -6,24 +6,24 @@
 import {type AttemptOutput} from '../attempt-output.js';
 import {type JudgedAnswer} from '../checked-answer.js';
 
-/** Asks for a server for an attempt. */
+/** The action that requests a server for an attempt. */
 export type ChooseServerAction = Extract<AttemptAction, {readonly type: 'choose-server'}>;
 
-/** Asks for the dispatch of an attempt. */
+/** The action that requests the dispatch of an attempt. */
 export type DispatchAction = Extract<AttemptAction, {readonly type: 'dispatch'}>;
 
-/** A server for an attempt, or why there is none. */
+/** The server for an attempt, or the reason why there is none. */
 export type ServerChoice
 	= | {readonly type: 'chosen'; readonly server: ServerId}
 		| {readonly type: 'none'; readonly reason: 'none' | 'budget'; readonly retryAfterMilliseconds: number};
 
-/** What a resumed answer goes on after. */
+/** The part of an answer that a resumed attempt continues. */
 export type AnswerSoFar = {
 	readonly text: string;
 	readonly tokens: number;
 };
 
-/** One attempt that passed the check. */
+/** An attempt to send, after the check before its dispatch. */
 export type SendOptions = {
 	readonly dispatch: DispatchAction;
 	readonly address: string;
@@ -31,25 +31,25 @@
 	readonly before: AnswerSoFar;
 };
 
-/** The word on an answer of a cascade. */
+/** The decision on an answer of a cascade. */
 export type Judgement
 	= | {readonly verdict: 'accepted'}
 		| {readonly verdict: 'escalated'; readonly target: RequestTarget; readonly judged: boolean};
 
-/** What differs between a chat and a call to a plain service. */
+/** The operations that differ between chat requests and calls to plain services. */
 export type RequestAdapter = {
 	/** Chooses a server for an attempt. */
 	readonly chooseServer: (action: ChooseServerAction) => ServerChoice;
-	/** The check right before a dispatch: why the target may not get it, or undefined. */
+	/** Checks a target right before a dispatch; returns why it may not be used, or undefined if it may. */
 	readonly denialOf: (target: RequestTarget) => DispatchDenial | undefined;
 	/** Sends an attempt. */
 	readonly send: (options: SendOptions) => AsyncIterable<AttemptOutput>;
-	/** Chooses another target after one was lost before any dispatch. */
+	/** Chooses another target after one became unavailable before any dispatch. */
 	readonly chooseVersion: (lost: RequestTarget) => Either<Failure, {readonly target: RequestTarget; readonly judged: boolean}>;
-	/** Judges the answer of a target of a cascade. */
+	/** Decides whether the answer of a cascade's target is accepted. */
 	readonly judge: (target: RequestTarget, answer: JudgedAnswer) => Judgement;
-	/** What an attempt on a target costs. */
+	/** Returns the cost of an attempt on a target. */
 	readonly costOf: (target: RequestTarget, usage: TokenUsage) => Micros;
-	/** The headers that tell the caller what answered. */
+	/** Returns the headers that tell the caller which target answered. */
 	readonly headersOf: (target: RequestTarget) => Readonly<Record<string, string>>;
 };
--- a/packages/daemon/src/entry/life/request-answer.ts
+++ b/packages/daemon/src/entry/life/request-answer.ts
@@ -11,13 +11,13 @@
 import {toKeptAnswer} from './kept-answer.js';
 import {type AnswerSoFar, type RequestAdapter} from './request-adapter.js';
 
-/** What the answer of a request needs. */
+/** Options of a {@linkcode RequestAnswer}. */
 export type RequestAnswerOptions = {
 	readonly response: ServerResponse;
 	readonly requestId: RequestId;
 	readonly workspace: WorkspaceId;
 	readonly adapter: Pick<RequestAdapter, 'headersOf'>;
-	/** Whether a claim keeps the answer. */
+	/** Whether the answer is stored with a claim. */
 	readonly claimed: boolean;
 	readonly context: Pick<EntryContext, 'metrics' | 'timeline'>;
 };
@@ -25,7 +25,7 @@
 const keptAnswerBytes = 16_384;
 
 /**
-The answer of one request as the caller gets it: what went out, what a resume goes on after, and what a claim keeps.
+The answer of one request: writes it to the caller, and records what a resumed attempt continues and what is stored with a claim.
 
 @example
 ```ts
@@ -46,12 +46,12 @@
 		this.#writer = new CallerWriter(options);
 	}
 
-	/** Whether an answer can go on right after what the caller got. */
+	/** Whether the answer can be resumed exactly after the part that the caller has received. */
 	get isResumable(): boolean {
 		return this.#resumable;
 	}
 
-	/** What the caller got. */
+	/** The part of the answer that the caller has received. */
 	get soFar(): AnswerSoFar {
 		return {text: this.#text, tokens: this.#tokens};
 	}
@@ -59,7 +59,7 @@
 	/**
 	Writes a piece to the caller.
 
-	@param attempt The attempt that brought it.
+	@param attempt The attempt that produced it.
 	@param piece The piece.
 	@param target What the attempt ran on.
 	*/
@@ -79,7 +79,7 @@
 	}
 
 	/**
-	Ends the answer, which is whole.
+	Ends the answer, which is complete.
 
 	@param attempt The attempt that completed it.
 	@param target What the attempt ran on.
@@ -90,7 +90,7 @@
 	}
 
 	/**
-	Answers with a failure, counts it by kind and records it.
+	Responds with a failure, counts the failure by kind and records it in the timeline.
 
 	@param failed The failure.
 	*/
@@ -102,9 +102,9 @@
 	}
 
 	/**
-	Answers with what a claim kept.
+	Responds with the answer that is stored with a claim, or with a failure if it was too large to be stored.
 
-	@param kept The kept answer.
+	@param kept The stored answer.
 	*/
 	replay(kept: KeptAnswer | undefined): void {
 		if (kept?.body !== undefined) {
@@ -112,17 +112,17 @@
 			return;
 		}
 
-		this.refuse(failure('outcome-unknown', 'Got an idempotency key whose request ran and was answered; its answer was too large to be kept', {
+		this.refuse(failure('outcome-unknown', 'The request with this idempotency key ran and was answered, but its answer was too large to be stored', {
 			outcome: 'ran', details: {status: kept?.status, digest: kept?.digest, bytes: kept?.bytes},
 		}));
 	}
 
 	/**
-	The whole answer as a claim keeps it: what earlier attempts brought, and then the attempt that completed it.
+	Assembles the complete answer to store with a claim: the parts of earlier attempts, followed by that of the attempt that completed it.
 
 	@param attempt The attempt that completed it.
 	@param target What the attempt ran on.
-	@returns The answer, or undefined where there is none.
+	@returns The answer, or undefined if there is none.
 	*/
 	keptAnswer(attempt: Attempt | undefined, target: RequestTarget): KeptAnswer | undefined {
 		const head = this.#headOf(attempt, target);
@@ -135,7 +135,7 @@
 		return toKeptAnswer({head, payloads: [...payloads, attempt.trailer], maximumBytes: keptAnswerBytes});
 	}
 
-	/** Waits until the caller has room for more, or left. */
+	/** Waits until the caller can receive more data or has disconnected. */
 	async drained(): Promise<void> {
 		return this.#writer.drained();
 	}
--- a/packages/daemon/src/entry/life/request-bill.ts
+++ b/packages/daemon/src/entry/life/request-bill.ts
@@ -5,10 +5,10 @@
 import {type EntryContext} from '../entry-context.js';
 import {type RequestAdapter} from './request-adapter.js';
 
-/** Asks for the settlement of the bill. */
+/** The action that requests the settlement of the bill. */
 export type SettleBillAction = Extract<PreparationAction, {readonly type: 'settle-bill'}>;
 
-/** What the bill of a request needs. */
+/** Options of a {@linkcode RequestBill}. */
 export type RequestBillOptions = {
 	readonly workspace: WorkspaceId;
 	readonly requestId: RequestId;
@@ -17,7 +17,7 @@
 };
 
 /**
-The bill of one request: opened before the first dispatch, settled before the last byte.
+The bill of one request, which is opened before the first dispatch and settled before the last byte is sent.
 
 @example
 ```ts
@@ -35,7 +35,7 @@
 	/**
 	Opens the bill.
 
-	@returns The event that tells whether a second instance holds it.
+	@returns The event that reports whether the bill could be opened.
 	*/
 	async open(): Promise<RequestEvent> {
 		const {context: {bills, clock, timeline}, workspace, requestId} = this.#options;
@@ -48,10 +48,10 @@
 	}
 
 	/**
-	Settles the bill with a line for each attempt that ran or may have run; one that provably did not run has no bill.
+	Settles the bill with a line for each attempt that ran or may have run. The bill is discarded if provably no attempt ran.
 
-	@param settlement How the request ended, and its attempts.
-	@returns When a second instance or the ledger has it.
+	@param settlement The outcome of the request, and its attempts.
+	@returns Resolves when another instance or the ledger has the settled bill.
 	*/
 	async settle({outcome, lines: attempts}: SettleBillAction): Promise<void> {
 		const {context: {bills, clock, settings, timeline}, workspace, requestId} = this.#options;
@@ -74,7 +74,7 @@
 		await bills.settle(bill);
 	}
 
-	/** An attempt that may have run without a word from its server costs nothing. */
+	/** An attempt whose outcome is unknown is not charged. */
 	#toLine({target, server, usage, outcome, purpose}: AttemptLine): BillLine {
 		const cost = outcome === 'ran' ? this.#options.adapter.costOf(target, usage) : sumOf([]);
 		const line = {
--- a/packages/daemon/src/entry/life/request-claim.ts
+++ b/packages/daemon/src/entry/life/request-claim.ts
@@ -6,13 +6,13 @@
 import {match} from 'ts-pattern';
 import {type EntryContext} from '../entry-context.js';
 
-/** The idempotency key of a request, and the digest that tells it from another under the same key. */
+/** The idempotency key of a request, and the digest that distinguishes it from other requests with the same key. */
 export type RequestKey = {
 	readonly key: IdempotencyKey;
 	readonly digest: string;
 };
 
-/** What the claim of a request needs. */
+/** Options of a {@linkcode RequestClaim}. */
 export type RequestClaimOptions = RequestKey & {
 	readonly workspace: WorkspaceId;
 	readonly requestId: RequestId;
@@ -22,7 +22,7 @@
 const retryAfterMilliseconds = 1000;
 
 /**
-The claim of one request on its idempotency key.
+The claim of a request on its idempotency key.
 
 @example
 ```ts
@@ -38,7 +38,7 @@
 		this.#options = options;
 	}
 
-	/** What the claim kept of an earlier request under the same key. */
+	/** The stored answer of an earlier request with the same key. */
 	get kept(): KeptAnswer | undefined {
 		return this.#kept;
 	}
@@ -46,7 +46,7 @@
 	/**
 	Takes the claim.
 
-	@returns The event that tells where it stands.
+	@returns The event with the state of the claim.
 	*/
 	async take(): Promise<RequestEvent> {
 		const {context, workspace, requestId, key, digest} = this.#options;
@@ -61,10 +61,10 @@
 	}
 
 	/**
-	Settles the claim; the settlement is sent until it is acknowledged.
+	Settles the claim in the background; the settlement is retried until it is acknowledged.
 
-	@param end How it ended.
-	@param answer The whole answer, where there is one.
+	@param end How the request ended.
+	@param answer The complete answer, if there is one.
 	*/
 	settle(end: ClaimEnd, answer: KeptAnswer | undefined): void {
 		const {context, workspace, requestId, key} = this.#options;
--- a/packages/daemon/src/entry/life/request-run.ts
+++ b/packages/daemon/src/entry/life/request-run.ts
@@ -19,16 +19,16 @@
 import {RequestBill, type SettleBillAction} from './request-bill.js';
 import {RequestClaim, type RequestKey} from './request-claim.js';
 
-/** One request to carry through its life. */
+/** Options of a {@linkcode RequestExecution}. */
 export type RequestRunOptions = {
 	readonly response: ServerResponse;
 	readonly requestId: RequestId;
 	readonly workspace: WorkspaceId;
 	readonly plan: RequestPlan;
 	readonly adapter: RequestAdapter;
-	/** Given where the plan takes a claim. */
+	/** The idempotency key, if the request has one. */
 	readonly key: RequestKey | undefined;
-	/** What it asks admission for. */
+	/** The resources that the request needs, for its admission. */
 	readonly demand: Demand;
 	readonly context: EntryContext;
 };
@@ -39,11 +39,11 @@
 };
 
 /**
-Carries one request through its life: the actions of the state machine become input and output, and what comes of them becomes its events.
+Executes one request: performs the actions of its state machine and feeds their results back as events.
 
 @example
 ```ts
-await new RequestRun(options).run();
+await new RequestExecution(options).run();
 ```
 */
 export class RequestRun {
@@ -58,7 +58,7 @@
 	#state: RequestState | undefined;
 	#stepping = false;
 	#isAnswered = false;
-	/** The tokens that the attempts used. */
+	/** The number of tokens used by all attempts. */
 	#tokens = 0;
 	#inHand: AnswerPiece | undefined;
 
@@ -79,16 +79,16 @@
 				this.#takeOutput(attempt, output);
 			},
 			onError(error) {
-				context.log.error({err: error, requestId}, 'An attempt failed in its adapter');
+				context.log.error({err: error, requestId}, 'Unexpected error in the request adapter');
 			},
 			drained: async () => this.#answer.drained(),
 		});
 	}
 
 	/**
-	Begins the life of the request.
+	Executes the request.
 
-	@returns When it ended: what answered it whole, or undefined where nothing did.
+	@returns The target that answered completely, or undefined if none did; resolves when the request has ended.
 	*/
 	async run(): Promise<RequestTarget | undefined> {
 		const {response, plan, context, requestId} = this.#options;
@@ -106,16 +106,16 @@
 		this.#drain();
 		await ended;
 		context.admission.end(requestId, this.#tokens);
-		context.decisions.end(requestId, this.#isAnswered ? 'answered' : 'not answered whole');
+		context.decisions.end(requestId, this.#isAnswered ? 'answered' : 'not answered completely');
 		context.runs.delete(this);
 		return this.#isAnswered ? this.#target : undefined;
 	}
 
 	/**
-	Takes an event; one that comes while actions are carried out waits for its turn.
+	Passes an event to the state machine. An event that arrives while actions are performed is queued.
 
 	@param event The event.
-	@param piece The piece that came with it.
+	@param piece The piece of the answer that belongs to the event.
 	*/
 	take(event: RequestEvent, piece?: AnswerPiece): void {
 		this.#queue.push({event, piece});
@@ -152,7 +152,7 @@
 
 	#act(action: RequestAction): void {
 		match(action)
-			// The frequent ones come first, since the cases are tried in turn.
+			// Frequent actions come first, since the cases are tested in order.
 			.with({type: 'forward-piece'}, ({attempt}) => {
 				this.#forward(attempt, this.#inHand === undefined ? [] : [this.#inHand]);
 			})
@@ -203,7 +203,7 @@
 	#tell(action: Exclude<CallerAction, {readonly type: 'forward-piece'}>): void {
 		match(action)
 			.with({type: 'hold-piece'}, () => {
-				// The attempt keeps its pieces as they come.
+				// Nothing to do: pieces are buffered when they arrive.
 			})
 			.with({type: 'forward-held'}, ({attempt}) => {
 				this.#forward(attempt, this.#attempts.get(attempt)?.pieces ?? []);
@@ -268,7 +268,7 @@
 			const {context, requestId} = this.#options;
 			context.log.info({
 				requestId, attempt: number, end: output.type, message: output.message,
-			}, output.type === 'silent' ? 'An attempt fell silent; its connection is kept' : 'An attempt brought no whole answer');
+			}, output.type === 'silent' ? 'No data received from the server within the stall timeout; keeping the connection' : 'An attempt ended without a complete answer');
 		}
 
 		this.take(toRequestEvent(number, output), output.type === 'piece' ? output.piece : undefined);
--- a/packages/daemon/src/entry/messages.ts
+++ b/packages/daemon/src/entry/messages.ts
@@ -2,58 +2,58 @@
 	type Bill, type BillOrigin, type InstanceId, type RequestId, type WorkspaceId,
 } from '@valehitch/core';
 
-/** A bill whose request is in progress. */
+/** The bill of a request in progress. */
 export type OpenBill = {
 	readonly workspace: WorkspaceId;
 	readonly request: RequestId;
-	/** When it was opened, in milliseconds since 1970. */
+	/** When the bill was opened, in milliseconds since the Unix epoch. */
 	readonly openedAt: number;
-	/** The number that the ledger knows the bill by. */
+	/** The identifier of the bill in the ledger. */
 	readonly origin?: BillOrigin | undefined;
 };
 
-/** Changes the copies that the receiver holds for the sender. */
+/** Updates the bill copies that the receiver holds for the sender. */
 export type HoldBillsMessage = {
 	readonly scope: 'entry';
 	readonly type: 'hold-bills';
 	readonly owner: InstanceId;
-	/** Tells one start of the owner from another. */
+	/** Identifies the process of the owner; a restart changes it. */
 	readonly start: string;
 	readonly opened: readonly OpenBill[];
 	readonly settled: readonly Bill[];
 	readonly dropped: readonly RequestId[];
-	/** Whether copies that are not listed go. */
+	/** Whether the message lists all copies, so that the receiver drops any others. */
 	readonly complete: boolean;
 };
 
-/** What the owner of copies gets. */
+/** The reply to a {@linkcode HoldBillsMessage}. */
 export type HoldBillsReply = {
-	/** Whether the copies are held; false where the holder is full or stopping. */
+	/** Whether the copies are held; false if the holder is full or shutting down. */
 	readonly accepted: boolean;
-	/** How many copies are held for the owner now. */
+	/** The number of copies now held for the owner. */
 	readonly count: number;
 };
 
-/** Asks the owner of copies, after a silence, which bills it still needs held. */
+/** Asks an owner that has not sent updates for a while which copies it still needs. */
 export type OwnedBillsMessage = {
 	readonly scope: 'entry';
 	readonly type: 'owned-bills';
 	readonly requests: readonly RequestId[];
 };
 
-/** What the holder of copies gets. */
+/** The reply to an {@linkcode OwnedBillsMessage}. */
 export type OwnedBillsReply = {
 	readonly start: string;
-	/** Those of the asked requests whose bills the ledger has not acknowledged. */
+	/** The requested ids whose bills the ledger has not acknowledged. */
 	readonly needed: readonly RequestId[];
 };
 
-/** Asks for the decisions of a request. */
+/** Asks for the routing decisions of a request. */
 export type ExplainMessage = {
 	readonly scope: 'entry';
 	readonly type: 'explain';
 	readonly request: RequestId;
 };
 
-/** The closed list of messages between entry instances. */
+/** All messages between entry instances. */
 export type EntryMessage = HoldBillsMessage | OwnedBillsMessage | ExplainMessage;
--- a/packages/daemon/src/entry/not-run.ts
+++ b/packages/daemon/src/entry/not-run.ts
@@ -6,10 +6,10 @@
 const secondsPattern = /^\d{1,6}$/v;
 
 /**
-Reads a backend server's own word that it did not run a request.
+Detects a response by which a backend server reports that it did not run a request.
 
-@param answer The head of its answer; the body is passed over where the word was given.
-@returns The output of the attempt, or undefined where the server gave no such word.
+@param answer The response; its body is discarded if it reports that the request did not run.
+@returns The output of the attempt, or undefined for any other response.
 @example
 ```ts
 readNotRun(answer)?.type; // 'not-run'
@@ -24,7 +24,7 @@
 	const seconds = headers['retry-after'] ?? '';
 	return {
 		type: 'not-run',
-		message: 'Got the refusal of a backend server, which did not run the request',
+		message: 'Backend server refused the request without running it',
 		...(secondsPattern.test(seconds) && {retryAfterMilliseconds: Number(seconds) * millisecondsPerSecond}),
 	};
 }
--- a/packages/daemon/src/entry/plan-chat.ts
+++ b/packages/daemon/src/entry/plan-chat.ts
@@ -12,7 +12,7 @@
 import {type EntryContext} from './entry-context.js';
 import {sessionOf} from './session-of.js';
 
-/** A chat request with its model and version chosen. */
+/** A chat request with the chosen model and version. */
 export type ChatPlan = {
 	readonly requestId: RequestId;
 	readonly workspace: WorkspaceId;
@@ -21,13 +21,13 @@
 	readonly rule: PolicyRule;
 	readonly facts: RequestFacts;
 	readonly body: ChatBody;
-	/** The token for the next request of the session, where there is one. */
+	/** The session token for the next request, if the request belongs to a session. */
 	readonly sessionToken?: string;
-	/** The version that takes over where the answer of the first shows a sign of the rule. */
+	/** The version to escalate to if the first answer meets an escalation condition of the rule. */
 	readonly escalatesTo?: VersionTarget;
-	/** Whether nothing met the quality target. */
+	/** Whether no version met the quality target. */
 	readonly belowTarget: boolean;
-	/** What was considered; none where a session decided. */
+	/** The versions that were considered; empty if the session determined the version. */
 	readonly considered: Choice['considered'];
 };
 
@@ -42,17 +42,17 @@
 
 const automaticModel = 'auto';
 
-/** What a caller sends for a session that is to begin. */
+/** The header value with which a caller starts a new session. */
 export const newSession = 'new';
 
 const retryAfterIsolationMilliseconds = 1000;
 
 /**
-Classifies a chat request and chooses its model and version.
+Matches a chat request to a policy rule and chooses its model and version.
 
 @param arrival The request.
-@param context What the entry works with.
-@returns The plan, or the failure that the caller is told.
+@param context The shared state of the entry part.
+@returns The plan, or the failure to report to the caller.
 @example
 ```ts
 planChat(arrival, context).map(plan => plan.version);
@@ -63,7 +63,7 @@
 	const facts = factsOf(body, {class: headers.class, session: headers.session !== ''});
 	const rule = active.policies.get(workspace)?.(facts);
 	if (rule === undefined) {
-		return Left(failure('forbidden', `Got a request that no policy rule of workspace ${workspace} covers`));
+		return Left(failure('forbidden', `No policy rule of workspace ${workspace} matches the request`));
 	}
 
 	return headers.session === '' || headers.session === newSession
@@ -82,13 +82,13 @@
 		if (verdict === 'isolated') {
 			return Left(failure(
 				'no-configuration',
-				`Got a session on ${model} ${version}, which an instance without a configuration lease may not serve`,
+				`The instance has no valid configuration lease and cannot serve the session's version ${model} ${version}`,
 				{retryAfterMilliseconds: retryAfterIsolationMilliseconds},
 			));
 		}
 
 		if (verdict !== 'allowed') {
-			return Left(failure('session-ended', `Got a session on ${model} ${version}, which is withdrawn, stopped or no longer allowed (${verdict}); wanted a new session`));
+			return Left(failure('session-ended', `The session's version ${model} ${version} is withdrawn, stopped or no longer allowed (${verdict}); start a new session`));
 		}
 
 		return Right({
@@ -101,7 +101,7 @@
 	const {workspace, facts, active, requestId, headers} = arrival;
 	const named = facts.model === automaticModel ? undefined : toId<ModelId>(facts.model);
 	if (named !== undefined && !Object.hasOwn(active.effective.document.models, named)) {
-		return Left(failure('unknown-model', `Got model ${facts.model}, wanted auto or a configured model`));
+		return Left(failure('unknown-model', `Unknown model ${facts.model}; expected auto or a configured model`));
 	}
 
 	const isSession = headers.session === newSession;
--- a/packages/daemon/src/entry/read-caller-body.ts
+++ b/packages/daemon/src/entry/read-caller-body.ts
@@ -4,11 +4,11 @@
 import {type Either, Left} from 'purify-ts';
 
 /**
-Reads the body of a caller's request; one whose head says that it is too large is refused unread.
+Reads the body of a caller's request. A body whose `Content-Length` exceeds the limit is refused without reading it.
 
 @param request The request.
-@param maximumBytes The most bytes that are taken.
-@returns The bytes, or `too-large` or `malformed-request`.
+@param maximumBytes The maximum size of the body.
+@returns The body, or a `too-large` or `malformed-request` failure.
 @example
 ```ts
 const body = await readCallerBody(request, settings.limits.bodyBytes);
@@ -18,7 +18,7 @@
 	const announced = Number(request.headers['content-length'] ?? 0);
 	if (announced > maximumBytes) {
 		request.resume();
-		return Left(failure('too-large', `Got a body of ${announced} bytes, wanted at most ${maximumBytes}`));
+		return Left(failure('too-large', `Request body of ${announced} bytes exceeds the limit of ${maximumBytes} bytes`));
 	}
 
 	return readBody(request, maximumBytes);
--- a/packages/daemon/src/entry/refuse.ts
+++ b/packages/daemon/src/entry/refuse.ts
@@ -3,21 +3,21 @@
 import {answerProblem} from '@valehitch/transport';
 import {type EntryContext} from './entry-context.js';
 
-/** The call that is refused. */
+/** A call to refuse. */
 export type RefusedCall = {
 	readonly response: ServerResponse;
 	readonly requestId: RequestId;
 };
 
 /**
-Answers a call with a failure, counts it by kind and records it.
+Responds to a call with a failure, counts the failure by kind and records it in the timeline.
 
 @param call The call.
 @param failed The failure.
-@param context What the entry works with.
+@param context The shared state of the entry part.
 @example
 ```ts
-refuse(call, failure('unauthenticated', 'Got no key'), context);
+refuse(call, failure('unauthenticated', 'Missing API key'), context);
 ```
 */
 export function refuse(call: RefusedCall, failed: Failure, context: EntryContext): void {
--- a/packages/daemon/src/entry/report-silence.test.ts
+++ b/packages/daemon/src/entry/report-silence.test.ts
@@ -9,7 +9,7 @@
 const head: AttemptOutput = {type: 'head', head: {status: 200, headers: {}}};
 const broken: AttemptOutput = {type: 'broken', message: 'Cut'};
 
-/** Outputs with a pause before each, in milliseconds. */
+/** Yields an output after each pause, in milliseconds. */
 async function * paced(pauses: readonly number[], onEnd: () => void = () => undefined): AsyncGenerator<AttemptOutput, void> {
 	try {
 		for (const [index, pause] of pauses.entries()) {
@@ -21,7 +21,7 @@
 	}
 }
 
-test('each silence is told once, and what comes after it is passed on', async t => {
+test('each stall is reported once, and later outputs are forwarded', async t => {
 	const types: string[] = [];
 	const pause = 4 * stallMilliseconds;
 	for await (const {type} of reportSilence(paced([pause, pause, 0]), {stall: new StallTimer(stallMilliseconds), message})) {
@@ -31,7 +31,7 @@
 	t.deepEqual(types, ['silent', 'head', 'silent', 'head', 'broken']);
 });
 
-test('a reader that takes its time is no silence', async t => {
+test('a slow consumer does not count as a stall', async t => {
 	const types: string[] = [];
 	for await (const {type} of reportSilence(paced([0, 0, 0]), {stall: new StallTimer(stallMilliseconds), message})) {
 		types.push(type);
@@ -41,7 +41,7 @@
 	t.deepEqual(types, ['head', 'head', 'broken']);
 });
 
-test('a reader that leaves ends the outputs', async t => {
+test('a consumer that returns early ends the outputs', async t => {
 	let isEnded = false;
 	const outputs = paced([0, 0, 0], () => {
 		isEnded = true;
--- a/packages/daemon/src/entry/report-silence.ts
+++ b/packages/daemon/src/entry/report-silence.ts
@@ -1,23 +1,23 @@
 import {type AttemptOutput} from './attempt-output.js';
 import {type StallTimer} from './stall-timer.js';
 
-/** How silence is told. */
+/** Options for {@linkcode reportStalls}. */
 export type ReportSilenceOptions = {
-	/** Touched here with each output, and by others with what brings no output. */
+	/** The stall timer; restarted for each output, and by the producer when it receives data that yields no output. */
 	readonly stall: StallTimer;
-	/** What is said of a silence. */
+	/** The message of the `silent` outputs. */
 	readonly message: string;
 };
 
 /**
-Passes the outputs of an attempt on, with a word each time that none came for too long; the attempt itself goes on.
+Forwards the outputs of an attempt and inserts a `silent` output whenever the stall timer expires. The attempt itself continues.
 
-@param outputs What comes of the attempt.
-@param options The timer, and what is said.
-@returns The outputs, with those of type `silent` among them.
+@param outputs The outputs of the attempt.
+@param options The timer and the message.
+@returns The outputs, including the inserted ones.
 @example
 ```ts
-yield * reportSilence(outputs, {stall, message: 'Got nothing from the engine for 1500 ms'});
+yield * reportStalls(outputs, {stall, message: 'No data received from the engine for 1500 ms'});
 ```
 */
 export async function * reportSilence(outputs: AsyncIterable<AttemptOutput>, {stall, message}: ReportSilenceOptions): AsyncGenerator<AttemptOutput, void> {
@@ -35,7 +35,7 @@
 				return;
 			}
 
-			// A reader that takes its time is no silence of the server.
+			// The time that the consumer takes does not count as a stall of the server.
 			stall.clear();
 			yield taken.value;
 			stall.touch();
--- a/packages/daemon/src/entry/request-counter.ts
+++ b/packages/daemon/src/entry/request-counter.ts
@@ -1,5 +1,5 @@
 /**
-Counts the requests in progress, so that a planned stop can wait for them.
+Counts the requests in progress, so that a graceful shutdown can wait for them.
 
 @example
 ```ts
@@ -12,22 +12,22 @@
 	#stopping = false;
 	readonly #waiting: Array<() => void> = [];
 
-	/** How many requests are in progress. */
+	/** The number of requests in progress. */
 	get inProgress(): number {
 		return this.#inProgress;
 	}
 
-	/** Whether a planned stop has begun. */
+	/** Whether a graceful shutdown has begun. */
 	get stopping(): boolean {
 		return this.#stopping;
 	}
 
-	/** Notes that a request began. */
+	/** Adds a request. */
 	begin(): void {
 		this.#inProgress++;
 	}
 
-	/** Notes that a request ended. */
+	/** Removes a request. */
 	end(): void {
 		this.#inProgress--;
 		if (this.#inProgress === 0) {
@@ -37,7 +37,7 @@
 		}
 	}
 
-	/** Begins a planned stop and waits until no request is in progress. */
+	/** Begins a graceful shutdown and waits until no request is in progress. */
 	async stop(): Promise<void> {
 		this.#stopping = true;
 		if (this.#inProgress === 0) {
--- a/packages/daemon/src/entry/request-id.ts
+++ b/packages/daemon/src/entry/request-id.ts
@@ -4,10 +4,10 @@
 const tagLength = 6;
 
 /**
-Makes the id of a request, which shows the instance that serves it.
+Creates a request id that carries a tag of the instance that serves the request.
 
 @param instance The instance.
-@param unique A text that is never given twice.
+@param unique A globally unique string.
 @returns The id.
 @example
 ```ts
@@ -19,11 +19,11 @@
 }
 
 /**
-Tells whether an instance may have given out the id of a request; nearly no other one has the same mark.
+Returns whether an instance may have created a request id. False positives are possible but rare, since the tag is a short hash of the instance id.
 
-@param request The request.
+@param request The request id.
 @param instance The instance.
-@returns Whether the id bears its mark.
+@returns Whether the id carries the tag of the instance.
 @example
 ```ts
 members.filter(({instance}) => mayBeFrom(request, instance));
--- a/packages/daemon/src/entry/service-adapter.ts
+++ b/packages/daemon/src/entry/service-adapter.ts
@@ -14,7 +14,7 @@
 import {stallMillisecondsOf} from './stall-milliseconds.js';
 import {observeAttempt} from './traffic/observe-attempt.js';
 
-/** A call to a plain service that is ready to be sent. */
+/** A validated call to a plain service. */
 export type ServicePlan = {
 	readonly call: AuthenticatedCall;
 	readonly service: ServiceId;
@@ -24,20 +24,20 @@
 	readonly repeatable: boolean;
 };
 
-/** What a service adapter needs besides the plan. */
+/** Options of {@linkcode serviceAdapter}. */
 export type ServiceAdapterOptions = {
 	readonly context: EntryContext;
-	/** When the answer is due, in milliseconds on the monotonic clock. */
+	/** When the answer is due, in milliseconds of the monotonic clock. */
 	readonly deadline: number;
 };
 
 const microsPerUnit = 1_000_000;
 
 /**
-Makes the adapter of a call to a plain service.
+Creates the request adapter for a call to a plain service.
 
 @param plan The call.
-@param options What the entry works with, and the deadline.
+@param options The shared state of the entry part, and the deadline.
 @returns The adapter.
 @example
 ```ts
@@ -49,7 +49,7 @@
 		chooseServer: action => chooseInstance(action, {plan, context}),
 		denialOf: () => denialOf(plan, context),
 		send: options => send(options, {plan, context, deadline}),
-		chooseVersion: lost => Left(failure('forbidden', `Got a call to service ${nameOf(lost)}, which the workspace may not use any more`)),
+		chooseVersion: lost => Left(failure('forbidden', `The workspace is no longer allowed to use service ${nameOf(lost)}`)),
 		judge: () => ({verdict: 'accepted'}),
 		costOf: () => priceOf(plan.service, context),
 		headersOf: () => ({}),
@@ -93,7 +93,7 @@
 		clock,
 		streamed: false,
 		onStage() {
-			// The times of a service's calls are too unlike to tell a slow one by them.
+			// Durations are not recorded: the calls of a service differ too much for a slow one to be detected by its duration.
 		},
 		onEnd(output) {
 			recordEnd(dispatch, {output, requestId, context});
--- a/packages/daemon/src/entry/service-call.ts
+++ b/packages/daemon/src/entry/service-call.ts
@@ -9,27 +9,27 @@
 import {StallTimer} from './stall-timer.js';
 import {unansweredOutput} from './unanswered-output.js';
 
-/** One attempt on an instance of a plain service. */
+/** A single attempt to call an instance of a plain service. */
 export type ServiceCall = {
 	readonly requestId: RequestId;
 	readonly attempt: number;
 	readonly method: string;
-	/** The path with its query, without the prefix of the service. */
+	/** The path with the query, without the prefix of the service. */
 	readonly path: string;
 	/** The caller's headers. */
 	readonly headers: IncomingHttpHeaders;
 	readonly body: Uint8Array;
-	/** Whether the call may be repeated; one that may not goes over a connection of its own. */
+	/** Whether the call may be repeated; a call that may not always opens a new connection. */
 	readonly repeatable: boolean;
-	/** Whether the attempt opens a connection of its own, also where it may be repeated. */
+	/** Whether the attempt must open a new connection even if the call may be repeated. */
 	readonly freshConnection: boolean;
 	/** The base address of the instance. */
 	readonly address: string;
-	/** Ends the attempt; its connection is destroyed. */
+	/** Aborts the attempt and destroys its connection. */
 	readonly signal: AbortSignal;
-	/** Milliseconds without an answer after which the service counts as silent. */
+	/** The time without an answer after which the service is reported as silent, in milliseconds. */
 	readonly stallMilliseconds: number;
-	/** The most bytes that an answer may have. */
+	/** The maximum size of the answer, in bytes. */
 	readonly maximumBytes: number;
 };
 
@@ -39,10 +39,10 @@
 /**
 Calls an instance of a plain service.
 
-Any answer but the word that the call did not run is the service's answer, whatever its status.
+Any response except one that reports that the call did not run is forwarded as the service's answer, whatever its status.
 
 @param call The call.
-@returns What comes of the attempt; the last output tells how it ended.
+@returns The outputs of the attempt; the last one is its result.
 @example
 ```ts
 for await (const output of callService(call)) { ... }
@@ -50,7 +50,7 @@
 */
 export async function * callService(call: ServiceCall): AsyncGenerator<AttemptOutput, void> {
 	const stall = new StallTimer(call.stallMilliseconds);
-	yield * reportSilence(readOutputs(call), {stall, message: `Got nothing from the service for ${call.stallMilliseconds} ms`});
+	yield * reportSilence(readOutputs(call), {stall, message: `No data received from the service for ${call.stallMilliseconds} ms`});
 }
 
 async function * readOutputs(call: ServiceCall): AsyncGenerator<AttemptOutput, void> {
@@ -80,7 +80,7 @@
 
 	const body = await readBody(answer.message, call.maximumBytes);
 	if (body.isLeft()) {
-		yield {type: 'broken', message: 'Got no whole answer from the service'};
+		yield {type: 'broken', message: 'Response from the service is incomplete'};
 		return;
 	}
 
--- a/packages/daemon/src/entry/session-of.ts
+++ b/packages/daemon/src/entry/session-of.ts
@@ -4,26 +4,26 @@
 import {readSessionToken, type Session, type SessionKey} from '@valehitch/routing';
 import {type Either, Left, Right} from 'purify-ts';
 
-/** Whose session is read. */
+/** Options of {@linkcode verifySession}. */
 export type SessionOfOptions = {
 	readonly workspace: WorkspaceId;
-	/** The keys; any of them may have signed. */
+	/** The signing keys; the token may be signed with any of them. */
 	readonly keys: readonly SessionKey[];
 };
 
 /**
-Reads the session of a request, which must belong to its workspace.
+Verifies a session token and checks that it belongs to the workspace of the request.
 
-@param token The token.
+@param token The session token.
 @param options The workspace and the keys.
-@returns The session, or `session-invalid`.
+@returns The session, or a `session-invalid` failure.
 @example
 ```ts
-sessionOf(token, {workspace, keys: settings.keys.sessions}).map(session => session.version);
+verifySession(token, {workspace, keys: settings.keys.sessions}).map(session => session.version);
 ```
 */
 export function sessionOf(token: string, {workspace, keys}: SessionOfOptions): Either<Failure, Session> {
 	return readSessionToken(token, keys).chain(session => session.workspace === workspace
 		? Right(session)
-		: Left(failure('session-invalid', 'Got a session token of another workspace')));
+		: Left(failure('session-invalid', 'The session token belongs to another workspace')));
 }
--- a/packages/daemon/src/entry/stall-milliseconds.ts
+++ b/packages/daemon/src/entry/stall-milliseconds.ts
@@ -1,21 +1,21 @@
 import {type Settings} from '@valehitch/settings';
 
-/** What the patience with a server depends on. */
+/** Options of {@linkcode stallMillisecondsOf}. */
 export type StallOptions = {
-	/** Whether the answer comes piece by piece. */
+	/** Whether the answer is streamed. */
 	readonly streamed: boolean;
-	/** Milliseconds to the deadline of the request. */
+	/** The time until the deadline of the request, in milliseconds. */
 	readonly remainingMilliseconds: number;
 	readonly settings: Pick<Settings, 'timing'>;
 };
 
 /**
-Works out for how long a server may say nothing.
+Computes how long a server may send no data before it is reported as silent.
 
-A whole answer comes at its end only, so there it is half of the time that is left, so that another attempt can still be made; where little is left, the deadline comes first.
+A non-streamed answer arrives only when it is complete, so its timeout is half of the remaining time, which leaves time for another attempt. It is never below the timeout of a streamed answer; if less time remains, the deadline ends the request first.
 
-@param options The kind of answer and the time that is left.
-@returns Milliseconds without a word after which a server counts as silent.
+@param options The kind of answer and the remaining time.
+@returns The stall timeout, in milliseconds.
 @example
 ```ts
 stallMillisecondsOf({streamed: false, remainingMilliseconds: 60_000, settings}); // 30_000
--- a/packages/daemon/src/entry/stall-timer.ts
+++ b/packages/daemon/src/entry/stall-timer.ts
@@ -1,7 +1,7 @@
 import {timeoutAfterInput} from '@valehitch/transport';
 
 /**
-Tells when nothing has happened for a while; what arrived while this process was held up counts as having happened.
+Detects inactivity. Input that arrived while this process was paused is processed before the timer can expire.
 
 @example
 ```ts
@@ -15,20 +15,20 @@
 	#stopTimeout: (() => void) | undefined;
 	#onExpired: (() => void) | undefined;
 
-	/** @param milliseconds How long nothing may happen. */
+	/** @param milliseconds The permitted inactivity. */
 	constructor(milliseconds: number) {
 		this.#milliseconds = milliseconds;
 		this.touch();
 	}
 
-	/** Waits until nothing has happened for too long; a later call takes the place of an earlier one. */
+	/** Waits until the timer expires. A later call replaces an earlier one, which then never resolves. */
 	async expired(): Promise<void> {
 		return new Promise(resolve => {
 			this.#onExpired = resolve;
 		});
 	}
 
-	/** Notes that something happened. */
+	/** Restarts the timer after activity. */
 	touch(): void {
 		this.clear();
 		this.#stopTimeout = timeoutAfterInput(this.#milliseconds, () => {
@@ -36,7 +36,7 @@
 		});
 	}
 
-	/** Ends the timer, until something happens. */
+	/** Stops the timer until the next activity. */
 	clear(): void {
 		this.#stopTimeout?.();
 	}
--- a/packages/daemon/src/entry/start-entry.ts
+++ b/packages/daemon/src/entry/start-entry.ts
@@ -21,21 +21,21 @@
 import {AdmissionPools} from './traffic/admission-pools.js';
 import {ServerPicker} from './traffic/server-picker.js';
 
-/** What the entry part is built on. */
+/** The other parts of the daemon that the entry part uses. */
 export type StartEntryOptions = {
 	readonly control: ControlClient;
 	readonly distribution: DistributionPart;
 	readonly ratings: RatingsPart;
 };
 
-/** The part of a daemon that serves callers. */
+/** The part of the daemon that serves callers. */
 export type EntryPart = {
 	readonly context: EntryContext;
-	/** Answers a message of another daemon. */
+	/** Handles a message from another daemon and returns the reply. */
 	readonly answer: (message: EntryMessage) => Promise<unknown>;
-	/** Ends the requests in progress whole and hands over the bills; new ones are refused. */
+	/** Refuses new requests, completes those in progress and hands over the bills. */
 	readonly stop: () => Promise<void>;
-	/** Ends all that is still tried; what is not handed over stays with the holders of the copies. */
+	/** Stops all retries and timers. Bills that were not handed over remain as copies on their holders. */
 	readonly close: () => void;
 };
 
@@ -47,10 +47,10 @@
 const admissionMilliseconds = 250;
 
 /**
-Starts the part of a daemon that serves callers.
+Starts the part of the daemon that serves callers.
 
-@param base What every part works with.
-@param options The parts it is built on.
+@param base The state shared by all parts.
+@param options The parts that the entry part uses.
 @returns The part.
 @example
 ```ts
@@ -66,7 +66,7 @@
 		rememberedMilliseconds: base.settings.controlLimits.originMilliseconds,
 		tell: async running => control.propose({type: 'record-bills', bills: [], running}),
 		onFailure(failed) {
-			base.log.info({failure: failed}, 'The ledger was not told that this run goes on');
+			base.log.info({failure: failed}, 'Could not report this run to the ledger; trying again at the next interval');
 		},
 	});
 	const held = heldBills(base, bills);
@@ -113,7 +113,7 @@
 		async stop() {
 			await requests.stop();
 			held.stop();
-			// What others are about to send to the ledger still finds it here.
+			// Keeps the ledger available for a moment, since other instances may be about to send bills to it.
 			await wait(base.settings.roles.includes('control') ? lingerMilliseconds : 0);
 			while (!closing.signal.aborted && bills.size + claims.size + held.size + outbox.size > 0) {
 				bills.renew();
@@ -131,7 +131,7 @@
 	};
 }
 
-// A wait does not keep the process from ending.
+// A pending delay does not keep the process alive.
 async function wait(milliseconds: number): Promise<void> {
 	await delay(milliseconds, undefined, {ref: false});
 }
@@ -178,10 +178,10 @@
 			const answer = await control.propose(command);
 			return answer.chain(found => 'claim' in found
 				? Right(found)
-				: Left(failure('internal', 'Got an answer of the control role without a claim, wanted one with it')));
+				: Left(failure('internal', 'The reply of the control role to a claim command has no claim')));
 		},
 		onRefused(claim, failed) {
-			log.error({requestId: claim.request, workspace: claim.workspace, failure: failed}, 'The settlement of a claim was refused');
+			log.error({requestId: claim.request, workspace: claim.workspace, failure: failed}, 'The control role refused the settlement of a claim');
 		},
 	});
 }
--- a/packages/daemon/src/entry/traffic/admission-pools.test.ts
+++ b/packages/daemon/src/entry/traffic/admission-pools.test.ts
@@ -12,7 +12,7 @@
 const version = toId<VersionId>('1.0');
 const servers = 2;
 const places = 8;
-/** What is expected of an answer whose length the caller does not bound, and what it turns out to be. */
+/** The estimated cost of a request without `max_tokens`, and its actual cost. */
 const estimatedTokens = 208;
 const realTokens = 38;
 
@@ -39,8 +39,8 @@
 	};
 }
 
-// Requests that wait are counted as what requests use, not as their estimates.
-test('answers that are shorter than expected leave no places of the servers empty', async t => {
+// If admitted requests were counted by their estimates, which are several times too high, most of the capacity would stay unused.
+test('overestimated answer lengths leave no server capacity unused', async t => {
 	let now = 0;
 	const pools = startPools({monotonic: () => now, now: () => new Date(now)});
 	for (let round = 0; round < 5; round++) {
--- a/packages/daemon/src/entry/traffic/admission-pools.ts
+++ b/packages/daemon/src/entry/traffic/admission-pools.ts
@@ -5,7 +5,7 @@
 import {Admission, type RequestEvent, type RequestTarget} from '@valehitch/routing';
 import {type Member} from '../../member.js';
 
-/** What the pools work with. */
+/** Options of {@linkcode AdmissionPools}. */
 export type AdmissionPoolsOptions = {
 	readonly clock: Clock;
 	readonly servers: ServerTable;
@@ -14,39 +14,39 @@
 	readonly members: () => readonly Member[];
 };
 
-/** A request that asks for admission. */
+/** A request for admission. */
 export type Demand = {
 	readonly id: RequestId;
 	readonly workspace: WorkspaceId;
 	readonly target: RequestTarget;
-	/** The workspace's weight. */
+	/** The weight of the workspace. */
 	readonly weight: number;
-	/** Lower is sooner. */
+	/** The priority; lower values are admitted first. */
 	readonly priority: number;
-	/** The estimate of its tokens, prompt and answer. */
+	/** The estimated number of tokens of the prompt and the answer. */
 	readonly cost: number;
-	/** When its last byte is due, in milliseconds on the monotonic clock. */
+	/** When the last byte is due, in milliseconds of the monotonic clock. */
 	readonly deadline: number;
 };
 
 type Pool = {
 	readonly admission: Admission;
 	readonly target: RequestTarget;
-	/** Means of what requests cost, of what they were expected to cost and of how long they take, in which recent ones weigh more. */
+	/** Exponentially weighted means of the actual cost, the estimated cost and the duration of requests. */
 	meanCost: number;
 	meanEstimate: number;
 	meanMilliseconds: number;
-	/** How many requests the means are made of. */
+	/** The number of requests in the means. */
 	seen: number;
 	refreshedAt: number;
 	/** When each admitted request began. */
 	readonly began: Map<RequestId, number>;
 };
 
-/** A request that was offered to its pool and has not ended. */
+/** A request that was submitted to its pool and has not ended. */
 type Offered = {
 	readonly pool: Pool;
-	/** What it was expected to cost. */
+	/** The estimated cost. */
 	readonly estimate: number;
 };
 
@@ -55,9 +55,9 @@
 const refreshMilliseconds = 250;
 
 /**
-Admits requests by the capacity of the servers that can serve them: one pool for each version and each service.
+Admits requests according to the capacity of the servers that can serve them, with one pool for each version and each service.
 
-An instance may use twice its equal share of the servers' capacity, since callers do not spread evenly over the instances.
+Each instance may use twice its equal share of the servers' capacity, since callers are not distributed evenly over the instances.
 
 @example
 ```ts
@@ -75,16 +75,16 @@
 		this.#options = options;
 	}
 
-	/** How many requests wait. */
+	/** The number of waiting requests. */
 	get waiting(): number {
 		return this.#waiting.size;
 	}
 
 	/**
-	Asks for admission.
+	Requests admission.
 
 	@param demand The request.
-	@returns When its turn came, or it was refused; a request that nothing can serve is let through to be told so.
+	@returns The event that admits or refuses the request, once its turn has come. A request that no server can serve is admitted, so that it fails with the reason.
 	*/
 	async admit(demand: Demand): Promise<RequestEvent> {
 		const pool = this.#poolFor(demand);
@@ -110,10 +110,10 @@
 	}
 
 	/**
-	Ends a request, be it admitted or still waiting.
+	Ends an admitted or waiting request.
 
 	@param id The request.
-	@param tokens The tokens that it really used.
+	@param tokens The number of tokens that it used.
 	*/
 	end(id: RequestId, tokens: number): void {
 		const offered = this.#offered.get(id);
@@ -143,7 +143,7 @@
 		this.#begin(pool, pool.admission.release(id, {tokens, now}));
 	}
 
-	/** Looks at the capacity of the pools in which requests wait; called every few hundred milliseconds. */
+	/** Updates the capacity of pools with waiting requests and removes unused pools; called every few hundred milliseconds. */
 	refresh(): void {
 		const now = this.#options.clock.monotonic();
 		for (const [key, pool] of this.#pools) {
@@ -169,7 +169,7 @@
 		return pool;
 	}
 
-	/** Brings the capacity up to date; gives whether there is any. */
+	/** Updates the capacity of a pool, at most once per refresh interval; returns whether the pool has any. */
 	#refresh(pool: Pool, now: number): boolean {
 		if (now - pool.refreshedAt < refreshMilliseconds) {
 			return true;
@@ -206,7 +206,7 @@
 	}
 }
 
-/** The estimate put right by how far those before it were wrong: the capacity is in real tokens, and requests that are expected to be several times as large would leave most places empty. */
+/** Corrects an estimate by the ratio of actual to estimated cost so far. The capacity is in actual tokens, so estimates that are several times too high would leave most of it unused. */
 function likelyCost({meanCost, meanEstimate}: Pool, estimate: number): number {
 	return estimate * meanCost / meanEstimate;
 }
--- a/packages/daemon/src/entry/traffic/attempt-budgets.ts
+++ b/packages/daemon/src/entry/traffic/attempt-budgets.ts
@@ -2,7 +2,7 @@
 import {type AttemptPurpose, RetryBudget} from '@valehitch/routing';
 import {match} from 'ts-pattern';
 
-/** An attempt that asks its budget. */
+/** An attempt that needs a budget. */
 export type BudgetedAttempt = {
 	readonly purpose: AttemptPurpose;
 	readonly workspace: WorkspaceId;
@@ -11,7 +11,7 @@
 };
 
 /**
-The budgets of further attempts: retries and hedges as a small share of the traffic, resumes as much as there is traffic, since a resume does only the work that is left.
+The budgets for additional attempts. Retries and hedges are limited to a small share of the first attempts. Resumes may be as many as the first attempts, since a resume does only the remaining work.
 
 @example
 ```ts
@@ -24,11 +24,11 @@
 	readonly #hedges = new RetryBudget({share: 0.05, floorPerSecond: 0.1, burst: 5});
 
 	/**
-	Asks for an attempt; a first one fills the budgets.
+	Withdraws an attempt from its budget; a first attempt is always allowed and deposits into all budgets.
 
 	@param attempt The attempt.
-	@param now Milliseconds on the monotonic clock.
-	@returns Whether it may be made; if so, it is used up.
+	@param now The time, in milliseconds of the monotonic clock.
+	@returns Whether the attempt is allowed.
 	*/
 	allows({purpose, workspace, target}: BudgetedAttempt, now: number): boolean {
 		const key = `${workspace}/${target}`;
--- a/packages/daemon/src/entry/traffic/observe-attempt.ts
+++ b/packages/daemon/src/entry/traffic/observe-attempt.ts
@@ -2,25 +2,25 @@
 import {type AttemptStage} from '@valehitch/routing';
 import {type AttemptOutput} from '../attempt-output.js';
 
-/** What is told of an attempt. */
+/** Options of {@linkcode observeAttempt}. */
 export type AttemptObserver = {
 	readonly clock: Clock;
-	/** Whether the answer comes piece by piece. */
+	/** Whether the answer is streamed. */
 	readonly streamed: boolean;
-	/** Told how long the server took for each stage, in milliseconds; the time that the caller takes does not count. */
+	/** Called with the time the server took for each stage, in milliseconds, without the time the caller took. */
 	readonly onStage: (stage: AttemptStage, milliseconds: number) => void;
-	/** Told how the attempt ended, unless it was cancelled, and each time that it fell silent. */
+	/** Called with the result of the attempt, unless it was cancelled, and each time the server is reported as silent. */
 	readonly onEnd: (output: AttemptOutput) => void;
 };
 
 const goesOn: ReadonlySet<AttemptOutput['type']> = new Set(['head', 'piece']);
 
 /**
-Passes the outputs of an attempt on, and tells what was seen of it.
+Forwards the outputs of an attempt and reports its stages and its result.
 
-@param outputs What comes of the attempt.
-@param observer Who is told.
-@returns The same outputs.
+@param outputs The outputs of the attempt.
+@param observer The callbacks.
+@returns The unchanged outputs.
 @example
 ```ts
 return observeAttempt(callEngine(call), observer);
--- a/packages/daemon/src/entry/traffic/server-picker.ts
+++ b/packages/daemon/src/entry/traffic/server-picker.ts
@@ -10,7 +10,7 @@
 import {AttemptBudgets} from './attempt-budgets.js';
 import {ServerViews} from './server-views.js';
 
-/** What the picker works with. */
+/** Options of a {@linkcode ServerSelector}. */
 export type ServerPickerOptions = {
 	readonly servers: ServerTable;
 	readonly zone: ZoneId;
@@ -20,24 +20,24 @@
 	readonly decisions: DecisionRing;
 };
 
-/** Who asks for a server. */
+/** The request that needs a server. */
 export type ServerRequest = {
 	readonly requestId: RequestId;
 	readonly workspace: WorkspaceId;
 	/** The version, as `versionKey` names it, or the service. */
 	readonly target: string;
-	/** The hash of the prompt's prefix; undefined where no cache matters. */
+	/** The hash of the prompt prefix; undefined if the target has no prompt cache. */
 	readonly prefix?: number | undefined;
 };
 
 const retryAfterMilliseconds = 1000;
 
 /**
-Picks a server for each attempt, within the budgets of retries and hedges, and leaves out servers whose requests fail.
+Selects a server for each attempt, within the budgets for additional attempts, and ejects servers whose requests fail.
 
 @example
 ```ts
-const choice = picker.choose(action, {requestId, workspace, target});
+const choice = serverSelector.choose(action, {requestId, workspace, target});
 ```
 */
 export class ServerPicker {
@@ -53,11 +53,11 @@
 	}
 
 	/**
-	Picks a server for an attempt.
+	Selects a server for an attempt.
 
-	@param action What the life of the request asks for.
-	@param request Who asks.
-	@returns The server, or why there is none.
+	@param action The action of the request's state machine.
+	@param request The request.
+	@returns The server, or the reason why there is none.
 	*/
 	choose({
 		attempt, purpose, excluded, budgeted,
@@ -78,9 +78,9 @@
 			return {type: 'none', reason: 'none', retryAfterMilliseconds: failed.retryAfterMilliseconds ?? retryAfterMilliseconds};
 		}
 
-		// Asked last, so that an attempt for which there is no server leaves the budget to those that come back a moment later.
+		// The budget is checked last, so that an attempt without an available server does not use it up.
 		if (budgeted && !this.#budgets.allows({purpose, workspace, target}, clock.monotonic())) {
-			notMade('the budget is used up');
+			notMade('the budget for additional attempts is exhausted');
 			return {type: 'none', reason: 'budget', retryAfterMilliseconds};
 		}
 
@@ -92,10 +92,10 @@
 	}
 
 	/**
-	Takes the outcome of an attempt.
+	Records the outcome of an attempt for outlier ejection.
 
 	@param server The server.
-	@param failed Whether it failed by the server's fault.
+	@param failed Whether the failure is attributed to the server.
 	*/
 	record(server: ServerId, failed: boolean): void {
 		const {clock, servers, timeline} = this.#options;
--- a/packages/daemon/src/entry/traffic/server-views.ts
+++ b/packages/daemon/src/entry/traffic/server-views.ts
@@ -4,7 +4,7 @@
 import {type KnownServer, type ServerTable} from '@valehitch/membership';
 import {type OutlierEjection, type ServerView} from '@valehitch/routing';
 
-/** What the views of the servers are made from. */
+/** Options of {@linkcode ServerViews}. */
 export type ServerViewsOptions = {
 	readonly servers: ServerTable;
 	readonly ejection: OutlierEjection;
@@ -13,17 +13,17 @@
 
 type Report = {
 	readonly seenAt: number;
-	/** Requests of this instance in progress there when the report was first seen. */
+	/** The number of requests from this instance that were in flight on the server when the report arrived. */
 	readonly ownAtReport: number;
 	readonly loaded: ReadonlySet<string>;
 };
 
 /**
-Shows the backend servers as the choice of a server wants to see them.
+Converts the known backend servers into the views used for server selection.
 
 @example
 ```ts
-chooseServer(views.current(), wish);
+chooseServer(views.current(), options);
 ```
 */
 export class ServerViews {
@@ -34,7 +34,7 @@
 		this.#options = options;
 	}
 
-	/** The servers that are there. */
+	/** Returns the views of all current servers. */
 	current(): readonly ServerView[] {
 		const {servers, clock} = this.#options;
 		const now = clock.monotonic();
--- a/packages/daemon/src/entry/unanswered-output.ts
+++ b/packages/daemon/src/entry/unanswered-output.ts
@@ -2,10 +2,10 @@
 import {type AttemptOutput} from './attempt-output.js';
 
 /**
-Tells what came of an attempt that got no head of an answer.
+Converts a failed HTTP call, for which no response was received, into the output of its attempt.
 
-@param failed Why there is none.
-@param asked What was asked, `engine` or `service`.
+@param failed Why no response was received.
+@param asked The kind of backend server that was called.
 @returns The only output of the attempt.
 @example
 ```ts
@@ -14,5 +14,5 @@
 */
 export function unansweredOutput({neverSent, onKeptConnection, message}: HttpCallFailure, asked: 'engine' | 'service'): AttemptOutput {
 	const type = onKeptConnection ? 'kept-connection-lost' : 'broken';
-	return {type: neverSent ? 'never-sent' : type, message: `Got no answer from the ${asked}: ${message}`};
+	return {type: neverSent ? 'never-sent' : type, message: `No response from the ${asked}: ${message}`};
 }
