--- a/packages/daemon/src/distribution/active-configuration.ts
+++ b/packages/daemon/src/distribution/active-configuration.ts
@@ -2,21 +2,21 @@
 import {compilePolicies, type Policies} from '@valehitch/policy';
 import {type Either} from 'purify-ts';
 
-/** A configuration ready for requests. */
+/** A configuration prepared for serving requests. */
 export type ActiveConfiguration = {
 	readonly effective: EffectiveConfiguration;
 	readonly policies: Policies;
-	/** The workspace of each key digest. */
+	/** The workspaces by API key digest. */
 	readonly workspaces: ReadonlyMap<string, WorkspaceId>;
-	/** Whether the configuration lease has run out, so that a newer configuration may be in force elsewhere. */
+	/** Whether the configuration lease has expired, so that a newer configuration may be in force elsewhere. */
 	readonly isolated: boolean;
 };
 
 /**
-Makes a configuration ready for requests.
+Prepares a configuration for serving requests.
 
-@param effective The configuration in force.
-@returns It with compiled policies and the workspaces by key, or the failure of a condition that does not compile.
+@param effective The effective configuration.
+@returns The configuration with compiled policies and the workspaces by API key digest, or the failure of a condition that does not compile.
 @example
 ```ts
 activate(effective).map(active => active.workspaces.size);
--- a/packages/daemon/src/distribution/ask-in-force.ts
+++ b/packages/daemon/src/distribution/ask-in-force.ts
@@ -3,14 +3,14 @@
 import {type DaemonBase} from '../daemon-base.js';
 
 /**
-Asks the control instances, the leader first, whether the newest revision is in force everywhere.
+Queries the other control instances, the leader first, whether the newest revision is in force on all instances.
 
-@param base What every part works with.
-@param leader The leader, where it is known.
-@returns The leader's answer; undefined where no instance leads or answers.
+@param base The state shared by all parts.
+@param leader The leader, if known.
+@returns The answer of the leader, or undefined if there is no leader or it does not reply.
 @example
 ```ts
-const answer = await askInForce(base, leader);
+const answer = await queryInForce(base, leader);
 ```
 */
 export async function askInForce({network, settings: {control, instance}}: DaemonBase, leader: InstanceId | undefined): Promise<InForceAnswer | undefined> {
--- a/packages/daemon/src/distribution/child-news.ts
+++ b/packages/daemon/src/distribution/child-news.ts
@@ -1,23 +1,23 @@
 import {type Clock, type InstanceId} from '@valehitch/core';
 
-/** What the news to children needs. */
+/** Options of a {@linkcode ChildNotifier}. */
 export type ChildNewsOptions = {
 	readonly clock: Clock;
-	/** Milliseconds of silence after which a child is no longer told. */
+	/** How long after its last contact a child is no longer notified, in milliseconds. */
 	readonly forgetMilliseconds: number;
-	/** Sends the word that there is news. */
+	/** Sends the notification. */
 	readonly send: (child: InstanceId) => void;
 };
 
 const gatherMilliseconds = 50;
 
 /**
-Tells the children that there is news, so that they ask at once; news that comes close together is told once.
+Notifies the children of updates, so that they start an exchange at once. Updates within a short time are combined into one notification.
 
 @example
 ```ts
-news.heard(child);
-news.tell({except: child});
+notifier.recordContact(child);
+notifier.notify({except: child});
 ```
 */
 export class ChildNews {
@@ -31,7 +31,7 @@
 	}
 
 	/**
-	Notes a word of a child.
+	Records a message from a child.
 
 	@param child The child.
 	*/
@@ -40,9 +40,9 @@
 	}
 
 	/**
-	Tells all children soon.
+	Schedules a notification of all children.
 
-	@param options `except`: the child that the news came from.
+	@param options `except`: the child from which the update came.
 	*/
 	tell(options: {readonly except?: InstanceId} = {}): void {
 		for (const child of this.#heardAt.keys()) {
@@ -58,7 +58,7 @@
 		}
 	}
 
-	/** Stops telling. */
+	/** Cancels a scheduled notification. */
 	stop(): void {
 		clearTimeout(this.#timer);
 	}
--- a/packages/daemon/src/distribution/configuration-keeper.ts
+++ b/packages/daemon/src/distribution/configuration-keeper.ts
@@ -7,13 +7,13 @@
 import {activate, type ActiveConfiguration} from './active-configuration.js';
 import {packConfiguration} from './pack-configuration.js';
 
-/** What a keeper needs. */
+/** Options of a {@linkcode ConfigurationStore}. */
 export type ConfigurationKeeperOptions = {
 	readonly clock: Clock;
 	readonly log: Logger;
 	readonly timeline: Timeline;
 	readonly relay: ConfigurationRelay;
-	/** The length of a lease; a first configuration without one is used only after it. */
+	/** The duration of a lease, in milliseconds. Without a lease, the first configuration is activated only after this time. */
 	readonly leaseMilliseconds: number;
 };
 
@@ -23,12 +23,12 @@
 };
 
 /**
-Keeps the newest configuration and puts it in force; a revision never goes back.
+Stores the newest configuration and activates it. The revision never decreases.
 
 @example
 ```ts
-keeper.offer(effective);
-keeper.settle({granted: true});
+configurations.offer(effective);
+configurations.activateNewest({granted: true});
 ```
 */
 export class ConfigurationKeeper {
@@ -44,26 +44,26 @@
 		this.#startedAt = options.clock.monotonic();
 	}
 
-	/** The newest revision that is held. */
+	/** The newest stored revision. */
 	get revision(): Revision {
 		return this.#newest.revision;
 	}
 
-	/** The newest configuration, packed for a link. */
+	/** The newest configuration, compressed for transfer. */
 	get packed(): Uint8Array {
 		this.#packed ??= packConfiguration(this.#newest);
 		return this.#packed;
 	}
 
-	/** The configuration in force; before the first an empty one of revision 0. */
+	/** The configuration in force; an empty one with revision 0 until the first is activated. */
 	get effective(): EffectiveConfiguration {
 		return this.#activated?.leased.effective ?? {revision: toRevision(0), document: emptyConfiguration, rollouts: {}};
 	}
 
 	/**
-	The configuration that requests are served by, marked as isolated where the lease has run out.
+	Returns the configuration for serving requests, marked as isolated if the lease has expired.
 
-	@returns It, or undefined before the first.
+	@returns The configuration, or undefined until the first is activated.
 	*/
 	active(): ActiveConfiguration | undefined {
 		const {relay, clock} = this.#options;
@@ -71,7 +71,7 @@
 	}
 
 	/**
-	Takes a committed configuration, if it is higher.
+	Stores a committed configuration if its revision is higher than the stored one.
 
 	@param effective The configuration.
 	*/
@@ -83,10 +83,10 @@
 	}
 
 	/**
-	Puts the newest configuration in force.
+	Activates the newest configuration.
 
-	@param options Whether the leader's word stands behind it; the first one without waits for one lease, so that a newer one can come.
-	@returns Whether it was put in force now.
+	@param options `granted`: whether a lease of the leader confirms the revision. Without it, the first activation waits for the duration of one lease, so that a newer configuration can arrive.
+	@returns Whether a configuration was activated.
 	*/
 	settle({granted}: {readonly granted: boolean}): boolean {
 		const {clock, relay, leaseMilliseconds} = this.#options;
@@ -103,7 +103,7 @@
 		return activate(effective).caseOf({
 			Left: failed => {
 				this.#failedRevision = effective.revision;
-				log.error({failure: failed, revision: effective.revision}, 'The configuration could not be put in force');
+				log.error({failure: failed, revision: effective.revision}, 'Could not activate the configuration');
 				return false;
 			},
 			Right: next => {
--- a/packages/daemon/src/distribution/create-registry.ts
+++ b/packages/daemon/src/distribution/create-registry.ts
@@ -2,19 +2,19 @@
 import {type DaemonBase} from '../daemon-base.js';
 import {ServerRegistry, type ServerRegistryOptions} from './server-registry.js';
 
-/** What the registry needs besides the base. */
+/** Options of {@linkcode createRegistry}. */
 export type CreateRegistryOptions = Pick<ServerRegistryOptions, 'records' | 'loads' | 'onChange'> & {
-	/** Tells whether a daemon is lost. */
+	/** Returns whether a daemon is lost. */
 	readonly isLost: (holder: InstanceId) => boolean;
 };
 
 const renewalsBeforeExpiry = 3;
 
 /**
-Makes the registry of backend servers by the settings.
+Creates the registry of backend servers from the settings.
 
-@param base What every part works with.
-@param options The digests, and what to tell.
+@param base The state shared by all parts.
+@param options The digests and the callbacks.
 @returns The registry.
 @example
 ```ts
--- a/packages/daemon/src/distribution/distribution-node.ts
+++ b/packages/daemon/src/distribution/distribution-node.ts
@@ -20,14 +20,14 @@
 	createLoadDigest, createRecordDigest, joinedAmong, memberKey,
 } from './shared-records.js';
 
-/** What the node is built on. */
+/** Options of a {@linkcode DistributionNode}. */
 export type DistributionNodeOptions = {
 	readonly base: DaemonBase;
 	readonly control: ControlPart;
 	readonly relay: ConfigurationRelay;
-	/** When this start began, in milliseconds since 1970. */
+	/** When this process started, in milliseconds since the Unix epoch. */
 	readonly startedAt: number;
-	/** Tells this start from others on the links, above 0. */
+	/** A positive number that identifies this process in exchanges. */
 	readonly incarnation: number;
 };
 
@@ -37,7 +37,7 @@
 const otherZoneLoadMilliseconds = 60_000;
 
 /**
-Puts together the parts of the distribution on one instance, and holds its timers.
+Connects the components of the distribution part of one instance and runs its timers.
 
 @example
 ```ts
@@ -46,19 +46,19 @@
 ```
 */
 export class DistributionNode {
-	/** The configuration. */
+	/** The configuration of this instance. */
 	readonly keeper: ConfigurationKeeper;
-	/** What this instance adds as a control instance or as the leader. */
+	/** The state that this instance contributes as a control instance or as the leader. */
 	readonly view: LeaderView;
-	/** The backend servers. */
+	/** The registry of backend servers. */
 	readonly registry: ServerRegistry;
-	/** The questions to the parent. */
+	/** The periodic exchanges with the parent. */
 	readonly loop: ExchangeLoop;
-	/** The members. */
+	/** The members and their failure detection. */
 	readonly watch: MemberWatch;
-	/** What is confirmed of leases. */
+	/** The lease confirmations exchanged with parents and children. */
 	readonly confirmations: LeaseConfirmations;
-	/** Who hears of instances that were given up. */
+	/** Notifies listeners of lost instances. */
 	readonly lost = new LostInstances();
 	readonly #options: DistributionNodeOptions;
 	readonly #clock: Clock;
@@ -94,24 +94,24 @@
 		this.watch = this.#makeWatch();
 	}
 
-	/** The leader, where it is known. */
+	/** The leader, if known. */
 	get leader(): InstanceId | undefined {
 		return this.view.leader ?? this.#hint;
 	}
 
-	/** Starts to ask and to watch. */
+	/** Starts the exchanges and the periodic checks. */
 	start(): void {
 		this.#options.control.onApplied(() => {
 			this.#refresh();
 		});
 		this.loop.start();
-		// The tick judges others by their silence.
+		// The tick detects failures by the lack of messages, so it runs after pending input is read.
 		this.#stopTicking = intervalAfterInput(this.#periodMilliseconds, () => {
 			this.#tick();
 		});
 	}
 
-	/** Stops asking and watching. */
+	/** Stops the exchanges and the periodic checks. */
 	stop(): void {
 		this.#stopTicking?.();
 		this.loop.stop();
@@ -119,10 +119,10 @@
 	}
 
 	/**
-	Answers a child.
+	Replies to an exchange of a child.
 
-	@param exchange What it said.
-	@returns The answer.
+	@param exchange The exchange.
+	@returns The reply.
 	*/
 	answer(exchange: Exchange): ExchangeReply {
 		const child = exchange.question.instance;
@@ -147,7 +147,7 @@
 		}
 	}
 
-	/** Takes what the control role committed; gives whether this instance leads. */
+	/** Applies the configuration committed by the control role; returns whether this instance leads. */
 	#refresh(): boolean {
 		const {relay} = this.#options;
 		const before = relay.revision;
@@ -160,7 +160,7 @@
 		return leads;
 	}
 
-	/** Hands on what is new: to the children by a word, to the parent by the next question. */
+	/** Propagates updates: notifies the children and starts an exchange with the parent. */
 	#spread(from?: InstanceId): void {
 		this.#news.tell(from === undefined ? {} : {except: from});
 		this.loop.wake();
@@ -205,7 +205,7 @@
 			clock: this.#clock,
 			relay,
 			network,
-			// A control instance is reached also before it is known as a member.
+			// Control instances can be reached by their configured address before they are known as members.
 			addressOf: instance => this.#record(instance) ?? settings.control.find(seed => seed.instance === instance),
 			onChange: () => {
 				this.loop.wake();
@@ -276,7 +276,7 @@
 				}
 			},
 			onError(error) {
-				log.error({err: error}, 'An answer of another daemon could not be taken');
+				log.error({err: error}, 'Could not process a reply from another daemon');
 			},
 		});
 	}
--- a/packages/daemon/src/distribution/exchange-codec.ts
+++ b/packages/daemon/src/distribution/exchange-codec.ts
@@ -14,18 +14,18 @@
 	loads: PartTuple<LoadRecord> | undefined,
 ];
 
-/** An exchange as it goes over a link: without names, since it goes over several times a second. */
+/** The wire form of an exchange: a tuple without member names, since exchanges are sent several times per second. */
 export type ExchangeTuple = readonly [
 	instance: InstanceId, incarnation: number, number: number, confirmed: ReadonlyArray<readonly [ZoneId, number]>, parts: PartsTuple,
 ];
 
-/** An answer as it goes over a link. */
+/** The wire form of a reply. */
 export type ReplyTuple = readonly [
 	parts: PartsTuple, grantRevision: number | undefined, remainingMilliseconds: number | undefined, leader: InstanceId | undefined,
 ];
 
 /**
-Writes an exchange for a link.
+Encodes an exchange.
 
 @param exchange The exchange.
 @returns The tuple.
@@ -39,9 +39,9 @@
 }
 
 /**
-Reads an exchange that came over a link.
+Decodes an exchange.
 
-@param tuple What `writeExchange` gave.
+@param tuple The tuple from {@linkcode writeExchange}.
 @returns The exchange.
 @example
 ```ts
@@ -58,9 +58,9 @@
 }
 
 /**
-Writes an answer for a link; the rest of a lease is rounded down to milliseconds.
+Encodes a reply. The remaining time of a lease is rounded down to milliseconds.
 
-@param reply The answer.
+@param reply The reply.
 @returns The tuple.
 @example
 ```ts
@@ -72,10 +72,10 @@
 }
 
 /**
-Reads an answer that came over a link.
+Decodes a reply.
 
-@param tuple What `writeReply` gave.
-@returns The answer.
+@param tuple The tuple from {@linkcode writeReply}.
+@returns The reply.
 @example
 ```ts
 const reply = readReply(tuple);
@@ -111,7 +111,7 @@
 	};
 }
 
-/** What is absent may come over a link as null. */
+/** Returns whether a value is present; the transport may decode undefined as null. */
 function isGiven<Value>(value: Value | undefined): value is Value {
 	return (value ?? undefined) !== undefined;
 }
--- a/packages/daemon/src/distribution/exchange-loop.test.ts
+++ b/packages/daemon/src/distribution/exchange-loop.test.ts
@@ -18,7 +18,7 @@
 };
 const parts = {revision: toRevision(0), records};
 
-test('an instance that was passed over for its silence is asked again after a sign of life', async t => {
+test('an instance that was avoided because it did not reply is tried again after evidence that it is alive', async t => {
 	const asked: InstanceId[] = [];
 	const waitForLast = async (instance: InstanceId): Promise<void> => {
 		const seen = asked.length;
@@ -29,7 +29,7 @@
 
 	let isFirstSilent = true;
 	const loop = new ExchangeLoop({
-		// Time stands still, so that nothing is forgiven by its passing.
+		// The clock does not advance, so the avoidance period cannot expire.
 		clock: {now: () => new Date(0), monotonic: () => 0},
 		network: {
 			async request({instance}) {
@@ -59,7 +59,7 @@
 			t.is(instance, first!.instance);
 		},
 		onError(error) {
-			t.fail(`Got an error: ${String(error)}`);
+			t.fail(`Unexpected error: ${String(error)}`);
 		},
 	});
 	t.teardown(() => {
--- a/packages/daemon/src/distribution/exchange-loop.ts
+++ b/packages/daemon/src/distribution/exchange-loop.ts
@@ -5,33 +5,33 @@
 import {type ExchangeReply} from './messages.js';
 import {type RelayNode} from './relay-node.js';
 
-/** What the loop needs. */
+/** Options of an {@linkcode ExchangeLoop}. */
 export type ExchangeLoopOptions = {
 	readonly clock: Clock;
 	readonly network: Pick<PeerNetwork<PeerMessage>, 'request'>;
 	readonly node: Pick<RelayNode, 'begin' | 'finish' | 'isSettled'>;
-	/** Milliseconds between two exchanges without news. */
+	/** The interval between exchanges without updates, in milliseconds. */
 	readonly periodMilliseconds: number;
-	/** The instances that may be asked, the best first. */
+	/** Returns the possible parents, best first. */
 	readonly candidates: () => readonly PeerAddress[];
-	/** Whether the own lease is valid; without one the other candidates are tried in between. */
+	/** Returns whether this instance's lease is valid; without one, other candidates are tried from time to time. */
 	readonly isLeaseValid: () => boolean;
-	/** Told of each answer. */
+	/** Called with each reply. */
 	readonly onReply: (parent: InstanceId, reply: ExchangeReply) => void;
-	/** Told of each instance that did not answer. */
+	/** Called with each instance that did not reply. */
 	readonly onSilence: (parent: InstanceId) => void;
-	/** Told of each answer that could not be taken. */
+	/** Called with the error of each reply that could not be processed. */
 	readonly onError: (error: unknown) => void;
 };
 
-/** The least time between two exchanges, however much news there is. */
+/** The minimum interval between exchanges, regardless of the number of updates. */
 const gapMilliseconds = 50;
 const periodsToTimeout = 2;
 const periodsToAvoid = 8;
 const exchangesPerDetour = 4;
 
 /**
-Asks a parent again and again: at each period, and sooner when there is news.
+Runs exchanges with a parent: periodically, and sooner after an update.
 
 @example
 ```ts
@@ -41,7 +41,7 @@
 */
 export class ExchangeLoop {
 	readonly #options: ExchangeLoopOptions;
-	/** Until when an instance that did not answer is passed over. */
+	/** Until when each instance that did not reply is avoided, in milliseconds of the monotonic clock. */
 	readonly #avoided = new Map<InstanceId, number>();
 	#timer: NodeJS.Timeout | undefined;
 	#isBusy = false;
@@ -53,18 +53,18 @@
 		this.#options = options;
 	}
 
-	/** Starts to ask. */
+	/** Starts the exchanges. */
 	start(): void {
 		this.#schedule(0);
 	}
 
-	/** Stops asking. */
+	/** Stops the exchanges. */
 	stop(): void {
 		this.#isStopped = true;
 		clearTimeout(this.#timer);
 	}
 
-	/** Asks soon, since there is news. */
+	/** Starts the next exchange soon, because there is an update. */
 	wake(): void {
 		if (this.#isBusy) {
 			this.#isAwake = true;
@@ -78,7 +78,7 @@
 	}
 
 	/**
-	Takes signs of life: instances that were passed over for their silence may be asked again.
+	Marks instances as alive, so that they are no longer avoided.
 
 	@param instances The instances.
 	*/
@@ -106,7 +106,7 @@
 		this.#schedule(this.#isAwake || !isSettled ? gapMilliseconds : this.#options.periodMilliseconds);
 	}
 
-	/** Asks one instance; gives whether nothing is left to say to it. */
+	/** Runs one exchange; returns whether the parent is up to date. */
 	async #ask(parent: PeerAddress): Promise<boolean> {
 		const {clock, network, node, periodMilliseconds, onReply, onSilence} = this.#options;
 		const {instance} = parent;
@@ -130,7 +130,7 @@
 		return node.isSettled(instance);
 	}
 
-	/** Asks one instance; an answer that cannot be read, such as one of another release, counts as none. */
+	/** Runs one exchange. A reply that cannot be decoded, for example from another release, counts as no reply. */
 	async #tryToAsk(parent: PeerAddress): Promise<boolean> {
 		try {
 			return await this.#ask(parent);
--- a/packages/daemon/src/distribution/leader-view.ts
+++ b/packages/daemon/src/distribution/leader-view.ts
@@ -4,13 +4,13 @@
 import {type DaemonBase} from '../daemon-base.js';
 import {type ConfigurationKeeper} from './configuration-keeper.js';
 
-/** What a leader's view needs. */
+/** Options of a {@linkcode LeaderView}. */
 export type LeaderViewOptions = {
 	readonly base: DaemonBase;
 	readonly control: ControlPart;
 	readonly keeper: ConfigurationKeeper;
 	readonly relay: ConfigurationRelay;
-	/** The zones that are known. */
+	/** Returns the known zones. */
 	readonly zones: () => readonly ZoneId[];
 };
 
@@ -19,18 +19,18 @@
 };
 
 /**
-What an instance with the control role adds: the committed configuration, and as the leader the leases and what is in force.
+The state that an instance with the control role contributes: the committed configuration and, as the leader, the leases and the revision in force.
 
 @example
 ```ts
-leader.refresh();
-leader.inForce()?.complete;
+view.refresh();
+view.inForce()?.complete;
 ```
 */
 export class LeaderView {
 	readonly #options: LeaderViewOptions;
 	#tracker: InForceTracker | undefined;
-	/** The stretch of leadership at hand. */
+	/** The current term as leader. */
 	#reign: Reign | undefined;
 	#reported = 0;
 
@@ -38,22 +38,22 @@
 		this.#options = options;
 	}
 
-	/** Whether this instance leads under a valid leader lease. */
+	/** Whether this instance is the leader with a valid leader lease. */
 	get leads(): boolean {
 		const {base: {clock}, control} = this.#options;
 		return control.isLeader() && clock.monotonic() < (control.leaseValidUntil() ?? Number.NEGATIVE_INFINITY);
 	}
 
-	/** The leader, where the control role of this instance knows it. */
+	/** The leader, if known to the control role of this instance. */
 	get leader(): InstanceId | undefined {
 		const {base, control} = this.#options;
 		return this.leads ? base.settings.instance : control.leader();
 	}
 
 	/**
-	Takes the committed configuration and renews the own lease where this instance leads.
+	Applies the committed configuration and, on the leader, renews this instance's own configuration lease.
 
-	@returns Whether this instance leads with a valid leader lease.
+	@returns Whether this instance is the leader with a valid leader lease and has applied all earlier commits.
 	*/
 	refresh(): boolean {
 		const {base: {clock, settings}, control, keeper, relay} = this.#options;
@@ -85,9 +85,9 @@
 	}
 
 	/**
-	Tells whether the newest revision is in force everywhere.
+	Returns whether the newest revision is in force on all instances.
 
-	@returns The answer; undefined where this instance does not lead.
+	@returns The answer, or undefined unless this instance is the leader and has applied all earlier commits.
 	*/
 	inForce(): InForceAnswer | undefined {
 		if (!this.refresh()) {
@@ -97,7 +97,7 @@
 		return this.#look();
 	}
 
-	/** A new leader grants nothing before all that was committed earlier is applied here. */
+	/** Returns whether a new leader has applied all earlier commits; it grants no leases before. */
 	#hasCaughtUp(): boolean {
 		if (this.#reign === undefined) {
 			const reign: Reign = {hasCaughtUp: false};
--- a/packages/daemon/src/distribution/lease-confirmations.ts
+++ b/packages/daemon/src/distribution/lease-confirmations.ts
@@ -3,19 +3,19 @@
 import {type PeerAddress, type PeerNetwork} from '@valehitch/transport';
 import {type PeerMessage} from '../messages.js';
 
-/** What the confirmations need. */
+/** Options of {@linkcode LeaseConfirmations}. */
 export type LeaseConfirmationsOptions = {
 	readonly clock: Clock;
 	readonly relay: ConfigurationRelay;
-	/** Where an instance is reached, if that is known. */
+	/** Returns the address of an instance, if known. */
 	readonly addressOf: (instance: InstanceId) => PeerAddress | undefined;
 	readonly network: Pick<PeerNetwork<PeerMessage>, 'send'>;
-	/** Told when the parent must hear soon of what is confirmed here. */
+	/** Called when the revision confirmed here has changed and the parent must be informed soon. */
 	readonly onChange: () => void;
 };
 
 /**
-Keeps what is confirmed of leases in step between this instance, its parent and its former parents.
+Synchronizes lease confirmations between this instance, its parent and its former parents.
 
 @example
 ```ts
@@ -30,10 +30,10 @@
 	}
 
 	/**
-	Makes a change, and tells whether it altered what is confirmed here.
+	Applies a change and calls `onChange` if it altered the confirmations of this instance.
 
-	@param change Makes the change.
-	@returns What the change gave.
+	@param change The function that applies the change.
+	@returns The result of the function.
 	*/
 	track<Result>(change: () => Result): Result {
 		const {clock, relay, onChange} = this.#options;
@@ -48,9 +48,9 @@
 	}
 
 	/**
-	Takes the word of a former child that another parent covers it.
+	Handles the message of a former child that another parent now covers it.
 
-	@param release What it said.
+	@param release The message.
 	*/
 	release(release: LeaseRelease): void {
 		this.track(() => {
@@ -58,7 +58,7 @@
 		});
 	}
 
-	/** Tells the former parents that the present one covers what they count; a word that is lost costs them one lease. */
+	/** Informs former parents that the current parent covers the confirmations they still count. If a message is lost, they count them for one more lease duration. */
 	releaseFormerParents(): void {
 		const {relay, addressOf, network} = this.#options;
 		for (const [former, body] of relay.takeReleases()) {
--- a/packages/daemon/src/distribution/lease-watch.ts
+++ b/packages/daemon/src/distribution/lease-watch.ts
@@ -2,7 +2,7 @@
 import {type ConfigurationRelay} from '@valehitch/membership';
 import {type Timeline} from '../timeline.js';
 
-/** What the watch needs. */
+/** Options of a {@linkcode LeaseMonitor}. */
 export type LeaseWatchOptions = {
 	readonly clock: Clock;
 	readonly relay: ConfigurationRelay;
@@ -10,11 +10,11 @@
 };
 
 /**
-Records when the own lease is lost and renewed.
+Records in the timeline when this instance's configuration lease is lost and renewed.
 
 @example
 ```ts
-watch.note();
+monitor.check();
 ```
 */
 export class LeaseWatch {
@@ -25,7 +25,7 @@
 		this.#options = options;
 	}
 
-	/** Looks at the lease as it stands now. */
+	/** Checks the lease and records a change. */
 	note(): void {
 		const {clock, relay, timeline} = this.#options;
 		const isValid = relay.isLeaseValid(clock.monotonic());
--- a/packages/daemon/src/distribution/lost-instances.ts
+++ b/packages/daemon/src/distribution/lost-instances.ts
@@ -1,21 +1,21 @@
 import {type InstanceId, type ZoneId} from '@valehitch/core';
 import {type MemberRecord} from '@valehitch/membership';
 
-/** An instance that was given up. */
+/** An instance that was declared lost. */
 export type LostInstance = {
 	readonly instance: InstanceId;
 	readonly zone: ZoneId;
-	/** The start that was given up, in milliseconds since 1970. */
+	/** When the lost process of the instance started, in milliseconds since the Unix epoch. */
 	readonly startedAt: number;
 };
 
 /**
-Tells listeners once of each start of an instance that was given up.
+Notifies listeners once of each lost process of an instance.
 
 @example
 ```ts
-lost.listen(({instance}) => propose(instance));
-lost.look(members);
+notifier.addListener(({instance}) => propose(instance));
+notifier.update(members);
 ```
 */
 export class LostInstances {
@@ -25,14 +25,14 @@
 	/**
 	Adds a listener.
 
-	@param listener Told of each lost instance from the next look on.
+	@param listener Called with each lost instance from the next update on.
 	*/
 	listen(listener: (lost: LostInstance) => void): void {
 		this.#listeners.push(listener);
 	}
 
 	/**
-	Tells of those that were lost since the last look.
+	Notifies the listeners of instances that were lost since the last update.
 
 	@param members All members.
 	*/
--- a/packages/daemon/src/distribution/member-watch.ts
+++ b/packages/daemon/src/distribution/member-watch.ts
@@ -6,16 +6,16 @@
 import {type SharedRecord} from './messages.js';
 import {memberKey, membersOf} from './shared-records.js';
 
-/** What the watch over members needs. */
+/** Options of a {@linkcode MemberMonitor}. */
 export type MemberWatchOptions = {
 	readonly clock: Clock;
 	readonly records: Digest<SharedRecord>;
-	/** The first record of this instance. */
+	/** The initial record of this instance. */
 	readonly self: MemberRecord;
-	/** Milliseconds between two exchanges. */
+	/** The interval between exchanges, in milliseconds. */
 	readonly periodMilliseconds: number;
 	readonly isLeader: () => boolean;
-	/** Told of each record that the watch changed. */
+	/** Called when this monitor has changed a record. */
 	readonly onChange: () => void;
 };
 
@@ -24,12 +24,12 @@
 const forgetMilliseconds = 3_600_000;
 
 /**
-Keeps the own record, and judges the silence of those that this instance watches: its children, its parent, and whoever lost its watcher.
+Maintains this instance's member record, and detects failures of the members that it monitors: its children, its parent and, as the leader or the root of a zone, members whose parent is lost or unknown.
 
 @example
 ```ts
-watch.heard(child);
-watch.judge();
+monitor.recordContact(child);
+monitor.detectFailures();
 ```
 */
 export class MemberWatch {
@@ -48,17 +48,17 @@
 		this.#publish(this.#self);
 	}
 
-	/** The own record. */
+	/** The record of this instance. */
 	get self(): MemberRecord {
 		return this.#self;
 	}
 
-	/** All members, the lost ones included. */
+	/** All members, including lost ones. */
 	get members(): MemberRecord[] {
 		return membersOf(this.#options.records);
 	}
 
-	/** The members that take part, this instance included unless it is in a planned stop. */
+	/** The active members, including this instance unless it is shutting down. */
 	get present(): Member[] {
 		return this.members
 			.filter(({state}) => state === 'joined' || state === 'suspect')
@@ -68,7 +68,7 @@
 	}
 
 	/**
-	Tells whether an instance is lost.
+	Returns whether an instance is lost.
 
 	@param instance The instance.
 	*/
@@ -78,7 +78,7 @@
 	}
 
 	/**
-	Notes a word of an instance.
+	Records a message from an instance.
 
 	@param instance The instance.
 	*/
@@ -87,16 +87,16 @@
 	}
 
 	/**
-	Changes the own record.
+	Updates the record of this instance.
 
-	@param change The parent or the state.
+	@param change The new parent or state.
 	*/
 	update(change: Partial<Pick<MemberRecord, 'parent' | 'state'>>): void {
 		this.#self = {...this.#self, ...change, sequence: this.#self.sequence + 1};
 		this.#publish(this.#self);
 	}
 
-	/** Answers a suspicion of the own instance that the digest brought. */
+	/** Refutes a record in the digest that reports this instance as suspect or lost, by publishing a newer one. */
 	refute(): void {
 		const record = this.#options.records.get(memberKey(this.#self.instance));
 		if (record?.kind !== 'member' || record.member === this.#self) {
@@ -105,7 +105,7 @@
 
 		const {startedAt, sequence, state} = record.member;
 		if (startedAt > this.#self.startedAt) {
-			// An earlier start had a clock that ran ahead.
+			// An earlier process of this instance started with a clock that was ahead.
 			this.#self = {...this.#self, startedAt: startedAt + 1};
 			this.update({});
 		} else if (startedAt === this.#self.startedAt && state !== this.#self.state) {
@@ -114,7 +114,7 @@
 		}
 	}
 
-	/** Judges the silence of those that are watched here. */
+	/** Publishes the members that became suspect, lost or alive again, and forgets members that have been lost for an hour. */
 	judge(): void {
 		const now = this.#options.clock.monotonic();
 		const {members} = this;
--- a/packages/daemon/src/distribution/messages.ts
+++ b/packages/daemon/src/distribution/messages.ts
@@ -9,55 +9,55 @@
 	= | {readonly kind: 'member'; readonly member: MemberRecord}
 		| {readonly kind: 'server'; readonly server: ServerRecord};
 
-/** What both sides of an exchange say. */
+/** The parts that both sides of an exchange send. */
 export type ExchangeParts = {
-	/** The newest revision that the sender holds. */
+	/** The newest revision of the sender. */
 	readonly revision: Revision;
-	/** The sender's configuration, packed, where the receiver's is older. */
+	/** The sender's compressed configuration, if the receiver has an older one. */
 	readonly configuration?: Uint8Array | undefined;
 	readonly records: DigestPart<SharedRecord>;
-	/** Loads of backend servers; goes along now and then only. */
+	/** The loads of backend servers; included only at longer intervals. */
 	readonly loads?: DigestPart<LoadRecord> | undefined;
 };
 
-/** Asks a parent for a lease and says what is new below. */
+/** Requests a lease from a parent and reports the updates of the sender's subtree. */
 export type Exchange = ExchangeParts & {
 	readonly question: LeaseQuestion;
 };
 
-/** Carries an exchange; the answer is a `ReplyTuple`. */
+/** Carries an exchange; the reply is a `ReplyTuple`. */
 export type ExchangeMessage = {
 	readonly scope: 'distribution';
 	readonly type: 'exchange';
 	readonly body: ExchangeTuple;
 };
 
-/** What a parent answers. */
+/** The reply of a parent to an exchange. */
 export type ExchangeReply = ExchangeParts & {
-	/** The lease, where the parent holds one. */
+	/** The lease, if the parent has a valid one. */
 	readonly grant?: LeaseGrant | undefined;
-	/** The leader, where the parent knows it. */
+	/** The leader, if known to the parent. */
 	readonly leader?: InstanceId | undefined;
 };
 
-/** Tells a child that there is news, so that it asks at once. */
+/** Notifies a child of updates, so that it starts an exchange at once. */
 export type NewsMessage = {
 	readonly scope: 'distribution';
 	readonly type: 'news';
 };
 
-/** Tells a former parent that another one covers what it counted; goes once for each move. */
+/** Informs a former parent that another one covers the confirmations it counted; sent once per change of parent. */
 export type ReleaseMessage = {
 	readonly scope: 'distribution';
 	readonly type: 'release';
 	readonly body: LeaseRelease;
 };
 
-/** Asks the leader whether the newest revision is in force everywhere. */
+/** Asks the leader whether the newest revision is in force on all instances. */
 export type InForceQuestion = {
 	readonly scope: 'distribution';
 	readonly type: 'in-force';
 };
 
-/** The closed list of messages that spread configuration, leases, members and servers. */
+/** All messages that distribute the configuration, leases, members and servers. */
 export type DistributionMessage = ExchangeMessage | NewsMessage | ReleaseMessage | InForceQuestion;
--- a/packages/daemon/src/distribution/pack-configuration.ts
+++ b/packages/daemon/src/distribution/pack-configuration.ts
@@ -4,10 +4,10 @@
 const maximumConfigurationBytes = 16 * 1024 * 1024;
 
 /**
-Packs a configuration for a link: JSON, compressed.
+Serializes a configuration as JSON and compresses it with DEFLATE.
 
 @param effective The configuration.
-@returns The bytes.
+@returns The compressed configuration.
 @example
 ```ts
 const bytes = packConfiguration(effective);
@@ -18,11 +18,11 @@
 }
 
 /**
-Reads a packed configuration.
+Decompresses and parses a configuration.
 
-@param bytes What `packConfiguration` gave.
+@param bytes The bytes from {@linkcode packConfiguration}.
 @returns The configuration.
-@throws {Error} If the bytes are not a packed configuration.
+@throws {Error} If the bytes are not a compressed configuration, or are larger than 16 MiB when decompressed.
 @example
 ```ts
 unpackConfiguration(bytes).revision;
--- a/packages/daemon/src/distribution/parent-addresses.ts
+++ b/packages/daemon/src/distribution/parent-addresses.ts
@@ -4,7 +4,7 @@
 import {type PeerAddress} from '@valehitch/transport';
 import {type MemberWatch} from './member-watch.js';
 
-/** What the addresses come from. */
+/** Options of {@linkcode parentAddresses}. */
 export type ParentAddressesOptions = {
 	readonly watch: MemberWatch;
 	readonly settings: Settings;
@@ -12,7 +12,7 @@
 };
 
 /**
-The addresses of the instances that this one may ask, the best first.
+Returns the addresses of the possible parents of this instance, best first.
 
 @param options The members, the control instances and the leader.
 @returns The addresses.
--- a/packages/daemon/src/distribution/relay-node.ts
+++ b/packages/daemon/src/distribution/relay-node.ts
@@ -8,34 +8,34 @@
 } from './messages.js';
 import {unpackConfiguration} from './pack-configuration.js';
 
-/** What a relay node works with. */
+/** Options of a {@linkcode RelayNode}. */
 export type RelayNodeOptions = {
 	readonly keeper: ConfigurationKeeper;
 	readonly relay: ConfigurationRelay;
 	readonly records: Digest<SharedRecord>;
 	readonly loads: Digest<LoadRecord>;
 	readonly incarnation: number;
-	/** Tells how long the loads of a link wait for each other, in milliseconds; longer between zones. */
+	/** Returns the interval at which loads are sent to a peer, in milliseconds; longer between zones. */
 	readonly loadIntervalMilliseconds: (peer: InstanceId) => number;
 	readonly onNews: (keys: readonly string[], from: InstanceId) => void;
 	readonly onLoads: (servers: readonly string[]) => void;
-	/** Told when an exchange put a higher revision in force. */
+	/** Called when an exchange activated a higher revision. */
 	readonly onRevision: (from: InstanceId) => void;
 };
 
-/** An exchange that was begun. */
+/** An exchange whose reply is pending. */
 export type BegunExchange = {
 	readonly exchange: Exchange;
-	/** When the question was sent, on the monotonic clock. */
+	/** When the exchange was sent, in milliseconds of the monotonic clock. */
 	readonly sentAt: number;
 };
 
 type Link = {
 	readonly records: DigestLink<SharedRecord>;
 	readonly loads: DigestLink<LoadRecord>;
-	/** When loads went over last, on the monotonic clock. */
+	/** When loads were last sent, in milliseconds of the monotonic clock. */
 	loadsAt: number;
-	/** The newest revision that the peer said it holds. */
+	/** The newest revision reported by the peer. */
 	peerRevision: number;
 	usedAt: number;
 };
@@ -43,7 +43,7 @@
 const idleLinkMilliseconds = 60_000;
 
 /**
-The node's side of exchanges, as parent and as child; has no timers and sends nothing itself.
+One node's side of exchanges, as a parent and as a child. It has no timers and does not send messages itself.
 
 @example
 ```ts
@@ -64,7 +64,7 @@
 
 	@param parent The parent.
 	@param now The monotonic time.
-	@returns What to send.
+	@returns The exchange to send.
 	*/
 	begin(parent: InstanceId, now: number): BegunExchange {
 		const link = this.#link(parent, now);
@@ -73,11 +73,11 @@
 	}
 
 	/**
-	Takes a parent's answer.
+	Processes the reply of a parent.
 
 	@param begun The exchange.
-	@param answer The parent, what it answered, and the monotonic time.
-	@returns Whether a lease came.
+	@param answer The parent, its reply, and the monotonic time.
+	@returns Whether the reply granted a lease.
 	*/
 	finish({exchange, sentAt}: BegunExchange, {parent, reply, now}: {readonly parent: InstanceId; readonly reply: ExchangeReply; readonly now: number}): boolean {
 		const {grant} = reply;
@@ -87,11 +87,11 @@
 	}
 
 	/**
-	Answers a child's exchange.
+	Replies to the exchange of a child.
 
-	@param exchange What it said.
+	@param exchange The exchange.
 	@param now The monotonic time.
-	@returns The answer, without the leader.
+	@returns The reply, without the leader.
 	*/
 	answer(exchange: Exchange, now: number): ExchangeReply {
 		const child = exchange.question.instance;
@@ -103,9 +103,9 @@
 	}
 
 	/**
-	Tells whether a neighbour holds all members, servers and the configuration that are held here.
+	Returns whether a peer has all members, all servers and the configuration of this node.
 
-	@param peer The neighbour.
+	@param peer The peer.
 	*/
 	isSettled(peer: InstanceId): boolean {
 		const link = this.#links.get(peer);
@@ -113,7 +113,7 @@
 	}
 
 	/**
-	Forgets the neighbours that were not heard of for a minute.
+	Removes the state of peers that were not used for a minute.
 
 	@param now The monotonic time.
 	*/
@@ -181,7 +181,7 @@
 			records: new DigestLink({digest: records, incarnation, peer}),
 			loads: new DigestLink({digest: loads, incarnation, peer}),
 			loadsAt: Number.NEGATIVE_INFINITY,
-			// Nothing is pushed to a neighbour before it has said what it holds.
+			// The configuration is not sent to a peer before the peer has reported its revision.
 			peerRevision: Number.POSITIVE_INFINITY,
 			usedAt: now,
 		};
--- a/packages/daemon/src/distribution/server-registry.ts
+++ b/packages/daemon/src/distribution/server-registry.ts
@@ -8,13 +8,13 @@
 import {type SharedRecord} from './messages.js';
 import {serverKey} from './shared-records.js';
 
-/** What the registry needs. */
+/** Options of a {@linkcode ServerRegistry}. */
 export type ServerRegistryOptions = {
 	readonly table: ServerTableOptions & {readonly instance: InstanceId};
 	readonly timeline: Timeline;
 	readonly records: Digest<SharedRecord>;
 	readonly loads: Digest<LoadRecord>;
-	/** Told of each record that others must hear of. */
+	/** Called when a record has changed and must be propagated. */
 	readonly onChange: () => void;
 };
 
@@ -23,12 +23,12 @@
 const forgetMilliseconds = 3_600_000;
 
 /**
-The backend servers: takes announcements made here, shares what others must hear of, and takes in what others share.
+The registry of backend servers: accepts announcements made to this instance, publishes changes in the digests, and applies the changes of other instances.
 
 @example
 ```ts
 registry.announce(announcement);
-registry.judge();
+registry.expire();
 ```
 */
 export class ServerRegistry {
@@ -45,7 +45,7 @@
 	}
 
 	/**
-	Takes an announcement made to this instance.
+	Processes an announcement made to this instance.
 
 	@param announcement The announcement.
 	*/
@@ -58,9 +58,9 @@
 	}
 
 	/**
-	Takes in the server records that the digest brought.
+	Applies server records that were received through the digest.
 
-	@param keys The keys of the records that changed; those of members are passed over.
+	@param keys The keys of the changed records; keys of members are ignored.
 	*/
 	takeRecords(keys: readonly string[]): void {
 		for (const key of keys) {
@@ -72,7 +72,7 @@
 	}
 
 	/**
-	Takes in loads that the digest brought.
+	Applies loads that were received through the digest.
 
 	@param servers The servers.
 	*/
@@ -85,7 +85,7 @@
 		}
 	}
 
-	/** Gives up the servers whose renewals stopped, and shares the loads of those held here. */
+	/** Declares servers lost whose announcements have expired, and periodically publishes the loads of the servers that announce to this instance. */
 	judge(): void {
 		for (const {announcement: {server}} of this.servers.expire()) {
 			this.#options.timeline.record('server-lost', {server});
@@ -105,7 +105,7 @@
 		const before = this.servers.record(server);
 		if (this.servers.put(record)) {
 			this.#note(server, before);
-			// What is held here may be later than what came.
+			// The record held here may be newer than the received one.
 			this.#share(server);
 		}
 	}
--- a/packages/daemon/src/distribution/shared-records.ts
+++ b/packages/daemon/src/distribution/shared-records.ts
@@ -4,18 +4,18 @@
 } from '@valehitch/membership';
 import {type SharedRecord} from './messages.js';
 
-/** The key of a member's record. */
+/** Returns the digest key of a member's record. */
 export function memberKey(instance: InstanceId): string {
 	return `m:${instance}`;
 }
 
-/** The key of a server's record. */
+/** Returns the digest key of a server's record. */
 export function serverKey(server: ServerId): string {
 	return `s:${server}`;
 }
 
 /**
-Makes the digest of members and servers.
+Creates the digest of members and servers.
 
 @returns An empty digest.
 @example
@@ -28,7 +28,7 @@
 }
 
 /**
-Makes the digest of loads.
+Creates the digest of server loads.
 
 @returns An empty digest.
 @example
@@ -41,7 +41,7 @@
 }
 
 /**
-The members in a digest, the lost ones included.
+Returns the members in a digest, including lost ones.
 
 @param digest The digest.
 @returns Their records.
@@ -62,7 +62,7 @@
 }
 
 /**
-The members that have joined among records that changed.
+Returns the members in the joined state among changed records.
 
 @param digest The digest.
 @param keys The keys of the records that changed.
--- a/packages/daemon/src/distribution/start-distribution.ts
+++ b/packages/daemon/src/distribution/start-distribution.ts
@@ -13,26 +13,26 @@
 import {type LostInstance} from './lost-instances.js';
 import {type DistributionMessage} from './messages.js';
 
-/** The part of a daemon that knows the configuration, the members and the backend servers. */
+/** The part of the daemon that distributes the configuration, the members and the backend servers. */
 export type DistributionPart = {
 	readonly servers: ServerTable;
-	/** The configuration that requests are served by, and whether it is isolated; undefined before the first. */
+	/** Returns the configuration for serving requests, and whether it is isolated; undefined until the first is activated. */
 	readonly active: () => ActiveConfiguration | undefined;
-	/** The newest configuration in force here. */
+	/** Returns the configuration in force on this instance. */
 	readonly effective: () => EffectiveConfiguration;
-	/** The daemons that take part, this one included. */
+	/** Returns the active daemons, including this one. */
 	readonly members: () => readonly Member[];
-	/** Whether the newest revision is in force everywhere, by the leader's word; undefined where no leader answers. */
+	/** Returns the leader's answer to whether the newest revision is in force on all instances; undefined if no leader replies. */
 	readonly inForce: () => Promise<InForceAnswer | undefined>;
-	/** The leader, where it is known. */
+	/** Returns the leader, if known. */
 	readonly leader: () => InstanceId | undefined;
-	/** Takes what a backend server said of itself, and hands it on. */
+	/** Processes and propagates the announcement of a backend server. */
 	readonly announce: (announcement: Announcement) => void;
-	/** Calls the listener on the leader for each instance that was given up; calls again after a change of leader. */
+	/** Adds a listener that is called on the leader for each lost instance, and again after a change of leader. */
 	readonly onInstanceLost: (listener: (lost: LostInstance) => void) => void;
-	/** Tells the others that this instance is in a planned stop. */
+	/** Announces to other instances that this one is shutting down. */
 	readonly drain: () => void;
-	/** Answers a message of another daemon. */
+	/** Handles a message from another daemon and returns the reply. */
 	readonly answer: (message: DistributionMessage) => Promise<unknown>;
 	readonly stop: () => void;
 };
@@ -42,7 +42,7 @@
 /**
 Starts the distribution of configuration, leases, members and servers.
 
-@param base What every part works with.
+@param base The state shared by all parts.
 @param control The control part.
 @returns The part.
 @example
@@ -52,7 +52,7 @@
 */
 export function startDistribution(base: DaemonBase, control: ControlPart): DistributionPart {
 	const {settings: {timing: {configurationLeaseMilliseconds: leaseMilliseconds}, zone, instance}, clock} = base;
-	// Short on the links; a start is told from another by chance.
+	// A random number is shorter in messages than an id; two processes of an instance are unlikely to choose the same one.
 	const incarnation = 1 + Math.floor(base.random() * incarnationRange);
 	const relay = new ConfigurationRelay({
 		instance, zone, incarnation, leaseMilliseconds, suspension: new SuspensionWatch(clock),
@@ -61,7 +61,7 @@
 		base, control, relay, incarnation, startedAt: clock.now().getTime(),
 	});
 	node.lost.listen(({instance: lost}) => {
-		base.log.warn({lost}, 'An instance was given up');
+		base.log.warn({lost}, 'An instance was declared lost');
 	});
 	node.start();
 	return {
@@ -84,7 +84,7 @@
 			try {
 				return answerWith(node, message);
 			} catch (error) {
-				base.log.error({err: error, type: message.type}, 'A message of another daemon could not be answered');
+				base.log.error({err: error, type: message.type}, 'Could not process a message from another daemon');
 				return undefined;
 			}
 		},
