--- a/packages/daemon/src/distribution/child-news.ts
+++ b/packages/daemon/src/distribution/child-news.ts
@@ -9,7 +9,7 @@
 	readonly send: (child: InstanceId) => void;
 };
 
-const gatherMilliseconds = 50;
+const batchMilliseconds = 50;
 
 /**
 Notifies the children of updates, so that they start an exchange at once. Updates within a short time are combined into one notification.
@@ -22,7 +22,7 @@
 */
 export class ChildNews {
 	readonly #options: ChildNewsOptions;
-	readonly #heardAt = new Map<InstanceId, number>();
+	readonly #lastContactAt = new Map<InstanceId, number>();
 	readonly #pending = new Set<InstanceId>();
 	#timer: NodeJS.Timeout | undefined;
 
@@ -36,7 +36,7 @@
 	@param child The child.
 	*/
 	heard(child: InstanceId): void {
-		this.#heardAt.set(child, this.#options.clock.monotonic());
+		this.#lastContactAt.set(child, this.#options.clock.monotonic());
 	}
 
 	/**
@@ -45,7 +45,7 @@
 	@param options `except`: the child from which the update came.
 	*/
 	tell(options: {readonly except?: InstanceId} = {}): void {
-		for (const child of this.#heardAt.keys()) {
+		for (const child of this.#lastContactAt.keys()) {
 			if (child !== options.except) {
 				this.#pending.add(child);
 			}
@@ -54,7 +54,7 @@
 		if (this.#pending.size > 0) {
 			this.#timer ??= setTimeout(() => {
 				this.#flush();
-			}, gatherMilliseconds);
+			}, batchMilliseconds);
 		}
 	}
 
@@ -68,8 +68,8 @@
 		const oldest = clock.monotonic() - forgetMilliseconds;
 		this.#timer = undefined;
 		for (const child of this.#pending) {
-			if ((this.#heardAt.get(child) ?? 0) < oldest) {
-				this.#heardAt.delete(child);
+			if ((this.#lastContactAt.get(child) ?? 0) < oldest) {
+				this.#lastContactAt.delete(child);
 			} else {
 				send(child);
 			}
--- a/packages/daemon/src/distribution/configuration-keeper.ts
+++ b/packages/daemon/src/distribution/configuration-keeper.ts
@@ -90,8 +90,8 @@
 	*/
 	settle({granted}: {readonly granted: boolean}): boolean {
 		const {clock, relay, leaseMilliseconds} = this.#options;
-		const waits = !granted && this.#activated === undefined && clock.monotonic() < this.#startedAt + leaseMilliseconds;
-		if (waits || this.#newest.revision <= Math.max(relay.revision, this.#failedRevision)) {
+		const mustWait = !granted && this.#activated === undefined && clock.monotonic() < this.#startedAt + leaseMilliseconds;
+		if (mustWait || this.#newest.revision <= Math.max(relay.revision, this.#failedRevision)) {
 			return false;
 		}
 
--- a/packages/daemon/src/distribution/distribution-node.ts
+++ b/packages/daemon/src/distribution/distribution-node.ts
@@ -66,10 +66,10 @@
 	readonly #periodMilliseconds: number;
 	readonly #records = createRecordDigest();
 	readonly #loads = createLoadDigest();
-	readonly #news: ChildNews;
-	readonly #leaseWatch: LeaseWatch;
-	readonly #node: RelayNode;
-	#hint: InstanceId | undefined;
+	readonly #childNotifier: ChildNews;
+	readonly #leaseMonitor: LeaseWatch;
+	readonly #relayNode: RelayNode;
+	#leaderHint: InstanceId | undefined;
 	#stopTicking: (() => void) | undefined;
 
 	constructor(options: DistributionNodeOptions) {
@@ -85,18 +85,18 @@
 		this.view = new LeaderView({
 			base, control, keeper: this.keeper, relay, zones: () => [...new Set([zone, ...this.watch.present.map(member => member.zone)])],
 		});
-		this.#leaseWatch = new LeaseWatch({clock, relay, timeline});
-		this.confirmations = this.#makeConfirmations();
-		this.#news = this.#makeNews();
-		this.registry = this.#makeRegistry();
-		this.#node = this.#makeNode();
-		this.loop = this.#makeLoop();
-		this.watch = this.#makeWatch();
+		this.#leaseMonitor = new LeaseWatch({clock, relay, timeline});
+		this.confirmations = this.#createConfirmations();
+		this.#childNotifier = this.#createChildNotifier();
+		this.registry = this.#createRegistry();
+		this.#relayNode = this.#createRelayNode();
+		this.loop = this.#createExchangeLoop();
+		this.watch = this.#createMemberMonitor();
 	}
 
 	/** The leader, if known. */
 	get leader(): InstanceId | undefined {
-		return this.view.leader ?? this.#hint;
+		return this.view.leader ?? this.#leaderHint;
 	}
 
 	/** Starts the exchanges and the periodic checks. */
@@ -115,7 +115,7 @@
 	stop(): void {
 		this.#stopTicking?.();
 		this.loop.stop();
-		this.#news.stop();
+		this.#childNotifier.stop();
 	}
 
 	/**
@@ -128,10 +128,10 @@
 		const child = exchange.question.instance;
 		const now = this.#clock.monotonic();
 		this.#refresh();
-		const reply = this.confirmations.track(() => this.#node.answer(exchange, now));
+		const reply = this.confirmations.track(() => this.#relayNode.answer(exchange, now));
 		this.watch.heard(child);
 		this.loop.noteAlive([child]);
-		this.#news.heard(child);
+		this.#childNotifier.heard(child);
 		const {leader} = this;
 		return leader === undefined ? reply : {...reply, leader};
 	}
@@ -140,8 +140,8 @@
 		const leads = this.#refresh();
 		this.watch.judge();
 		this.registry.judge();
-		this.#node.prune(this.#clock.monotonic());
-		this.#leaseWatch.note();
+		this.#relayNode.prune(this.#clock.monotonic());
+		this.#leaseMonitor.note();
 		if (leads) {
 			this.lost.look(this.watch.members);
 		}
@@ -154,71 +154,71 @@
 		const leads = this.view.refresh();
 		this.keeper.settle({granted: false});
 		if (relay.revision !== before) {
-			this.#spread();
+			this.#propagate();
 		}
 
 		return leads;
 	}
 
 	/** Propagates updates: notifies the children and starts an exchange with the parent. */
-	#spread(from?: InstanceId): void {
-		this.#news.tell(from === undefined ? {} : {except: from});
+	#propagate(from?: InstanceId): void {
+		this.#childNotifier.tell(from === undefined ? {} : {except: from});
 		this.loop.wake();
 	}
 
-	#takeNews(keys: readonly string[], from: InstanceId): void {
+	#applyUpdates(keys: readonly string[], from: InstanceId): void {
 		this.registry.takeRecords(keys);
 		this.loop.noteAlive(joinedAmong(this.#records, keys));
 		this.watch.refute();
-		this.#spread(from);
+		this.#propagate(from);
 	}
 
-	#takeReply(parent: InstanceId, reply: ExchangeReply): void {
+	#handleReply(parent: InstanceId, reply: ExchangeReply): void {
 		this.confirmations.releaseFormerParents();
 		this.watch.heard(parent);
 		if (reply.leader !== undefined) {
-			this.#hint = reply.leader;
-		} else if (this.#hint === parent) {
-			this.#hint = undefined;
+			this.#leaderHint = reply.leader;
+		} else if (this.#leaderHint === parent) {
+			this.#leaderHint = undefined;
 		}
 
-		if (this.watch.self.parent !== parent && this.#candidates()[0]?.instance === parent) {
+		if (this.watch.self.parent !== parent && this.#parentCandidates()[0]?.instance === parent) {
 			this.watch.update({parent});
 		}
 
-		this.#leaseWatch.note();
+		this.#leaseMonitor.note();
 	}
 
-	#candidates(): PeerAddress[] {
+	#parentCandidates(): PeerAddress[] {
 		const {base: {settings}} = this.#options;
 		return this.view.leads ? [] : parentAddresses({watch: this.watch, settings, leader: this.leader});
 	}
 
-	#record(instance: InstanceId): MemberRecord | undefined {
+	#memberRecord(instance: InstanceId): MemberRecord | undefined {
 		const record = this.#records.get(memberKey(instance));
 		return record?.kind === 'member' ? record.member : undefined;
 	}
 
-	#makeConfirmations(): LeaseConfirmations {
+	#createConfirmations(): LeaseConfirmations {
 		const {base: {network, settings}, relay} = this.#options;
 		return new LeaseConfirmations({
 			clock: this.#clock,
 			relay,
 			network,
 			// Control instances can be reached by their configured address before they are known as members.
-			addressOf: instance => this.#record(instance) ?? settings.control.find(seed => seed.instance === instance),
+			addressOf: instance => this.#memberRecord(instance) ?? settings.control.find(seed => seed.instance === instance),
 			onChange: () => {
 				this.loop.wake();
 			},
 		});
 	}
 
-	#makeNews(): ChildNews {
+	#createChildNotifier(): ChildNews {
 		return new ChildNews({
 			clock: this.#clock,
 			forgetMilliseconds: this.#periodMilliseconds * periodsToForgetChild,
 			send: child => {
-				const address = this.#record(child);
+				const address = this.#memberRecord(child);
 				if (address !== undefined) {
 					this.#options.base.network.send(address, {scope: 'distribution', type: 'news'});
 				}
@@ -226,18 +226,18 @@
 		});
 	}
 
-	#makeRegistry(): ServerRegistry {
+	#createRegistry(): ServerRegistry {
 		return createRegistry(this.#options.base, {
 			records: this.#records,
 			loads: this.#loads,
 			isLost: holder => this.watch.isLost(holder),
 			onChange: () => {
-				this.#spread();
+				this.#propagate();
 			},
 		});
 	}
 
-	#makeNode(): RelayNode {
+	#createRelayNode(): RelayNode {
 		const {relay, incarnation} = this.#options;
 		return new RelayNode({
 			keeper: this.keeper,
@@ -245,34 +245,34 @@
 			records: this.#records,
 			loads: this.#loads,
 			incarnation,
-			loadIntervalMilliseconds: peer => this.#record(peer)?.zone === this.#zone ? ownZoneLoadMilliseconds : otherZoneLoadMilliseconds,
+			loadIntervalMilliseconds: peer => this.#memberRecord(peer)?.zone === this.#zone ? ownZoneLoadMilliseconds : otherZoneLoadMilliseconds,
 			onNews: (keys, from) => {
-				this.#takeNews(keys, from);
+				this.#applyUpdates(keys, from);
 			},
 			onLoads: servers => {
 				this.registry.takeLoads(servers);
 			},
 			onRevision: from => {
-				this.#spread(from);
+				this.#propagate(from);
 			},
 		});
 	}
 
-	#makeLoop(): ExchangeLoop {
+	#createExchangeLoop(): ExchangeLoop {
 		const {base: {log, network}, relay} = this.#options;
 		return new ExchangeLoop({
 			clock: this.#clock,
 			network,
-			node: this.#node,
+			node: this.#relayNode,
 			periodMilliseconds: this.#periodMilliseconds,
-			candidates: () => this.#candidates(),
+			candidates: () => this.#parentCandidates(),
 			isLeaseValid: () => relay.isLeaseValid(this.#clock.monotonic()),
 			onReply: (parent, reply) => {
-				this.#takeReply(parent, reply);
+				this.#handleReply(parent, reply);
 			},
 			onSilence: parent => {
-				if (parent === this.#hint) {
-					this.#hint = undefined;
+				if (parent === this.#leaderHint) {
+					this.#leaderHint = undefined;
 				}
 			},
 			onError(error) {
@@ -281,7 +281,7 @@
 		});
 	}
 
-	#makeWatch(): MemberWatch {
+	#createMemberMonitor(): MemberWatch {
 		const {base: {self, settings: {region}}, startedAt} = this.#options;
 		return new MemberWatch({
 			clock: this.#clock,
@@ -292,7 +292,7 @@
 			periodMilliseconds: this.#periodMilliseconds,
 			isLeader: () => this.view.leads,
 			onChange: () => {
-				this.#spread();
+				this.#propagate();
 			},
 		});
 	}
--- a/packages/daemon/src/distribution/exchange-codec.ts
+++ b/packages/daemon/src/distribution/exchange-codec.ts
@@ -82,7 +82,7 @@
 ```
 */
 export function readReply([parts, grantRevision, remainingMilliseconds, leader]: ReplyTuple): ExchangeReply {
-	const grant = isGiven(grantRevision) && isGiven(remainingMilliseconds)
+	const grant = isPresent(grantRevision) && isPresent(remainingMilliseconds)
 		? {revision: toRevision(grantRevision), remainingMilliseconds}
 		: undefined;
 	return {...readParts(parts), grant, leader: leader ?? undefined};
@@ -97,7 +97,7 @@
 		revision: toRevision(revision),
 		configuration: configuration ?? undefined,
 		records: readPart(records),
-		loads: isGiven(loads) ? readPart(loads) : undefined,
+		loads: isPresent(loads) ? readPart(loads) : undefined,
 	};
 }
 
@@ -112,6 +112,6 @@
 }
 
 /** Returns whether a value is present; the transport may decode undefined as null. */
-function isGiven<Value>(value: Value | undefined): value is Value {
+function isPresent<Value>(value: Value | undefined): value is Value {
 	return (value ?? undefined) !== undefined;
 }
--- a/packages/daemon/src/distribution/exchange-loop.ts
+++ b/packages/daemon/src/distribution/exchange-loop.ts
@@ -25,10 +25,10 @@
 };
 
 /** The minimum interval between exchanges, regardless of the number of updates. */
-const gapMilliseconds = 50;
+const minimumIntervalMilliseconds = 50;
 const periodsToTimeout = 2;
 const periodsToAvoid = 8;
-const exchangesPerDetour = 4;
+const exchangesPerAlternative = 4;
 
 /**
 Runs exchanges with a parent: periodically, and sooner after an update.
@@ -42,12 +42,12 @@
 export class ExchangeLoop {
 	readonly #options: ExchangeLoopOptions;
 	/** Until when each instance that did not reply is avoided, in milliseconds of the monotonic clock. */
-	readonly #avoided = new Map<InstanceId, number>();
+	readonly #avoidedUntil = new Map<InstanceId, number>();
 	#timer: NodeJS.Timeout | undefined;
 	#isBusy = false;
-	#isAwake = false;
+	#isWakePending = false;
 	#isStopped = false;
-	#count = 0;
+	#exchangeCount = 0;
 
 	constructor(options: ExchangeLoopOptions) {
 		this.#options = options;
@@ -67,13 +67,13 @@
 	/** Starts the next exchange soon, because there is an update. */
 	wake(): void {
 		if (this.#isBusy) {
-			this.#isAwake = true;
+			this.#isWakePending = true;
 			return;
 		}
 
-		if (!this.#isAwake) {
-			this.#isAwake = true;
-			this.#schedule(gapMilliseconds);
+		if (!this.#isWakePending) {
+			this.#isWakePending = true;
+			this.#schedule(minimumIntervalMilliseconds);
 		}
 	}
 
@@ -84,7 +84,7 @@
 	*/
 	noteAlive(instances: readonly InstanceId[]): void {
 		for (const instance of instances) {
-			this.#avoided.delete(instance);
+			this.#avoidedUntil.delete(instance);
 		}
 	}
 
@@ -92,22 +92,22 @@
 		clearTimeout(this.#timer);
 		if (!this.#isStopped) {
 			this.#timer = setTimeout(() => {
-				void this.#exchange();
+				void this.#runExchange();
 			}, milliseconds);
 		}
 	}
 
-	async #exchange(): Promise<void> {
-		this.#isAwake = false;
+	async #runExchange(): Promise<void> {
+		this.#isWakePending = false;
 		this.#isBusy = true;
-		const parent = this.#choose();
-		const isSettled = parent === undefined || await this.#tryToAsk(parent);
+		const parent = this.#chooseParent();
+		const isParentUpToDate = parent === undefined || await this.#tryExchange(parent);
 		this.#isBusy = false;
-		this.#schedule(this.#isAwake || !isSettled ? gapMilliseconds : this.#options.periodMilliseconds);
+		this.#schedule(this.#isWakePending || !isParentUpToDate ? minimumIntervalMilliseconds : this.#options.periodMilliseconds);
 	}
 
 	/** Runs one exchange; returns whether the parent is up to date. */
-	async #ask(parent: PeerAddress): Promise<boolean> {
+	async #exchangeWith(parent: PeerAddress): Promise<boolean> {
 		const {clock, network, node, periodMilliseconds, onReply, onSilence} = this.#options;
 		const {instance} = parent;
 		const begun = node.begin(instance, clock.monotonic());
@@ -118,12 +118,12 @@
 		);
 		const tuple = answer.toMaybe().extractNullable() as ReplyTuple | undefined;
 		if (tuple === null || tuple === undefined) {
-			this.#avoided.set(instance, clock.monotonic() + (periodMilliseconds * periodsToAvoid));
+			this.#avoidedUntil.set(instance, clock.monotonic() + (periodMilliseconds * periodsToAvoid));
 			onSilence(instance);
 			return true;
 		}
 
-		this.#avoided.delete(instance);
+		this.#avoidedUntil.delete(instance);
 		const reply = readReply(tuple);
 		node.finish(begun, {parent: instance, reply, now: clock.monotonic()});
 		onReply(instance, reply);
@@ -131,28 +131,28 @@
 	}
 
 	/** Runs one exchange. A reply that cannot be decoded, for example from another release, counts as no reply. */
-	async #tryToAsk(parent: PeerAddress): Promise<boolean> {
+	async #tryExchange(parent: PeerAddress): Promise<boolean> {
 		try {
-			return await this.#ask(parent);
+			return await this.#exchangeWith(parent);
 		} catch (error) {
 			const {clock, periodMilliseconds, onError} = this.#options;
-			this.#avoided.set(parent.instance, clock.monotonic() + (periodMilliseconds * periodsToAvoid));
+			this.#avoidedUntil.set(parent.instance, clock.monotonic() + (periodMilliseconds * periodsToAvoid));
 			onError(error);
 			return true;
 		}
 	}
 
-	#choose(): PeerAddress | undefined {
+	#chooseParent(): PeerAddress | undefined {
 		const {candidates, clock, isLeaseValid} = this.#options;
 		const all = candidates();
 		const now = clock.monotonic();
-		this.#count++;
-		const usable = all.filter(({instance}) => (this.#avoided.get(instance) ?? 0) <= now);
+		this.#exchangeCount++;
+		const usable = all.filter(({instance}) => (this.#avoidedUntil.get(instance) ?? 0) <= now);
 		if (usable.length === 0) {
-			return all.toSorted((left, right) => (this.#avoided.get(left.instance) ?? 0) - (this.#avoided.get(right.instance) ?? 0))[0];
+			return all.toSorted((left, right) => (this.#avoidedUntil.get(left.instance) ?? 0) - (this.#avoidedUntil.get(right.instance) ?? 0))[0];
 		}
 
-		const isDetour = !isLeaseValid() && this.#count % exchangesPerDetour === 0;
-		return isDetour ? usable[Math.floor(this.#count / exchangesPerDetour) % usable.length] : usable[0];
+		const triesAlternative = !isLeaseValid() && this.#exchangeCount % exchangesPerAlternative === 0;
+		return triesAlternative ? usable[Math.floor(this.#exchangeCount / exchangesPerAlternative) % usable.length] : usable[0];
 	}
 }
--- a/packages/daemon/src/distribution/leader-view.ts
+++ b/packages/daemon/src/distribution/leader-view.ts
@@ -14,7 +14,7 @@
 	readonly zones: () => readonly ZoneId[];
 };
 
-type Reign = {
+type LeaderTerm = {
 	hasCaughtUp: boolean;
 };
 
@@ -31,8 +31,8 @@
 	readonly #options: LeaderViewOptions;
 	#tracker: InForceTracker | undefined;
 	/** The current term as leader. */
-	#reign: Reign | undefined;
-	#reported = 0;
+	#term: LeaderTerm | undefined;
+	#recordedRevision = 0;
 
 	constructor(options: LeaderViewOptions) {
 		this.#options = options;
@@ -65,10 +65,10 @@
 		const now = clock.monotonic();
 		const {leads} = this;
 		keeper.offer(committed);
-		keeper.settle({granted: leads && this.#reign?.hasCaughtUp === true});
+		keeper.settle({granted: leads && this.#term?.hasCaughtUp === true});
 		if (!leads) {
 			this.#tracker = undefined;
-			this.#reign = undefined;
+			this.#term = undefined;
 			return false;
 		}
 
@@ -80,7 +80,7 @@
 			relay, leaseMilliseconds: settings.timing.configurationLeaseMilliseconds, leaderSince: now,
 		});
 		relay.renewAsLeader({revision: committed.revision, validUntil: control.leaseValidUntil() ?? now}, now);
-		this.#report();
+		this.#recordInForce();
 		return true;
 	}
 
@@ -94,36 +94,36 @@
 			return undefined;
 		}
 
-		return this.#look();
+		return this.#queryInForce();
 	}
 
 	/** Returns whether a new leader has applied all earlier commits; it grants no leases before. */
 	#hasCaughtUp(): boolean {
-		if (this.#reign === undefined) {
-			const reign: Reign = {hasCaughtUp: false};
-			this.#reign = reign;
+		if (this.#term === undefined) {
+			const term: LeaderTerm = {hasCaughtUp: false};
+			this.#term = term;
 			void this.#options.control.catchUp().then(hasCaughtUp => {
-				reign.hasCaughtUp = hasCaughtUp;
-				if (!hasCaughtUp && this.#reign === reign) {
-					this.#reign = undefined;
+				term.hasCaughtUp = hasCaughtUp;
+				if (!hasCaughtUp && this.#term === term) {
+					this.#term = undefined;
 				}
 			});
 		}
 
-		return this.#reign.hasCaughtUp;
+		return this.#term.hasCaughtUp;
 	}
 
-	#look(): InForceAnswer | undefined {
+	#queryInForce(): InForceAnswer | undefined {
 		const {base: {clock}, control, zones} = this.#options;
 		const revision = control.state()?.effective.revision;
 		return revision === undefined ? undefined : this.#tracker?.look({revision, now: clock.monotonic(), zones: zones()});
 	}
 
-	#report(): void {
-		const answer = this.#look();
+	#recordInForce(): void {
+		const answer = this.#queryInForce();
 		const inForce = this.#tracker?.inForce ?? 0;
-		if (answer?.complete === true && inForce > this.#reported) {
-			this.#reported = inForce;
+		if (answer?.complete === true && inForce > this.#recordedRevision) {
+			this.#recordedRevision = inForce;
 			this.#options.base.timeline.record('configuration-in-force', {revision: inForce, details: {everywhere: true}});
 		}
 	}
--- a/packages/daemon/src/distribution/lost-instances.ts
+++ b/packages/daemon/src/distribution/lost-instances.ts
@@ -20,7 +20,7 @@
 */
 export class LostInstances {
 	readonly #listeners: Array<(lost: LostInstance) => void> = [];
-	#told = new Set<string>();
+	#notified = new Set<string>();
 
 	/**
 	Adds a listener.
@@ -45,15 +45,15 @@
 
 			const key = `${instance}/${startedAt}/${sequence}`;
 			lost.add(key);
-			if (!this.#told.has(key)) {
-				this.#tell({instance, zone, startedAt});
+			if (!this.#notified.has(key)) {
+				this.#notify({instance, zone, startedAt});
 			}
 		}
 
-		this.#told = lost;
+		this.#notified = lost;
 	}
 
-	#tell(lost: LostInstance): void {
+	#notify(lost: LostInstance): void {
 		for (const listener of this.#listeners) {
 			listener(lost);
 		}
--- a/packages/daemon/src/distribution/member-watch.ts
+++ b/packages/daemon/src/distribution/member-watch.ts
@@ -20,7 +20,7 @@
 };
 
 const periodsToSuspicion = 4;
-const periodsToVerdict = 4;
+const periodsToLoss = 4;
 const forgetMilliseconds = 3_600_000;
 
 /**
@@ -43,7 +43,7 @@
 		this.#self = options.self;
 		this.#detector = new FailureDetector({
 			suspectMilliseconds: periodsToSuspicion * options.periodMilliseconds,
-			lostMilliseconds: periodsToVerdict * options.periodMilliseconds,
+			lostMilliseconds: periodsToLoss * options.periodMilliseconds,
 		});
 		this.#publish(this.#self);
 	}
@@ -122,7 +122,7 @@
 			instance, sequence, sameZone: zone === this.#self.zone,
 		}));
 		for (const {instance, state} of this.#detector.judge(watched, now)) {
-			const member = members.find(one => one.instance === instance);
+			const member = members.find(candidate => candidate.instance === instance);
 			if (member !== undefined && member.state !== state) {
 				this.#publish({...member, state});
 			}
--- a/packages/daemon/src/distribution/relay-node.ts
+++ b/packages/daemon/src/distribution/relay-node.ts
@@ -67,8 +67,8 @@
 	@returns The exchange to send.
 	*/
 	begin(parent: InstanceId, now: number): BegunExchange {
-		const link = this.#link(parent, now);
-		const parts = this.#parts(link, {now, withLoads: this.#areLoadsDue(parent, link, now)});
+		const link = this.#linkTo(parent, now);
+		const parts = this.#partsFor(link, {now, withLoads: this.#areLoadsDue(parent, link, now)});
 		return {exchange: {question: this.#options.relay.question(now, parent), ...parts}, sentAt: now};
 	}
 
@@ -81,8 +81,8 @@
 	*/
 	finish({exchange, sentAt}: BegunExchange, {parent, reply, now}: {readonly parent: InstanceId; readonly reply: ExchangeReply; readonly now: number}): boolean {
 		const {grant} = reply;
-		this.#take(parent, reply, now);
-		this.#settle(parent, {granted: grant !== undefined});
+		this.#apply(parent, reply, now);
+		this.#activateNewest(parent, {granted: grant !== undefined});
 		return grant !== undefined && this.#options.relay.take({question: exchange.question, sentAt, grant});
 	}
 
@@ -95,10 +95,10 @@
 	*/
 	answer(exchange: Exchange, now: number): ExchangeReply {
 		const child = exchange.question.instance;
-		this.#take(child, exchange, now);
+		this.#apply(child, exchange, now);
 		const grant = this.#options.relay.answer(exchange.question, now);
-		const link = this.#link(child, now);
-		const parts = this.#parts(link, {now, withLoads: exchange.loads !== undefined});
+		const link = this.#linkTo(child, now);
+		const parts = this.#partsFor(link, {now, withLoads: exchange.loads !== undefined});
 		return {...parts, ...(grant !== undefined && {grant})};
 	}
 
@@ -125,13 +125,13 @@
 		}
 	}
 
-	#take(peer: InstanceId, parts: ExchangeParts, now: number): void {
+	#apply(peer: InstanceId, parts: ExchangeParts, now: number): void {
 		const {keeper, onNews, onLoads} = this.#options;
-		const link = this.#link(peer, now);
+		const link = this.#linkTo(peer, now);
 		link.peerRevision = parts.revision;
 		if (parts.configuration !== undefined) {
 			keeper.offer(unpackConfiguration(parts.configuration));
-			this.#settle(peer, {granted: false});
+			this.#activateNewest(peer, {granted: false});
 		}
 
 		const news = link.records.incoming(parts.records);
@@ -144,13 +144,13 @@
 		}
 	}
 
-	#settle(from: InstanceId, options: {readonly granted: boolean}): void {
+	#activateNewest(from: InstanceId, options: {readonly granted: boolean}): void {
 		if (this.#options.keeper.settle(options)) {
 			this.#options.onRevision(from);
 		}
 	}
 
-	#parts(link: Link, {now, withLoads}: {readonly now: number; readonly withLoads: boolean}): ExchangeParts {
+	#partsFor(link: Link, {now, withLoads}: {readonly now: number; readonly withLoads: boolean}): ExchangeParts {
 		const {keeper} = this.#options;
 		if (withLoads) {
 			link.loadsAt = now;
@@ -169,7 +169,7 @@
 		return now - loadsAt >= this.#options.loadIntervalMilliseconds(peer);
 	}
 
-	#link(peer: InstanceId, now: number): Link {
+	#linkTo(peer: InstanceId, now: number): Link {
 		const known = this.#links.get(peer);
 		if (known !== undefined) {
 			known.usedAt = now;
--- a/packages/daemon/src/distribution/server-registry.ts
+++ b/packages/daemon/src/distribution/server-registry.ts
@@ -18,7 +18,7 @@
 	readonly onChange: () => void;
 };
 
-const loadMilliseconds = 5000;
+const loadIntervalMilliseconds = 5000;
 const millisecondsPerSecond = 1000;
 const forgetMilliseconds = 3_600_000;
 
@@ -36,7 +36,7 @@
 	readonly #options: ServerRegistryOptions;
 	readonly #clock: Clock;
 	readonly #lostSince = new Map<ServerId, number>();
-	#loadsAt = 0;
+	#loadsPublishedAt = 0;
 
 	constructor(options: ServerRegistryOptions) {
 		this.#options = options;
@@ -52,8 +52,8 @@
 	announce(announcement: Announcement): void {
 		const before = this.servers.record(announcement.server);
 		if (this.servers.take(announcement)) {
-			this.#note(announcement.server, before);
-			this.#share(announcement.server);
+			this.#recordChange(announcement.server, before);
+			this.#publish(announcement.server);
 		}
 	}
 
@@ -66,7 +66,7 @@
 		for (const key of keys) {
 			const record = this.#options.records.get(key);
 			if (record?.kind === 'server') {
-				this.#put(record.server);
+				this.#applyRecord(record.server);
 			}
 		}
 	}
@@ -89,28 +89,28 @@
 	judge(): void {
 		for (const {announcement: {server}} of this.servers.expire()) {
 			this.#options.timeline.record('server-lost', {server});
-			this.#share(server);
+			this.#publish(server);
 		}
 
 		const now = this.#clock.monotonic();
-		if (now - this.#loadsAt >= loadMilliseconds) {
-			this.#loadsAt = now;
-			this.#shareLoads();
+		if (now - this.#loadsPublishedAt >= loadIntervalMilliseconds) {
+			this.#loadsPublishedAt = now;
+			this.#publishLoads();
 			this.#forget(now);
 		}
 	}
 
-	#put(record: ServerRecord): void {
+	#applyRecord(record: ServerRecord): void {
 		const {server} = record.announcement;
 		const before = this.servers.record(server);
 		if (this.servers.put(record)) {
-			this.#note(server, before);
+			this.#recordChange(server, before);
 			// The record held here may be newer than the received one.
-			this.#share(server);
+			this.#publish(server);
 		}
 	}
 
-	#share(server: ServerId): void {
+	#publish(server: ServerId): void {
 		const {records, onChange} = this.#options;
 		const record = this.servers.record(server);
 		const shared = records.get(serverKey(server));
@@ -123,7 +123,7 @@
 		}
 	}
 
-	#shareLoads(): void {
+	#publishLoads(): void {
 		const {loads, table: {instance}} = this.#options;
 		for (const {announcement, holder, state} of this.servers.current()) {
 			const {server, startedAt, sequence} = announcement;
@@ -135,7 +135,7 @@
 		}
 	}
 
-	#note(server: ServerId, before: ServerRecord | undefined): void {
+	#recordChange(server: ServerId, before: ServerRecord | undefined): void {
 		const {timeline} = this.#options;
 		const after = this.servers.record(server);
 		if (after === undefined) {
--- a/packages/daemon/src/distribution/start-distribution.ts
+++ b/packages/daemon/src/distribution/start-distribution.ts
@@ -82,7 +82,7 @@
 		},
 		async answer(message) {
 			try {
-				return answerWith(node, message);
+				return handleMessage(node, message);
 			} catch (error) {
 				base.log.error({err: error, type: message.type}, 'Could not process a message from another daemon');
 				return undefined;
@@ -94,7 +94,7 @@
 	};
 }
 
-function answerWith(node: DistributionNode, message: DistributionMessage): unknown {
+function handleMessage(node: DistributionNode, message: DistributionMessage): unknown {
 	return match(message)
 		.with({type: 'exchange'}, ({body}) => writeReply(node.answer(readExchange(body))))
 		.with({type: 'news'}, () => {
--- a/packages/daemon/src/entry/bills/bill-keeper.test.ts
+++ b/packages/daemon/src/entry/bills/bill-keeper.test.ts
@@ -17,18 +17,18 @@
 type Name = typeof names[number];
 
 /** The caller's view of a request. */
-type Seen = {
+type ObservedRequest = {
 	readonly owner: Name;
 	/** Whether the store has settled the bill, so that the caller received the last byte. */
 	settled: boolean;
 };
 
 /** A simulation of three instances with links that can be cut and a ledger that can be unreachable. Only what callers and the ledger observe is checked. */
-class World {
+class Simulation {
 	readonly ledger = new Map<RequestId, Bill[]>();
-	readonly seen = new Map<RequestId, Seen>();
+	readonly observed = new Map<RequestId, ObservedRequest>();
 	readonly cut = new Set<string>();
-	ledgerIsThere = true;
+	isLedgerReachable = true;
 	#now = 0;
 	#last = 0;
 	readonly #instances = new Map<Name, {keeper: BillKeeper; held: HeldBills; outbox: LedgerOutbox}>();
@@ -39,7 +39,7 @@
 		}
 	}
 
-	get outboxes(): number {
+	get pendingBills(): number {
 		return [...this.#instances.values()].reduce((total, {outbox, held, keeper}) => total + outbox.size + held.size + keeper.size, 0);
 	}
 
@@ -48,18 +48,18 @@
 		const request = toId<RequestId>(`r${++this.#last}`);
 		const opened = await instance?.keeper.open({workspace: toId<WorkspaceId>('yard'), request, openedAt: 0});
 		if (opened?.isRight() === true) {
-			this.seen.set(request, {owner: name, settled: false});
+			this.observed.set(request, {owner: name, settled: false});
 		}
 	}
 
 	settle(name: Name): void {
 		const instance = this.#instances.get(name);
-		const [request, seen] = [...this.seen].find(([, {owner, settled}]) => owner === name && !settled) ?? [];
-		if (instance === undefined || request === undefined || seen === undefined || instance.keeper.answerOwned({scope: 'entry', type: 'owned-bills', requests: [request]}).needed.length === 0) {
+		const [request, observed] = [...this.observed].find(([, {owner, settled}]) => owner === name && !settled) ?? [];
+		if (instance === undefined || request === undefined || observed === undefined || instance.keeper.answerOwned({scope: 'entry', type: 'owned-bills', requests: [request]}).needed.length === 0) {
 			return;
 		}
 
-		void this.#settle(instance.keeper, request, seen);
+		void this.#settle(instance.keeper, request, observed);
 	}
 
 	kill(name: Name): void {
@@ -75,7 +75,7 @@
 	}
 
 	/** Advances the clock, runs the periodic maintenance of all instances and delivers messages. */
-	async pass(): Promise<void> {
+	async advance(): Promise<void> {
 		this.#now += lostAfterMilliseconds + 1;
 		for (const {keeper, held} of this.#instances.values()) {
 			keeper.renew();
@@ -88,21 +88,21 @@
 			}
 		}
 
-		await turns();
+		await flushEvents();
 	}
 
-	async #settle(keeper: BillKeeper, request: RequestId, seen: Seen): Promise<void> {
+	async #settle(keeper: BillKeeper, request: RequestId, observed: ObservedRequest): Promise<void> {
 		await keeper.settle({
-			workspace: toId<WorkspaceId>('yard'), request, instance: toId<InstanceId>(seen.owner), lines: [], total: 7 as Micros, outcome: 'answered', settledAt: 0,
+			workspace: toId<WorkspaceId>('yard'), request, instance: toId<InstanceId>(observed.owner), lines: [], total: 7 as Micros, outcome: 'answered', settledAt: 0,
 		});
-		seen.settled = true;
+		observed.settled = true;
 	}
 
 	#start(name: Name): void {
 		const clock = {now: () => new Date(this.#now), monotonic: () => this.#now};
 		const outbox = new LedgerOutbox({
 			propose: async command => {
-				if (!this.ledgerIsThere) {
+				if (!this.isLedgerReachable) {
 					return Left(failure('no-quorum', 'Got no quorum'));
 				}
 
@@ -145,8 +145,8 @@
 	};
 }
 
-async function turns(): Promise<void> {
-	for (let turn = 0; turn < 12; turn++) {
+async function flushEvents(): Promise<void> {
+	for (let iteration = 0; iteration < 12; iteration++) {
 		await nextTurn();
 	}
 }
@@ -158,34 +158,34 @@
 	name: fc.constantFrom(...names),
 });
 
-async function take(world: World, {type, name}: Step): Promise<void> {
+async function applyStep(simulation: Simulation, {type, name}: Step): Promise<void> {
 	switch (type) {
 		case 'open': {
-			await world.open(name);
+			await simulation.open(name);
 			break;
 		}
 
 		case 'settle': {
-			world.settle(name);
+			simulation.settle(name);
 			break;
 		}
 
 		case 'cut': {
 			const link = `${name}${name === 'a' ? 'b' : 'a'}`;
-			if (!world.cut.delete(link)) {
-				world.cut.add(link);
+			if (!simulation.cut.delete(link)) {
+				simulation.cut.add(link);
 			}
 
 			break;
 		}
 
 		case 'ledger': {
-			world.ledgerIsThere = !world.ledgerIsThere;
+			simulation.isLedgerReachable = !simulation.isLedgerReachable;
 			break;
 		}
 
 		case 'pass': {
-			await world.pass();
+			await simulation.advance();
 			break;
 		}
 
@@ -196,18 +196,18 @@
 	}
 }
 
-async function heal(world: World): Promise<void> {
-	world.cut.clear();
-	world.ledgerIsThere = true;
+async function recoverAll(simulation: Simulation): Promise<void> {
+	simulation.cut.clear();
+	simulation.isLedgerReachable = true;
 	for (let round = 0; round < 6; round++) {
-		await world.pass();
+		await simulation.advance();
 	}
 }
 
 /** Checks that each answered request is in the ledger as answered, that each bill of a lost instance is in the ledger, and that no bill of a running instance was recovered as unknown. */
-function check(world: World, ended: ReadonlySet<Name>): void {
-	for (const [request, {owner, settled}] of world.seen) {
-		const bills = world.ledger.get(request) ?? [];
+function check(simulation: Simulation, ended: ReadonlySet<Name>): void {
+	for (const [request, {owner, settled}] of simulation.observed) {
+		const bills = simulation.ledger.get(request) ?? [];
 		if (settled && !bills.some(({outcome}) => outcome === 'answered')) {
 			throw new Error(`No answered bill in the ledger for ${request} of ${owner}, although its answer was sent`);
 		}
@@ -224,55 +224,55 @@
 
 test('each opened bill reaches the ledger after the loss of any instance and any earlier link failures', async t => {
 	await t.notThrowsAsync(async () => fc.assert(fc.asyncProperty(fc.array(step, {maxLength: 40}), fc.constantFrom(...names), fc.boolean(), async (steps, victim, isRestarted) => {
-		const world = new World();
+		const simulation = new Simulation();
 		for (const next of steps) {
-			await take(world, next);
+			await applyStep(simulation, next);
 		}
 
 		// Only one failure is tolerated at a time, so the copies are replaced after the last link failure.
-		world.cut.clear();
-		await world.pass();
-		world.kill(victim);
+		simulation.cut.clear();
+		await simulation.advance();
+		simulation.kill(victim);
 		if (isRestarted) {
-			world.restart(victim);
+			simulation.restart(victim);
 		}
 
-		await heal(world);
-		check(world, new Set([victim]));
+		await recoverAll(simulation);
+		check(simulation, new Set([victim]));
 	}), {seed, numRuns: 400}));
 });
 
 test('no bill is lost when an instance is lost at any moment and another one after the copies were replaced', async t => {
-	const calm = step.filter(({type}) => type !== 'cut');
-	await t.notThrowsAsync(async () => fc.assert(fc.asyncProperty(fc.array(calm, {maxLength: 40}), fc.shuffledSubarray([...names], {minLength: 2, maxLength: 2}), async (steps, victims) => {
-		const world = new World();
+	const stepWithoutCuts = step.filter(({type}) => type !== 'cut');
+	await t.notThrowsAsync(async () => fc.assert(fc.asyncProperty(fc.array(stepWithoutCuts, {maxLength: 40}), fc.shuffledSubarray([...names], {minLength: 2, maxLength: 2}), async (steps, victims) => {
+		const simulation = new Simulation();
 		for (const next of steps) {
-			await take(world, next);
+			await applyStep(simulation, next);
 		}
 
 		for (const victim of victims) {
-			world.kill(victim);
-			await world.pass();
-			await world.pass();
+			simulation.kill(victim);
+			await simulation.advance();
+			await simulation.advance();
 		}
 
-		await heal(world);
-		check(world, new Set(victims));
+		await recoverAll(simulation);
+		check(simulation, new Set(victims));
 	}), {seed, numRuns: 400}));
 });
 
 test('bills are settled while the ledger is unreachable and reach it once it is available', async t => {
-	const world = new World();
-	world.ledgerIsThere = false;
-	await world.open('a');
-	world.settle('a');
-	await turns();
-	const [seen] = world.seen.values();
-	t.true(seen?.settled);
-	t.is(world.ledger.size, 0);
-	await heal(world);
-	t.is(world.ledger.size, 1);
-	t.is(world.outboxes, 0);
+	const simulation = new Simulation();
+	simulation.isLedgerReachable = false;
+	await simulation.open('a');
+	simulation.settle('a');
+	await flushEvents();
+	const [observed] = simulation.observed.values();
+	t.true(observed?.settled);
+	t.is(simulation.ledger.size, 0);
+	await recoverAll(simulation);
+	t.is(simulation.ledger.size, 1);
+	t.is(simulation.pendingBills, 0);
 });
 
 test('a bill is refused without another instance and the ledger, or above the limit of pending bills', async t => {
@@ -292,7 +292,7 @@
 	void keeper.settle({
 		workspace: toId<WorkspaceId>('yard'), request: toId<RequestId>('r1'), instance: toId<InstanceId>('a'), lines: [], total: 0 as Micros, outcome: 'answered', settledAt: 0,
 	});
-	await turns();
+	await flushEvents();
 	const refused = await open('r2');
 	t.is(refused.swap().toMaybe().extract()?.kind, 'no-quorum');
 	outbox.close();
--- a/packages/daemon/src/entry/bills/bill-keeper.ts
+++ b/packages/daemon/src/entry/bills/bill-keeper.ts
@@ -33,14 +33,14 @@
 type Entry = {
 	copy: BillCopy;
 	/** The replicator of the copy's holder; undefined if there is no holder. */
-	link: CopyLink | undefined;
+	replicator: CopyLink | undefined;
 	/** Whether a holder for the copy is being sought. */
-	isPlacing: boolean;
+	isSeekingHolder: boolean;
 };
 
 const defaultMaximumBills = 20_000;
 const defaultAvoidMilliseconds = 5000;
-const holdersTried = 3;
+const maximumHolderAttempts = 3;
 const retryAfterMilliseconds = 1000;
 
 /**
@@ -55,9 +55,9 @@
 export class BillKeeper {
 	readonly #options: BillKeeperOptions;
 	readonly #entries = new Map<RequestId, Entry>();
-	readonly #links = new Map<InstanceId, CopyLink>();
+	readonly #replicators = new Map<InstanceId, CopyLink>();
 	/** Until when each instance is not chosen as a holder, in milliseconds of the monotonic clock. */
-	readonly #avoided = new Map<InstanceId, number>();
+	readonly #avoidedUntil = new Map<InstanceId, number>();
 	#lastSequence = 0;
 
 	constructor(options: BillKeeperOptions) {
@@ -82,9 +82,9 @@
 		}
 
 		const bill: OpenBill = {...opened, origin: {startedAt, sequence: ++this.#lastSequence}};
-		const entry: Entry = {copy: {state: 'open', bill}, link: undefined, isPlacing: false};
+		const entry: Entry = {copy: {state: 'open', bill}, replicator: undefined, isSeekingHolder: false};
 		this.#entries.set(bill.request, entry);
-		if (await this.#place(entry) || outbox.isReachable) {
+		if (await this.#storeCopy(entry) || outbox.isReachable) {
 			return Right(undefined);
 		}
 
@@ -98,7 +98,7 @@
 	@param request The request.
 	*/
 	discard(request: RequestId): void {
-		this.#forget(request);
+		this.#remove(request);
 	}
 
 	/**
@@ -117,7 +117,7 @@
 		const bill: Bill = {...settled, origin: entry.copy.bill.origin};
 		entry.copy = {state: 'settled', bill};
 		const recorded = this.#record(bill);
-		const isHeld = await Promise.race([this.#place(entry), recorded.then(() => true)]);
+		const isHeld = await Promise.race([this.#storeCopy(entry), recorded.then(() => true)]);
 		if (!isHeld) {
 			this.#options.outbox.hurry();
 			await recorded;
@@ -130,24 +130,24 @@
 	@param bill The bill.
 	*/
 	adopt(bill: Bill): void {
-		const entry: Entry = {copy: {state: 'settled', bill}, link: undefined, isPlacing: false};
+		const entry: Entry = {copy: {state: 'settled', bill}, replicator: undefined, isSeekingHolder: false};
 		this.#entries.set(bill.request, entry);
 		void this.#record(bill);
-		void this.#place(entry);
+		void this.#storeCopy(entry);
 	}
 
 	/** Renews the copies with their holders and replaces lost holders; called periodically. */
 	renew(): void {
 		const members = new Set(this.#options.members().map(({instance}) => instance));
-		for (const [instance, link] of this.#links) {
-			if (link.failed || !members.has(instance)) {
-				this.#links.delete(instance);
+		for (const [instance, replicator] of this.#replicators) {
+			if (replicator.failed || !members.has(instance)) {
+				this.#replicators.delete(instance);
 			} else {
-				link.renew();
+				replicator.renew();
 			}
 		}
 
-		this.#replace();
+		this.#replaceLostHolders();
 	}
 
 	/**
@@ -162,83 +162,83 @@
 
 	async #record(bill: Bill): Promise<void> {
 		await this.#options.outbox.add(bill);
-		this.#forget(bill.request);
+		this.#remove(bill.request);
 	}
 
-	#forget(request: RequestId): void {
-		this.#entries.get(request)?.link?.drop(request);
+	#remove(request: RequestId): void {
+		this.#entries.get(request)?.replicator?.drop(request);
 		this.#entries.delete(request);
 	}
 
 	/** Finds new holders for copies without a current one. */
-	#replace(): void {
+	#replaceLostHolders(): void {
 		for (const entry of this.#entries.values()) {
-			if (!entry.isPlacing && (entry.link === undefined || !this.#isCurrent(entry.link))) {
-				void this.#place(entry);
+			if (!entry.isSeekingHolder && (entry.replicator === undefined || !this.#isCurrent(entry.replicator))) {
+				void this.#storeCopy(entry);
 			}
 		}
 	}
 
-	#isCurrent(link: CopyLink): boolean {
-		return !link.failed && [...this.#links.values()].includes(link);
+	#isCurrent(replicator: CopyLink): boolean {
+		return !replicator.failed && [...this.#replicators.values()].includes(replicator);
 	}
 
-	async #place(entry: Entry): Promise<boolean> {
-		entry.isPlacing = true;
+	async #storeCopy(entry: Entry): Promise<boolean> {
+		entry.isSeekingHolder = true;
 		let isHeld = false;
-		for (let tried = 0; tried < holdersTried && !isHeld; tried++) {
-			const link = entry.link !== undefined && this.#isCurrent(entry.link) ? entry.link : this.#chooseLink();
-			if (link === undefined) {
+		for (let attempt = 0; attempt < maximumHolderAttempts && !isHeld; attempt++) {
+			const replicator = entry.replicator !== undefined && this.#isCurrent(entry.replicator) ? entry.replicator : this.#chooseReplicator();
+			if (replicator === undefined) {
 				break;
 			}
 
-			entry.link = link;
-			isHeld = await link.put(entry.copy);
+			entry.replicator = replicator;
+			isHeld = await replicator.put(entry.copy);
 		}
 
-		entry.isPlacing = false;
+		entry.isSeekingHolder = false;
 		const {request} = entry.copy.bill;
 		if (this.#entries.get(request) !== entry) {
-			entry.link?.drop(request);
+			entry.replicator?.drop(request);
 		}
 
 		return isHeld;
 	}
 
-	#chooseLink(): CopyLink | undefined {
+	#chooseReplicator(): CopyLink | undefined {
 		const {members, self} = this.#options;
 		const holder = chooseHolder(members(), {self, excluded: this.#excluded()});
 		if (holder === undefined) {
 			return undefined;
 		}
 
-		const known = this.#links.get(holder.instance);
-		return known === undefined || known.failed ? this.#openLink(holder) : known;
+		const known = this.#replicators.get(holder.instance);
+		return known === undefined || known.failed ? this.#createReplicator(holder) : known;
 	}
 
-	#openLink(holder: Member): CopyLink {
+	#createReplicator(holder: Member): CopyLink {
 		const {self, start, request, clock, avoidMilliseconds = defaultAvoidMilliseconds} = this.#options;
-		const link = new CopyLink({
+		const replicator = new CopyLink({
 			self: self.instance,
 			start,
 			request: async message => request(holder, message),
 			onFailed: () => {
-				this.#avoided.set(holder.instance, clock.monotonic() + avoidMilliseconds);
-				this.#replace();
+				this.#avoidedUntil.set(holder.instance, clock.monotonic() + avoidMilliseconds);
+				this.#replaceLostHolders();
 			},
 		});
-		this.#links.set(holder.instance, link);
-		return link;
+		this.#replicators.set(holder.instance, replicator);
+		return replicator;
 	}
 
 	#excluded(): ReadonlySet<InstanceId> {
 		const now = this.#options.clock.monotonic();
-		for (const [instance, until] of this.#avoided) {
+		for (const [instance, until] of this.#avoidedUntil) {
 			if (until <= now) {
-				this.#avoided.delete(instance);
+				this.#avoidedUntil.delete(instance);
 			}
 		}
 
-		return new Set(this.#avoided.keys());
+		return new Set(this.#avoidedUntil.keys());
 	}
 }
--- a/packages/daemon/src/entry/bills/copy-link.ts
+++ b/packages/daemon/src/entry/bills/copy-link.ts
@@ -34,9 +34,9 @@
 */
 export class CopyLink {
 	readonly #options: CopyLinkOptions;
-	readonly #held = new Map<RequestId, BillCopy>();
+	readonly #copies = new Map<RequestId, BillCopy>();
 	readonly #changed = new Set<RequestId>();
-	#waiting: Array<{readonly request: RequestId; readonly resolve: (isHeld: boolean) => void}> = [];
+	#pendingPuts: Array<{readonly request: RequestId; readonly resolve: (isHeld: boolean) => void}> = [];
 	#sending = false;
 	#failed = false;
 
@@ -51,7 +51,7 @@
 
 	/** The number of copies that the holder should have. */
 	get size(): number {
-		return this.#held.size;
+		return this.#copies.size;
 	}
 
 	/**
@@ -66,10 +66,10 @@
 		}
 
 		const {request} = copy.bill;
-		this.#held.set(request, copy);
+		this.#copies.set(request, copy);
 		this.#changed.add(request);
 		return new Promise(resolve => {
-			this.#waiting.push({request, resolve});
+			this.#pendingPuts.push({request, resolve});
 			void this.#send();
 		});
 	}
@@ -80,14 +80,14 @@
 	@param request The request of the bill.
 	*/
 	drop(request: RequestId): void {
-		if (this.#held.delete(request)) {
+		if (this.#copies.delete(request)) {
 			this.#changed.add(request);
 		}
 	}
 
 	/** Sends a message even without changes, which shows the holder that this instance is alive and reveals whether the holder lost copies. */
 	renew(): void {
-		if (this.#held.size > 0 || this.#changed.size > 0) {
+		if (this.#copies.size > 0 || this.#changed.size > 0) {
 			void this.#send();
 		}
 	}
@@ -106,26 +106,26 @@
 				return;
 			}
 
-			isComplete = !isComplete && this.#changed.size === 0 && reply.count !== this.#held.size;
+			isComplete = !isComplete && this.#changed.size === 0 && reply.count !== this.#copies.size;
 		} while (isComplete || this.#changed.size > 0);
 
 		this.#sending = false;
 	}
 
 	async #sendOnce(isComplete: boolean): Promise<HoldBillsReply | undefined> {
-		const requests = isComplete ? [...this.#held.keys()] : [...this.#changed].slice(0, maximumChanges);
+		const requests = isComplete ? [...this.#copies.keys()] : [...this.#changed].slice(0, maximumChanges);
 		for (const request of requests) {
 			this.#changed.delete(request);
 		}
 
 		const sent = new Set(requests);
-		const waiting = this.#waiting.filter(({request}) => sent.has(request));
-		this.#waiting = this.#waiting.filter(({request}) => !sent.has(request));
+		const pendingPuts = this.#pendingPuts.filter(({request}) => sent.has(request));
+		this.#pendingPuts = this.#pendingPuts.filter(({request}) => !sent.has(request));
 		const reply = await this.#options.request({
 			scope: 'entry', type: 'hold-bills', owner: this.#options.self, start: this.#options.start, ...this.#changesOf(requests), complete: isComplete,
 		});
 		const accepted = reply.toMaybe().filter(found => found.accepted).extract();
-		for (const {resolve} of waiting) {
+		for (const {resolve} of pendingPuts) {
 			resolve(accepted !== undefined);
 		}
 
@@ -136,7 +136,7 @@
 		const copies: BillCopy[] = [];
 		const dropped: RequestId[] = [];
 		for (const request of requests) {
-			const copy = this.#held.get(request);
+			const copy = this.#copies.get(request);
 			if (copy === undefined) {
 				dropped.push(request);
 			} else {
@@ -149,8 +149,8 @@
 
 	#fail(): void {
 		this.#failed = true;
-		this.#held.clear();
-		for (const {resolve} of this.#waiting.splice(0)) {
+		this.#copies.clear();
+		for (const {resolve} of this.#pendingPuts.splice(0)) {
 			resolve(false);
 		}
 
--- a/packages/daemon/src/entry/bills/held-bills.ts
+++ b/packages/daemon/src/entry/bills/held-bills.ts
@@ -24,7 +24,7 @@
 type Owner = {
 	readonly start: string;
 	readonly copies: Map<RequestId, BillCopy>;
-	heardAt: number;
+	lastContactAt: number;
 };
 
 /**
@@ -70,7 +70,7 @@
 	*/
 	hold(message: HoldBillsMessage): HoldBillsReply {
 		const owner = this.#ownerOf(message);
-		owner.heardAt = this.#options.clock.monotonic();
+		owner.lastContactAt = this.#options.clock.monotonic();
 		if (message.complete) {
 			owner.copies.clear();
 		}
@@ -81,7 +81,7 @@
 
 		const added = message.opened.length + message.settled.length;
 		if (this.#stopping || this.size + added > this.#options.maximumCopies) {
-			this.#release(message.owner);
+			this.#dropOwner(message.owner);
 			return {accepted: false, count: 0};
 		}
 
@@ -99,7 +99,7 @@
 		for (const [instance, owner] of this.#owners) {
 			if (owner.copies.size === 0) {
 				this.#owners.delete(instance);
-			} else if (!members.has(instance) && owner.heardAt <= silentSince) {
+			} else if (!members.has(instance) && owner.lastContactAt <= silentSince) {
 				this.#settleAll(instance);
 			}
 		}
@@ -109,8 +109,8 @@
 	silent(): readonly SilentOwner[] {
 		const silentSince = this.#options.clock.monotonic() - this.#options.lostAfterMilliseconds;
 		const found: SilentOwner[] = [];
-		for (const [owner, {copies, heardAt}] of this.#owners) {
-			if (copies.size > 0 && heardAt <= silentSince) {
+		for (const [owner, {copies, lastContactAt}] of this.#owners) {
+			if (copies.size > 0 && lastContactAt <= silentSince) {
 				found.push({owner, requests: [...copies.keys()]});
 			}
 		}
@@ -135,7 +135,7 @@
 			return;
 		}
 
-		owner.heardAt = this.#options.clock.monotonic();
+		owner.lastContactAt = this.#options.clock.monotonic();
 		const needed = new Set(reply.needed);
 		for (const request of requests) {
 			if (!needed.has(request)) {
@@ -151,13 +151,13 @@
 		}
 
 		this.#settleAll(instance);
-		const owner: Owner = {start, copies: new Map(), heardAt: 0};
+		const owner: Owner = {start, copies: new Map(), lastContactAt: 0};
 		this.#owners.set(instance, owner);
 		return owner;
 	}
 
 	/** Drops the copies of an owner, which still has its bills and chooses another holder. */
-	#release(instance: InstanceId): void {
+	#dropOwner(instance: InstanceId): void {
 		this.#owners.delete(instance);
 	}
 
@@ -165,11 +165,11 @@
 		const copies = this.#owners.get(instance)?.copies ?? new Map<RequestId, BillCopy>();
 		this.#owners.delete(instance);
 		for (const copy of copies.values()) {
-			this.#options.onRecovered(copy.state === 'settled' ? copy.bill : this.#unknown(instance, copy));
+			this.#options.onRecovered(copy.state === 'settled' ? copy.bill : this.#toUnknownBill(instance, copy));
 		}
 	}
 
-	#unknown(instance: InstanceId, {bill}: BillCopy & {state: 'open'}): Bill {
+	#toUnknownBill(instance: InstanceId, {bill}: BillCopy & {state: 'open'}): Bill {
 		return {
 			workspace: bill.workspace,
 			request: bill.request,
--- a/packages/daemon/src/entry/bills/keep-run-known.ts
+++ b/packages/daemon/src/entry/bills/keep-run-known.ts
@@ -12,9 +12,9 @@
 	readonly onFailure: (failed: Failure) => void;
 };
 
-const mostMilliseconds = 3_600_000;
+const maximumIntervalMilliseconds = 3_600_000;
 /** Reports per period that the ledger remembers a run, so that some of them may be lost. */
-const wordsPerMemory = 4;
+const reportsPerRetention = 4;
 
 /**
 Reports a run to the ledger now and then at least hourly, since the ledger refuses bills of a run that it has forgotten.
@@ -28,15 +28,15 @@
 ```
 */
 export function keepRunKnown(running: InstanceRun, {rememberedMilliseconds, tell, onFailure}: KeepRunKnownOptions): () => void {
-	const tellOnce = async (): Promise<void> => {
-		const told = await tell(running);
-		told.ifLeft(onFailure);
+	const reportOnce = async (): Promise<void> => {
+		const result = await tell(running);
+		result.ifLeft(onFailure);
 	};
 
 	const timer = setInterval(() => {
-		void tellOnce();
-	}, Math.min(mostMilliseconds, rememberedMilliseconds / wordsPerMemory));
-	void tellOnce();
+		void reportOnce();
+	}, Math.min(maximumIntervalMilliseconds, rememberedMilliseconds / reportsPerRetention));
+	void reportOnce();
 	return () => {
 		clearInterval(timer);
 	};
--- a/packages/daemon/src/entry/bills/ledger-outbox.ts
+++ b/packages/daemon/src/entry/bills/ledger-outbox.ts
@@ -13,7 +13,7 @@
 	readonly retryMilliseconds?: number;
 };
 
-type Waiting = {
+type PendingBill = {
 	readonly bill: Bill;
 	readonly onRecorded: () => void;
 };
@@ -32,10 +32,10 @@
 */
 export class LedgerOutbox {
 	readonly #options: LedgerOutboxOptions;
-	readonly #waiting = new Map<RequestId, Waiting>();
+	readonly #pending = new Map<RequestId, PendingBill>();
 	#sending = false;
 	/** Ends the batching delay early. */
-	#endGathering: (() => void) | undefined;
+	#endBatchDelay: (() => void) | undefined;
 	#isReachable = true;
 	#closed = false;
 
@@ -45,7 +45,7 @@
 
 	/** The number of bills that are not acknowledged yet. */
 	get size(): number {
-		return this.#waiting.size;
+		return this.#pending.size;
 	}
 
 	/** Whether the ledger acknowledged the last batch. */
@@ -61,14 +61,14 @@
 	*/
 	async add(bill: Bill): Promise<void> {
 		return new Promise(resolve => {
-			this.#waiting.set(bill.request, {bill, onRecorded: resolve});
+			this.#pending.set(bill.request, {bill, onRecorded: resolve});
 			void this.#send();
 		});
 	}
 
 	/** Sends the pending batch without the rest of its delay, since a caller is waiting for it. */
 	hurry(): void {
-		this.#endGathering?.();
+		this.#endBatchDelay?.();
 	}
 
 	/** Stops sending and retrying. */
@@ -82,24 +82,24 @@
 		}
 
 		this.#sending = true;
-		while (this.#waiting.size > 0 && !this.#closed) {
-			await (this.#isReachable ? this.#gather() : this.#options.wait(this.#options.retryMilliseconds ?? defaultRetryMilliseconds));
-			await this.#sendBatch([...this.#waiting.values()].slice(0, batchSize));
+		while (this.#pending.size > 0 && !this.#closed) {
+			await (this.#isReachable ? this.#waitForBatch() : this.#options.wait(this.#options.retryMilliseconds ?? defaultRetryMilliseconds));
+			await this.#sendBatch([...this.#pending.values()].slice(0, batchSize));
 		}
 
 		this.#sending = false;
 	}
 
-	async #gather(): Promise<void> {
+	async #waitForBatch(): Promise<void> {
 		const {wait, gatherMilliseconds = defaultGatherMilliseconds} = this.#options;
-		const hurried = new Promise<void>(resolve => {
-			this.#endGathering = resolve;
+		const flushed = new Promise<void>(resolve => {
+			this.#endBatchDelay = resolve;
 		});
-		await Promise.race([wait(gatherMilliseconds), hurried]);
-		this.#endGathering = undefined;
+		await Promise.race([wait(gatherMilliseconds), flushed]);
+		this.#endBatchDelay = undefined;
 	}
 
-	async #sendBatch(batch: readonly Waiting[]): Promise<void> {
+	async #sendBatch(batch: readonly PendingBill[]): Promise<void> {
 		const result = await this.#options.propose({type: 'record-bills', bills: batch.map(({bill}) => bill)});
 		this.#isReachable = result.isRight();
 		if (!this.#isReachable) {
@@ -107,7 +107,7 @@
 		}
 
 		for (const {bill, onRecorded} of batch) {
-			this.#waiting.delete(bill.request);
+			this.#pending.delete(bill.request);
 			onRecorded();
 		}
 	}
--- a/packages/daemon/src/entry/bills/watch-bills.ts
+++ b/packages/daemon/src/entry/bills/watch-bills.ts
@@ -56,9 +56,9 @@
 	}));
 }
 
-type Asking = Pick<WatchBillsOptions, 'held' | 'network'> & {readonly owner: Member};
+type AskOptions = Pick<WatchBillsOptions, 'held' | 'network'> & {readonly owner: Member};
 
-async function ask(silent: SilentOwner, {held, network, owner}: Asking): Promise<void> {
+async function ask(silent: SilentOwner, {held, network, owner}: AskOptions): Promise<void> {
 	const reply = await network.request(owner, {scope: 'entry', type: 'owned-bills', requests: silent.requests});
 	const body = reply.toMaybe().extract() as OwnedBillsReply | undefined;
 	if (body !== undefined) {
--- a/packages/daemon/src/entry/caller-headers.ts
+++ b/packages/daemon/src/entry/caller-headers.ts
@@ -17,15 +17,15 @@
 type HeaderRule = {
 	readonly name: string;
 	readonly pattern: RegExp;
-	readonly wanted: string;
+	readonly expected: string;
 };
 
 const longestDeadlineMilliseconds = 3_600_000;
-const classRule = {name: 'Valehitch-Class', pattern: /^[\u0020-\u007E]{1,128}$/v, wanted: '1 to 128 visible characters'};
-const sessionRule = {name: 'Valehitch-Session', pattern: /^[\u0021-\u007E]{1,2048}$/v, wanted: '`new` or a token of up to 2048 visible characters'};
-const keyRule = {name: 'Idempotency-Key', pattern: /^[\u0021-\u007E]{1,256}$/v, wanted: '1 to 256 visible characters'};
-const deadlineRule = {name: 'Valehitch-Deadline-Milliseconds', pattern: /^[1-9]\d{0,6}$/v, wanted: `a whole number from 1 to ${longestDeadlineMilliseconds}`};
-const authorizationRule = {name: 'Authorization', pattern: /^.*$/sv, wanted: 'one Bearer key'};
+const classRule = {name: 'Valehitch-Class', pattern: /^[\u0020-\u007E]{1,128}$/v, expected: '1 to 128 visible characters'};
+const sessionRule = {name: 'Valehitch-Session', pattern: /^[\u0021-\u007E]{1,2048}$/v, expected: '`new` or a token of up to 2048 visible characters'};
+const keyRule = {name: 'Idempotency-Key', pattern: /^[\u0021-\u007E]{1,256}$/v, expected: '1 to 256 visible characters'};
+const deadlineRule = {name: 'Valehitch-Deadline-Milliseconds', pattern: /^[1-9]\d{0,6}$/v, expected: `a whole number from 1 to ${longestDeadlineMilliseconds}`};
+const authorizationRule = {name: 'Authorization', pattern: /^.*$/sv, expected: 'one Bearer key'};
 
 /**
 Parses the headers of a caller's request.
@@ -74,5 +74,5 @@
 }
 
 function malformed(rule: HeaderRule, got: string): Either<Failure, never> {
-	return Left(failure('malformed-request', `Invalid ${rule.name} header: expected ${rule.wanted}, got ${got}`));
+	return Left(failure('malformed-request', `Invalid ${rule.name} header: expected ${rule.expected}, got ${got}`));
 }
--- a/packages/daemon/src/entry/chat-adapter.ts
+++ b/packages/daemon/src/entry/chat-adapter.ts
@@ -44,12 +44,12 @@
 export class ChatAdapter implements RequestAdapter {
 	readonly #options: ChatAdapterOptions;
 	#plan: ChatPlan;
-	readonly #prefix: number;
+	readonly #prefixHash: number;
 
 	constructor(plan: ChatPlan, options: ChatAdapterOptions) {
 		this.#plan = plan;
 		this.#options = options;
-		this.#prefix = prefixHash(promptOf(plan.body));
+		this.#prefixHash = prefixHash(promptOf(plan.body));
 	}
 
 	/** The current plan; replaced when the chosen version became unavailable and the request was planned again. */
@@ -61,7 +61,7 @@
 		const {context: {picker}} = this.#options;
 		const {requestId, workspace} = this.#plan;
 		return picker.choose(action, {
-			requestId, workspace, target: keyOf(action.target), prefix: this.#prefix,
+			requestId, workspace, target: versionKeyOf(action.target), prefix: this.#prefixHash,
 		});
 	}
 
@@ -94,7 +94,7 @@
 		const outputs = callEngine({
 			requestId,
 			attempt: dispatch.attempt,
-			versionKey: keyOf(dispatch.target),
+			versionKey: versionKeyOf(dispatch.target),
 			body,
 			streamed: stream,
 			priority: rule.priority,
@@ -113,7 +113,7 @@
 				this.#recordStage(dispatch, {stage, milliseconds});
 			},
 			onEnd: output => {
-				this.#recordEnd(dispatch, output);
+				this.#recordResult(dispatch, output);
 			},
 		});
 	}
@@ -156,13 +156,13 @@
 	#recordStage({target, resumeFrom}: DispatchAction, time: StageTime): void {
 		const {model, version} = asVersion(target);
 		if (time.stage === 'decode') {
-			this.#options.context.history.record(keyOf(target), time);
+			this.#options.context.history.record(versionKeyOf(target), time);
 		} else if (resumeFrom === 0) {
 			this.#options.context.history.record(stageKey({model, version}), time);
 		}
 	}
 
-	#recordEnd({target, server, attempt, purpose}: DispatchAction, output: AttemptOutput): void {
+	#recordResult({target, server, attempt, purpose}: DispatchAction, output: AttemptOutput): void {
 		const {context: {picker, ratings, decisions, clock}} = this.#options;
 		const {requestId, workspace, rule} = this.#plan;
 		const {outcome, reason, failed} = attemptEnd(output);
@@ -182,7 +182,7 @@
 	}
 }
 
-function keyOf(target: RequestTarget): string {
+function versionKeyOf(target: RequestTarget): string {
 	const {model, version} = asVersion(target);
 	return versionKey(model, version);
 }
--- a/packages/daemon/src/entry/chat-chunk.ts
+++ b/packages/daemon/src/entry/chat-chunk.ts
@@ -18,7 +18,7 @@
 	error: z.unknown().optional(),
 });
 
-const wholeSchema = z.looseObject({choices: z.array(z.unknown()), usage: usageSchema.nullish()});
+const completionSchema = z.looseObject({choices: z.array(z.unknown()), usage: usageSchema.nullish()});
 
 /** One event of a streamed chat completion. */
 export type ChatChunk = {
@@ -54,12 +54,12 @@
 	const {choices, usage, ...others} = parsed.data;
 	const [choice] = choices;
 	const json = {...others, choices};
-	const isHandedOnAsItCame = !usage && !data.includes('\n');
+	const isForwardedUnchanged = !usage && !data.includes('\n');
 	return {
-		event: isHandedOnAsItCame ? `data: ${data}\n\n` : writeChatChunk(json),
+		event: isForwardedUnchanged ? `data: ${data}\n\n` : writeChatChunk(json),
 		json,
 		text: choice?.delta.content ?? '',
-		opaque: choices.length > 1 || choices.some(({index, delta}) => index !== 0 || hasMore(delta)),
+		opaque: choices.length > 1 || choices.some(({index, delta}) => index !== 0 || hasOtherMembers(delta)),
 		...(usage && {usage: usageOf(usage)}),
 	};
 }
@@ -75,7 +75,7 @@
 ```
 */
 export function readWholeUsage(body: Uint8Array): TokenUsage | undefined {
-	const parsed = wholeSchema.safeParse(parseJson(new TextDecoder().decode(body)));
+	const parsed = completionSchema.safeParse(parseJson(new TextDecoder().decode(body)));
 	if (!parsed.success) {
 		return undefined;
 	}
@@ -105,7 +105,7 @@
 	return {input: usage.prompt_tokens, output: usage.completion_tokens};
 }
 
-function hasMore(delta: Readonly<Record<string, unknown>>): boolean {
+function hasOtherMembers(delta: Readonly<Record<string, unknown>>): boolean {
 	return Object.keys(delta).some(member => !textMembers.has(member) && delta[member] !== null);
 }
 
--- a/packages/daemon/src/entry/claim-keeper.ts
+++ b/packages/daemon/src/entry/claim-keeper.ts
@@ -36,7 +36,7 @@
 export type ClaimCommand = Command & {readonly type: 'take-claim' | 'settle-claim'};
 
 const defaultRetryMilliseconds = 250;
-const beginMilliseconds = 2000;
+const initializationTimeoutMilliseconds = 2000;
 
 /**
 Takes claims on idempotency keys, and retries their settlements until the control role acknowledges them.
@@ -50,7 +50,7 @@
 export class ClaimKeeper {
 	readonly #options: ClaimKeeperOptions;
 	readonly #unsettled = new Set<OwnClaim>();
-	#begun: Promise<void> | undefined;
+	#initialization: Promise<void> | undefined;
 	#closed = false;
 
 	constructor(options: ClaimKeeperOptions) {
@@ -59,7 +59,7 @@
 
 	/** Marks the claims that an earlier process of this instance left open as unknown. Taking a claim waits for that, for at most two seconds. */
 	begin(): void {
-		this.#begun = this.forget(this.#options.instance);
+		this.#initialization = this.forget(this.#options.instance);
 	}
 
 	/**
@@ -92,7 +92,7 @@
 	*/
 	async take(claim: ClaimRequest): Promise<Either<Failure, ClaimOutcome>> {
 		const {propose, instance, wait} = this.#options;
-		await Promise.race([this.#begun, wait(beginMilliseconds)]);
+		await Promise.race([this.#initialization, wait(initializationTimeoutMilliseconds)]);
 		const answer = await propose({
 			type: 'take-claim', ...claim, instance, at: this.#now(),
 		});
@@ -107,7 +107,7 @@
 	*/
 	settle(claim: OwnClaim, settlement: ClaimSettlement): void {
 		this.#unsettled.add(claim);
-		void this.#send(claim, settlement);
+		void this.#sendSettlement(claim, settlement);
 	}
 
 	/** Stops retrying. The control role marks claims that were not settled as unknown when they time out. */
@@ -116,7 +116,7 @@
 		this.#unsettled.clear();
 	}
 
-	async #send(claim: OwnClaim, settlement: ClaimSettlement): Promise<void> {
+	async #sendSettlement(claim: OwnClaim, settlement: ClaimSettlement): Promise<void> {
 		const {propose, wait, onRefused, retryMilliseconds = defaultRetryMilliseconds} = this.#options;
 		while (this.#unsettled.has(claim)) {
 			const answer = await propose({
--- a/packages/daemon/src/entry/engine-call.ts
+++ b/packages/daemon/src/entry/engine-call.ts
@@ -113,10 +113,10 @@
 		});
 	}
 
-	return readWhole(answer, call);
+	return readCompletion(answer, call);
 }
 
-async function readWhole({message, headers}: HttpAnswer, {maximumBytes}: EngineCall): Promise<readonly AttemptOutput[]> {
+async function readCompletion({message, headers}: HttpAnswer, {maximumBytes}: EngineCall): Promise<readonly AttemptOutput[]> {
 	const body = await readBody(message, maximumBytes);
 	if (body.isLeft()) {
 		return [{type: 'broken', message: 'Response from the engine is incomplete'}];
@@ -130,7 +130,7 @@
 
 	const length = payload.byteLength;
 	return [
-		{type: 'head', head: {status: okStatus, headers: wholeHeaders(length, headers['valehitch-confidence'])}},
+		{type: 'head', head: {status: okStatus, headers: completionHeaders(length, headers['valehitch-confidence'])}},
 		{
 			type: 'piece', piece: {
 				offset: 0, length, tokens: usage.output, payload,
@@ -142,7 +142,7 @@
 	];
 }
 
-function wholeHeaders(length: number, confidence: string | string[] | undefined): Record<string, string> {
+function completionHeaders(length: number, confidence: string | string[] | undefined): Record<string, string> {
 	return {
 		'Content-Type': 'application/json',
 		'Content-Length': String(length),
--- a/packages/daemon/src/entry/engine-events.ts
+++ b/packages/daemon/src/entry/engine-events.ts
@@ -19,7 +19,7 @@
 	readonly onBytes: () => void;
 };
 
-const lastEvent = '[DONE]';
+const doneEvent = '[DONE]';
 
 /**
 Reads a streamed chat completion as pieces with exact offsets, followed by its result.
@@ -43,7 +43,7 @@
 		},
 	});
 	const decoder = new TextDecoder();
-	const reader = new AnswerReader(options);
+	const converter = new EventConverter(options);
 	let size = 0;
 	try {
 		for await (const bytes of message.iterator({destroyOnReturn: false}) as AsyncIterable<Uint8Array>) {
@@ -55,12 +55,12 @@
 			}
 
 			parser.feed(decoder.decode(bytes, {stream: true}));
-			for (const output of joinPieces(reader.readAll(events.splice(0)))) {
+			for (const output of joinPieces(converter.convertAll(events.splice(0)))) {
 				yield output;
 				options.onBytes();
 			}
 
-			if (reader.ended) {
+			if (converter.ended) {
 				return;
 			}
 		}
@@ -68,14 +68,14 @@
 		yield {type: 'broken', message: `Connection to the engine was lost during the response: ${error instanceof Error ? error.message : 'not readable'}`};
 		return;
 	} finally {
-		release(message);
+		releaseConnection(message);
 	}
 
 	yield {type: 'broken', message: 'Response from the engine ended without the [DONE] event'};
 }
 
 /** Returns the connection to the pool if the response is complete, and destroys it otherwise. */
-function release(message: IncomingMessage): void {
+function releaseConnection(message: IncomingMessage): void {
 	if (message.complete) {
 		message.resume();
 		return;
@@ -85,13 +85,13 @@
 }
 
 /** Converts events into outputs. Events without content are buffered and sent with the next piece or with the trailer. */
-class AnswerReader {
+class EventConverter {
 	ended = false;
 	#offset: number;
 	readonly #tokensBefore: number;
 	#tokens = 0;
 	#usage: TokenUsage | undefined;
-	readonly #framing: ChatChunk[] = [];
+	readonly #bufferedChunks: ChatChunk[] = [];
 
 	constructor({resumeFrom, tokensBefore}: EngineEventOptions) {
 		this.#offset = resumeFrom;
@@ -99,10 +99,10 @@
 	}
 
 	/** Converts events up to the end of the answer and ignores any that follow. */
-	readAll(events: readonly string[]): readonly AttemptOutput[] {
+	convertAll(events: readonly string[]): readonly AttemptOutput[] {
 		const outputs: AttemptOutput[] = [];
 		for (const data of events) {
-			const output = this.#read(data);
+			const output = this.#convert(data);
 			if (output !== undefined) {
 				outputs.push(output);
 			}
@@ -115,10 +115,10 @@
 		return outputs;
 	}
 
-	#read(data: string): AttemptOutput | undefined {
-		if (data === lastEvent) {
+	#convert(data: string): AttemptOutput | undefined {
+		if (data === doneEvent) {
 			this.ended = true;
-			return this.#complete();
+			return this.#toComplete();
 		}
 
 		const chunk = readChatChunk(data);
@@ -129,20 +129,20 @@
 
 		this.#usage = chunk.usage ?? this.#usage;
 		if (chunk.text === '' && !chunk.opaque) {
-			this.#framing.push(chunk);
+			this.#bufferedChunks.push(chunk);
 			return undefined;
 		}
 
-		return this.#piece(chunk);
+		return this.#toPiece(chunk);
 	}
 
 	/** Moves the tokens of the resumed text, which the engine counts as input, to the output of the whole answer. */
-	#wholeUsage({input, output}: TokenUsage): TokenUsage {
+	#adjustUsage({input, output}: TokenUsage): TokenUsage {
 		return {input: Math.max(0, input - this.#tokensBefore), output: output + this.#tokensBefore};
 	}
 
-	#piece(chunk: ChatChunk): AttemptOutput {
-		const payload = [...this.#framing.splice(0), chunk].map(({event}) => event).join('');
+	#toPiece(chunk: ChatChunk): AttemptOutput {
+		const payload = [...this.#bufferedChunks.splice(0), chunk].map(({event}) => event).join('');
 		const length = chunk.opaque ? payload.length : chunk.text.length;
 		const offset = this.#offset;
 		this.#offset += length;
@@ -154,11 +154,11 @@
 		};
 	}
 
-	#complete(): AttemptOutput {
+	#toComplete(): AttemptOutput {
 		const usage = this.#usage ?? {input: 0, output: this.#tokens};
-		const trailer = this.#framing.map(({event, json, usage: reported}) => reported ? writeChatChunk(json, this.#wholeUsage(reported)) : event).join('');
+		const trailer = this.#bufferedChunks.map(({event, json, usage: reported}) => reported ? writeChatChunk(json, this.#adjustUsage(reported)) : event).join('');
 		return {
-			type: 'complete', offset: this.#offset, usage, trailer: `${trailer}data: ${lastEvent}\n\n`,
+			type: 'complete', offset: this.#offset, usage, trailer: `${trailer}data: ${doneEvent}\n\n`,
 		};
 	}
 }
--- a/packages/daemon/src/entry/handle-caller.ts
+++ b/packages/daemon/src/entry/handle-caller.ts
@@ -12,7 +12,7 @@
 import {refuse} from './refuse.js';
 import {requestIdOn} from './request-id.js';
 
-const unavailable = 503;
+const serviceUnavailableStatus = 503;
 const retryAfterStopMilliseconds = 1000;
 
 /**
@@ -76,9 +76,9 @@
 	await handleChat(call, context);
 }
 
-type Arrival = Pick<AuthenticatedCall, 'request' | 'response' | 'requestId' | 'arrivedAt'>;
+type IncomingCall = Pick<AuthenticatedCall, 'request' | 'response' | 'requestId' | 'arrivedAt'>;
 
-function authenticate(arrival: Arrival, context: EntryContext): Either<Failure, AuthenticatedCall> {
+function authenticate(incoming: IncomingCall, context: EntryContext): Either<Failure, AuthenticatedCall> {
 	if (context.requests.stopping) {
 		return Left(failure('shutting-down', 'The instance is shutting down', {retryAfterMilliseconds: retryAfterStopMilliseconds}));
 	}
@@ -88,18 +88,18 @@
 		return Left(failure('no-configuration', 'The instance has not received a configuration yet', {retryAfterMilliseconds: retryAfterStopMilliseconds}));
 	}
 
-	return readCallerHeaders(arrival.request).chain(headers => {
-		const workspace = active.workspaces.get(bearerDigest(arrival.request) ?? '');
+	return readCallerHeaders(incoming.request).chain(headers => {
+		const workspace = active.workspaces.get(bearerDigest(incoming.request) ?? '');
 		return workspace === undefined
 			? Left(failure('unauthenticated', 'Missing or unknown API key; expected Authorization: Bearer KEY'))
 			: Right({
-				...arrival, workspace, headers, active,
+				...incoming, workspace, headers, active,
 			});
 	});
 }
 
 function answerHealth(response: ServerResponse, context: EntryContext): void {
 	answerJson(response, {stopping: context.requests.stopping, inProgress: context.requests.inProgress}, {
-		status: context.requests.stopping ? unavailable : 200,
+		status: context.requests.stopping ? serviceUnavailableStatus : 200,
 	});
 }
--- a/packages/daemon/src/entry/handle-chat.ts
+++ b/packages/daemon/src/entry/handle-chat.ts
@@ -53,8 +53,8 @@
 
 	const chat = planned.unsafeCoerce();
 	const key = requestKey(call, body.unsafeCoerce());
-	const plan = lifePlan(call, {chat, claimed: key !== undefined, hedge: hedgeDelays({...chat.facts, ...chat, streamed: chat.facts.stream}, context)});
-	noteDecision(chat, context);
+	const plan = requestPlan(call, {chat, claimed: key !== undefined, hedge: hedgeDelays({...chat.facts, ...chat, streamed: chat.facts.stream}, context)});
+	recordDecision(chat, context);
 	const adapter = new ChatAdapter(chat, {
 		context,
 		deadline: plan.deadline,
@@ -71,32 +71,32 @@
 	}
 }
 
-type Answered = {
+type RememberOptions = {
 	readonly answeredBy: VersionTarget;
 	readonly ranAt: number;
 	readonly context: EntryContext;
 };
 
 /** Remembers which version answered, since a rating arrives later and refers to the request by its id only. */
-function rememberForRating({requestId, workspace, rule, escalatesTo, model: first}: ChatPlan, {answeredBy: {model, version}, ranAt, context}: Answered): void {
+function rememberForRating({requestId, workspace, rule, escalatesTo, model: first}: ChatPlan, {answeredBy: {model, version}, ranAt, context}: RememberOptions): void {
 	const isAccepted = escalatesTo !== undefined && model === first;
 	context.ratings.remember({
 		requestId, workspace, rule: rule.name, model, version, ranAt, measure: isAccepted ? 'accepted-rating' : 'rating',
 	});
 }
 
-function noteDecision({requestId, workspace, considered}: ChatPlan, {decisions, clock}: EntryContext): void {
+function recordDecision({requestId, workspace, considered}: ChatPlan, {decisions, clock}: EntryContext): void {
 	decisions.begin({
 		request: requestId, workspace, at: clock.now().getTime(), versions: considered.map(({model, version, verdict}) => ({model, version, verdict})), attempts: [],
 	});
 }
 
-type Planned = {
+type PlannedChat = {
 	readonly chat: ChatPlan;
 	readonly plan: RequestPlan;
 };
 
-function demandOf({requestId, workspace, active}: AuthenticatedCall, {chat: {rule, facts}, plan}: Planned): Demand {
+function demandOf({requestId, workspace, active}: AuthenticatedCall, {chat: {rule, facts}, plan}: PlannedChat): Demand {
 	return {
 		id: requestId,
 		workspace,
@@ -125,13 +125,13 @@
 		: {key: toId<IdempotencyKey>(headers.key), digest: sha256(`${request.method ?? ''}\n${request.url ?? ''}\n${sha256(body)}`)};
 }
 
-type ChatLife = {
+type RequestPlanOptions = {
 	readonly chat: ChatPlan;
 	readonly claimed: boolean;
 	readonly hedge: HedgeDelays | undefined;
 };
 
-function lifePlan({headers, arrivedAt}: AuthenticatedCall, {chat, claimed, hedge}: ChatLife): RequestPlan {
+function requestPlan({headers, arrivedAt}: AuthenticatedCall, {chat, claimed, hedge}: RequestPlanOptions): RequestPlan {
 	const {model, version, rule, facts, escalatesTo} = chat;
 	const isPinned = headers.session !== '' && headers.session !== newSession;
 	return {
--- a/packages/daemon/src/entry/handle-service.ts
+++ b/packages/daemon/src/entry/handle-service.ts
@@ -37,7 +37,7 @@
 
 	const service = planned.unsafeCoerce();
 	const key = requestKey(call, service.body);
-	const plan = lifePlan(service, key !== undefined);
+	const plan = requestPlan(service, key !== undefined);
 	const adapter = serviceAdapter(service, {context, deadline: plan.deadline});
 	const {requestId, workspace} = call;
 	context.decisions.begin({
@@ -83,7 +83,7 @@
 }
 
 /** A repeatable call needs no claim. */
-function lifePlan({call: {headers, arrivedAt}, service, repeatable}: ServicePlan, hasKey: boolean): RequestPlan {
+function requestPlan({call: {headers, arrivedAt}, service, repeatable}: ServicePlan, hasKey: boolean): RequestPlan {
 	const claimed = hasKey && !repeatable;
 	return {
 		target: {type: 'service', service},
--- a/packages/daemon/src/entry/join-pieces.ts
+++ b/packages/daemon/src/entry/join-pieces.ts
@@ -15,19 +15,19 @@
 	let last: AnswerPiece | undefined;
 	for (const output of outputs) {
 		const piece = output.type === 'piece' ? output.piece : undefined;
-		const both = last && piece && join(last, piece);
-		if (both !== undefined) {
+		const merged = last && piece && joinTextPieces(last, piece);
+		if (merged !== undefined) {
 			joined.pop();
 		}
 
-		joined.push(both === undefined ? output : {type: 'piece', piece: both});
-		last = both ?? piece;
+		joined.push(merged === undefined ? output : {type: 'piece', piece: merged});
+		last = merged ?? piece;
 	}
 
 	return joined;
 }
 
-function join(left: AnswerPiece, right: AnswerPiece): AnswerPiece | undefined {
+function joinTextPieces(left: AnswerPiece, right: AnswerPiece): AnswerPiece | undefined {
 	if (left.text === undefined || right.text === undefined || typeof left.payload !== 'string' || typeof right.payload !== 'string') {
 		return undefined;
 	}
--- a/packages/daemon/src/entry/life/attempt-set.ts
+++ b/packages/daemon/src/entry/life/attempt-set.ts
@@ -75,7 +75,7 @@
 			await this.#pump(number, attempt, call);
 		} catch (error) {
 			this.#options.onError(error);
-			this.#handOn(number, attempt, {type: 'broken', message: 'Unexpected error in the request adapter'});
+			this.#forward(number, attempt, {type: 'broken', message: 'Unexpected error in the request adapter'});
 		}
 
 		attempt.isOver = true;
@@ -107,12 +107,12 @@
 				return;
 			}
 
-			this.#handOn(number, attempt, output);
+			this.#forward(number, attempt, output);
 			await this.#options.drained();
 		}
 	}
 
-	#handOn(number: number, attempt: Attempt, output: AttemptOutput): void {
+	#forward(number: number, attempt: Attempt, output: AttemptOutput): void {
 		if (attempt.controller.signal.aborted) {
 			return;
 		}
--- a/packages/daemon/src/entry/life/dispatch-attempt.ts
+++ b/packages/daemon/src/entry/life/dispatch-attempt.ts
@@ -17,7 +17,7 @@
 	readonly context: Pick<EntryContext, 'servers' | 'timeline'>;
 };
 
-const fromTheStart: AnswerSoFar = {text: '', tokens: 0};
+const emptyAnswer: AnswerSoFar = {text: '', tokens: 0};
 
 /**
 Sends an attempt, after a final check that the target and the server may still receive requests.
@@ -48,7 +48,7 @@
 
 async function send(dispatch: DispatchAction, server: KnownServer, {adapter, attempts, soFar}: DispatchAttemptOptions): Promise<void> {
 	const {attempt: number, resumeFrom} = dispatch;
-	const before = resumeFrom === 0 ? fromTheStart : soFar;
+	const before = resumeFrom === 0 ? emptyAnswer : soFar;
 	server.inFlight++;
 	await attempts.start({
 		number,
--- a/packages/daemon/src/entry/life/request-answer.ts
+++ b/packages/daemon/src/entry/life/request-answer.ts
@@ -39,7 +39,7 @@
 	#text = '';
 	#tokens = 0;
 	#resumable = true;
-	readonly #kept: AnswerPiece[] = [];
+	readonly #storedPieces: AnswerPiece[] = [];
 
 	constructor(options: RequestAnswerOptions) {
 		this.#options = options;
@@ -74,7 +74,7 @@
 		}
 
 		if (this.#options.claimed) {
-			this.#kept.push(piece);
+			this.#storedPieces.push(piece);
 		}
 	}
 
@@ -130,7 +130,7 @@
 			return undefined;
 		}
 
-		const before = this.#kept.filter(({offset}) => offset < attempt.resumeFrom);
+		const before = this.#storedPieces.filter(({offset}) => offset < attempt.resumeFrom);
 		const payloads = [...before, ...attempt.pieces].map(({payload}) => payload);
 		return toKeptAnswer({head, payloads: [...payloads, attempt.trailer], maximumBytes: keptAnswerBytes});
 	}
--- a/packages/daemon/src/entry/life/request-claim.ts
+++ b/packages/daemon/src/entry/life/request-claim.ts
@@ -32,7 +32,7 @@
 */
 export class RequestClaim {
 	readonly #options: RequestClaimOptions;
-	#kept: KeptAnswer | undefined;
+	#storedAnswer: KeptAnswer | undefined;
 
 	constructor(options: RequestClaimOptions) {
 		this.#options = options;
@@ -40,7 +40,7 @@
 
 	/** The stored answer of an earlier request with the same key. */
 	get kept(): KeptAnswer | undefined {
-		return this.#kept;
+		return this.#storedAnswer;
 	}
 
 	/**
@@ -56,7 +56,7 @@
 		context.timeline.record('claim-taken', {requestId, workspace, details: {answer: outcome.map(({type}) => type as string).orDefault('no-quorum')}});
 		return outcome.caseOf<RequestEvent>({
 			Left: failed => ({type: 'claim-answered', answer: 'no-quorum', retryAfterMilliseconds: failed.retryAfterMilliseconds ?? retryAfterMilliseconds}),
-			Right: found => this.#answered(found),
+			Right: found => this.#toEvent(found),
 		});
 	}
 
@@ -75,10 +75,10 @@
 		context.claims.settle({workspace, key, request: requestId}, settlement);
 	}
 
-	#answered(outcome: ClaimOutcome): RequestEvent {
+	#toEvent(outcome: ClaimOutcome): RequestEvent {
 		return match<ClaimOutcome, RequestEvent>(outcome)
 			.with({type: 'done'}, ({answer}) => {
-				this.#kept = answer;
+				this.#storedAnswer = answer;
 				return {type: 'claim-answered', answer: 'done'};
 			})
 			.with({type: 'released'}, {type: 'expired'}, () => ({type: 'claim-answered', answer: 'no-quorum', retryAfterMilliseconds}))
--- a/packages/daemon/src/entry/life/request-run.ts
+++ b/packages/daemon/src/entry/life/request-run.ts
@@ -33,7 +33,7 @@
 	readonly context: EntryContext;
 };
 
-type Item = {
+type QueuedEvent = {
 	readonly event: RequestEvent;
 	readonly piece?: AnswerPiece | undefined;
 };
@@ -53,14 +53,14 @@
 	readonly #bill: RequestBill;
 	readonly #attempts: AttemptSet;
 	readonly #timers: LifeTimers;
-	readonly #queue: Item[] = [];
+	readonly #queue: QueuedEvent[] = [];
 	#onEnded: (() => void) | undefined;
 	#state: RequestState | undefined;
 	#stepping = false;
 	#isAnswered = false;
 	/** The number of tokens used by all attempts. */
 	#tokens = 0;
-	#inHand: AnswerPiece | undefined;
+	#currentPiece: AnswerPiece | undefined;
 
 	constructor(options: RequestRunOptions) {
 		const {requestId, context, plan, key} = options;
@@ -76,7 +76,7 @@
 		});
 		this.#attempts = new AttemptSet({
 			onOutput: (attempt, output) => {
-				this.#takeOutput(attempt, output);
+				this.#handleOutput(attempt, output);
 			},
 			onError(error) {
 				context.log.error({err: error, requestId}, 'Unexpected error in the request adapter');
@@ -102,8 +102,8 @@
 				this.take({type: 'caller-left'});
 			}
 		});
-		this.#carryOut(startRequest(plan));
-		this.#drain();
+		this.#perform(startRequest(plan));
+		this.#processQueue();
 		await ended;
 		context.admission.end(requestId, this.#tokens);
 		context.decisions.end(requestId, this.#isAnswered ? 'answered' : 'not answered completely');
@@ -119,27 +119,27 @@
 	*/
 	take(event: RequestEvent, piece?: AnswerPiece): void {
 		this.#queue.push({event, piece});
-		this.#drain();
+		this.#processQueue();
 	}
 
-	#drain(): void {
+	#processQueue(): void {
 		while (!this.#stepping && this.#state !== undefined) {
-			const item = this.#queue.shift();
-			if (item === undefined) {
+			const queued = this.#queue.shift();
+			if (queued === undefined) {
 				return;
 			}
 
-			this.#inHand = item.piece;
-			this.#carryOut(stepRequest(this.#state, {event: item.event, now: this.#options.context.clock.monotonic()}));
+			this.#currentPiece = queued.piece;
+			this.#perform(stepRequest(this.#state, {event: queued.event, now: this.#options.context.clock.monotonic()}));
 		}
 	}
 
-	#carryOut({state, actions}: RequestStep): void {
+	#perform({state, actions}: RequestStep): void {
 		this.#stepping = true;
 		const isEnd = state.stage === 'ended' && this.#state?.stage !== 'ended';
 		this.#state = state;
 		for (const action of actions) {
-			this.#act(action);
+			this.#performAction(action);
 		}
 
 		this.#stepping = false;
@@ -150,11 +150,11 @@
 		}
 	}
 
-	#act(action: RequestAction): void {
+	#performAction(action: RequestAction): void {
 		match(action)
 			// Frequent actions come first, since the cases are tested in order.
 			.with({type: 'forward-piece'}, ({attempt}) => {
-				this.#forward(attempt, this.#inHand === undefined ? [] : [this.#inHand]);
+				this.#forward(attempt, this.#currentPiece === undefined ? [] : [this.#currentPiece]);
 			})
 			.with({type: 'set-timer'}, ({timer, at}) => {
 				this.#timers.set(timer, at);
@@ -195,12 +195,12 @@
 			.with({type: 'judge-attempt'}, ({attempt}) => {
 				this.#judge(attempt);
 			})
-			.otherwise(towardsCaller => {
-				this.#tell(towardsCaller);
+			.otherwise(callerAction => {
+				this.#performCallerAction(callerAction);
 			});
 	}
 
-	#tell(action: Exclude<CallerAction, {readonly type: 'forward-piece'}>): void {
+	#performCallerAction(action: Exclude<CallerAction, {readonly type: 'forward-piece'}>): void {
 		match(action)
 			.with({type: 'hold-piece'}, () => {
 				// Nothing to do: pieces are buffered when they arrive.
@@ -259,8 +259,8 @@
 		}
 	}
 
-	#takeOutput(number: number, output: AttemptOutput): void {
-		if (output.type === 'piece' && this.#keepsPieces()) {
+	#handleOutput(number: number, output: AttemptOutput): void {
+		if (output.type === 'piece' && this.#buffersPieces()) {
 			this.#attempts.get(number)?.pieces.push(output.piece);
 		}
 
@@ -274,7 +274,7 @@
 		this.take(toRequestEvent(number, output), output.type === 'piece' ? output.piece : undefined);
 	}
 
-	#keepsPieces(): boolean {
+	#buffersPieces(): boolean {
 		const {plan} = this.#options;
 		return plan.claimed || !plan.streamed || this.#state?.judged === true;
 	}
--- a/packages/daemon/src/entry/plan-chat.ts
+++ b/packages/daemon/src/entry/plan-chat.ts
@@ -67,13 +67,13 @@
 	}
 
 	return headers.session === '' || headers.session === newSession
-		? chooseFresh({...arrival, facts, rule}, context)
-		: continueSession({...arrival, facts, rule}, context);
+		? planByPolicy({...arrival, facts, rule}, context)
+		: planBySession({...arrival, facts, rule}, context);
 }
 
 type Classified = ChatArrival & {readonly facts: RequestFacts; readonly rule: PolicyRule};
 
-function continueSession(arrival: Classified, context: EntryContext): Either<Failure, ChatPlan> {
+function planBySession(arrival: Classified, context: EntryContext): Either<Failure, ChatPlan> {
 	const {workspace, headers, active} = arrival;
 	return sessionOf(headers.session, {workspace, keys: context.settings.keys.sessions}).chain(({model, version}) => {
 		const verdict = mayDispatch(active.effective, {
@@ -92,12 +92,12 @@
 		}
 
 		return Right({
-			...planOf(arrival), model, version, sessionToken: headers.session, belowTarget: false, considered: [],
+			...commonMembersOf(arrival), model, version, sessionToken: headers.session, belowTarget: false, considered: [],
 		});
 	});
 }
 
-function chooseFresh(arrival: Classified, context: EntryContext): Either<Failure, ChatPlan> {
+function planByPolicy(arrival: Classified, context: EntryContext): Either<Failure, ChatPlan> {
 	const {workspace, facts, active, requestId, headers} = arrival;
 	const named = facts.model === automaticModel ? undefined : toId<ModelId>(facts.model);
 	if (named !== undefined && !Object.hasOwn(active.effective.document.models, named)) {
@@ -123,16 +123,16 @@
 	return choice.map(found => toPlan(found, {arrival, isSession}, context));
 }
 
-type Fresh = {
+type ToPlanOptions = {
 	readonly arrival: Classified;
 	readonly isSession: boolean;
 };
 
-function toPlan({chosen, belowTarget, considered}: Choice, {arrival, isSession}: Fresh, {clock, settings}: EntryContext): ChatPlan {
+function toPlan({chosen, belowTarget, considered}: Choice, {arrival, isSession}: ToPlanOptions, {clock, settings}: EntryContext): ChatPlan {
 	const {model, version} = chosen;
 	const {workspace} = arrival;
 	return {
-		...planOf(arrival),
+		...commonMembersOf(arrival),
 		model,
 		version,
 		belowTarget,
@@ -146,7 +146,7 @@
 	};
 }
 
-function planOf({requestId, workspace, rule, facts, body}: Classified): Pick<ChatPlan, 'requestId' | 'workspace' | 'rule' | 'facts' | 'body'> {
+function commonMembersOf({requestId, workspace, rule, facts, body}: Classified): Pick<ChatPlan, 'requestId' | 'workspace' | 'rule' | 'facts' | 'body'> {
 	return {
 		requestId, workspace, rule, facts, body,
 	};
--- a/packages/daemon/src/entry/read-caller-body.ts
+++ b/packages/daemon/src/entry/read-caller-body.ts
@@ -15,10 +15,10 @@
 ```
 */
 export async function readCallerBody(request: IncomingMessage, maximumBytes: number): Promise<Either<Failure, Uint8Array>> {
-	const announced = Number(request.headers['content-length'] ?? 0);
-	if (announced > maximumBytes) {
+	const contentLength = Number(request.headers['content-length'] ?? 0);
+	if (contentLength > maximumBytes) {
 		request.resume();
-		return Left(failure('too-large', `Request body of ${announced} bytes exceeds the limit of ${maximumBytes} bytes`));
+		return Left(failure('too-large', `Request body of ${contentLength} bytes exceeds the limit of ${maximumBytes} bytes`));
 	}
 
 	return readBody(request, maximumBytes);
--- a/packages/daemon/src/entry/report-silence.ts
+++ b/packages/daemon/src/entry/report-silence.ts
@@ -25,19 +25,19 @@
 	try {
 		let next = iterator.next();
 		while (true) {
-			const taken = await Promise.race([next, stall.expired()]);
-			if (taken === undefined) {
+			const result = await Promise.race([next, stall.expired()]);
+			if (result === undefined) {
 				yield {type: 'silent', message};
 				continue;
 			}
 
-			if (taken.done === true) {
+			if (result.done === true) {
 				return;
 			}
 
 			// The time that the consumer takes does not count as a stall of the server.
 			stall.clear();
-			yield taken.value;
+			yield result.value;
 			stall.touch();
 			next = iterator.next();
 		}
--- a/packages/daemon/src/entry/request-counter.ts
+++ b/packages/daemon/src/entry/request-counter.ts
@@ -10,7 +10,7 @@
 export class RequestCounter {
 	#inProgress = 0;
 	#stopping = false;
-	readonly #waiting: Array<() => void> = [];
+	readonly #idleListeners: Array<() => void> = [];
 
 	/** The number of requests in progress. */
 	get inProgress(): number {
@@ -31,7 +31,7 @@
 	end(): void {
 		this.#inProgress--;
 		if (this.#inProgress === 0) {
-			for (const resolve of this.#waiting.splice(0)) {
+			for (const resolve of this.#idleListeners.splice(0)) {
 				resolve();
 			}
 		}
@@ -45,7 +45,7 @@
 		}
 
 		await new Promise<void>(resolve => {
-			this.#waiting.push(resolve);
+			this.#idleListeners.push(resolve);
 		});
 	}
 }
--- a/packages/daemon/src/entry/service-adapter.ts
+++ b/packages/daemon/src/entry/service-adapter.ts
@@ -49,19 +49,19 @@
 		chooseServer: action => chooseInstance(action, {plan, context}),
 		denialOf: () => denialOf(plan, context),
 		send: options => send(options, {plan, context, deadline}),
-		chooseVersion: lost => Left(failure('forbidden', `The workspace is no longer allowed to use service ${nameOf(lost)}`)),
+		chooseVersion: lost => Left(failure('forbidden', `The workspace is no longer allowed to use service ${serviceOf(lost)}`)),
 		judge: () => ({verdict: 'accepted'}),
 		costOf: () => priceOf(plan.service, context),
 		headersOf: () => ({}),
 	};
 }
 
-type Surroundings = {
+type AdapterState = {
 	readonly plan: ServicePlan;
 	readonly context: EntryContext;
 };
 
-function chooseInstance(action: ChooseServerAction, {plan: {call: {requestId, workspace}, service}, context}: Surroundings): ServerChoice {
+function chooseInstance(action: ChooseServerAction, {plan: {call: {requestId, workspace}, service}, context}: AdapterState): ServerChoice {
 	return context.picker.choose(action, {requestId, workspace, target: service});
 }
 
@@ -71,7 +71,7 @@
 	return isAllowed ? undefined : 'not-allowed';
 }
 
-function send({dispatch, address, signal}: SendOptions, {plan, context, deadline}: Surroundings & {readonly deadline: number}): AsyncIterable<AttemptOutput> {
+function send({dispatch, address, signal}: SendOptions, {plan, context, deadline}: AdapterState & {readonly deadline: number}): AsyncIterable<AttemptOutput> {
 	const {call: {request, requestId}, path, body, repeatable} = plan;
 	const {settings, clock} = context;
 	const remainingMilliseconds = deadline - clock.monotonic();
@@ -96,18 +96,18 @@
 			// Durations are not recorded: the calls of a service differ too much for a slow one to be detected by its duration.
 		},
 		onEnd(output) {
-			recordEnd(dispatch, {output, requestId, context});
+			recordResult(dispatch, {output, requestId, context});
 		},
 	});
 }
 
-type Ended = {
+type RecordResultOptions = {
 	readonly output: AttemptOutput;
 	readonly requestId: RequestId;
 	readonly context: EntryContext;
 };
 
-function recordEnd({server, attempt, purpose}: DispatchAction, {output, requestId, context: {picker, decisions}}: Ended): void {
+function recordResult({server, attempt, purpose}: DispatchAction, {output, requestId, context: {picker, decisions}}: RecordResultOptions): void {
 	const {outcome, reason, failed} = attemptEnd(output);
 	decisions.attempt(requestId, {
 		attempt, purpose, servers: decisions.get(requestId)?.attempts.find(known => known.attempt === attempt)?.servers ?? [], server, outcome, reason,
@@ -121,6 +121,6 @@
 	return Math.ceil((context.active()?.effective.document.services[service]?.pricePerCall ?? 0) * microsPerUnit) as Micros;
 }
 
-function nameOf(target: RequestTarget): ServiceId {
+function serviceOf(target: RequestTarget): ServiceId {
 	return target.type === 'service' ? target.service : toId<ServiceId>('');
 }
--- a/packages/daemon/src/entry/start-entry.ts
+++ b/packages/daemon/src/entry/start-entry.ts
@@ -43,7 +43,7 @@
 const maximumCopies = 40_000;
 const lostAfterMilliseconds = 4000;
 const handOverPollMilliseconds = 50;
-const lingerMilliseconds = 500;
+const ledgerLingerMilliseconds = 500;
 const admissionMilliseconds = 250;
 
 /**
@@ -61,16 +61,16 @@
 	const {control, distribution} = options;
 	const outbox = new LedgerOutbox({propose: async command => control.propose(command), wait});
 	const startedAt = base.clock.now().getTime();
-	const bills = billKeeper(base, {...options, outbox, startedAt});
-	const stopTelling = keepRunKnown({instance: base.settings.instance, startedAt}, {
+	const bills = createBillStore(base, {...options, outbox, startedAt});
+	const stopHeartbeat = keepRunKnown({instance: base.settings.instance, startedAt}, {
 		rememberedMilliseconds: base.settings.controlLimits.originMilliseconds,
 		tell: async running => control.propose({type: 'record-bills', bills: [], running}),
 		onFailure(failed) {
 			base.log.info({failure: failed}, 'Could not report this run to the ledger; trying again at the next interval');
 		},
 	});
-	const held = heldBills(base, bills);
-	const claims = claimKeeper(base, control);
+	const held = createBillCopyStore(base, bills);
+	const claims = createClaimClient(base, control);
 	claims.begin();
 	distribution.onInstanceLost(({instance}) => {
 		void claims.forget(instance);
@@ -85,7 +85,7 @@
 		admission.refresh();
 	}, admissionMilliseconds);
 	const closing = new AbortController();
-	const watch = watchBills({
+	const maintenance = watchBills({
 		bills, held, members: distribution.members, network: base.network,
 	});
 	return {
@@ -114,7 +114,7 @@
 			await requests.stop();
 			held.stop();
 			// Keeps the ledger available for a moment, since other instances may be about to send bills to it.
-			await wait(base.settings.roles.includes('control') ? lingerMilliseconds : 0);
+			await wait(base.settings.roles.includes('control') ? ledgerLingerMilliseconds : 0);
 			while (!closing.signal.aborted && bills.size + claims.size + held.size + outbox.size > 0) {
 				bills.renew();
 				await wait(handOverPollMilliseconds);
@@ -122,9 +122,9 @@
 		},
 		close() {
 			closing.abort();
-			watch.stop();
+			maintenance.stop();
 			clearInterval(admissionTimer);
-			stopTelling();
+			stopHeartbeat();
 			outbox.close();
 			claims.close();
 		},
@@ -136,12 +136,12 @@
 	await delay(milliseconds, undefined, {ref: false});
 }
 
-type BillKeeperParts = Pick<StartEntryOptions, 'distribution'> & {
+type BillStoreParts = Pick<StartEntryOptions, 'distribution'> & {
 	readonly outbox: LedgerOutbox;
 	readonly startedAt: number;
 };
 
-function billKeeper({self, clock, network, newId}: DaemonBase, {distribution, outbox, startedAt}: BillKeeperParts): BillKeeper {
+function createBillStore({self, clock, network, newId}: DaemonBase, {distribution, outbox, startedAt}: BillStoreParts): BillKeeper {
 	return new BillKeeper({
 		self,
 		start: newId(),
@@ -156,7 +156,7 @@
 	});
 }
 
-function heldBills({clock, timeline}: DaemonBase, bills: BillKeeper): HeldBills {
+function createBillCopyStore({clock, timeline}: DaemonBase, bills: BillKeeper): HeldBills {
 	return new HeldBills({
 		clock,
 		maximumCopies,
@@ -168,7 +168,7 @@
 	});
 }
 
-function claimKeeper({clock, log, settings: {instance}}: DaemonBase, control: ControlClient): ClaimKeeper {
+function createClaimClient({clock, log, settings: {instance}}: DaemonBase, control: ControlClient): ClaimKeeper {
 	return new ClaimKeeper({
 		instance,
 		clock,
--- a/packages/daemon/src/entry/traffic/admission-pools.test.ts
+++ b/packages/daemon/src/entry/traffic/admission-pools.test.ts
@@ -11,17 +11,17 @@
 const model = toId<ModelId>('tag-small');
 const version = toId<VersionId>('1.0');
 const servers = 2;
-const places = 8;
+const slotsPerServer = 8;
 /** The estimated cost of a request without `max_tokens`, and its actual cost. */
 const estimatedTokens = 208;
-const realTokens = 38;
+const actualTokens = 38;
 
 function startPools(clock: Clock): AdmissionPools {
 	const table = new ServerTable({clock, zone, expiryMilliseconds: 60_000});
 	for (let index = 1; index <= servers; index++) {
 		table.take({
 			server: toId<ServerId>(`engine-${index}`), zone, kind: 'engine', address: `http://127.0.0.1:${index}`, models: [{model, version}],
-			capacity: places, active: 0, checksFencing: true, shuttingDown: false, sequence: 1, startedAt: 1,
+			capacity: slotsPerServer, active: 0, checksFencing: true, shuttingDown: false, sequence: 1, startedAt: 1,
 		});
 	}
 
@@ -44,7 +44,7 @@
 	let now = 0;
 	const pools = startPools({monotonic: () => now, now: () => new Date(now)});
 	for (let round = 0; round < 5; round++) {
-		const ids = Array.from({length: servers * places}, (_, index) => (round * servers * places) + index);
+		const ids = Array.from({length: servers * slotsPerServer}, (_, index) => (round * servers * slotsPerServer) + index);
 		let admitted = 0;
 		for (const id of ids) {
 			void count(pools.admit(demandOf(id)));
@@ -59,7 +59,7 @@
 		t.is(admitted, ids.length, `round ${round}`);
 		now += 1000;
 		for (const id of ids) {
-			pools.end(toId<RequestId>(`r${id}`), realTokens);
+			pools.end(toId<RequestId>(`r${id}`), actualTokens);
 		}
 	}
 });
--- a/packages/daemon/src/entry/traffic/admission-pools.ts
+++ b/packages/daemon/src/entry/traffic/admission-pools.ts
@@ -37,21 +37,21 @@
 	meanEstimate: number;
 	meanMilliseconds: number;
 	/** The number of requests in the means. */
-	seen: number;
+	sampleCount: number;
 	refreshedAt: number;
 	/** When each admitted request began. */
-	readonly began: Map<RequestId, number>;
+	readonly beganAt: Map<RequestId, number>;
 };
 
 /** A request that was submitted to its pool and has not ended. */
-type Offered = {
+type SubmittedRequest = {
 	readonly pool: Pool;
 	/** The estimated cost. */
 	readonly estimate: number;
 };
 
 const headroom = 2;
-const leastMeanWeight = 0.05;
+const minimumMeanWeight = 0.05;
 const refreshMilliseconds = 250;
 
 /**
@@ -68,7 +68,7 @@
 export class AdmissionPools {
 	readonly #options: AdmissionPoolsOptions;
 	readonly #pools = new Map<string, Pool>();
-	readonly #offered = new Map<RequestId, Offered>();
+	readonly #submitted = new Map<RequestId, SubmittedRequest>();
 	readonly #waiting = new Map<RequestId, (event: RequestEvent) => void>();
 
 	constructor(options: AdmissionPoolsOptions) {
@@ -93,14 +93,14 @@
 			return {type: 'admitted'};
 		}
 
-		const answer = pool.admission.offer({...demand, cost: likelyCost(pool, demand.cost), serviceMilliseconds: pool.meanMilliseconds}, now);
+		const answer = pool.admission.offer({...demand, cost: correctedCost(pool, demand.cost), serviceMilliseconds: pool.meanMilliseconds}, now);
 		if (answer.type === 'refused') {
 			return {type: 'admission-refused', failure: answer.failure};
 		}
 
-		this.#offered.set(demand.id, {pool, estimate: demand.cost});
+		this.#submitted.set(demand.id, {pool, estimate: demand.cost});
 		if (answer.type === 'admitted') {
-			pool.began.set(demand.id, now);
+			pool.beganAt.set(demand.id, now);
 			return {type: 'admitted'};
 		}
 
@@ -116,31 +116,31 @@
 	@param tokens The number of tokens that it used.
 	*/
 	end(id: RequestId, tokens: number): void {
-		const offered = this.#offered.get(id);
-		if (offered === undefined) {
+		const submitted = this.#submitted.get(id);
+		if (submitted === undefined) {
 			return;
 		}
 
-		const {pool, estimate} = offered;
-		this.#offered.delete(id);
+		const {pool, estimate} = submitted;
+		this.#submitted.delete(id);
 		const now = this.#options.clock.monotonic();
-		const began = pool.began.get(id);
-		if (began === undefined) {
+		const beganAt = pool.beganAt.get(id);
+		if (beganAt === undefined) {
 			this.#waiting.delete(id);
-			this.#begin(pool, pool.admission.leave(id));
+			this.#markAdmitted(pool, pool.admission.leave(id));
 			return;
 		}
 
-		pool.began.delete(id);
+		pool.beganAt.delete(id);
 		if (tokens > 0) {
-			pool.seen++;
-			const weight = Math.max(leastMeanWeight, 1 / pool.seen);
+			pool.sampleCount++;
+			const weight = Math.max(minimumMeanWeight, 1 / pool.sampleCount);
 			pool.meanCost += weight * (tokens - pool.meanCost);
 			pool.meanEstimate += weight * (estimate - pool.meanEstimate);
-			pool.meanMilliseconds += weight * (now - began - pool.meanMilliseconds);
+			pool.meanMilliseconds += weight * (now - beganAt - pool.meanMilliseconds);
 		}
 
-		this.#begin(pool, pool.admission.release(id, {tokens, now}));
+		this.#markAdmitted(pool, pool.admission.release(id, {tokens, now}));
 	}
 
 	/** Updates the capacity of pools with waiting requests and removes unused pools; called every few hundred milliseconds. */
@@ -149,7 +149,7 @@
 		for (const [key, pool] of this.#pools) {
 			if (pool.admission.waiting > 0) {
 				this.#refresh(pool, now);
-			} else if (pool.began.size === 0 && this.#capacityOf(pool) === 0) {
+			} else if (pool.beganAt.size === 0 && this.#capacityOf(pool) === 0) {
 				this.#pools.delete(key);
 			}
 		}
@@ -163,7 +163,7 @@
 		}
 
 		const pool: Pool = {
-			admission: new Admission({capacity: 0}), target, meanCost: cost, meanEstimate: cost, meanMilliseconds: 0, seen: 0, refreshedAt: Number.NEGATIVE_INFINITY, began: new Map(),
+			admission: new Admission({capacity: 0}), target, meanCost: cost, meanEstimate: cost, meanMilliseconds: 0, sampleCount: 0, refreshedAt: Number.NEGATIVE_INFINITY, beganAt: new Map(),
 		};
 		this.#pools.set(key, pool);
 		return pool;
@@ -180,7 +180,7 @@
 			pool.refreshedAt = now;
 		}
 
-		this.#begin(pool, pool.admission.setCapacity(capacity));
+		this.#markAdmitted(pool, pool.admission.setCapacity(capacity));
 		return capacity > 0;
 	}
 
@@ -193,13 +193,13 @@
 			slots += serves && state === 'joined' ? capacity : 0;
 		}
 
-		const sharers = Math.max(1, this.#options.members().length);
-		return slots === 0 ? 0 : Math.max(1, slots * headroom / sharers) * meanCost;
+		const instanceCount = Math.max(1, this.#options.members().length);
+		return slots === 0 ? 0 : Math.max(1, slots * headroom / instanceCount) * meanCost;
 	}
 
-	#begin(pool: Pool, admitted: readonly RequestId[]): void {
+	#markAdmitted(pool: Pool, admitted: readonly RequestId[]): void {
 		for (const id of admitted) {
-			pool.began.set(id, this.#options.clock.monotonic());
+			pool.beganAt.set(id, this.#options.clock.monotonic());
 			this.#waiting.get(id)?.({type: 'admitted'});
 			this.#waiting.delete(id);
 		}
@@ -207,6 +207,6 @@
 }
 
 /** Corrects an estimate by the ratio of actual to estimated cost so far. The capacity is in actual tokens, so estimates that are several times too high would leave most of it unused. */
-function likelyCost({meanCost, meanEstimate}: Pool, estimate: number): number {
+function correctedCost({meanCost, meanEstimate}: Pool, estimate: number): number {
 	return estimate * meanCost / meanEstimate;
 }
--- a/packages/daemon/src/entry/traffic/observe-attempt.ts
+++ b/packages/daemon/src/entry/traffic/observe-attempt.ts
@@ -13,7 +13,7 @@
 	readonly onEnd: (output: AttemptOutput) => void;
 };
 
-const goesOn: ReadonlySet<AttemptOutput['type']> = new Set(['head', 'piece']);
+const intermediateTypes: ReadonlySet<AttemptOutput['type']> = new Set(['head', 'piece']);
 
 /**
 Forwards the outputs of an attempt and reports its stages and its result.
@@ -27,19 +27,19 @@
 ```
 */
 export async function * observeAttempt(outputs: AsyncIterable<AttemptOutput>, {clock, streamed, onStage, onEnd}: AttemptObserver): AsyncGenerator<AttemptOutput, void> {
-	let since = clock.monotonic();
+	let waitingSince = clock.monotonic();
 	let stage: AttemptStage = streamed ? 'prefill' : 'whole';
 	for await (const output of outputs) {
 		if (output.type === 'piece') {
-			onStage(stage, clock.monotonic() - since);
+			onStage(stage, clock.monotonic() - waitingSince);
 			stage = 'decode';
 		}
 
-		if (!goesOn.has(output.type)) {
+		if (!intermediateTypes.has(output.type)) {
 			onEnd(output);
 		}
 
 		yield output;
-		since = output.type === 'head' ? since : clock.monotonic();
+		waitingSince = output.type === 'head' ? waitingSince : clock.monotonic();
 	}
 }
--- a/packages/daemon/src/entry/traffic/server-picker.ts
+++ b/packages/daemon/src/entry/traffic/server-picker.ts
@@ -66,7 +66,7 @@
 		const choice = chooseServer(this.#views.current(), {
 			target, excluded: new Set(excluded), zone, random, ...(prefix !== undefined && {prefix, prefixShare: this.#prefixes.count(prefix)}),
 		});
-		const notMade = (reason: string) => {
+		const recordDenial = (reason: string) => {
 			decisions.attempt(requestId, {
 				attempt, purpose, servers: [], outcome: 'notRun', reason,
 			});
@@ -74,13 +74,13 @@
 
 		if (choice.isLeft()) {
 			const failed = choice.extract();
-			notMade(failed.message);
+			recordDenial(failed.message);
 			return {type: 'none', reason: 'none', retryAfterMilliseconds: failed.retryAfterMilliseconds ?? retryAfterMilliseconds};
 		}
 
 		// The budget is checked last, so that an attempt without an available server does not use it up.
 		if (budgeted && !this.#budgets.allows({purpose, workspace, target}, clock.monotonic())) {
-			notMade('the budget for additional attempts is exhausted');
+			recordDenial('the budget for additional attempts is exhausted');
 			return {type: 'none', reason: 'budget', retryAfterMilliseconds};
 		}
 
--- a/packages/daemon/src/entry/traffic/server-views.ts
+++ b/packages/daemon/src/entry/traffic/server-views.ts
@@ -38,13 +38,13 @@
 	current(): readonly ServerView[] {
 		const {servers, clock} = this.#options;
 		const now = clock.monotonic();
-		const wall = clock.now().getTime();
+		const wallTime = clock.now().getTime();
 		const current = servers.current();
-		this.#forgetGone(current);
-		return current.map(known => this.#view(known, {now, wall}));
+		this.#removeStale(current);
+		return current.map(known => this.#view(known, {now, wallTime}));
 	}
 
-	#view(known: KnownServer, {now, wall}: {readonly now: number; readonly wall: number}): ServerView {
+	#view(known: KnownServer, {now, wallTime}: {readonly now: number; readonly wallTime: number}): ServerView {
 		const {announcement, load, seenAt, inFlight, state} = known;
 		const {server, zone, capacity, startedAt} = announcement;
 		const report = this.#report(known);
@@ -59,7 +59,7 @@
 			draining: state !== 'joined',
 			expired: false,
 			ejected: this.#options.ejection.isEjected(server, now),
-			uptime: Math.max(0, wall - startedAt),
+			uptime: Math.max(0, wallTime - startedAt),
 			loaded: report.loaded,
 		};
 	}
@@ -80,14 +80,14 @@
 		return report;
 	}
 
-	#forgetGone(current: readonly KnownServer[]): void {
+	#removeStale(current: readonly KnownServer[]): void {
 		if (this.#reports.size <= current.length) {
 			return;
 		}
 
-		const there = new Set(current.map(({announcement}) => announcement.server));
+		const currentIds = new Set(current.map(({announcement}) => announcement.server));
 		for (const server of this.#reports.keys()) {
-			if (!there.has(server)) {
+			if (!currentIds.has(server)) {
 				this.#reports.delete(server);
 				this.#options.ejection.forget(server);
 			}
