--- a/packages/daemon/src/distribution/exchange-loop.ts
+++ b/packages/daemon/src/distribution/exchange-loop.ts
@@ -108,7 +108,7 @@
 
 	/** Runs one exchange; returns whether the parent is up to date. */
 	async #exchangeWith(parent: PeerAddress): Promise<boolean> {
-		const {clock, network, node, periodMilliseconds, onReply, onSilence} = this.#options;
+		const {clock, network, node, periodMilliseconds, onReply, onSilence: onNoReply} = this.#options;
 		const {instance} = parent;
 		const begun = node.begin(instance, clock.monotonic());
 		const answer = await network.request(
@@ -119,7 +119,7 @@
 		const tuple = answer.toMaybe().extractNullable() as ReplyTuple | undefined;
 		if (tuple === null || tuple === undefined) {
 			this.#avoidedUntil.set(instance, clock.monotonic() + (periodMilliseconds * periodsToAvoid));
-			onSilence(instance);
+			onNoReply(instance);
 			return true;
 		}
 
--- a/packages/daemon/src/distribution/leader-view.ts
+++ b/packages/daemon/src/distribution/leader-view.ts
@@ -56,7 +56,7 @@
 	@returns Whether this instance is the leader with a valid leader lease and has applied all earlier commits.
 	*/
 	refresh(): boolean {
-		const {base: {clock, settings}, control, keeper, relay} = this.#options;
+		const {base: {clock, settings}, control, keeper: configurations, relay} = this.#options;
 		const committed = control.state()?.effective;
 		if (committed === undefined) {
 			return false;
@@ -64,8 +64,8 @@
 
 		const now = clock.monotonic();
 		const {leads} = this;
-		keeper.offer(committed);
-		keeper.settle({granted: leads && this.#term?.hasCaughtUp === true});
+		configurations.offer(committed);
+		configurations.settle({granted: leads && this.#term?.hasCaughtUp === true});
 		if (!leads) {
 			this.#tracker = undefined;
 			this.#term = undefined;
--- a/packages/daemon/src/distribution/parent-addresses.ts
+++ b/packages/daemon/src/distribution/parent-addresses.ts
@@ -21,8 +21,8 @@
 const [parent] = parentAddresses({watch, settings, leader});
 ```
 */
-export function parentAddresses({watch, settings: {control}, leader}: ParentAddressesOptions): PeerAddress[] {
-	const {self, members} = watch;
+export function parentAddresses({watch: memberMonitor, settings: {control}, leader}: ParentAddressesOptions): PeerAddress[] {
+	const {self, members} = memberMonitor;
 	const addresses = new Map<InstanceId, PeerAddress>([...members, ...control].map(address => [address.instance, address]));
 	return parentCandidates({
 		self, members, seeds: control, leader,
--- a/packages/daemon/src/distribution/relay-node.ts
+++ b/packages/daemon/src/distribution/relay-node.ts
@@ -126,17 +126,17 @@
 	}
 
 	#apply(peer: InstanceId, parts: ExchangeParts, now: number): void {
-		const {keeper, onNews, onLoads} = this.#options;
+		const {keeper: configurations, onNews: onRecords, onLoads} = this.#options;
 		const link = this.#linkTo(peer, now);
 		link.peerRevision = parts.revision;
 		if (parts.configuration !== undefined) {
-			keeper.offer(unpackConfiguration(parts.configuration));
+			configurations.offer(unpackConfiguration(parts.configuration));
 			this.#activateNewest(peer, {granted: false});
 		}
 
 		const news = link.records.incoming(parts.records);
 		if (news.length > 0) {
-			onNews(news, peer);
+			onRecords(news, peer);
 		}
 
 		if (parts.loads !== undefined) {
@@ -151,16 +151,16 @@
 	}
 
 	#partsFor(link: Link, {now, withLoads}: {readonly now: number; readonly withLoads: boolean}): ExchangeParts {
-		const {keeper} = this.#options;
+		const {keeper: configurations} = this.#options;
 		if (withLoads) {
 			link.loadsAt = now;
 		}
 
 		const loads: DigestPart<LoadRecord> | undefined = withLoads ? link.loads.outgoing() : undefined;
 		return {
-			revision: keeper.revision,
+			revision: configurations.revision,
 			records: link.records.outgoing(),
-			...(keeper.revision > link.peerRevision && {configuration: keeper.packed}),
+			...(configurations.revision > link.peerRevision && {configuration: configurations.packed}),
 			...(loads !== undefined && {loads}),
 		};
 	}
--- a/packages/daemon/src/entry/bills/bill-copy.ts
+++ b/packages/daemon/src/entry/bills/bill-copy.ts
@@ -23,36 +23,36 @@
 ```
 */
 export function splitCopies(copies: Iterable<BillCopy>): SplitCopies {
-	const split: SplitCopies = {opened: [], settled: []};
+	const grouped: SplitCopies = {opened: [], settled: []};
 	for (const copy of copies) {
 		if (copy.state === 'open') {
-			split.opened.push(copy.bill);
+			grouped.opened.push(copy.bill);
 		} else {
-			split.settled.push(copy.bill);
+			grouped.settled.push(copy.bill);
 		}
 	}
 
-	return split;
+	return grouped;
 }
 
 /**
 Adds copies to a map, by request. An open copy does not replace a settled one.
 
 @param copies The map to update.
-@param split The received copies.
+@param grouped The received copies.
 @example
 ```ts
 mergeCopies(copies, message);
 ```
 */
-export function mergeCopies(copies: Map<RequestId, BillCopy>, split: Readonly<{opened: readonly OpenBill[]; settled: readonly Bill[]}>): void {
-	for (const bill of split.opened) {
+export function mergeCopies(copies: Map<RequestId, BillCopy>, grouped: Readonly<{opened: readonly OpenBill[]; settled: readonly Bill[]}>): void {
+	for (const bill of grouped.opened) {
 		if (copies.get(bill.request)?.state !== 'settled') {
 			copies.set(bill.request, {state: 'open', bill});
 		}
 	}
 
-	for (const bill of split.settled) {
+	for (const bill of grouped.settled) {
 		copies.set(bill.request, {state: 'settled', bill});
 	}
 }
--- a/packages/daemon/src/entry/bills/bill-keeper.test.ts
+++ b/packages/daemon/src/entry/bills/bill-keeper.test.ts
@@ -31,7 +31,7 @@
 	isLedgerReachable = true;
 	#now = 0;
 	#last = 0;
-	readonly #instances = new Map<Name, {keeper: BillKeeper; held: HeldBills; outbox: LedgerOutbox}>();
+	readonly #instances = new Map<Name, {store: BillKeeper; copies: HeldBills; outbox: LedgerOutbox}>();
 
 	constructor() {
 		for (const name of names) {
@@ -40,13 +40,13 @@
 	}
 
 	get pendingBills(): number {
-		return [...this.#instances.values()].reduce((total, {outbox, held, keeper}) => total + outbox.size + held.size + keeper.size, 0);
+		return [...this.#instances.values()].reduce((total, {outbox, copies, store}) => total + outbox.size + copies.size + store.size, 0);
 	}
 
 	async open(name: Name): Promise<void> {
 		const instance = this.#instances.get(name);
 		const request = toId<RequestId>(`r${++this.#last}`);
-		const opened = await instance?.keeper.open({workspace: toId<WorkspaceId>('yard'), request, openedAt: 0});
+		const opened = await instance?.store.open({workspace: toId<WorkspaceId>('yard'), request, openedAt: 0});
 		if (opened?.isRight() === true) {
 			this.observed.set(request, {owner: name, settled: false});
 		}
@@ -55,11 +55,11 @@
 	settle(name: Name): void {
 		const instance = this.#instances.get(name);
 		const [request, observed] = [...this.observed].find(([, {owner, settled}]) => owner === name && !settled) ?? [];
-		if (instance === undefined || request === undefined || observed === undefined || instance.keeper.answerOwned({scope: 'entry', type: 'owned-bills', requests: [request]}).needed.length === 0) {
+		if (instance === undefined || request === undefined || observed === undefined || instance.store.answerOwned({scope: 'entry', type: 'owned-bills', requests: [request]}).needed.length === 0) {
 			return;
 		}
 
-		void this.#settle(instance.keeper, request, observed);
+		void this.#settle(instance.store, request, observed);
 	}
 
 	kill(name: Name): void {
@@ -77,13 +77,13 @@
 	/** Advances the clock, runs the periodic maintenance of all instances and delivers messages. */
 	async advance(): Promise<void> {
 		this.#now += lostAfterMilliseconds + 1;
-		for (const {keeper, held} of this.#instances.values()) {
-			keeper.renew();
-			held.recover(new Set([...this.#instances.keys()].map(name => toId<InstanceId>(name))));
-			for (const silent of held.silent()) {
+		for (const {store, copies} of this.#instances.values()) {
+			store.renew();
+			copies.recover(new Set([...this.#instances.keys()].map(name => toId<InstanceId>(name))));
+			for (const silent of copies.silent()) {
 				const owner = this.#instances.get(String(silent.owner) as Name);
 				if (owner !== undefined) {
-					held.takeReply(silent, owner.keeper.answerOwned({scope: 'entry', type: 'owned-bills', requests: silent.requests}));
+					copies.takeReply(silent, owner.store.answerOwned({scope: 'entry', type: 'owned-bills', requests: silent.requests}));
 				}
 			}
 		}
@@ -91,8 +91,8 @@
 		await flushEvents();
 	}
 
-	async #settle(keeper: BillKeeper, request: RequestId, observed: ObservedRequest): Promise<void> {
-		await keeper.settle({
+	async #settle(store: BillKeeper, request: RequestId, observed: ObservedRequest): Promise<void> {
+		await store.settle({
 			workspace: toId<WorkspaceId>('yard'), request, instance: toId<InstanceId>(observed.owner), lines: [], total: 7 as Micros, outcome: 'answered', settledAt: 0,
 		});
 		observed.settled = true;
@@ -116,12 +116,12 @@
 				await nextTurn();
 			},
 		});
-		const held = new HeldBills({
+		const copies = new HeldBills({
 			clock, maximumCopies: 100, lostAfterMilliseconds, onRecovered(bill) {
-				keeper.adopt(bill);
+				store.adopt(bill);
 			},
 		});
-		const keeper = new BillKeeper({
+		const store = new BillKeeper({
 			self: memberOf(name),
 			start: `${name}-${++this.#last}`,
 			startedAt: this.#last,
@@ -132,10 +132,10 @@
 				await nextTurn();
 				const holder = this.#instances.get(String(to.instance) as Name);
 				const isCut = this.cut.has(`${name}${to.instance}`) || !this.#instances.has(name);
-				return holder === undefined || isCut ? Left(failure('no-quorum', 'Got no reply')) : Right(holder.held.hold(message));
+				return holder === undefined || isCut ? Left(failure('no-quorum', 'Got no reply')) : Right(holder.copies.hold(message));
 			},
 		});
-		this.#instances.set(name, {keeper, held, outbox});
+		this.#instances.set(name, {store, copies, outbox});
 	}
 }
 
@@ -283,13 +283,13 @@
 		},
 	});
 	const clock = {now: () => new Date(0), monotonic: () => 0};
-	const keeper = new BillKeeper({
+	const store = new BillKeeper({
 		self: memberOf('a'), start: 'a', startedAt: 0, clock, outbox, members: () => [memberOf('a')], request: async () => Left(failure('no-quorum', 'Got none')), maximumBills: 2,
 	});
-	const open = async (request: string) => keeper.open({workspace: toId<WorkspaceId>('yard'), request: toId<RequestId>(request), openedAt: 0});
+	const open = async (request: string) => store.open({workspace: toId<WorkspaceId>('yard'), request: toId<RequestId>(request), openedAt: 0});
 	const opened = await open('r1');
 	t.true(opened.isRight());
-	void keeper.settle({
+	void store.settle({
 		workspace: toId<WorkspaceId>('yard'), request: toId<RequestId>('r1'), instance: toId<InstanceId>('a'), lines: [], total: 0 as Micros, outcome: 'answered', settledAt: 0,
 	});
 	await flushEvents();
--- a/packages/daemon/src/entry/bills/bill-keeper.ts
+++ b/packages/daemon/src/entry/bills/bill-keeper.ts
@@ -217,10 +217,10 @@
 	}
 
 	#createReplicator(holder: Member): CopyLink {
-		const {self, start, request, clock, avoidMilliseconds = defaultAvoidMilliseconds} = this.#options;
+		const {self, start: runId, request, clock, avoidMilliseconds = defaultAvoidMilliseconds} = this.#options;
 		const replicator = new CopyLink({
 			self: self.instance,
-			start,
+			start: runId,
 			request: async message => request(holder, message),
 			onFailed: () => {
 				this.#avoidedUntil.set(holder.instance, clock.monotonic() + avoidMilliseconds);
--- a/packages/daemon/src/entry/bills/keep-run-known.test.ts
+++ b/packages/daemon/src/entry/bills/keep-run-known.test.ts
@@ -9,26 +9,26 @@
 
 test('a run is reported at once and several times per retention period, and a failed report is signalled', async t => {
 	const running = {instance: toId<InstanceId>('entry-1'), startedAt: 1000};
-	const told: InstanceRun[] = [];
+	const reports: InstanceRun[] = [];
 	const failures: string[] = [];
 	const stop = keepRunKnown(running, {
 		rememberedMilliseconds: 200,
 		async tell(run) {
-			told.push(run);
-			return told.length === 1 ? Left(failure('no-quorum', 'Got none')) : Right(undefined);
+			reports.push(run);
+			return reports.length === 1 ? Left(failure('no-quorum', 'Got none')) : Right(undefined);
 		},
 		onFailure({message}) {
 			failures.push(message);
 		},
 	});
-	t.deepEqual(told, [running]);
-	while (told.length < 4) {
+	t.deepEqual(reports, [running]);
+	while (reports.length < 4) {
 		await delay(10);
 	}
 
 	stop();
-	const {length} = told;
+	const {length} = reports;
 	await delay(150);
-	t.is(told.length, length);
+	t.is(reports.length, length);
 	t.deepEqual(failures, ['Got none']);
 });
--- a/packages/daemon/src/entry/bills/keep-run-known.ts
+++ b/packages/daemon/src/entry/bills/keep-run-known.ts
@@ -24,18 +24,18 @@
 @returns A function that stops the reports.
 @example
 ```ts
-const stop = startRunHeartbeat({instance, startedAt}, {rememberedMilliseconds, report, onFailure});
+const stop = startRunHeartbeat({instance, startedAt}, {retentionMilliseconds, report, onFailure});
 ```
 */
-export function keepRunKnown(running: InstanceRun, {rememberedMilliseconds, tell, onFailure}: KeepRunKnownOptions): () => void {
+export function keepRunKnown(running: InstanceRun, {rememberedMilliseconds: retentionMilliseconds, tell: report, onFailure}: KeepRunKnownOptions): () => void {
 	const reportOnce = async (): Promise<void> => {
-		const result = await tell(running);
+		const result = await report(running);
 		result.ifLeft(onFailure);
 	};
 
 	const timer = setInterval(() => {
 		void reportOnce();
-	}, Math.min(maximumIntervalMilliseconds, rememberedMilliseconds / reportsPerRetention));
+	}, Math.min(maximumIntervalMilliseconds, retentionMilliseconds / reportsPerRetention));
 	void reportOnce();
 	return () => {
 		clearInterval(timer);
--- a/packages/daemon/src/entry/bills/ledger-outbox.ts
+++ b/packages/daemon/src/entry/bills/ledger-outbox.ts
@@ -19,7 +19,7 @@
 };
 
 const batchSize = 200;
-const defaultGatherMilliseconds = 100;
+const defaultBatchMilliseconds = 100;
 const defaultRetryMilliseconds = 250;
 
 /**
@@ -91,11 +91,11 @@
 	}
 
 	async #waitForBatch(): Promise<void> {
-		const {wait, gatherMilliseconds = defaultGatherMilliseconds} = this.#options;
+		const {wait, gatherMilliseconds: batchMilliseconds = defaultBatchMilliseconds} = this.#options;
 		const flushed = new Promise<void>(resolve => {
 			this.#endBatchDelay = resolve;
 		});
-		await Promise.race([wait(gatherMilliseconds), flushed]);
+		await Promise.race([wait(batchMilliseconds), flushed]);
 		this.#endBatchDelay = undefined;
 	}
 
--- a/packages/daemon/src/entry/bills/watch-bills.ts
+++ b/packages/daemon/src/entry/bills/watch-bills.ts
@@ -29,7 +29,7 @@
 @returns The running maintenance.
 @example
 ```ts
-const maintenance = startBillMaintenance({bills, copies, members, network});
+const maintenance = startBillMaintenance({bills, held, members, network});
 maintenance.stop();
 ```
 */
--- a/packages/daemon/src/entry/chat-adapter.ts
+++ b/packages/daemon/src/entry/chat-adapter.ts
@@ -58,9 +58,9 @@
 	}
 
 	chooseServer(action: ChooseServerAction): ServerChoice {
-		const {context: {picker}} = this.#options;
+		const {context: {picker: serverSelector}} = this.#options;
 		const {requestId, workspace} = this.#plan;
-		return picker.choose(action, {
+		return serverSelector.choose(action, {
 			requestId, workspace, target: versionKeyOf(action.target), prefix: this.#prefixHash,
 		});
 	}
@@ -88,7 +88,7 @@
 			.otherwise(denial => denial);
 	}
 
-	send({dispatch, address, signal, before}: SendOptions): AsyncIterable<AttemptOutput> {
+	send({dispatch, address, signal, before: partialAnswer}: SendOptions): AsyncIterable<AttemptOutput> {
 		const {context: {settings, clock}, deadline} = this.#options;
 		const {requestId, body, facts: {stream}, rule} = this.#plan;
 		const outputs = callEngine({
@@ -98,8 +98,8 @@
 			body,
 			streamed: stream,
 			priority: rule.priority,
-			resumeText: before.text,
-			tokensBefore: before.tokens,
+			resumeText: partialAnswer.text,
+			tokensBefore: partialAnswer.tokens,
 			address,
 			freshConnection: dispatch.freshConnection,
 			signal,
@@ -163,14 +163,14 @@
 	}
 
 	#recordResult({target, server, attempt, purpose}: DispatchAction, output: AttemptOutput): void {
-		const {context: {picker, ratings, decisions, clock}} = this.#options;
+		const {context: {picker: serverSelector, ratings, decisions, clock}} = this.#options;
 		const {requestId, workspace, rule} = this.#plan;
 		const {outcome, reason, failed} = attemptEnd(output);
 		decisions.attempt(requestId, {
 			attempt, purpose, servers: decisions.get(requestId)?.attempts.find(known => known.attempt === attempt)?.servers ?? [], server, outcome, reason,
 		});
 		if (output.type !== 'not-run') {
-			picker.record(server, failed);
+			serverSelector.record(server, failed);
 		}
 
 		// A lost connection is no evidence for or against the version.
--- a/packages/daemon/src/entry/claim-keeper.ts
+++ b/packages/daemon/src/entry/claim-keeper.ts
@@ -68,9 +68,9 @@
 	@param instance The instance.
 	*/
 	async forget(instance: InstanceId): Promise<void> {
-		const {forget, wait, retryMilliseconds = defaultRetryMilliseconds} = this.#options;
+		const {forget: markLost, wait, retryMilliseconds = defaultRetryMilliseconds} = this.#options;
 		while (!this.#closed) {
-			const answer = await forget(instance);
+			const answer = await markLost(instance);
 			if (answer.isRight()) {
 				return;
 			}
--- a/packages/daemon/src/entry/life/dispatch-attempt.ts
+++ b/packages/daemon/src/entry/life/dispatch-attempt.ts
@@ -46,15 +46,15 @@
 	return undefined;
 }
 
-async function send(dispatch: DispatchAction, server: KnownServer, {adapter, attempts, soFar}: DispatchAttemptOptions): Promise<void> {
+async function send(dispatch: DispatchAction, server: KnownServer, {adapter, attempts, soFar: partialAnswer}: DispatchAttemptOptions): Promise<void> {
 	const {attempt: number, resumeFrom} = dispatch;
-	const before = resumeFrom === 0 ? emptyAnswer : soFar;
+	const resumed = resumeFrom === 0 ? emptyAnswer : partialAnswer;
 	server.inFlight++;
 	await attempts.start({
 		number,
 		resumeFrom,
 		call: signal => adapter.send({
-			dispatch, address: server.announcement.address, signal, before,
+			dispatch, address: server.announcement.address, signal, before: resumed,
 		}),
 	});
 	server.inFlight--;
--- a/packages/daemon/src/entry/life/life-timers.ts
+++ b/packages/daemon/src/entry/life/life-timers.ts
@@ -34,12 +34,12 @@
 	*/
 	set(timer: RequestTimer, at: number): void {
 		this.clear(timer);
-		const {clock, onDue} = this.#options;
+		const {clock, onDue: onExpired} = this.#options;
 		const milliseconds = Math.max(0, at - clock.monotonic());
 		// Input that arrived before the deadline is processed first, even if this process was paused.
 		this.#timers.set(timer, timeoutAfterInput(milliseconds, () => {
 			this.#timers.delete(timer);
-			onDue(timer);
+			onExpired(timer);
 		}));
 	}
 
--- a/packages/daemon/src/entry/plan-chat.ts
+++ b/packages/daemon/src/entry/plan-chat.ts
@@ -50,7 +50,7 @@
 /**
 Matches a chat request to a policy rule and chooses its model and version.
 
-@param arrival The request.
+@param request The request.
 @param context The shared state of the entry part.
 @returns The plan, or the failure to report to the caller.
 @example
@@ -58,8 +58,8 @@
 planChat(arrival, context).map(plan => plan.version);
 ```
 */
-export function planChat(arrival: ChatArrival, context: EntryContext): Either<Failure, ChatPlan> {
-	const {headers, body, workspace, active} = arrival;
+export function planChat(request: ChatArrival, context: EntryContext): Either<Failure, ChatPlan> {
+	const {headers, body, workspace, active} = request;
 	const facts = factsOf(body, {class: headers.class, session: headers.session !== ''});
 	const rule = active.policies.get(workspace)?.(facts);
 	if (rule === undefined) {
@@ -67,14 +67,14 @@
 	}
 
 	return headers.session === '' || headers.session === newSession
-		? planByPolicy({...arrival, facts, rule}, context)
-		: planBySession({...arrival, facts, rule}, context);
+		? planByPolicy({...request, facts, rule}, context)
+		: planBySession({...request, facts, rule}, context);
 }
 
 type Classified = ChatArrival & {readonly facts: RequestFacts; readonly rule: PolicyRule};
 
-function planBySession(arrival: Classified, context: EntryContext): Either<Failure, ChatPlan> {
-	const {workspace, headers, active} = arrival;
+function planBySession(request: Classified, context: EntryContext): Either<Failure, ChatPlan> {
+	const {workspace, headers, active} = request;
 	return sessionOf(headers.session, {workspace, keys: context.settings.keys.sessions}).chain(({model, version}) => {
 		const verdict = mayDispatch(active.effective, {
 			workspace, model, version, isolated: active.isolated, isolatedServe: context.settings.isolation.serve,
@@ -92,13 +92,13 @@
 		}
 
 		return Right({
-			...commonMembersOf(arrival), model, version, sessionToken: headers.session, belowTarget: false, considered: [],
+			...commonMembersOf(request), model, version, sessionToken: headers.session, belowTarget: false, considered: [],
 		});
 	});
 }
 
-function planByPolicy(arrival: Classified, context: EntryContext): Either<Failure, ChatPlan> {
-	const {workspace, facts, active, requestId, headers} = arrival;
+function planByPolicy(request: Classified, context: EntryContext): Either<Failure, ChatPlan> {
+	const {workspace, facts, active, requestId, headers} = request;
 	const named = facts.model === automaticModel ? undefined : toId<ModelId>(facts.model);
 	if (named !== undefined && !Object.hasOwn(active.effective.document.models, named)) {
 		return Left(failure('unknown-model', `Unknown model ${facts.model}; expected auto or a configured model`));
@@ -111,7 +111,7 @@
 		},
 		{
 			configuration: active.effective,
-			rule: arrival.rule,
+			rule: request.rule,
 			isServed: (model, version) => context.servers.isServed(model, version),
 			isolated: active.isolated,
 			isolatedServe: context.settings.isolation.serve,
@@ -120,19 +120,19 @@
 			isStoppedHere: context.ratings.isStoppedHere,
 		},
 	);
-	return choice.map(found => toPlan(found, {arrival, isSession}, context));
+	return choice.map(found => toPlan(found, {request, isSession}, context));
 }
 
 type ToPlanOptions = {
-	readonly arrival: Classified;
+	readonly request: Classified;
 	readonly isSession: boolean;
 };
 
-function toPlan({chosen, belowTarget, considered}: Choice, {arrival, isSession}: ToPlanOptions, {clock, settings}: EntryContext): ChatPlan {
+function toPlan({chosen, belowTarget, considered}: Choice, {request, isSession}: ToPlanOptions, {clock, settings}: EntryContext): ChatPlan {
 	const {model, version} = chosen;
-	const {workspace} = arrival;
+	const {workspace} = request;
 	return {
-		...commonMembersOf(arrival),
+		...commonMembersOf(request),
 		model,
 		version,
 		belowTarget,
--- a/packages/daemon/src/entry/service-adapter.ts
+++ b/packages/daemon/src/entry/service-adapter.ts
@@ -107,13 +107,13 @@
 	readonly context: EntryContext;
 };
 
-function recordResult({server, attempt, purpose}: DispatchAction, {output, requestId, context: {picker, decisions}}: RecordResultOptions): void {
+function recordResult({server, attempt, purpose}: DispatchAction, {output, requestId, context: {picker: serverSelector, decisions}}: RecordResultOptions): void {
 	const {outcome, reason, failed} = attemptEnd(output);
 	decisions.attempt(requestId, {
 		attempt, purpose, servers: decisions.get(requestId)?.attempts.find(known => known.attempt === attempt)?.servers ?? [], server, outcome, reason,
 	});
 	if (output.type !== 'not-run') {
-		picker.record(server, failed);
+		serverSelector.record(server, failed);
 	}
 }
 
--- a/packages/daemon/src/entry/start-entry.ts
+++ b/packages/daemon/src/entry/start-entry.ts
@@ -69,7 +69,7 @@
 			base.log.info({failure: failed}, 'Could not report this run to the ledger; trying again at the next interval');
 		},
 	});
-	const held = createBillCopyStore(base, bills);
+	const billCopies = createBillCopyStore(base, bills);
 	const claims = createClaimClient(base, control);
 	claims.begin();
 	distribution.onInstanceLost(({instance}) => {
@@ -77,7 +77,7 @@
 	});
 	const requests = new RequestCounter();
 	const decisions = new DecisionRing();
-	const picker = new ServerPicker({
+	const serverSelector = new ServerPicker({
 		...base, servers: distribution.servers, zone: base.settings.zone, decisions,
 	});
 	const admission = new AdmissionPools({...base, servers: distribution.servers, members: distribution.members});
@@ -86,7 +86,7 @@
 	}, admissionMilliseconds);
 	const closing = new AbortController();
 	const maintenance = watchBills({
-		bills, held, members: distribution.members, network: base.network,
+		bills, held: billCopies, members: distribution.members, network: base.network,
 	});
 	return {
 		context: {
@@ -95,27 +95,27 @@
 			active: distribution.active,
 			ratings: options.ratings,
 			admission,
-			picker,
+			picker: serverSelector,
 			history: new StageHistory(),
 			decisions,
 			requests,
 			inProgress: new InProgress(),
 			runs: new Set(),
 			bills,
-			held,
+			held: billCopies,
 			claims,
 		},
 		answer: async message => match(message)
-			.with({type: 'hold-bills'}, hold => held.hold(hold))
+			.with({type: 'hold-bills'}, hold => billCopies.hold(hold))
 			.with({type: 'owned-bills'}, question => bills.answerOwned(question))
 			.with({type: 'explain'}, ({request}) => decisions.get(request))
 			.exhaustive(),
 		async stop() {
 			await requests.stop();
-			held.stop();
+			billCopies.stop();
 			// Keeps the ledger available for a moment, since other instances may be about to send bills to it.
 			await wait(base.settings.roles.includes('control') ? ledgerLingerMilliseconds : 0);
-			while (!closing.signal.aborted && bills.size + claims.size + held.size + outbox.size > 0) {
+			while (!closing.signal.aborted && bills.size + claims.size + billCopies.size + outbox.size > 0) {
 				bills.renew();
 				await wait(handOverPollMilliseconds);
 			}
