--- a/packages/daemon/src/entry/life/request-run.ts
+++ b/packages/daemon/src/entry/life/request-run.ts
@@ -26,7 +26,7 @@
 	readonly workspace: WorkspaceId;
 	readonly plan: RequestPlan;
 	readonly adapter: RequestAdapter;
-	/** The idempotency key, if the request has one. */
+	/** The idempotency key; required if the plan takes a claim. */
 	readonly key: RequestKey | undefined;
 	/** The resources that the request needs, for its admission. */
 	readonly demand: Demand;
