--- a/packages/daemon/src/distribution/exchange-codec.ts
+++ b/packages/daemon/src/distribution/exchange-codec.ts
@@ -31,7 +31,7 @@
 @returns The tuple.
 @example
 ```ts
-network.request(parent, {scope: 'distribution', type: 'exchange', body: writeExchange(exchange)});
+network.request(parent, {scope: 'distribution', type: 'exchange', body: encodeExchange(exchange)});
 ```
 */
 export function writeExchange({question: {instance, incarnation, number, confirmed}, ...parts}: Exchange): ExchangeTuple {
@@ -41,11 +41,11 @@
 /**
 Decodes an exchange.
 
-@param tuple The tuple from {@linkcode writeExchange}.
+@param tuple The tuple from {@linkcode encodeExchange}.
 @returns The exchange.
 @example
 ```ts
-node.answer(readExchange(message.body));
+node.answer(decodeExchange(message.body));
 ```
 */
 export function readExchange([instance, incarnation, number, confirmed, parts]: ExchangeTuple): Exchange {
@@ -64,7 +64,7 @@
 @returns The tuple.
 @example
 ```ts
-return writeReply(node.answer(exchange));
+return encodeReply(node.answer(exchange));
 ```
 */
 export function writeReply({grant, leader, ...parts}: ExchangeReply): ReplyTuple {
@@ -74,11 +74,11 @@
 /**
 Decodes a reply.
 
-@param tuple The tuple from {@linkcode writeReply}.
+@param tuple The tuple from {@linkcode encodeReply}.
 @returns The reply.
 @example
 ```ts
-const reply = readReply(tuple);
+const reply = decodeReply(tuple);
 ```
 */
 export function readReply([parts, grantRevision, remainingMilliseconds, leader]: ReplyTuple): ExchangeReply {
--- a/packages/daemon/src/distribution/parent-addresses.ts
+++ b/packages/daemon/src/distribution/parent-addresses.ts
@@ -18,7 +18,7 @@
 @returns The addresses.
 @example
 ```ts
-const [parent] = parentAddresses({watch, settings, leader});
+const [parent] = parentAddresses({memberMonitor, settings, leader});
 ```
 */
 export function parentAddresses({watch: memberMonitor, settings: {control}, leader}: ParentAddressesOptions): PeerAddress[] {
--- a/packages/daemon/src/distribution/shared-records.ts
+++ b/packages/daemon/src/distribution/shared-records.ts
@@ -69,7 +69,7 @@
 @returns The instances.
 @example
 ```ts
-loop.noteAlive(joinedAmong(digest, keys));
+exchangeLoop.markAlive(joinedMembersAmong(digest, keys));
 ```
 */
 export function joinedAmong(digest: Digest<SharedRecord>, keys: readonly string[]): InstanceId[] {
--- a/packages/daemon/src/entry/bills/bill-copy.ts
+++ b/packages/daemon/src/entry/bills/bill-copy.ts
@@ -19,7 +19,7 @@
 @returns The open and the settled copies.
 @example
 ```ts
-const {opened, settled} = splitCopies(copies.values());
+const {opened, settled} = groupCopies(copies.values());
 ```
 */
 export function splitCopies(copies: Iterable<BillCopy>): SplitCopies {
--- a/packages/daemon/src/entry/bills/watch-bills.ts
+++ b/packages/daemon/src/entry/bills/watch-bills.ts
@@ -20,7 +20,7 @@
 	readonly stop: () => void;
 };
 
-const defaultEveryMilliseconds = 1000;
+const defaultIntervalMilliseconds = 1000;
 
 /**
 Periodically maintains the copies of bills: replaces lost holders of this instance's bills, settles the copies of lost owners, and asks silent owners which copies they still need.
@@ -35,7 +35,7 @@
 */
 export function watchBills(options: WatchBillsOptions): BillsWatch {
 	// Runs after pending input is read: an owner whose message has arrived but is unread is not silent, and its open bills must not be settled as unknown.
-	const stop = intervalAfterInput(options.everyMilliseconds ?? defaultEveryMilliseconds, () => {
+	const stop = intervalAfterInput(options.everyMilliseconds ?? defaultIntervalMilliseconds, () => {
 		const members = options.members();
 		options.bills.renew();
 		if (members.length > 0) {
--- a/packages/daemon/src/entry/chat-adapter.ts
+++ b/packages/daemon/src/entry/chat-adapter.ts
@@ -38,7 +38,7 @@
 
 @example
 ```ts
-const adapter = new ChatAdapter(plan, {context, deadline, planAgain});
+const adapter = new ChatAdapter(plan, {context, deadline, replan});
 ```
 */
 export class ChatAdapter implements RequestAdapter {
--- a/packages/daemon/src/entry/chat-body.ts
+++ b/packages/daemon/src/entry/chat-body.ts
@@ -85,7 +85,7 @@
 @returns The text of the first messages, until it has at least 256 characters.
 @example
 ```ts
-prefixHash(promptOf(body));
+prefixHash(promptPrefixOf(body));
 ```
 */
 export function promptOf(body: ChatBody): string {
--- a/packages/daemon/src/entry/chat-chunk.ts
+++ b/packages/daemon/src/entry/chat-chunk.ts
@@ -71,7 +71,7 @@
 @returns The usage, zeros if none is reported, or undefined if the body is not a chat completion.
 @example
 ```ts
-readWholeUsage(body)?.output;
+readCompletionUsage(body)?.output;
 ```
 */
 export function readWholeUsage(body: Uint8Array): TokenUsage | undefined {
--- a/packages/daemon/src/entry/request-id.ts
+++ b/packages/daemon/src/entry/request-id.ts
@@ -11,7 +11,7 @@
 @returns The id.
 @example
 ```ts
-requestIdOn(settings.instance, randomUUID());
+createRequestId(settings.instance, randomUUID());
 ```
 */
 export function requestIdOn(instance: InstanceId, unique: string): RequestId {
@@ -26,7 +26,7 @@
 @returns Whether the id carries the tag of the instance.
 @example
 ```ts
-members.filter(({instance}) => mayBeFrom(request, instance));
+members.filter(({instance}) => mayOriginateFrom(request, instance));
 ```
 */
 export function mayBeFrom(request: RequestId, instance: InstanceId): boolean {
--- a/packages/daemon/src/entry/stall-timer.ts
+++ b/packages/daemon/src/entry/stall-timer.ts
@@ -6,7 +6,7 @@
 @example
 ```ts
 const stall = new StallTimer(10_000);
-await Promise.race([output, stall.expired()]);
+await Promise.race([output, stall.waitForExpiry()]);
 stall.touch();
 ```
 */
--- a/packages/daemon/src/entry/traffic/attempt-budgets.ts
+++ b/packages/daemon/src/entry/traffic/attempt-budgets.ts
@@ -15,7 +15,7 @@
 
 @example
 ```ts
-budgets.allows({purpose: 'retry', workspace, target}, now);
+budgets.tryWithdraw({purpose: 'retry', workspace, target}, now);
 ```
 */
 export class AttemptBudgets {
--- a/packages/daemon/src/entry/unanswered-output.ts
+++ b/packages/daemon/src/entry/unanswered-output.ts
@@ -9,7 +9,7 @@
 @returns The only output of the attempt.
 @example
 ```ts
-unansweredOutput({neverSent: true, onKeptConnection: false, message: 'connect ECONNREFUSED'}, 'engine').type; // 'never-sent'
+failedCallOutput({neverSent: true, onKeptConnection: false, message: 'connect ECONNREFUSED'}, 'engine').type; // 'never-sent'
 ```
 */
 export function unansweredOutput({neverSent, onKeptConnection, message}: HttpCallFailure, asked: 'engine' | 'service'): AttemptOutput {
