--- a/packages/daemon/src/distribution/ask-in-force.ts
+++ b/packages/daemon/src/distribution/ask-in-force.ts
@@ -14,10 +14,10 @@
 ```
 */
 export async function askInForce({network, settings: {control, instance}}: DaemonBase, leader: InstanceId | undefined): Promise<InForceAnswer | undefined> {
-	const asked = control
+	const controlInstances = control
 		.filter(seed => seed.instance !== instance)
 		.toSorted((left, right) => Number(right.instance === leader) - Number(left.instance === leader));
-	for (const seed of asked) {
+	for (const seed of controlInstances) {
 		const reply = await network.request(seed, {scope: 'distribution', type: 'in-force'});
 		const answer = reply.toMaybe().extractNullable();
 		if (answer !== null && answer !== undefined) {
--- a/packages/daemon/src/distribution/exchange-loop.test.ts
+++ b/packages/daemon/src/distribution/exchange-loop.test.ts
@@ -34,7 +34,7 @@
 		network: {
 			async request({instance}) {
 				asked.push(instance);
-				return instance === first!.instance && isFirstSilent ? Left(failure('no-quorum', 'Got no answer')) : Right(writeReply(parts));
+				return instance === first!.instance && isFirstSilent ? Left(failure('no-quorum', 'No reply')) : Right(writeReply(parts));
 			},
 		},
 		node: {
--- a/packages/daemon/src/distribution/exchange-loop.ts
+++ b/packages/daemon/src/distribution/exchange-loop.ts
@@ -110,10 +110,10 @@
 	async #exchangeWith(parent: PeerAddress): Promise<boolean> {
 		const {clock, network, node, periodMilliseconds, onReply, onSilence: onNoReply} = this.#options;
 		const {instance} = parent;
-		const begun = node.begin(instance, clock.monotonic());
+		const pending = node.begin(instance, clock.monotonic());
 		const answer = await network.request(
 			parent,
-			{scope: 'distribution', type: 'exchange', body: writeExchange(begun.exchange)},
+			{scope: 'distribution', type: 'exchange', body: writeExchange(pending.exchange)},
 			{timeoutMilliseconds: periodMilliseconds * periodsToTimeout},
 		);
 		const tuple = answer.toMaybe().extractNullable() as ReplyTuple | undefined;
@@ -125,7 +125,7 @@
 
 		this.#avoidedUntil.delete(instance);
 		const reply = readReply(tuple);
-		node.finish(begun, {parent: instance, reply, now: clock.monotonic()});
+		node.finish(pending, {parent: instance, reply, now: clock.monotonic()});
 		onReply(instance, reply);
 		return node.isSettled(instance);
 	}
--- a/packages/daemon/src/distribution/relay-node.ts
+++ b/packages/daemon/src/distribution/relay-node.ts
@@ -47,8 +47,8 @@
 
 @example
 ```ts
-const begun = node.begin(parent, now);
-node.finish(begun, {parent, reply, now});
+const pending = node.begin(parent, now);
+node.finish(pending, {parent, reply, now});
 ```
 */
 export class RelayNode {
@@ -75,7 +75,7 @@
 	/**
 	Processes the reply of a parent.
 
-	@param begun The exchange.
+	@param pending The exchange.
 	@param answer The parent, its reply, and the monotonic time.
 	@returns Whether the reply granted a lease.
 	*/
--- a/packages/daemon/src/entry/bills/bill-keeper.test.ts
+++ b/packages/daemon/src/entry/bills/bill-keeper.test.ts
@@ -30,7 +30,7 @@
 	readonly cut = new Set<string>();
 	isLedgerReachable = true;
 	#now = 0;
-	#last = 0;
+	#lastNumber = 0;
 	readonly #instances = new Map<Name, {store: BillKeeper; copies: HeldBills; outbox: LedgerOutbox}>();
 
 	constructor() {
@@ -45,7 +45,7 @@
 
 	async open(name: Name): Promise<void> {
 		const instance = this.#instances.get(name);
-		const request = toId<RequestId>(`r${++this.#last}`);
+		const request = toId<RequestId>(`r${++this.#lastNumber}`);
 		const opened = await instance?.store.open({workspace: toId<WorkspaceId>('yard'), request, openedAt: 0});
 		if (opened?.isRight() === true) {
 			this.observed.set(request, {owner: name, settled: false});
@@ -103,7 +103,7 @@
 		const outbox = new LedgerOutbox({
 			propose: async command => {
 				if (!this.isLedgerReachable) {
-					return Left(failure('no-quorum', 'Got no quorum'));
+					return Left(failure('no-quorum', 'No quorum'));
 				}
 
 				for (const bill of command.type === 'record-bills' ? command.bills : []) {
@@ -123,16 +123,16 @@
 		});
 		const store = new BillKeeper({
 			self: memberOf(name),
-			start: `${name}-${++this.#last}`,
-			startedAt: this.#last,
+			start: `${name}-${++this.#lastNumber}`,
+			startedAt: this.#lastNumber,
 			clock,
 			outbox,
-			members: () => [...this.#instances.keys()].map(found => memberOf(found)),
+			members: () => [...this.#instances.keys()].map(member => memberOf(member)),
 			request: async (to, message) => {
 				await nextTurn();
 				const holder = this.#instances.get(String(to.instance) as Name);
 				const isCut = this.cut.has(`${name}${to.instance}`) || !this.#instances.has(name);
-				return holder === undefined || isCut ? Left(failure('no-quorum', 'Got no reply')) : Right(holder.copies.hold(message));
+				return holder === undefined || isCut ? Left(failure('no-quorum', 'No reply')) : Right(holder.copies.hold(message));
 			},
 		});
 		this.#instances.set(name, {store, copies, outbox});
@@ -277,14 +277,14 @@
 
 test('a bill is refused without another instance and the ledger, or above the limit of pending bills', async t => {
 	const outbox = new LedgerOutbox({
-		propose: async () => Left(failure('no-quorum', 'Got no quorum')),
+		propose: async () => Left(failure('no-quorum', 'No quorum')),
 		async wait() {
 			await nextTurn();
 		},
 	});
 	const clock = {now: () => new Date(0), monotonic: () => 0};
 	const store = new BillKeeper({
-		self: memberOf('a'), start: 'a', startedAt: 0, clock, outbox, members: () => [memberOf('a')], request: async () => Left(failure('no-quorum', 'Got none')), maximumBills: 2,
+		self: memberOf('a'), start: 'a', startedAt: 0, clock, outbox, members: () => [memberOf('a')], request: async () => Left(failure('no-quorum', 'No reply')), maximumBills: 2,
 	});
 	const open = async (request: string) => store.open({workspace: toId<WorkspaceId>('yard'), request: toId<RequestId>(request), openedAt: 0});
 	const opened = await open('r1');
--- a/packages/daemon/src/entry/bills/copy-link.ts
+++ b/packages/daemon/src/entry/bills/copy-link.ts
@@ -124,7 +124,7 @@
 		const reply = await this.#options.request({
 			scope: 'entry', type: 'hold-bills', owner: this.#options.self, start: this.#options.start, ...this.#changesOf(requests), complete: isComplete,
 		});
-		const accepted = reply.toMaybe().filter(found => found.accepted).extract();
+		const accepted = reply.toMaybe().filter(body => body.accepted).extract();
 		for (const {resolve} of pendingPuts) {
 			resolve(accepted !== undefined);
 		}
--- a/packages/daemon/src/entry/bills/keep-run-known.test.ts
+++ b/packages/daemon/src/entry/bills/keep-run-known.test.ts
@@ -15,7 +15,7 @@
 		rememberedMilliseconds: 200,
 		async tell(run) {
 			reports.push(run);
-			return reports.length === 1 ? Left(failure('no-quorum', 'Got none')) : Right(undefined);
+			return reports.length === 1 ? Left(failure('no-quorum', 'No quorum')) : Right(undefined);
 		},
 		onFailure({message}) {
 			failures.push(message);
@@ -30,5 +30,5 @@
 	const {length} = reports;
 	await delay(150);
 	t.is(reports.length, length);
-	t.deepEqual(failures, ['Got none']);
+	t.deepEqual(failures, ['No quorum']);
 });
--- a/packages/daemon/src/entry/bills/ledger-outbox.test.ts
+++ b/packages/daemon/src/entry/bills/ledger-outbox.test.ts
@@ -27,7 +27,7 @@
 		clock: {now: () => new Date(0), monotonic: () => 0},
 		outbox,
 		members: () => [self],
-		request: async () => Left(failure('no-quorum', 'Got none')),
+		request: async () => Left(failure('no-quorum', 'No reply')),
 	});
 	const request = toId<RequestId>('r1');
 	const workspace = toId<WorkspaceId>('yard');
--- a/packages/daemon/src/entry/claim-keeper.ts
+++ b/packages/daemon/src/entry/claim-keeper.ts
@@ -96,7 +96,7 @@
 		const answer = await propose({
 			type: 'take-claim', ...claim, instance, at: this.#now(),
 		});
-		return answer.map(found => found.claim);
+		return answer.map(reply => reply.claim);
 	}
 
 	/**
--- a/packages/daemon/src/entry/life/request-claim.ts
+++ b/packages/daemon/src/entry/life/request-claim.ts
@@ -56,7 +56,7 @@
 		context.timeline.record('claim-taken', {requestId, workspace, details: {answer: outcome.map(({type}) => type as string).orDefault('no-quorum')}});
 		return outcome.caseOf<RequestEvent>({
 			Left: failed => ({type: 'claim-answered', answer: 'no-quorum', retryAfterMilliseconds: failed.retryAfterMilliseconds ?? retryAfterMilliseconds}),
-			Right: found => this.#toEvent(found),
+			Right: claimOutcome => this.#toEvent(claimOutcome),
 		});
 	}
 
--- a/packages/daemon/src/entry/life/request-run.ts
+++ b/packages/daemon/src/entry/life/request-run.ts
@@ -280,8 +280,8 @@
 	}
 
 	#judge(attempt: number): void {
-		const found = this.#attempts.get(attempt);
-		this.take({type: 'attempt-judged', attempt, ...this.#options.adapter.judge(this.#target, {head: found?.head, pieces: found?.pieces ?? []})});
+		const judged = this.#attempts.get(attempt);
+		this.take({type: 'attempt-judged', attempt, ...this.#options.adapter.judge(this.#target, {head: judged?.head, pieces: judged?.pieces ?? []})});
 	}
 
 	#forward(number: number, pieces: readonly AnswerPiece[]): void {
--- a/packages/daemon/src/entry/plan-chat.ts
+++ b/packages/daemon/src/entry/plan-chat.ts
@@ -120,7 +120,7 @@
 			isStoppedHere: context.ratings.isStoppedHere,
 		},
 	);
-	return choice.map(found => toPlan(found, {request, isSession}, context));
+	return choice.map(result => toPlan(result, {request, isSession}, context));
 }
 
 type ToPlanOptions = {
--- a/packages/daemon/src/entry/report-silence.test.ts
+++ b/packages/daemon/src/entry/report-silence.test.ts
@@ -5,7 +5,7 @@
 import {StallTimer} from './stall-timer.js';
 
 const stallMilliseconds = 40;
-const message = 'Got nothing';
+const message = 'No data';
 const head: AttemptOutput = {type: 'head', head: {status: 200, headers: {}}};
 const broken: AttemptOutput = {type: 'broken', message: 'Cut'};
 
--- a/packages/daemon/src/entry/start-entry.ts
+++ b/packages/daemon/src/entry/start-entry.ts
@@ -176,8 +176,8 @@
 		forget: async lost => control.propose({type: 'instance-lost', instance: lost, at: clock.now().getTime()}),
 		async propose(command: ClaimCommand): Promise<Either<Failure, ClaimAnswer>> {
 			const answer = await control.propose(command);
-			return answer.chain(found => 'claim' in found
-				? Right(found)
+			return answer.chain(reply => 'claim' in reply
+				? Right(reply)
 				: Left(failure('internal', 'The reply of the control role to a claim command has no claim')));
 		},
 		onRefused(claim, failed) {
