--- a/packages/daemon/src/distribution/child-news.ts
+++ b/packages/daemon/src/distribution/child-news.ts
@@ -1,28 +1,28 @@
 import {type Clock, type InstanceId} from '@valehitch/core';
 
-/** What the news to children needs. */
+/** Options of a {@linkcode ChildNotifier}. */
 export type ChildNewsOptions = {
 	readonly clock: Clock;
-	/** Milliseconds of silence after which a child is no longer told. */
+	/** How long after its last contact a child is no longer notified, in milliseconds. */
 	readonly forgetMilliseconds: number;
-	/** Sends the word that there is news. */
+	/** Sends the notification. */
 	readonly send: (child: InstanceId) => void;
 };
 
-const gatherMilliseconds = 50;
+const batchMilliseconds = 50;
 
 /**
-Tells the children that there is news, so that they ask at once; news that comes close together is told once.
+Notifies the children of updates, so that they start an exchange at once. Updates within a short time are combined into one notification.
 
 @example
 ```ts
-news.heard(child);
-news.tell({except: child});
+notifier.recordContact(child);
+notifier.notify({except: child});
 ```
 */
 export class ChildNews {
 	readonly #options: ChildNewsOptions;
-	readonly #heardAt = new Map<InstanceId, number>();
+	readonly #lastContactAt = new Map<InstanceId, number>();
 	readonly #pending = new Set<InstanceId>();
 	#timer: NodeJS.Timeout | undefined;
 
@@ -31,21 +31,21 @@
 	}
 
 	/**
-	Notes a word of a child.
+	Records a message from a child.
 
 	@param child The child.
 	*/
 	heard(child: InstanceId): void {
-		this.#heardAt.set(child, this.#options.clock.monotonic());
+		this.#lastContactAt.set(child, this.#options.clock.monotonic());
 	}
 
 	/**
-	Tells all children soon.
+	Schedules a notification of all children.
 
-	@param options `except`: the child that the news came from.
+	@param options `except`: the child from which the update came.
 	*/
 	tell(options: {readonly except?: InstanceId} = {}): void {
-		for (const child of this.#heardAt.keys()) {
+		for (const child of this.#lastContactAt.keys()) {
 			if (child !== options.except) {
 				this.#pending.add(child);
 			}
@@ -54,11 +54,11 @@
 		if (this.#pending.size > 0) {
 			this.#timer ??= setTimeout(() => {
 				this.#flush();
-			}, gatherMilliseconds);
+			}, batchMilliseconds);
 		}
 	}
 
-	/** Stops telling. */
+	/** Cancels a scheduled notification. */
 	stop(): void {
 		clearTimeout(this.#timer);
 	}
@@ -68,8 +68,8 @@
 		const oldest = clock.monotonic() - forgetMilliseconds;
 		this.#timer = undefined;
 		for (const child of this.#pending) {
-			if ((this.#heardAt.get(child) ?? 0) < oldest) {
-				this.#heardAt.delete(child);
+			if ((this.#lastContactAt.get(child) ?? 0) < oldest) {
+				this.#lastContactAt.delete(child);
 			} else {
 				send(child);
 			}
--- a/packages/daemon/src/distribution/distribution-node.ts
+++ b/packages/daemon/src/distribution/distribution-node.ts
@@ -20,14 +20,14 @@
 	createLoadDigest, createRecordDigest, joinedAmong, memberKey,
 } from './shared-records.js';
 
-/** What the node is built on. */
+/** Options of a {@linkcode DistributionNode}. */
 export type DistributionNodeOptions = {
 	readonly base: DaemonBase;
 	readonly control: ControlPart;
 	readonly relay: ConfigurationRelay;
-	/** When this start began, in milliseconds since 1970. */
+	/** When this process started, in milliseconds since the Unix epoch. */
 	readonly startedAt: number;
-	/** Tells this start from others on the links, above 0. */
+	/** A positive number that identifies this process in exchanges. */
 	readonly incarnation: number;
 };
 
@@ -37,7 +37,7 @@
 const otherZoneLoadMilliseconds = 60_000;
 
 /**
-Puts together the parts of the distribution on one instance, and holds its timers.
+Connects the components of the distribution part of one instance and runs its timers.
 
 @example
 ```ts
@@ -46,19 +46,19 @@
 ```
 */
 export class DistributionNode {
-	/** The configuration. */
+	/** The configuration of this instance. */
 	readonly keeper: ConfigurationKeeper;
-	/** What this instance adds as a control instance or as the leader. */
+	/** The state that this instance contributes as a control instance or as the leader. */
 	readonly view: LeaderView;
-	/** The backend servers. */
+	/** The registry of backend servers. */
 	readonly registry: ServerRegistry;
-	/** The questions to the parent. */
+	/** The periodic exchanges with the parent. */
 	readonly loop: ExchangeLoop;
-	/** The members. */
+	/** The members and their failure detection. */
 	readonly watch: MemberWatch;
-	/** What is confirmed of leases. */
+	/** The lease confirmations exchanged with parents and children. */
 	readonly confirmations: LeaseConfirmations;
-	/** Who hears of instances that were given up. */
+	/** Notifies listeners of lost instances. */
 	readonly lost = new LostInstances();
 	readonly #options: DistributionNodeOptions;
 	readonly #clock: Clock;
@@ -66,10 +66,10 @@
 	readonly #periodMilliseconds: number;
 	readonly #records = createRecordDigest();
 	readonly #loads = createLoadDigest();
-	readonly #news: ChildNews;
-	readonly #leaseWatch: LeaseWatch;
-	readonly #node: RelayNode;
-	#hint: InstanceId | undefined;
+	readonly #childNotifier: ChildNews;
+	readonly #leaseMonitor: LeaseWatch;
+	readonly #relayNode: RelayNode;
+	#leaderHint: InstanceId | undefined;
 	#stopTicking: (() => void) | undefined;
 
 	constructor(options: DistributionNodeOptions) {
@@ -85,53 +85,53 @@
 		this.view = new LeaderView({
 			base, control, keeper: this.keeper, relay, zones: () => [...new Set([zone, ...this.watch.present.map(member => member.zone)])],
 		});
-		this.#leaseWatch = new LeaseWatch({clock, relay, timeline});
-		this.confirmations = this.#makeConfirmations();
-		this.#news = this.#makeNews();
-		this.registry = this.#makeRegistry();
-		this.#node = this.#makeNode();
-		this.loop = this.#makeLoop();
-		this.watch = this.#makeWatch();
+		this.#leaseMonitor = new LeaseWatch({clock, relay, timeline});
+		this.confirmations = this.#createConfirmations();
+		this.#childNotifier = this.#createChildNotifier();
+		this.registry = this.#createRegistry();
+		this.#relayNode = this.#createRelayNode();
+		this.loop = this.#createExchangeLoop();
+		this.watch = this.#createMemberMonitor();
 	}
 
-	/** The leader, where it is known. */
+	/** The leader, if known. */
 	get leader(): InstanceId | undefined {
-		return this.view.leader ?? this.#hint;
+		return this.view.leader ?? this.#leaderHint;
 	}
 
-	/** Starts to ask and to watch. */
+	/** Starts the exchanges and the periodic checks. */
 	start(): void {
 		this.#options.control.onApplied(() => {
 			this.#refresh();
 		});
 		this.loop.start();
-		// The tick judges others by their silence.
+		// The tick detects failures by the lack of messages, so it runs after pending input is read.
 		this.#stopTicking = intervalAfterInput(this.#periodMilliseconds, () => {
 			this.#tick();
 		});
 	}
 
-	/** Stops asking and watching. */
+	/** Stops the exchanges and the periodic checks. */
 	stop(): void {
 		this.#stopTicking?.();
 		this.loop.stop();
-		this.#news.stop();
+		this.#childNotifier.stop();
 	}
 
 	/**
-	Answers a child.
+	Replies to an exchange of a child.
 
-	@param exchange What it said.
-	@returns The answer.
+	@param exchange The exchange.
+	@returns The reply.
 	*/
 	answer(exchange: Exchange): ExchangeReply {
 		const child = exchange.question.instance;
 		const now = this.#clock.monotonic();
 		this.#refresh();
-		const reply = this.confirmations.track(() => this.#node.answer(exchange, now));
+		const reply = this.confirmations.track(() => this.#relayNode.answer(exchange, now));
 		this.watch.heard(child);
 		this.loop.noteAlive([child]);
-		this.#news.heard(child);
+		this.#childNotifier.heard(child);
 		const {leader} = this;
 		return leader === undefined ? reply : {...reply, leader};
 	}
@@ -140,85 +140,85 @@
 		const leads = this.#refresh();
 		this.watch.judge();
 		this.registry.judge();
-		this.#node.prune(this.#clock.monotonic());
-		this.#leaseWatch.note();
+		this.#relayNode.prune(this.#clock.monotonic());
+		this.#leaseMonitor.note();
 		if (leads) {
 			this.lost.look(this.watch.members);
 		}
 	}
 
-	/** Takes what the control role committed; gives whether this instance leads. */
+	/** Applies the configuration committed by the control role; returns whether this instance leads. */
 	#refresh(): boolean {
 		const {relay} = this.#options;
 		const before = relay.revision;
 		const leads = this.view.refresh();
 		this.keeper.settle({granted: false});
 		if (relay.revision !== before) {
-			this.#spread();
+			this.#propagate();
 		}
 
 		return leads;
 	}
 
-	/** Hands on what is new: to the children by a word, to the parent by the next question. */
-	#spread(from?: InstanceId): void {
-		this.#news.tell(from === undefined ? {} : {except: from});
+	/** Propagates updates: notifies the children and starts an exchange with the parent. */
+	#propagate(from?: InstanceId): void {
+		this.#childNotifier.tell(from === undefined ? {} : {except: from});
 		this.loop.wake();
 	}
 
-	#takeNews(keys: readonly string[], from: InstanceId): void {
+	#applyUpdates(keys: readonly string[], from: InstanceId): void {
 		this.registry.takeRecords(keys);
 		this.loop.noteAlive(joinedAmong(this.#records, keys));
 		this.watch.refute();
-		this.#spread(from);
+		this.#propagate(from);
 	}
 
-	#takeReply(parent: InstanceId, reply: ExchangeReply): void {
+	#handleReply(parent: InstanceId, reply: ExchangeReply): void {
 		this.confirmations.releaseFormerParents();
 		this.watch.heard(parent);
 		if (reply.leader !== undefined) {
-			this.#hint = reply.leader;
-		} else if (this.#hint === parent) {
-			this.#hint = undefined;
+			this.#leaderHint = reply.leader;
+		} else if (this.#leaderHint === parent) {
+			this.#leaderHint = undefined;
 		}
 
-		if (this.watch.self.parent !== parent && this.#candidates()[0]?.instance === parent) {
+		if (this.watch.self.parent !== parent && this.#parentCandidates()[0]?.instance === parent) {
 			this.watch.update({parent});
 		}
 
-		this.#leaseWatch.note();
+		this.#leaseMonitor.note();
 	}
 
-	#candidates(): PeerAddress[] {
+	#parentCandidates(): PeerAddress[] {
 		const {base: {settings}} = this.#options;
 		return this.view.leads ? [] : parentAddresses({watch: this.watch, settings, leader: this.leader});
 	}
 
-	#record(instance: InstanceId): MemberRecord | undefined {
+	#memberRecord(instance: InstanceId): MemberRecord | undefined {
 		const record = this.#records.get(memberKey(instance));
 		return record?.kind === 'member' ? record.member : undefined;
 	}
 
-	#makeConfirmations(): LeaseConfirmations {
+	#createConfirmations(): LeaseConfirmations {
 		const {base: {network, settings}, relay} = this.#options;
 		return new LeaseConfirmations({
 			clock: this.#clock,
 			relay,
 			network,
-			// A control instance is reached also before it is known as a member.
-			addressOf: instance => this.#record(instance) ?? settings.control.find(seed => seed.instance === instance),
+			// Control instances can be reached by their configured address before they are known as members.
+			addressOf: instance => this.#memberRecord(instance) ?? settings.control.find(seed => seed.instance === instance),
 			onChange: () => {
 				this.loop.wake();
 			},
 		});
 	}
 
-	#makeNews(): ChildNews {
+	#createChildNotifier(): ChildNews {
 		return new ChildNews({
 			clock: this.#clock,
 			forgetMilliseconds: this.#periodMilliseconds * periodsToForgetChild,
 			send: child => {
-				const address = this.#record(child);
+				const address = this.#memberRecord(child);
 				if (address !== undefined) {
 					this.#options.base.network.send(address, {scope: 'distribution', type: 'news'});
 				}
@@ -226,18 +226,18 @@
 		});
 	}
 
-	#makeRegistry(): ServerRegistry {
+	#createRegistry(): ServerRegistry {
 		return createRegistry(this.#options.base, {
 			records: this.#records,
 			loads: this.#loads,
 			isLost: holder => this.watch.isLost(holder),
 			onChange: () => {
-				this.#spread();
+				this.#propagate();
 			},
 		});
 	}
 
-	#makeNode(): RelayNode {
+	#createRelayNode(): RelayNode {
 		const {relay, incarnation} = this.#options;
 		return new RelayNode({
 			keeper: this.keeper,
@@ -245,43 +245,43 @@
 			records: this.#records,
 			loads: this.#loads,
 			incarnation,
-			loadIntervalMilliseconds: peer => this.#record(peer)?.zone === this.#zone ? ownZoneLoadMilliseconds : otherZoneLoadMilliseconds,
+			loadIntervalMilliseconds: peer => this.#memberRecord(peer)?.zone === this.#zone ? ownZoneLoadMilliseconds : otherZoneLoadMilliseconds,
 			onNews: (keys, from) => {
-				this.#takeNews(keys, from);
+				this.#applyUpdates(keys, from);
 			},
 			onLoads: servers => {
 				this.registry.takeLoads(servers);
 			},
 			onRevision: from => {
-				this.#spread(from);
+				this.#propagate(from);
 			},
 		});
 	}
 
-	#makeLoop(): ExchangeLoop {
+	#createExchangeLoop(): ExchangeLoop {
 		const {base: {log, network}, relay} = this.#options;
 		return new ExchangeLoop({
 			clock: this.#clock,
 			network,
-			node: this.#node,
+			node: this.#relayNode,
 			periodMilliseconds: this.#periodMilliseconds,
-			candidates: () => this.#candidates(),
+			candidates: () => this.#parentCandidates(),
 			isLeaseValid: () => relay.isLeaseValid(this.#clock.monotonic()),
 			onReply: (parent, reply) => {
-				this.#takeReply(parent, reply);
+				this.#handleReply(parent, reply);
 			},
 			onSilence: parent => {
-				if (parent === this.#hint) {
-					this.#hint = undefined;
+				if (parent === this.#leaderHint) {
+					this.#leaderHint = undefined;
 				}
 			},
 			onError(error) {
-				log.error({err: error}, 'An answer of another daemon could not be taken');
+				log.error({err: error}, 'Could not process a reply from another daemon');
 			},
 		});
 	}
 
-	#makeWatch(): MemberWatch {
+	#createMemberMonitor(): MemberWatch {
 		const {base: {self, settings: {region}}, startedAt} = this.#options;
 		return new MemberWatch({
 			clock: this.#clock,
@@ -292,7 +292,7 @@
 			periodMilliseconds: this.#periodMilliseconds,
 			isLeader: () => this.view.leads,
 			onChange: () => {
-				this.#spread();
+				this.#propagate();
 			},
 		});
 	}
--- a/packages/daemon/src/distribution/exchange-codec.ts
+++ b/packages/daemon/src/distribution/exchange-codec.ts
@@ -14,24 +14,24 @@
 	loads: PartTuple<LoadRecord> | undefined,
 ];
 
-/** An exchange as it goes over a link: without names, since it goes over several times a second. */
+/** The wire form of an exchange: a tuple without member names, since exchanges are sent several times per second. */
 export type ExchangeTuple = readonly [
 	instance: InstanceId, incarnation: number, number: number, confirmed: ReadonlyArray<readonly [ZoneId, number]>, parts: PartsTuple,
 ];
 
-/** An answer as it goes over a link. */
+/** The wire form of a reply. */
 export type ReplyTuple = readonly [
 	parts: PartsTuple, grantRevision: number | undefined, remainingMilliseconds: number | undefined, leader: InstanceId | undefined,
 ];
 
 /**
-Writes an exchange for a link.
+Encodes an exchange.
 
 @param exchange The exchange.
 @returns The tuple.
 @example
 ```ts
-network.request(parent, {scope: 'distribution', type: 'exchange', body: writeExchange(exchange)});
+network.request(parent, {scope: 'distribution', type: 'exchange', body: encodeExchange(exchange)});
 ```
 */
 export function writeExchange({question: {instance, incarnation, number, confirmed}, ...parts}: Exchange): ExchangeTuple {
@@ -39,13 +39,13 @@
 }
 
 /**
-Reads an exchange that came over a link.
+Decodes an exchange.
 
-@param tuple What `writeExchange` gave.
+@param tuple The tuple from {@linkcode encodeExchange}.
 @returns The exchange.
 @example
 ```ts
-node.answer(readExchange(message.body));
+node.answer(decodeExchange(message.body));
 ```
 */
 export function readExchange([instance, incarnation, number, confirmed, parts]: ExchangeTuple): Exchange {
@@ -58,13 +58,13 @@
 }
 
 /**
-Writes an answer for a link; the rest of a lease is rounded down to milliseconds.
+Encodes a reply. The remaining time of a lease is rounded down to milliseconds.
 
-@param reply The answer.
+@param reply The reply.
 @returns The tuple.
 @example
 ```ts
-return writeReply(node.answer(exchange));
+return encodeReply(node.answer(exchange));
 ```
 */
 export function writeReply({grant, leader, ...parts}: ExchangeReply): ReplyTuple {
@@ -72,17 +72,17 @@
 }
 
 /**
-Reads an answer that came over a link.
+Decodes a reply.
 
-@param tuple What `writeReply` gave.
-@returns The answer.
+@param tuple The tuple from {@linkcode encodeReply}.
+@returns The reply.
 @example
 ```ts
-const reply = readReply(tuple);
+const reply = decodeReply(tuple);
 ```
 */
 export function readReply([parts, grantRevision, remainingMilliseconds, leader]: ReplyTuple): ExchangeReply {
-	const grant = isGiven(grantRevision) && isGiven(remainingMilliseconds)
+	const grant = isPresent(grantRevision) && isPresent(remainingMilliseconds)
 		? {revision: toRevision(grantRevision), remainingMilliseconds}
 		: undefined;
 	return {...readParts(parts), grant, leader: leader ?? undefined};
@@ -97,7 +97,7 @@
 		revision: toRevision(revision),
 		configuration: configuration ?? undefined,
 		records: readPart(records),
-		loads: isGiven(loads) ? readPart(loads) : undefined,
+		loads: isPresent(loads) ? readPart(loads) : undefined,
 	};
 }
 
@@ -111,7 +111,7 @@
 	};
 }
 
-/** What is absent may come over a link as null. */
-function isGiven<Value>(value: Value | undefined): value is Value {
+/** Returns whether a value is present; the transport may decode undefined as null. */
+function isPresent<Value>(value: Value | undefined): value is Value {
 	return (value ?? undefined) !== undefined;
 }
--- a/packages/daemon/src/distribution/exchange-loop.ts
+++ b/packages/daemon/src/distribution/exchange-loop.ts
@@ -5,33 +5,33 @@
 import {type ExchangeReply} from './messages.js';
 import {type RelayNode} from './relay-node.js';
 
-/** What the loop needs. */
+/** Options of an {@linkcode ExchangeLoop}. */
 export type ExchangeLoopOptions = {
 	readonly clock: Clock;
 	readonly network: Pick<PeerNetwork<PeerMessage>, 'request'>;
 	readonly node: Pick<RelayNode, 'begin' | 'finish' | 'isSettled'>;
-	/** Milliseconds between two exchanges without news. */
+	/** The interval between exchanges without updates, in milliseconds. */
 	readonly periodMilliseconds: number;
-	/** The instances that may be asked, the best first. */
+	/** Returns the possible parents, best first. */
 	readonly candidates: () => readonly PeerAddress[];
-	/** Whether the own lease is valid; without one the other candidates are tried in between. */
+	/** Returns whether this instance's lease is valid; without one, other candidates are tried from time to time. */
 	readonly isLeaseValid: () => boolean;
-	/** Told of each answer. */
+	/** Called with each reply. */
 	readonly onReply: (parent: InstanceId, reply: ExchangeReply) => void;
-	/** Told of each instance that did not answer. */
+	/** Called with each instance that did not reply. */
 	readonly onSilence: (parent: InstanceId) => void;
-	/** Told of each answer that could not be taken. */
+	/** Called with the error of each reply that could not be processed. */
 	readonly onError: (error: unknown) => void;
 };
 
-/** The least time between two exchanges, however much news there is. */
-const gapMilliseconds = 50;
+/** The minimum interval between exchanges, regardless of the number of updates. */
+const minimumIntervalMilliseconds = 50;
 const periodsToTimeout = 2;
 const periodsToAvoid = 8;
-const exchangesPerDetour = 4;
+const exchangesPerAlternative = 4;
 
 /**
-Asks a parent again and again: at each period, and sooner when there is news.
+Runs exchanges with a parent: periodically, and sooner after an update.
 
 @example
 ```ts
@@ -41,50 +41,50 @@
 */
 export class ExchangeLoop {
 	readonly #options: ExchangeLoopOptions;
-	/** Until when an instance that did not answer is passed over. */
-	readonly #avoided = new Map<InstanceId, number>();
+	/** Until when each instance that did not reply is avoided, in milliseconds of the monotonic clock. */
+	readonly #avoidedUntil = new Map<InstanceId, number>();
 	#timer: NodeJS.Timeout | undefined;
 	#isBusy = false;
-	#isAwake = false;
+	#isWakePending = false;
 	#isStopped = false;
-	#count = 0;
+	#exchangeCount = 0;
 
 	constructor(options: ExchangeLoopOptions) {
 		this.#options = options;
 	}
 
-	/** Starts to ask. */
+	/** Starts the exchanges. */
 	start(): void {
 		this.#schedule(0);
 	}
 
-	/** Stops asking. */
+	/** Stops the exchanges. */
 	stop(): void {
 		this.#isStopped = true;
 		clearTimeout(this.#timer);
 	}
 
-	/** Asks soon, since there is news. */
+	/** Starts the next exchange soon, because there is an update. */
 	wake(): void {
 		if (this.#isBusy) {
-			this.#isAwake = true;
+			this.#isWakePending = true;
 			return;
 		}
 
-		if (!this.#isAwake) {
-			this.#isAwake = true;
-			this.#schedule(gapMilliseconds);
+		if (!this.#isWakePending) {
+			this.#isWakePending = true;
+			this.#schedule(minimumIntervalMilliseconds);
 		}
 	}
 
 	/**
-	Takes signs of life: instances that were passed over for their silence may be asked again.
+	Marks instances as alive, so that they are no longer avoided.
 
 	@param instances The instances.
 	*/
 	noteAlive(instances: readonly InstanceId[]): void {
 		for (const instance of instances) {
-			this.#avoided.delete(instance);
+			this.#avoidedUntil.delete(instance);
 		}
 	}
 
@@ -92,67 +92,67 @@
 		clearTimeout(this.#timer);
 		if (!this.#isStopped) {
 			this.#timer = setTimeout(() => {
-				void this.#exchange();
+				void this.#runExchange();
 			}, milliseconds);
 		}
 	}
 
-	async #exchange(): Promise<void> {
-		this.#isAwake = false;
+	async #runExchange(): Promise<void> {
+		this.#isWakePending = false;
 		this.#isBusy = true;
-		const parent = this.#choose();
-		const isSettled = parent === undefined || await this.#tryToAsk(parent);
+		const parent = this.#chooseParent();
+		const isParentUpToDate = parent === undefined || await this.#tryExchange(parent);
 		this.#isBusy = false;
-		this.#schedule(this.#isAwake || !isSettled ? gapMilliseconds : this.#options.periodMilliseconds);
+		this.#schedule(this.#isWakePending || !isParentUpToDate ? minimumIntervalMilliseconds : this.#options.periodMilliseconds);
 	}
 
-	/** Asks one instance; gives whether nothing is left to say to it. */
-	async #ask(parent: PeerAddress): Promise<boolean> {
-		const {clock, network, node, periodMilliseconds, onReply, onSilence} = this.#options;
+	/** Runs one exchange; returns whether the parent is up to date. */
+	async #exchangeWith(parent: PeerAddress): Promise<boolean> {
+		const {clock, network, node, periodMilliseconds, onReply, onSilence: onNoReply} = this.#options;
 		const {instance} = parent;
-		const begun = node.begin(instance, clock.monotonic());
+		const pending = node.begin(instance, clock.monotonic());
 		const answer = await network.request(
 			parent,
-			{scope: 'distribution', type: 'exchange', body: writeExchange(begun.exchange)},
+			{scope: 'distribution', type: 'exchange', body: writeExchange(pending.exchange)},
 			{timeoutMilliseconds: periodMilliseconds * periodsToTimeout},
 		);
 		const tuple = answer.toMaybe().extractNullable() as ReplyTuple | undefined;
 		if (tuple === null || tuple === undefined) {
-			this.#avoided.set(instance, clock.monotonic() + (periodMilliseconds * periodsToAvoid));
-			onSilence(instance);
+			this.#avoidedUntil.set(instance, clock.monotonic() + (periodMilliseconds * periodsToAvoid));
+			onNoReply(instance);
 			return true;
 		}
 
-		this.#avoided.delete(instance);
+		this.#avoidedUntil.delete(instance);
 		const reply = readReply(tuple);
-		node.finish(begun, {parent: instance, reply, now: clock.monotonic()});
+		node.finish(pending, {parent: instance, reply, now: clock.monotonic()});
 		onReply(instance, reply);
 		return node.isSettled(instance);
 	}
 
-	/** Asks one instance; an answer that cannot be read, such as one of another release, counts as none. */
-	async #tryToAsk(parent: PeerAddress): Promise<boolean> {
+	/** Runs one exchange. A reply that cannot be decoded, for example from another release, counts as no reply. */
+	async #tryExchange(parent: PeerAddress): Promise<boolean> {
 		try {
-			return await this.#ask(parent);
+			return await this.#exchangeWith(parent);
 		} catch (error) {
 			const {clock, periodMilliseconds, onError} = this.#options;
-			this.#avoided.set(parent.instance, clock.monotonic() + (periodMilliseconds * periodsToAvoid));
+			this.#avoidedUntil.set(parent.instance, clock.monotonic() + (periodMilliseconds * periodsToAvoid));
 			onError(error);
 			return true;
 		}
 	}
 
-	#choose(): PeerAddress | undefined {
+	#chooseParent(): PeerAddress | undefined {
 		const {candidates, clock, isLeaseValid} = this.#options;
 		const all = candidates();
 		const now = clock.monotonic();
-		this.#count++;
-		const usable = all.filter(({instance}) => (this.#avoided.get(instance) ?? 0) <= now);
+		this.#exchangeCount++;
+		const usable = all.filter(({instance}) => (this.#avoidedUntil.get(instance) ?? 0) <= now);
 		if (usable.length === 0) {
-			return all.toSorted((left, right) => (this.#avoided.get(left.instance) ?? 0) - (this.#avoided.get(right.instance) ?? 0))[0];
+			return all.toSorted((left, right) => (this.#avoidedUntil.get(left.instance) ?? 0) - (this.#avoidedUntil.get(right.instance) ?? 0))[0];
 		}
 
-		const isDetour = !isLeaseValid() && this.#count % exchangesPerDetour === 0;
-		return isDetour ? usable[Math.floor(this.#count / exchangesPerDetour) % usable.length] : usable[0];
+		const triesAlternative = !isLeaseValid() && this.#exchangeCount % exchangesPerAlternative === 0;
+		return triesAlternative ? usable[Math.floor(this.#exchangeCount / exchangesPerAlternative) % usable.length] : usable[0];
 	}
 }
--- a/packages/daemon/src/distribution/leader-view.ts
+++ b/packages/daemon/src/distribution/leader-view.ts
@@ -4,59 +4,59 @@
 import {type DaemonBase} from '../daemon-base.js';
 import {type ConfigurationKeeper} from './configuration-keeper.js';
 
-/** What a leader's view needs. */
+/** Options of a {@linkcode LeaderView}. */
 export type LeaderViewOptions = {
 	readonly base: DaemonBase;
 	readonly control: ControlPart;
 	readonly keeper: ConfigurationKeeper;
 	readonly relay: ConfigurationRelay;
-	/** The zones that are known. */
+	/** Returns the known zones. */
 	readonly zones: () => readonly ZoneId[];
 };
 
-type Reign = {
+type LeaderTerm = {
 	hasCaughtUp: boolean;
 };
 
 /**
-What an instance with the control role adds: the committed configuration, and as the leader the leases and what is in force.
+The state that an instance with the control role contributes: the committed configuration and, as the leader, the leases and the revision in force.
 
 @example
 ```ts
-leader.refresh();
-leader.inForce()?.complete;
+view.refresh();
+view.inForce()?.complete;
 ```
 */
 export class LeaderView {
 	readonly #options: LeaderViewOptions;
 	#tracker: InForceTracker | undefined;
-	/** The stretch of leadership at hand. */
-	#reign: Reign | undefined;
-	#reported = 0;
+	/** The current term as leader. */
+	#term: LeaderTerm | undefined;
+	#recordedRevision = 0;
 
 	constructor(options: LeaderViewOptions) {
 		this.#options = options;
 	}
 
-	/** Whether this instance leads under a valid leader lease. */
+	/** Whether this instance is the leader with a valid leader lease. */
 	get leads(): boolean {
 		const {base: {clock}, control} = this.#options;
 		return control.isLeader() && clock.monotonic() < (control.leaseValidUntil() ?? Number.NEGATIVE_INFINITY);
 	}
 
-	/** The leader, where the control role of this instance knows it. */
+	/** The leader, if known to the control role of this instance. */
 	get leader(): InstanceId | undefined {
 		const {base, control} = this.#options;
 		return this.leads ? base.settings.instance : control.leader();
 	}
 
 	/**
-	Takes the committed configuration and renews the own lease where this instance leads.
+	Applies the committed configuration and, on the leader, renews this instance's own configuration lease.
 
-	@returns Whether this instance leads with a valid leader lease.
+	@returns Whether this instance is the leader with a valid leader lease and has applied all earlier commits.
 	*/
 	refresh(): boolean {
-		const {base: {clock, settings}, control, keeper, relay} = this.#options;
+		const {base: {clock, settings}, control, keeper: configurations, relay} = this.#options;
 		const committed = control.state()?.effective;
 		if (committed === undefined) {
 			return false;
@@ -64,11 +64,11 @@
 
 		const now = clock.monotonic();
 		const {leads} = this;
-		keeper.offer(committed);
-		keeper.settle({granted: leads && this.#reign?.hasCaughtUp === true});
+		configurations.offer(committed);
+		configurations.settle({granted: leads && this.#term?.hasCaughtUp === true});
 		if (!leads) {
 			this.#tracker = undefined;
-			this.#reign = undefined;
+			this.#term = undefined;
 			return false;
 		}
 
@@ -80,50 +80,50 @@
 			relay, leaseMilliseconds: settings.timing.configurationLeaseMilliseconds, leaderSince: now,
 		});
 		relay.renewAsLeader({revision: committed.revision, validUntil: control.leaseValidUntil() ?? now}, now);
-		this.#report();
+		this.#recordInForce();
 		return true;
 	}
 
 	/**
-	Tells whether the newest revision is in force everywhere.
+	Returns whether the newest revision is in force on all instances.
 
-	@returns The answer; undefined where this instance does not lead.
+	@returns The answer, or undefined unless this instance is the leader and has applied all earlier commits.
 	*/
 	inForce(): InForceAnswer | undefined {
 		if (!this.refresh()) {
 			return undefined;
 		}
 
-		return this.#look();
+		return this.#queryInForce();
 	}
 
-	/** A new leader grants nothing before all that was committed earlier is applied here. */
+	/** Returns whether a new leader has applied all earlier commits; it grants no leases before. */
 	#hasCaughtUp(): boolean {
-		if (this.#reign === undefined) {
-			const reign: Reign = {hasCaughtUp: false};
-			this.#reign = reign;
+		if (this.#term === undefined) {
+			const term: LeaderTerm = {hasCaughtUp: false};
+			this.#term = term;
 			void this.#options.control.catchUp().then(hasCaughtUp => {
-				reign.hasCaughtUp = hasCaughtUp;
-				if (!hasCaughtUp && this.#reign === reign) {
-					this.#reign = undefined;
+				term.hasCaughtUp = hasCaughtUp;
+				if (!hasCaughtUp && this.#term === term) {
+					this.#term = undefined;
 				}
 			});
 		}
 
-		return this.#reign.hasCaughtUp;
+		return this.#term.hasCaughtUp;
 	}
 
-	#look(): InForceAnswer | undefined {
+	#queryInForce(): InForceAnswer | undefined {
 		const {base: {clock}, control, zones} = this.#options;
 		const revision = control.state()?.effective.revision;
 		return revision === undefined ? undefined : this.#tracker?.look({revision, now: clock.monotonic(), zones: zones()});
 	}
 
-	#report(): void {
-		const answer = this.#look();
+	#recordInForce(): void {
+		const answer = this.#queryInForce();
 		const inForce = this.#tracker?.inForce ?? 0;
-		if (answer?.complete === true && inForce > this.#reported) {
-			this.#reported = inForce;
+		if (answer?.complete === true && inForce > this.#recordedRevision) {
+			this.#recordedRevision = inForce;
 			this.#options.base.timeline.record('configuration-in-force', {revision: inForce, details: {everywhere: true}});
 		}
 	}
--- a/packages/daemon/src/distribution/parent-addresses.ts
+++ b/packages/daemon/src/distribution/parent-addresses.ts
@@ -4,7 +4,7 @@
 import {type PeerAddress} from '@valehitch/transport';
 import {type MemberWatch} from './member-watch.js';
 
-/** What the addresses come from. */
+/** Options of {@linkcode parentAddresses}. */
 export type ParentAddressesOptions = {
 	readonly watch: MemberWatch;
 	readonly settings: Settings;
@@ -12,17 +12,17 @@
 };
 
 /**
-The addresses of the instances that this one may ask, the best first.
+Returns the addresses of the possible parents of this instance, best first.
 
 @param options The members, the control instances and the leader.
 @returns The addresses.
 @example
 ```ts
-const [parent] = parentAddresses({watch, settings, leader});
+const [parent] = parentAddresses({memberMonitor, settings, leader});
 ```
 */
-export function parentAddresses({watch, settings: {control}, leader}: ParentAddressesOptions): PeerAddress[] {
-	const {self, members} = watch;
+export function parentAddresses({watch: memberMonitor, settings: {control}, leader}: ParentAddressesOptions): PeerAddress[] {
+	const {self, members} = memberMonitor;
 	const addresses = new Map<InstanceId, PeerAddress>([...members, ...control].map(address => [address.instance, address]));
 	return parentCandidates({
 		self, members, seeds: control, leader,
--- a/packages/daemon/src/distribution/relay-node.ts
+++ b/packages/daemon/src/distribution/relay-node.ts
@@ -8,34 +8,34 @@
 } from './messages.js';
 import {unpackConfiguration} from './pack-configuration.js';
 
-/** What a relay node works with. */
+/** Options of a {@linkcode RelayNode}. */
 export type RelayNodeOptions = {
 	readonly keeper: ConfigurationKeeper;
 	readonly relay: ConfigurationRelay;
 	readonly records: Digest<SharedRecord>;
 	readonly loads: Digest<LoadRecord>;
 	readonly incarnation: number;
-	/** Tells how long the loads of a link wait for each other, in milliseconds; longer between zones. */
+	/** Returns the interval at which loads are sent to a peer, in milliseconds; longer between zones. */
 	readonly loadIntervalMilliseconds: (peer: InstanceId) => number;
 	readonly onNews: (keys: readonly string[], from: InstanceId) => void;
 	readonly onLoads: (servers: readonly string[]) => void;
-	/** Told when an exchange put a higher revision in force. */
+	/** Called when an exchange activated a higher revision. */
 	readonly onRevision: (from: InstanceId) => void;
 };
 
-/** An exchange that was begun. */
+/** An exchange whose reply is pending. */
 export type BegunExchange = {
 	readonly exchange: Exchange;
-	/** When the question was sent, on the monotonic clock. */
+	/** When the exchange was sent, in milliseconds of the monotonic clock. */
 	readonly sentAt: number;
 };
 
 type Link = {
 	readonly records: DigestLink<SharedRecord>;
 	readonly loads: DigestLink<LoadRecord>;
-	/** When loads went over last, on the monotonic clock. */
+	/** When loads were last sent, in milliseconds of the monotonic clock. */
 	loadsAt: number;
-	/** The newest revision that the peer said it holds. */
+	/** The newest revision reported by the peer. */
 	peerRevision: number;
 	usedAt: number;
 };
@@ -43,12 +43,12 @@
 const idleLinkMilliseconds = 60_000;
 
 /**
-The node's side of exchanges, as parent and as child; has no timers and sends nothing itself.
+One node's side of exchanges, as a parent and as a child. It has no timers and does not send messages itself.
 
 @example
 ```ts
-const begun = node.begin(parent, now);
-node.finish(begun, {parent, reply, now});
+const pending = node.begin(parent, now);
+node.finish(pending, {parent, reply, now});
 ```
 */
 export class RelayNode {
@@ -64,48 +64,48 @@
 
 	@param parent The parent.
 	@param now The monotonic time.
-	@returns What to send.
+	@returns The exchange to send.
 	*/
 	begin(parent: InstanceId, now: number): BegunExchange {
-		const link = this.#link(parent, now);
-		const parts = this.#parts(link, {now, withLoads: this.#areLoadsDue(parent, link, now)});
+		const link = this.#linkTo(parent, now);
+		const parts = this.#partsFor(link, {now, withLoads: this.#areLoadsDue(parent, link, now)});
 		return {exchange: {question: this.#options.relay.question(now, parent), ...parts}, sentAt: now};
 	}
 
 	/**
-	Takes a parent's answer.
+	Processes the reply of a parent.
 
-	@param begun The exchange.
-	@param answer The parent, what it answered, and the monotonic time.
-	@returns Whether a lease came.
+	@param pending The exchange.
+	@param answer The parent, its reply, and the monotonic time.
+	@returns Whether the reply granted a lease.
 	*/
 	finish({exchange, sentAt}: BegunExchange, {parent, reply, now}: {readonly parent: InstanceId; readonly reply: ExchangeReply; readonly now: number}): boolean {
 		const {grant} = reply;
-		this.#take(parent, reply, now);
-		this.#settle(parent, {granted: grant !== undefined});
+		this.#apply(parent, reply, now);
+		this.#activateNewest(parent, {granted: grant !== undefined});
 		return grant !== undefined && this.#options.relay.take({question: exchange.question, sentAt, grant});
 	}
 
 	/**
-	Answers a child's exchange.
+	Replies to the exchange of a child.
 
-	@param exchange What it said.
+	@param exchange The exchange.
 	@param now The monotonic time.
-	@returns The answer, without the leader.
+	@returns The reply, without the leader.
 	*/
 	answer(exchange: Exchange, now: number): ExchangeReply {
 		const child = exchange.question.instance;
-		this.#take(child, exchange, now);
+		this.#apply(child, exchange, now);
 		const grant = this.#options.relay.answer(exchange.question, now);
-		const link = this.#link(child, now);
-		const parts = this.#parts(link, {now, withLoads: exchange.loads !== undefined});
+		const link = this.#linkTo(child, now);
+		const parts = this.#partsFor(link, {now, withLoads: exchange.loads !== undefined});
 		return {...parts, ...(grant !== undefined && {grant})};
 	}
 
 	/**
-	Tells whether a neighbour holds all members, servers and the configuration that are held here.
+	Returns whether a peer has all members, all servers and the configuration of this node.
 
-	@param peer The neighbour.
+	@param peer The peer.
 	*/
 	isSettled(peer: InstanceId): boolean {
 		const link = this.#links.get(peer);
@@ -113,7 +113,7 @@
 	}
 
 	/**
-	Forgets the neighbours that were not heard of for a minute.
+	Removes the state of peers that were not used for a minute.
 
 	@param now The monotonic time.
 	*/
@@ -125,18 +125,18 @@
 		}
 	}
 
-	#take(peer: InstanceId, parts: ExchangeParts, now: number): void {
-		const {keeper, onNews, onLoads} = this.#options;
-		const link = this.#link(peer, now);
+	#apply(peer: InstanceId, parts: ExchangeParts, now: number): void {
+		const {keeper: configurations, onNews: onRecords, onLoads} = this.#options;
+		const link = this.#linkTo(peer, now);
 		link.peerRevision = parts.revision;
 		if (parts.configuration !== undefined) {
-			keeper.offer(unpackConfiguration(parts.configuration));
-			this.#settle(peer, {granted: false});
+			configurations.offer(unpackConfiguration(parts.configuration));
+			this.#activateNewest(peer, {granted: false});
 		}
 
 		const news = link.records.incoming(parts.records);
 		if (news.length > 0) {
-			onNews(news, peer);
+			onRecords(news, peer);
 		}
 
 		if (parts.loads !== undefined) {
@@ -144,23 +144,23 @@
 		}
 	}
 
-	#settle(from: InstanceId, options: {readonly granted: boolean}): void {
+	#activateNewest(from: InstanceId, options: {readonly granted: boolean}): void {
 		if (this.#options.keeper.settle(options)) {
 			this.#options.onRevision(from);
 		}
 	}
 
-	#parts(link: Link, {now, withLoads}: {readonly now: number; readonly withLoads: boolean}): ExchangeParts {
-		const {keeper} = this.#options;
+	#partsFor(link: Link, {now, withLoads}: {readonly now: number; readonly withLoads: boolean}): ExchangeParts {
+		const {keeper: configurations} = this.#options;
 		if (withLoads) {
 			link.loadsAt = now;
 		}
 
 		const loads: DigestPart<LoadRecord> | undefined = withLoads ? link.loads.outgoing() : undefined;
 		return {
-			revision: keeper.revision,
+			revision: configurations.revision,
 			records: link.records.outgoing(),
-			...(keeper.revision > link.peerRevision && {configuration: keeper.packed}),
+			...(configurations.revision > link.peerRevision && {configuration: configurations.packed}),
 			...(loads !== undefined && {loads}),
 		};
 	}
@@ -169,7 +169,7 @@
 		return now - loadsAt >= this.#options.loadIntervalMilliseconds(peer);
 	}
 
-	#link(peer: InstanceId, now: number): Link {
+	#linkTo(peer: InstanceId, now: number): Link {
 		const known = this.#links.get(peer);
 		if (known !== undefined) {
 			known.usedAt = now;
@@ -181,7 +181,7 @@
 			records: new DigestLink({digest: records, incarnation, peer}),
 			loads: new DigestLink({digest: loads, incarnation, peer}),
 			loadsAt: Number.NEGATIVE_INFINITY,
-			// Nothing is pushed to a neighbour before it has said what it holds.
+			// The configuration is not sent to a peer before the peer has reported its revision.
 			peerRevision: Number.POSITIVE_INFINITY,
 			usedAt: now,
 		};
--- a/packages/daemon/src/distribution/server-registry.ts
+++ b/packages/daemon/src/distribution/server-registry.ts
@@ -8,27 +8,27 @@
 import {type SharedRecord} from './messages.js';
 import {serverKey} from './shared-records.js';
 
-/** What the registry needs. */
+/** Options of a {@linkcode ServerRegistry}. */
 export type ServerRegistryOptions = {
 	readonly table: ServerTableOptions & {readonly instance: InstanceId};
 	readonly timeline: Timeline;
 	readonly records: Digest<SharedRecord>;
 	readonly loads: Digest<LoadRecord>;
-	/** Told of each record that others must hear of. */
+	/** Called when a record has changed and must be propagated. */
 	readonly onChange: () => void;
 };
 
-const loadMilliseconds = 5000;
+const loadIntervalMilliseconds = 5000;
 const millisecondsPerSecond = 1000;
 const forgetMilliseconds = 3_600_000;
 
 /**
-The backend servers: takes announcements made here, shares what others must hear of, and takes in what others share.
+The registry of backend servers: accepts announcements made to this instance, publishes changes in the digests, and applies the changes of other instances.
 
 @example
 ```ts
 registry.announce(announcement);
-registry.judge();
+registry.expire();
 ```
 */
 export class ServerRegistry {
@@ -36,7 +36,7 @@
 	readonly #options: ServerRegistryOptions;
 	readonly #clock: Clock;
 	readonly #lostSince = new Map<ServerId, number>();
-	#loadsAt = 0;
+	#loadsPublishedAt = 0;
 
 	constructor(options: ServerRegistryOptions) {
 		this.#options = options;
@@ -45,34 +45,34 @@
 	}
 
 	/**
-	Takes an announcement made to this instance.
+	Processes an announcement made to this instance.
 
 	@param announcement The announcement.
 	*/
 	announce(announcement: Announcement): void {
 		const before = this.servers.record(announcement.server);
 		if (this.servers.take(announcement)) {
-			this.#note(announcement.server, before);
-			this.#share(announcement.server);
+			this.#recordChange(announcement.server, before);
+			this.#publish(announcement.server);
 		}
 	}
 
 	/**
-	Takes in the server records that the digest brought.
+	Applies server records that were received through the digest.
 
-	@param keys The keys of the records that changed; those of members are passed over.
+	@param keys The keys of the changed records; keys of members are ignored.
 	*/
 	takeRecords(keys: readonly string[]): void {
 		for (const key of keys) {
 			const record = this.#options.records.get(key);
 			if (record?.kind === 'server') {
-				this.#put(record.server);
+				this.#applyRecord(record.server);
 			}
 		}
 	}
 
 	/**
-	Takes in loads that the digest brought.
+	Applies loads that were received through the digest.
 
 	@param servers The servers.
 	*/
@@ -85,32 +85,32 @@
 		}
 	}
 
-	/** Gives up the servers whose renewals stopped, and shares the loads of those held here. */
+	/** Declares servers lost whose announcements have expired, and periodically publishes the loads of the servers that announce to this instance. */
 	judge(): void {
 		for (const {announcement: {server}} of this.servers.expire()) {
 			this.#options.timeline.record('server-lost', {server});
-			this.#share(server);
+			this.#publish(server);
 		}
 
 		const now = this.#clock.monotonic();
-		if (now - this.#loadsAt >= loadMilliseconds) {
-			this.#loadsAt = now;
-			this.#shareLoads();
+		if (now - this.#loadsPublishedAt >= loadIntervalMilliseconds) {
+			this.#loadsPublishedAt = now;
+			this.#publishLoads();
 			this.#forget(now);
 		}
 	}
 
-	#put(record: ServerRecord): void {
+	#applyRecord(record: ServerRecord): void {
 		const {server} = record.announcement;
 		const before = this.servers.record(server);
 		if (this.servers.put(record)) {
-			this.#note(server, before);
-			// What is held here may be later than what came.
-			this.#share(server);
+			this.#recordChange(server, before);
+			// The record held here may be newer than the received one.
+			this.#publish(server);
 		}
 	}
 
-	#share(server: ServerId): void {
+	#publish(server: ServerId): void {
 		const {records, onChange} = this.#options;
 		const record = this.servers.record(server);
 		const shared = records.get(serverKey(server));
@@ -123,7 +123,7 @@
 		}
 	}
 
-	#shareLoads(): void {
+	#publishLoads(): void {
 		const {loads, table: {instance}} = this.#options;
 		for (const {announcement, holder, state} of this.servers.current()) {
 			const {server, startedAt, sequence} = announcement;
@@ -135,7 +135,7 @@
 		}
 	}
 
-	#note(server: ServerId, before: ServerRecord | undefined): void {
+	#recordChange(server: ServerId, before: ServerRecord | undefined): void {
 		const {timeline} = this.#options;
 		const after = this.servers.record(server);
 		if (after === undefined) {
--- a/packages/daemon/src/entry/bills/bill-keeper.ts
+++ b/packages/daemon/src/entry/bills/bill-keeper.ts
@@ -11,113 +11,113 @@
 import {CopyLink} from './copy-link.js';
 import {type LedgerOutbox} from './ledger-outbox.js';
 
-/** What the keeper of this instance's bills needs. */
+/** Options of a {@linkcode BillStore}. */
 export type BillKeeperOptions = {
 	readonly self: Member;
-	/** Tells this start of the instance from another. */
+	/** Identifies the process of this instance; a restart changes it. */
 	readonly start: string;
-	/** When this instance started, in milliseconds since 1970. */
+	/** When this instance started, in milliseconds since the Unix epoch. */
 	readonly startedAt: number;
 	readonly clock: Clock;
 	readonly outbox: LedgerOutbox;
-	/** The instances that are there. */
+	/** The active instances. */
 	readonly members: () => readonly Member[];
-	/** Sends a message to a holder and waits for its reply. */
+	/** Sends a message to a holder and returns its reply. */
 	readonly request: (to: Member, message: HoldBillsMessage) => Promise<Either<Failure, HoldBillsReply>>;
-	/** The most bills that may wait for the ledger; above it, new requests are refused. 20 000 by default. */
+	/** The maximum number of bills that are open or not acknowledged by the ledger; beyond it, new requests are refused. 20,000 by default. */
 	readonly maximumBills?: number;
-	/** Milliseconds for which an instance that refused or did not answer is passed over; 5000 by default. */
+	/** How long an instance that refused or did not reply is not chosen as a holder, in milliseconds; 5000 by default. */
 	readonly avoidMilliseconds?: number;
 };
 
 type Entry = {
 	copy: BillCopy;
-	/** Where the copy is held; undefined where it is not. */
-	link: CopyLink | undefined;
-	/** Whether a place for the copy is being looked for. */
-	isPlacing: boolean;
+	/** The replicator of the copy's holder; undefined if there is no holder. */
+	replicator: CopyLink | undefined;
+	/** Whether a holder for the copy is being sought. */
+	isSeekingHolder: boolean;
 };
 
 const defaultMaximumBills = 20_000;
 const defaultAvoidMilliseconds = 5000;
-const holdersTried = 3;
+const maximumHolderAttempts = 3;
 const retryAfterMilliseconds = 1000;
 
 /**
-Keeps this instance's bills from before the first dispatch until the ledger has them, with a copy in another process.
+Stores the bills of this instance from before the first dispatch until the ledger has acknowledged them, with a copy in another process.
 
 @example
 ```ts
-const opened = await keeper.open({workspace, request, openedAt});
-await keeper.settle(bill);
+const opened = await bills.open({workspace, request, openedAt});
+await bills.settle(bill);
 ```
 */
 export class BillKeeper {
 	readonly #options: BillKeeperOptions;
 	readonly #entries = new Map<RequestId, Entry>();
-	readonly #links = new Map<InstanceId, CopyLink>();
-	/** Until when an instance is passed over, on the monotonic clock. */
-	readonly #avoided = new Map<InstanceId, number>();
+	readonly #replicators = new Map<InstanceId, CopyLink>();
+	/** Until when each instance is not chosen as a holder, in milliseconds of the monotonic clock. */
+	readonly #avoidedUntil = new Map<InstanceId, number>();
 	#lastSequence = 0;
 
 	constructor(options: BillKeeperOptions) {
 		this.#options = options;
 	}
 
-	/** How many bills are open or not acknowledged yet. */
+	/** The number of bills that are open or not acknowledged yet. */
 	get size(): number {
 		return this.#entries.size;
 	}
 
 	/**
-	Opens a bill, before the first dispatch of its request.
+	Opens a bill before the first dispatch of its request.
 
 	@param opened The bill.
-	@returns Nothing where a copy is held or the ledger can take its place, else `no-quorum`.
+	@returns Nothing if another instance holds a copy or the ledger is reachable, otherwise a `no-quorum` failure.
 	*/
 	async open(opened: Omit<OpenBill, 'origin'>): Promise<Either<Failure, void>> {
 		const {outbox, startedAt, maximumBills = defaultMaximumBills} = this.#options;
 		if (this.#entries.size >= maximumBills) {
-			return Left(failure('no-quorum', `Got ${this.#entries.size} bills that wait for the ledger, wanted fewer than ${maximumBills}`, {retryAfterMilliseconds}));
+			return Left(failure('no-quorum', `Too many bills are waiting for the ledger: ${this.#entries.size} of at most ${maximumBills}`, {retryAfterMilliseconds}));
 		}
 
 		const bill: OpenBill = {...opened, origin: {startedAt, sequence: ++this.#lastSequence}};
-		const entry: Entry = {copy: {state: 'open', bill}, link: undefined, isPlacing: false};
+		const entry: Entry = {copy: {state: 'open', bill}, replicator: undefined, isSeekingHolder: false};
 		this.#entries.set(bill.request, entry);
-		if (await this.#place(entry) || outbox.isReachable) {
+		if (await this.#storeCopy(entry) || outbox.isReachable) {
 			return Right(undefined);
 		}
 
 		this.#entries.delete(bill.request);
-		return Left(failure('no-quorum', 'Got neither another instance nor the ledger to hold the bill, wanted one of them', {retryAfterMilliseconds}));
+		return Left(failure('no-quorum', 'Neither another instance nor the ledger is available to store the bill', {retryAfterMilliseconds}));
 	}
 
 	/**
-	Gives up an open bill whose request provably did not run.
+	Discards an open bill whose request provably did not run.
 
 	@param request The request.
 	*/
 	discard(request: RequestId): void {
-		this.#forget(request);
+		this.#remove(request);
 	}
 
 	/**
 	Settles an open bill.
 
 	@param settled The bill.
-	@returns When a second instance or the ledger has it.
-	@throws If the bill is not open.
+	@returns Resolves when another instance or the ledger has the settled bill.
+	@throws {RangeError} If the bill is not open.
 	*/
 	async settle(settled: Omit<Bill, 'origin'>): Promise<void> {
 		const entry = this.#entries.get(settled.request);
 		if (entry === undefined) {
-			throw new RangeError(`Got the settlement of request ${settled.request}, wanted that of an open bill`);
+			throw new RangeError(`Cannot settle the bill of request ${settled.request}: it is not open`);
 		}
 
 		const bill: Bill = {...settled, origin: entry.copy.bill.origin};
 		entry.copy = {state: 'settled', bill};
 		const recorded = this.#record(bill);
-		const isHeld = await Promise.race([this.#place(entry), recorded.then(() => true)]);
+		const isHeld = await Promise.race([this.#storeCopy(entry), recorded.then(() => true)]);
 		if (!isHeld) {
 			this.#options.outbox.hurry();
 			await recorded;
@@ -125,36 +125,36 @@
 	}
 
 	/**
-	Takes over the settled bill of an instance that is lost, with a copy in another process like one of its own.
+	Takes over the settled bill of a lost instance and stores a copy in another process, as for a bill of this instance.
 
 	@param bill The bill.
 	*/
 	adopt(bill: Bill): void {
-		const entry: Entry = {copy: {state: 'settled', bill}, link: undefined, isPlacing: false};
+		const entry: Entry = {copy: {state: 'settled', bill}, replicator: undefined, isSeekingHolder: false};
 		this.#entries.set(bill.request, entry);
 		void this.#record(bill);
-		void this.#place(entry);
+		void this.#storeCopy(entry);
 	}
 
-	/** Tells the holders that this instance is there, and finds new holders where one is lost; called every few seconds. */
+	/** Renews the copies with their holders and replaces lost holders; called periodically. */
 	renew(): void {
 		const members = new Set(this.#options.members().map(({instance}) => instance));
-		for (const [instance, link] of this.#links) {
-			if (link.failed || !members.has(instance)) {
-				this.#links.delete(instance);
+		for (const [instance, replicator] of this.#replicators) {
+			if (replicator.failed || !members.has(instance)) {
+				this.#replicators.delete(instance);
 			} else {
-				link.renew();
+				replicator.renew();
 			}
 		}
 
-		this.#replace();
+		this.#replaceLostHolders();
 	}
 
 	/**
-	Answers a holder that asks whether copies are still needed.
+	Replies to a holder that asks which copies are still needed.
 
-	@param message What it asks about.
-	@returns Which it is to keep.
+	@param message The question of the holder.
+	@returns The copies that the holder must keep.
 	*/
 	answerOwned({requests}: OwnedBillsMessage): OwnedBillsReply {
 		return {start: this.#options.start, needed: requests.filter(request => this.#entries.has(request))};
@@ -162,83 +162,83 @@
 
 	async #record(bill: Bill): Promise<void> {
 		await this.#options.outbox.add(bill);
-		this.#forget(bill.request);
+		this.#remove(bill.request);
 	}
 
-	#forget(request: RequestId): void {
-		this.#entries.get(request)?.link?.drop(request);
+	#remove(request: RequestId): void {
+		this.#entries.get(request)?.replicator?.drop(request);
 		this.#entries.delete(request);
 	}
 
-	/** Looks for places for the copies whose holder is lost. */
-	#replace(): void {
+	/** Finds new holders for copies without a current one. */
+	#replaceLostHolders(): void {
 		for (const entry of this.#entries.values()) {
-			if (!entry.isPlacing && (entry.link === undefined || !this.#isCurrent(entry.link))) {
-				void this.#place(entry);
+			if (!entry.isSeekingHolder && (entry.replicator === undefined || !this.#isCurrent(entry.replicator))) {
+				void this.#storeCopy(entry);
 			}
 		}
 	}
 
-	#isCurrent(link: CopyLink): boolean {
-		return !link.failed && [...this.#links.values()].includes(link);
+	#isCurrent(replicator: CopyLink): boolean {
+		return !replicator.failed && [...this.#replicators.values()].includes(replicator);
 	}
 
-	async #place(entry: Entry): Promise<boolean> {
-		entry.isPlacing = true;
+	async #storeCopy(entry: Entry): Promise<boolean> {
+		entry.isSeekingHolder = true;
 		let isHeld = false;
-		for (let tried = 0; tried < holdersTried && !isHeld; tried++) {
-			const link = entry.link !== undefined && this.#isCurrent(entry.link) ? entry.link : this.#chooseLink();
-			if (link === undefined) {
+		for (let attempt = 0; attempt < maximumHolderAttempts && !isHeld; attempt++) {
+			const replicator = entry.replicator !== undefined && this.#isCurrent(entry.replicator) ? entry.replicator : this.#chooseReplicator();
+			if (replicator === undefined) {
 				break;
 			}
 
-			entry.link = link;
-			isHeld = await link.put(entry.copy);
+			entry.replicator = replicator;
+			isHeld = await replicator.put(entry.copy);
 		}
 
-		entry.isPlacing = false;
+		entry.isSeekingHolder = false;
 		const {request} = entry.copy.bill;
 		if (this.#entries.get(request) !== entry) {
-			entry.link?.drop(request);
+			entry.replicator?.drop(request);
 		}
 
 		return isHeld;
 	}
 
-	#chooseLink(): CopyLink | undefined {
+	#chooseReplicator(): CopyLink | undefined {
 		const {members, self} = this.#options;
 		const holder = chooseHolder(members(), {self, excluded: this.#excluded()});
 		if (holder === undefined) {
 			return undefined;
 		}
 
-		const known = this.#links.get(holder.instance);
-		return known === undefined || known.failed ? this.#openLink(holder) : known;
+		const known = this.#replicators.get(holder.instance);
+		return known === undefined || known.failed ? this.#createReplicator(holder) : known;
 	}
 
-	#openLink(holder: Member): CopyLink {
-		const {self, start, request, clock, avoidMilliseconds = defaultAvoidMilliseconds} = this.#options;
-		const link = new CopyLink({
+	#createReplicator(holder: Member): CopyLink {
+		const {self, start: runId, request, clock, avoidMilliseconds = defaultAvoidMilliseconds} = this.#options;
+		const replicator = new CopyLink({
 			self: self.instance,
-			start,
+			start: runId,
 			request: async message => request(holder, message),
 			onFailed: () => {
-				this.#avoided.set(holder.instance, clock.monotonic() + avoidMilliseconds);
-				this.#replace();
+				this.#avoidedUntil.set(holder.instance, clock.monotonic() + avoidMilliseconds);
+				this.#replaceLostHolders();
 			},
 		});
-		this.#links.set(holder.instance, link);
-		return link;
+		this.#replicators.set(holder.instance, replicator);
+		return replicator;
 	}
 
 	#excluded(): ReadonlySet<InstanceId> {
 		const now = this.#options.clock.monotonic();
-		for (const [instance, until] of this.#avoided) {
+		for (const [instance, until] of this.#avoidedUntil) {
 			if (until <= now) {
-				this.#avoided.delete(instance);
+				this.#avoidedUntil.delete(instance);
 			}
 		}
 
-		return new Set(this.#avoided.keys());
+		return new Set(this.#avoidedUntil.keys());
 	}
 }
--- a/packages/daemon/src/entry/bills/copy-link.ts
+++ b/packages/daemon/src/entry/bills/copy-link.ts
@@ -5,14 +5,14 @@
 import {type HoldBillsMessage, type HoldBillsReply, type OpenBill} from '../messages.js';
 import {type BillCopy, splitCopies} from './bill-copy.js';
 
-/** What a link to a holder needs. */
+/** Options of a {@linkcode CopyReplicator}. */
 export type CopyLinkOptions = {
 	readonly self: InstanceId;
-	/** Tells this start of the instance from another. */
+	/** Identifies the process of this instance; a restart changes it. */
 	readonly start: string;
-	/** Sends a message to the holder and waits for its reply. */
+	/** Sends a message to the holder and returns its reply. */
 	readonly request: (message: HoldBillsMessage) => Promise<Either<Failure, HoldBillsReply>>;
-	/** Called once, when the holder refused or did not answer. */
+	/** Called once, when the holder refused or did not reply. */
 	readonly onFailed: () => void;
 };
 
@@ -25,18 +25,18 @@
 const maximumChanges = 500;
 
 /**
-Keeps one holder's copies current, with one message on its way at a time: changes that come meanwhile share the next message.
+Replicates bill copies to one holder. Only one message is in flight at a time; changes made in the meantime are sent together in the next one.
 
 @example
 ```ts
-const isHeld = await link.put({state: 'open', bill});
+const isHeld = await replicator.put({state: 'open', bill});
 ```
 */
 export class CopyLink {
 	readonly #options: CopyLinkOptions;
-	readonly #held = new Map<RequestId, BillCopy>();
+	readonly #copies = new Map<RequestId, BillCopy>();
 	readonly #changed = new Set<RequestId>();
-	#waiting: Array<{readonly request: RequestId; readonly resolve: (isHeld: boolean) => void}> = [];
+	#pendingPuts: Array<{readonly request: RequestId; readonly resolve: (isHeld: boolean) => void}> = [];
 	#sending = false;
 	#failed = false;
 
@@ -44,21 +44,21 @@
 		this.#options = options;
 	}
 
-	/** Whether the holder refused or did not answer; the link is of no more use. */
+	/** Whether the holder refused or did not reply; a failed replicator cannot be used again. */
 	get failed(): boolean {
 		return this.#failed;
 	}
 
-	/** How many copies the holder has. */
+	/** The number of copies that the holder should have. */
 	get size(): number {
-		return this.#held.size;
+		return this.#copies.size;
 	}
 
 	/**
-	Has a copy held, in place of an earlier one of the same request.
+	Stores a copy on the holder, replacing an earlier one of the same request.
 
 	@param copy The copy.
-	@returns Whether it is held.
+	@returns Whether the holder accepted the copy.
 	*/
 	async put(copy: BillCopy): Promise<boolean> {
 		if (this.#failed) {
@@ -66,28 +66,28 @@
 		}
 
 		const {request} = copy.bill;
-		this.#held.set(request, copy);
+		this.#copies.set(request, copy);
 		this.#changed.add(request);
 		return new Promise(resolve => {
-			this.#waiting.push({request, resolve});
+			this.#pendingPuts.push({request, resolve});
 			void this.#send();
 		});
 	}
 
 	/**
-	Gives a copy up; the holder hears of it with the next message.
+	Drops a copy; the holder is informed with the next message.
 
 	@param request The request of the bill.
 	*/
 	drop(request: RequestId): void {
-		if (this.#held.delete(request)) {
+		if (this.#copies.delete(request)) {
 			this.#changed.add(request);
 		}
 	}
 
-	/** Shows the holder that this instance is there, and finds out whether it lost the copies. */
+	/** Sends a message even without changes, which shows the holder that this instance is alive and reveals whether the holder lost copies. */
 	renew(): void {
-		if (this.#held.size > 0 || this.#changed.size > 0) {
+		if (this.#copies.size > 0 || this.#changed.size > 0) {
 			void this.#send();
 		}
 	}
@@ -106,26 +106,26 @@
 				return;
 			}
 
-			isComplete = !isComplete && this.#changed.size === 0 && reply.count !== this.#held.size;
+			isComplete = !isComplete && this.#changed.size === 0 && reply.count !== this.#copies.size;
 		} while (isComplete || this.#changed.size > 0);
 
 		this.#sending = false;
 	}
 
 	async #sendOnce(isComplete: boolean): Promise<HoldBillsReply | undefined> {
-		const requests = isComplete ? [...this.#held.keys()] : [...this.#changed].slice(0, maximumChanges);
+		const requests = isComplete ? [...this.#copies.keys()] : [...this.#changed].slice(0, maximumChanges);
 		for (const request of requests) {
 			this.#changed.delete(request);
 		}
 
 		const sent = new Set(requests);
-		const waiting = this.#waiting.filter(({request}) => sent.has(request));
-		this.#waiting = this.#waiting.filter(({request}) => !sent.has(request));
+		const pendingPuts = this.#pendingPuts.filter(({request}) => sent.has(request));
+		this.#pendingPuts = this.#pendingPuts.filter(({request}) => !sent.has(request));
 		const reply = await this.#options.request({
 			scope: 'entry', type: 'hold-bills', owner: this.#options.self, start: this.#options.start, ...this.#changesOf(requests), complete: isComplete,
 		});
-		const accepted = reply.toMaybe().filter(found => found.accepted).extract();
-		for (const {resolve} of waiting) {
+		const accepted = reply.toMaybe().filter(body => body.accepted).extract();
+		for (const {resolve} of pendingPuts) {
 			resolve(accepted !== undefined);
 		}
 
@@ -136,7 +136,7 @@
 		const copies: BillCopy[] = [];
 		const dropped: RequestId[] = [];
 		for (const request of requests) {
-			const copy = this.#held.get(request);
+			const copy = this.#copies.get(request);
 			if (copy === undefined) {
 				dropped.push(request);
 			} else {
@@ -149,8 +149,8 @@
 
 	#fail(): void {
 		this.#failed = true;
-		this.#held.clear();
-		for (const {resolve} of this.#waiting.splice(0)) {
+		this.#copies.clear();
+		for (const {resolve} of this.#pendingPuts.splice(0)) {
 			resolve(false);
 		}
 
--- a/packages/daemon/src/entry/bills/held-bills.ts
+++ b/packages/daemon/src/entry/bills/held-bills.ts
@@ -4,18 +4,18 @@
 import {type HoldBillsMessage, type HoldBillsReply, type OwnedBillsReply} from '../messages.js';
 import {type BillCopy, mergeCopies} from './bill-copy.js';
 
-/** What the holder of copies needs. */
+/** Options of a {@linkcode BillCopyStore}. */
 export type HeldBillsOptions = {
 	readonly clock: Clock;
-	/** The most copies that are held. */
+	/** The maximum number of copies. */
 	readonly maximumCopies: number;
-	/** Milliseconds of silence after which an owner that is no member any more counts as lost. */
+	/** How long an owner may send nothing, in milliseconds, before it is asked about its copies or, if it is not an active member any more, considered lost. */
 	readonly lostAfterMilliseconds: number;
-	/** Takes each bill that is settled for a lost owner. */
+	/** Called with each bill that is settled for a lost owner. */
 	readonly onRecovered: (bill: Bill) => void;
 };
 
-/** An owner that was silent for long, and the copies held for it. */
+/** An owner that has not sent updates for a while, and the copies held for it. */
 export type SilentOwner = {
 	readonly owner: InstanceId;
 	readonly requests: readonly RequestId[];
@@ -24,18 +24,18 @@
 type Owner = {
 	readonly start: string;
 	readonly copies: Map<RequestId, BillCopy>;
-	heardAt: number;
+	lastContactAt: number;
 };
 
 /**
-Holds the copies of other instances' bills, and settles them when their owner is lost.
+Holds copies of other instances' bills and settles them when their owner is lost.
 
-A copy that was still open is settled with the outcome `unknown` and without a charge: nobody can show that its answer was delivered.
+A copy that is still open is settled with the outcome `unknown` and without a charge, since there is no proof that the answer was delivered.
 
 @example
 ```ts
-const reply = held.hold(message);
-held.recover(new Set(members.map(({instance}) => instance)));
+const reply = copies.hold(message);
+copies.recover(new Set(members.map(({instance}) => instance)));
 ```
 */
 export class HeldBills {
@@ -47,7 +47,7 @@
 		this.#options = options;
 	}
 
-	/** How many copies are held. */
+	/** The number of copies held. */
 	get size(): number {
 		let total = 0;
 		for (const {copies} of this.#owners.values()) {
@@ -57,20 +57,20 @@
 		return total;
 	}
 
-	/** Begins a planned stop: owners are told to have their copies held elsewhere. */
+	/** Begins a graceful shutdown: further updates are refused, so that owners choose another holder. */
 	stop(): void {
 		this.#stopping = true;
 	}
 
 	/**
-	Changes the copies held for an owner.
+	Updates the copies held for an owner.
 
-	@param message What the owner wants held.
-	@returns Whether it is held, and how many copies there are.
+	@param message The changes of the owner.
+	@returns Whether the changes were accepted, and the number of copies of the owner.
 	*/
 	hold(message: HoldBillsMessage): HoldBillsReply {
 		const owner = this.#ownerOf(message);
-		owner.heardAt = this.#options.clock.monotonic();
+		owner.lastContactAt = this.#options.clock.monotonic();
 		if (message.complete) {
 			owner.copies.clear();
 		}
@@ -81,7 +81,7 @@
 
 		const added = message.opened.length + message.settled.length;
 		if (this.#stopping || this.size + added > this.#options.maximumCopies) {
-			this.#release(message.owner);
+			this.#dropOwner(message.owner);
 			return {accepted: false, count: 0};
 		}
 
@@ -90,27 +90,27 @@
 	}
 
 	/**
-	Settles the copies of each owner that is lost.
+	Settles the copies of each lost owner.
 
-	@param members The instances that are there.
+	@param members The active instances.
 	*/
 	recover(members: ReadonlySet<InstanceId>): void {
 		const silentSince = this.#options.clock.monotonic() - this.#options.lostAfterMilliseconds;
 		for (const [instance, owner] of this.#owners) {
 			if (owner.copies.size === 0) {
 				this.#owners.delete(instance);
-			} else if (!members.has(instance) && owner.heardAt <= silentSince) {
+			} else if (!members.has(instance) && owner.lastContactAt <= silentSince) {
 				this.#settleAll(instance);
 			}
 		}
 	}
 
-	/** The owners to ask whether they still need their copies held. */
+	/** Returns the owners that must be asked which copies they still need. */
 	silent(): readonly SilentOwner[] {
 		const silentSince = this.#options.clock.monotonic() - this.#options.lostAfterMilliseconds;
 		const found: SilentOwner[] = [];
-		for (const [owner, {copies, heardAt}] of this.#owners) {
-			if (copies.size > 0 && heardAt <= silentSince) {
+		for (const [owner, {copies, lastContactAt}] of this.#owners) {
+			if (copies.size > 0 && lastContactAt <= silentSince) {
 				found.push({owner, requests: [...copies.keys()]});
 			}
 		}
@@ -119,10 +119,10 @@
 	}
 
 	/**
-	Takes the answer of an owner that was silent; one that restarted does not know its earlier bills.
+	Applies the reply of a silent owner. An owner that has restarted does not know its earlier bills, so they are settled here.
 
-	@param asked The owner and what it was asked about.
-	@param reply What it said.
+	@param asked The owner and the requests it was asked about.
+	@param reply The reply of the owner.
 	*/
 	takeReply({owner: instance, requests}: SilentOwner, reply: OwnedBillsReply): void {
 		const owner = this.#owners.get(instance);
@@ -135,7 +135,7 @@
 			return;
 		}
 
-		owner.heardAt = this.#options.clock.monotonic();
+		owner.lastContactAt = this.#options.clock.monotonic();
 		const needed = new Set(reply.needed);
 		for (const request of requests) {
 			if (!needed.has(request)) {
@@ -151,13 +151,13 @@
 		}
 
 		this.#settleAll(instance);
-		const owner: Owner = {start, copies: new Map(), heardAt: 0};
+		const owner: Owner = {start, copies: new Map(), lastContactAt: 0};
 		this.#owners.set(instance, owner);
 		return owner;
 	}
 
-	/** The owner holds its bills and finds another holder. */
-	#release(instance: InstanceId): void {
+	/** Drops the copies of an owner, which still has its bills and chooses another holder. */
+	#dropOwner(instance: InstanceId): void {
 		this.#owners.delete(instance);
 	}
 
@@ -165,11 +165,11 @@
 		const copies = this.#owners.get(instance)?.copies ?? new Map<RequestId, BillCopy>();
 		this.#owners.delete(instance);
 		for (const copy of copies.values()) {
-			this.#options.onRecovered(copy.state === 'settled' ? copy.bill : this.#unknown(instance, copy));
+			this.#options.onRecovered(copy.state === 'settled' ? copy.bill : this.#toUnknownBill(instance, copy));
 		}
 	}
 
-	#unknown(instance: InstanceId, {bill}: BillCopy & {state: 'open'}): Bill {
+	#toUnknownBill(instance: InstanceId, {bill}: BillCopy & {state: 'open'}): Bill {
 		return {
 			workspace: bill.workspace,
 			request: bill.request,
--- a/packages/daemon/src/entry/bills/ledger-outbox.ts
+++ b/packages/daemon/src/entry/bills/ledger-outbox.ts
@@ -2,28 +2,28 @@
 import {type Bill, type Failure, type RequestId} from '@valehitch/core';
 import {type Either} from 'purify-ts';
 
-/** What the outbox needs. */
+/** Options of a {@linkcode LedgerOutbox}. */
 export type LedgerOutboxOptions = {
 	readonly propose: (command: Command) => Promise<Either<Failure, CommandAnswer>>;
-	/** Waits, so that bills share a command and a failed one is not sent again at once. */
+	/** Waits for the batching delay or the retry delay. */
 	readonly wait: (milliseconds: number) => Promise<void>;
-	/** Milliseconds in which bills gather for a command; 100 by default. */
+	/** How long bills are collected for one command, in milliseconds; 100 by default. */
 	readonly gatherMilliseconds?: number;
-	/** Milliseconds to wait before bills are sent again; 250 by default. */
+	/** The retry delay after a failed command, in milliseconds; 250 by default. */
 	readonly retryMilliseconds?: number;
 };
 
-type Waiting = {
+type PendingBill = {
 	readonly bill: Bill;
 	readonly onRecorded: () => void;
 };
 
 const batchSize = 200;
-const defaultGatherMilliseconds = 100;
+const defaultBatchMilliseconds = 100;
 const defaultRetryMilliseconds = 250;
 
 /**
-Sends settled bills to the ledger in batches until they are acknowledged.
+Sends settled bills to the ledger in batches and retries until they are acknowledged.
 
 @example
 ```ts
@@ -32,10 +32,10 @@
 */
 export class LedgerOutbox {
 	readonly #options: LedgerOutboxOptions;
-	readonly #waiting = new Map<RequestId, Waiting>();
+	readonly #pending = new Map<RequestId, PendingBill>();
 	#sending = false;
-	/** Ends the wait in which bills gather. */
-	#endGathering: (() => void) | undefined;
+	/** Ends the batching delay early. */
+	#endBatchDelay: (() => void) | undefined;
 	#isReachable = true;
 	#closed = false;
 
@@ -43,35 +43,35 @@
 		this.#options = options;
 	}
 
-	/** How many bills are not acknowledged yet. */
+	/** The number of bills that are not acknowledged yet. */
 	get size(): number {
-		return this.#waiting.size;
+		return this.#pending.size;
 	}
 
-	/** Whether the ledger acknowledged what was sent last. */
+	/** Whether the ledger acknowledged the last batch. */
 	get isReachable(): boolean {
 		return this.#isReachable;
 	}
 
 	/**
-	Adds a settled bill.
+	Adds a settled bill to the outbox.
 
 	@param bill The bill.
-	@returns When the ledger has it.
+	@returns Resolves when the ledger has acknowledged the bill.
 	*/
 	async add(bill: Bill): Promise<void> {
 		return new Promise(resolve => {
-			this.#waiting.set(bill.request, {bill, onRecorded: resolve});
+			this.#pending.set(bill.request, {bill, onRecorded: resolve});
 			void this.#send();
 		});
 	}
 
-	/** Sends what gathers at once: a caller waits for it. */
+	/** Sends the pending batch without the rest of its delay, since a caller is waiting for it. */
 	hurry(): void {
-		this.#endGathering?.();
+		this.#endBatchDelay?.();
 	}
 
-	/** Ends the tries; nothing is sent any more. */
+	/** Stops sending and retrying. */
 	close(): void {
 		this.#closed = true;
 	}
@@ -82,24 +82,24 @@
 		}
 
 		this.#sending = true;
-		while (this.#waiting.size > 0 && !this.#closed) {
-			await (this.#isReachable ? this.#gather() : this.#options.wait(this.#options.retryMilliseconds ?? defaultRetryMilliseconds));
-			await this.#sendBatch([...this.#waiting.values()].slice(0, batchSize));
+		while (this.#pending.size > 0 && !this.#closed) {
+			await (this.#isReachable ? this.#waitForBatch() : this.#options.wait(this.#options.retryMilliseconds ?? defaultRetryMilliseconds));
+			await this.#sendBatch([...this.#pending.values()].slice(0, batchSize));
 		}
 
 		this.#sending = false;
 	}
 
-	async #gather(): Promise<void> {
-		const {wait, gatherMilliseconds = defaultGatherMilliseconds} = this.#options;
-		const hurried = new Promise<void>(resolve => {
-			this.#endGathering = resolve;
+	async #waitForBatch(): Promise<void> {
+		const {wait, gatherMilliseconds: batchMilliseconds = defaultBatchMilliseconds} = this.#options;
+		const flushed = new Promise<void>(resolve => {
+			this.#endBatchDelay = resolve;
 		});
-		await Promise.race([wait(gatherMilliseconds), hurried]);
-		this.#endGathering = undefined;
+		await Promise.race([wait(batchMilliseconds), flushed]);
+		this.#endBatchDelay = undefined;
 	}
 
-	async #sendBatch(batch: readonly Waiting[]): Promise<void> {
+	async #sendBatch(batch: readonly PendingBill[]): Promise<void> {
 		const result = await this.#options.propose({type: 'record-bills', bills: batch.map(({bill}) => bill)});
 		this.#isReachable = result.isRight();
 		if (!this.#isReachable) {
@@ -107,7 +107,7 @@
 		}
 
 		for (const {bill, onRecorded} of batch) {
-			this.#waiting.delete(bill.request);
+			this.#pending.delete(bill.request);
 			onRecorded();
 		}
 	}
--- a/packages/daemon/src/entry/bills/watch-bills.ts
+++ b/packages/daemon/src/entry/bills/watch-bills.ts
@@ -5,37 +5,37 @@
 import {type BillKeeper} from './bill-keeper.js';
 import {type HeldBills, type SilentOwner} from './held-bills.js';
 
-/** What is watched. */
+/** Options of {@linkcode startBillMaintenance}. */
 export type WatchBillsOptions = {
 	readonly bills: BillKeeper;
 	readonly held: HeldBills;
 	readonly members: () => readonly Member[];
 	readonly network: PeerNetwork<PeerMessage>;
-	/** Milliseconds between two looks; 1000 by default. */
+	/** The interval, in milliseconds; 1000 by default. */
 	readonly everyMilliseconds?: number;
 };
 
-/** A running watch. */
+/** The running maintenance. */
 export type BillsWatch = {
 	readonly stop: () => void;
 };
 
-const defaultEveryMilliseconds = 1000;
+const defaultIntervalMilliseconds = 1000;
 
 /**
-Looks every second after the copies of bills: finds new holders for this instance's, settles those of owners that are lost, and asks owners that are silent.
+Periodically maintains the copies of bills: replaces lost holders of this instance's bills, settles the copies of lost owners, and asks silent owners which copies they still need.
 
-@param options What is watched.
-@returns The running watch.
+@param options The bills, the copies and how to reach their owners.
+@returns The running maintenance.
 @example
 ```ts
-const watch = watchBills({bills, held, members, network});
-watch.stop();
+const maintenance = startBillMaintenance({bills, held, members, network});
+maintenance.stop();
 ```
 */
 export function watchBills(options: WatchBillsOptions): BillsWatch {
-	// An owner whose word waits to be read is not silent: its open bills would be settled as unknown.
-	const stop = intervalAfterInput(options.everyMilliseconds ?? defaultEveryMilliseconds, () => {
+	// Runs after pending input is read: an owner whose message has arrived but is unread is not silent, and its open bills must not be settled as unknown.
+	const stop = intervalAfterInput(options.everyMilliseconds ?? defaultIntervalMilliseconds, () => {
 		const members = options.members();
 		options.bills.renew();
 		if (members.length > 0) {
@@ -56,9 +56,9 @@
 	}));
 }
 
-type Asking = Pick<WatchBillsOptions, 'held' | 'network'> & {readonly owner: Member};
+type AskOptions = Pick<WatchBillsOptions, 'held' | 'network'> & {readonly owner: Member};
 
-async function ask(silent: SilentOwner, {held, network, owner}: Asking): Promise<void> {
+async function ask(silent: SilentOwner, {held, network, owner}: AskOptions): Promise<void> {
 	const reply = await network.request(owner, {scope: 'entry', type: 'owned-bills', requests: silent.requests});
 	const body = reply.toMaybe().extract() as OwnedBillsReply | undefined;
 	if (body !== undefined) {
--- a/packages/daemon/src/entry/chat-adapter.ts
+++ b/packages/daemon/src/entry/chat-adapter.ts
@@ -20,12 +20,12 @@
 import {stallMillisecondsOf} from './stall-milliseconds.js';
 import {observeAttempt} from './traffic/observe-attempt.js';
 
-/** What a chat adapter needs besides the plan. */
+/** Options of a {@linkcode ChatAdapter}. */
 export type ChatAdapterOptions = {
 	readonly context: EntryContext;
-	/** When the last byte is due, in milliseconds on the monotonic clock. */
+	/** When the last byte is due, in milliseconds of the monotonic clock. */
 	readonly deadline: number;
-	/** Plans the request anew, by the configuration in force. */
+	/** Plans the request again with the configuration in force. */
 	readonly planAgain: () => Either<Failure, ChatPlan>;
 };
 
@@ -34,34 +34,34 @@
 const noPrices: Prices = {input: 0, output: 0};
 
 /**
-The adapter of a chat request.
+The request adapter for chat completions.
 
 @example
 ```ts
-const adapter = new ChatAdapter(plan, {context, deadline, planAgain});
+const adapter = new ChatAdapter(plan, {context, deadline, replan});
 ```
 */
 export class ChatAdapter implements RequestAdapter {
 	readonly #options: ChatAdapterOptions;
 	#plan: ChatPlan;
-	readonly #prefix: number;
+	readonly #prefixHash: number;
 
 	constructor(plan: ChatPlan, options: ChatAdapterOptions) {
 		this.#plan = plan;
 		this.#options = options;
-		this.#prefix = prefixHash(promptOf(plan.body));
+		this.#prefixHash = prefixHash(promptOf(plan.body));
 	}
 
-	/** The request with its version chosen; planned anew where the version was lost. */
+	/** The current plan; replaced when the chosen version became unavailable and the request was planned again. */
 	get plan(): ChatPlan {
 		return this.#plan;
 	}
 
 	chooseServer(action: ChooseServerAction): ServerChoice {
-		const {context: {picker}} = this.#options;
+		const {context: {picker: serverSelector}} = this.#options;
 		const {requestId, workspace} = this.#plan;
-		return picker.choose(action, {
-			requestId, workspace, target: keyOf(action.target), prefix: this.#prefix,
+		return serverSelector.choose(action, {
+			requestId, workspace, target: versionKeyOf(action.target), prefix: this.#prefixHash,
 		});
 	}
 
@@ -88,18 +88,18 @@
 			.otherwise(denial => denial);
 	}
 
-	send({dispatch, address, signal, before}: SendOptions): AsyncIterable<AttemptOutput> {
+	send({dispatch, address, signal, before: partialAnswer}: SendOptions): AsyncIterable<AttemptOutput> {
 		const {context: {settings, clock}, deadline} = this.#options;
 		const {requestId, body, facts: {stream}, rule} = this.#plan;
 		const outputs = callEngine({
 			requestId,
 			attempt: dispatch.attempt,
-			versionKey: keyOf(dispatch.target),
+			versionKey: versionKeyOf(dispatch.target),
 			body,
 			streamed: stream,
 			priority: rule.priority,
-			resumeText: before.text,
-			tokensBefore: before.tokens,
+			resumeText: partialAnswer.text,
+			tokensBefore: partialAnswer.tokens,
 			address,
 			freshConnection: dispatch.freshConnection,
 			signal,
@@ -113,7 +113,7 @@
 				this.#recordStage(dispatch, {stage, milliseconds});
 			},
 			onEnd: output => {
-				this.#recordEnd(dispatch, output);
+				this.#recordResult(dispatch, output);
 			},
 		});
 	}
@@ -156,24 +156,24 @@
 	#recordStage({target, resumeFrom}: DispatchAction, time: StageTime): void {
 		const {model, version} = asVersion(target);
 		if (time.stage === 'decode') {
-			this.#options.context.history.record(keyOf(target), time);
+			this.#options.context.history.record(versionKeyOf(target), time);
 		} else if (resumeFrom === 0) {
 			this.#options.context.history.record(stageKey({model, version}), time);
 		}
 	}
 
-	#recordEnd({target, server, attempt, purpose}: DispatchAction, output: AttemptOutput): void {
-		const {context: {picker, ratings, decisions, clock}} = this.#options;
+	#recordResult({target, server, attempt, purpose}: DispatchAction, output: AttemptOutput): void {
+		const {context: {picker: serverSelector, ratings, decisions, clock}} = this.#options;
 		const {requestId, workspace, rule} = this.#plan;
 		const {outcome, reason, failed} = attemptEnd(output);
 		decisions.attempt(requestId, {
 			attempt, purpose, servers: decisions.get(requestId)?.attempts.find(known => known.attempt === attempt)?.servers ?? [], server, outcome, reason,
 		});
 		if (output.type !== 'not-run') {
-			picker.record(server, failed);
+			serverSelector.record(server, failed);
 		}
 
-		// A lost connection says nothing of the version.
+		// A lost connection is no evidence for or against the version.
 		if (output.type === 'complete' || output.type === 'failed') {
 			ratings.noteOutcome({
 				...asVersion(target), workspace, rule: rule.name, ranAt: clock.now().getTime(),
@@ -182,14 +182,14 @@
 	}
 }
 
-function keyOf(target: RequestTarget): string {
+function versionKeyOf(target: RequestTarget): string {
 	const {model, version} = asVersion(target);
 	return versionKey(model, version);
 }
 
 function asVersion(target: RequestTarget): VersionTarget {
 	if (target.type !== 'version') {
-		throw new TypeError(`Got service ${target.service}, wanted a version of a model`);
+		throw new TypeError(`Expected a model version as the target, got service ${target.service}`);
 	}
 
 	return target;
--- a/packages/daemon/src/entry/chat-chunk.ts
+++ b/packages/daemon/src/entry/chat-chunk.ts
@@ -18,17 +18,17 @@
 	error: z.unknown().optional(),
 });
 
-const wholeSchema = z.looseObject({choices: z.array(z.unknown()), usage: usageSchema.nullish()});
+const completionSchema = z.looseObject({choices: z.array(z.unknown()), usage: usageSchema.nullish()});
 
-/** One event of a streamed chat answer. */
+/** One event of a streamed chat completion. */
 export type ChatChunk = {
-	/** The event as it is handed on where no usage is to be told: as it came, byte for byte, unless it tells of usage or has several lines. */
+	/** The event to forward when no usage is reported: byte for byte as received, unless it contains usage or spans several lines. */
 	readonly event: string;
-	/** The event's members, without the usage. */
+	/** The members of the event, without `usage`. */
 	readonly json: Readonly<Record<string, unknown>>;
-	/** The text that it adds; empty for one that only frames the answer. */
+	/** The text added by the event; empty for an event without content, such as the initial role. */
 	readonly text: string;
-	/** Whether it holds more than a piece of the one text, so that a resume could not be exact. */
+	/** Whether the event contains anything besides text of the first choice, such as a tool call; an answer with such an event cannot be resumed exactly. */
 	readonly opaque: boolean;
 	readonly usage?: TokenUsage;
 };
@@ -36,10 +36,10 @@
 const textMembers: ReadonlySet<string> = new Set(['role', 'content']);
 
 /**
-Reads the data of one event of a streamed chat answer.
+Parses the data of one event of a streamed chat completion.
 
 @param data The event's data.
-@returns The chunk, or undefined where the data is none.
+@returns The chunk, or undefined if the data is not a chunk or reports an error.
 @example
 ```ts
 readChatChunk('{"choices": [{"index": 0, "delta": {"content": "Tag "}}]}')?.text; // 'Tag '
@@ -54,28 +54,28 @@
 	const {choices, usage, ...others} = parsed.data;
 	const [choice] = choices;
 	const json = {...others, choices};
-	const isHandedOnAsItCame = !usage && !data.includes('\n');
+	const isForwardedUnchanged = !usage && !data.includes('\n');
 	return {
-		event: isHandedOnAsItCame ? `data: ${data}\n\n` : writeChatChunk(json),
+		event: isForwardedUnchanged ? `data: ${data}\n\n` : writeChatChunk(json),
 		json,
 		text: choice?.delta.content ?? '',
-		opaque: choices.length > 1 || choices.some(({index, delta}) => index !== 0 || hasMore(delta)),
+		opaque: choices.length > 1 || choices.some(({index, delta}) => index !== 0 || hasOtherMembers(delta)),
 		...(usage && {usage: usageOf(usage)}),
 	};
 }
 
 /**
-Reads the usage that a whole chat answer reports.
+Reads the token usage from a non-streamed chat completion.
 
-@param body The answer.
-@returns The usage, zeros where it reports none, or undefined where the body is no chat answer.
+@param body The response body.
+@returns The usage, zeros if none is reported, or undefined if the body is not a chat completion.
 @example
 ```ts
-readWholeUsage(body)?.output;
+readCompletionUsage(body)?.output;
 ```
 */
 export function readWholeUsage(body: Uint8Array): TokenUsage | undefined {
-	const parsed = wholeSchema.safeParse(parseJson(new TextDecoder().decode(body)));
+	const parsed = completionSchema.safeParse(parseJson(new TextDecoder().decode(body)));
 	if (!parsed.success) {
 		return undefined;
 	}
@@ -84,11 +84,11 @@
 }
 
 /**
-Writes an event of a streamed chat answer.
+Serializes an event of a streamed chat completion.
 
 @param json The event.
-@param usage The usage to report, where the event reports it.
-@returns The bytes as text.
+@param usage The usage to include, if any.
+@returns The server-sent event.
 @example
 ```ts
 writeChatChunk(chunk.json);
@@ -105,7 +105,7 @@
 	return {input: usage.prompt_tokens, output: usage.completion_tokens};
 }
 
-function hasMore(delta: Readonly<Record<string, unknown>>): boolean {
+function hasOtherMembers(delta: Readonly<Record<string, unknown>>): boolean {
 	return Object.keys(delta).some(member => !textMembers.has(member) && delta[member] !== null);
 }
 
--- a/packages/daemon/src/entry/engine-events.ts
+++ b/packages/daemon/src/entry/engine-events.ts
@@ -5,30 +5,30 @@
 import {type ChatChunk, readChatChunk, writeChatChunk} from './chat-chunk.js';
 import {joinPieces} from './join-pieces.js';
 
-/** How a streamed answer is read. */
+/** Options for {@linkcode readEngineEvents}. */
 export type EngineEventOptions = {
-	/** The head that the caller is answered with. */
+	/** The status and headers sent to the caller. */
 	readonly head: AnswerHead;
-	/** The length of the text that was there before, in UTF-16 code units. */
+	/** The length of the text that a resumed answer continues, in UTF-16 code units. */
 	readonly resumeFrom: number;
-	/** The tokens in that text; added to the usage that the caller is told. */
+	/** The number of tokens in that text, which is counted as output in the usage reported to the caller. */
 	readonly tokensBefore: number;
-	/** The most bytes that the answer may have. */
+	/** The maximum size of the answer, in bytes. */
 	readonly maximumBytes: number;
-	/** Called whenever bytes come. */
+	/** Called when bytes are received, and after each output that the consumer has taken. */
 	readonly onBytes: () => void;
 };
 
-const lastEvent = '[DONE]';
+const doneEvent = '[DONE]';
 
 /**
-Reads a streamed chat answer: pieces with their exact offsets, and how it ended.
+Reads a streamed chat completion as pieces with exact offsets, followed by its result.
 
-An answer is whole only when `data: [DONE]` came; a malformed event is a failure of the engine. Pieces that come with the same read are joined, and the connection of an answer that was read to its end is used again.
+An answer is complete only if it ends with `data: [DONE]`. A malformed event is a failure of the engine. Pieces received in the same read are joined. If the response was read to its end, its connection is reused.
 
-@param message The answer.
-@param options How to read it.
-@returns The pieces and the end.
+@param message The response.
+@param options The head, the resume position and the limits.
+@returns The outputs of the attempt.
 @example
 ```ts
 for await (const output of readEngineEvents(message, options)) { ... }
@@ -43,39 +43,39 @@
 		},
 	});
 	const decoder = new TextDecoder();
-	const reader = new AnswerReader(options);
+	const converter = new EventConverter(options);
 	let size = 0;
 	try {
 		for await (const bytes of message.iterator({destroyOnReturn: false}) as AsyncIterable<Uint8Array>) {
 			options.onBytes();
 			size += bytes.byteLength;
 			if (size > options.maximumBytes) {
-				yield {type: 'failed', message: `Got more than ${options.maximumBytes} bytes from the engine`};
+				yield {type: 'failed', message: `Response from the engine exceeds ${options.maximumBytes} bytes`};
 				return;
 			}
 
 			parser.feed(decoder.decode(bytes, {stream: true}));
-			for (const output of joinPieces(reader.readAll(events.splice(0)))) {
+			for (const output of joinPieces(converter.convertAll(events.splice(0)))) {
 				yield output;
 				options.onBytes();
 			}
 
-			if (reader.ended) {
+			if (converter.ended) {
 				return;
 			}
 		}
 	} catch (error) {
-		yield {type: 'broken', message: `Got a broken stream from the engine: ${error instanceof Error ? error.message : 'not readable'}`};
+		yield {type: 'broken', message: `Connection to the engine was lost during the response: ${error instanceof Error ? error.message : 'not readable'}`};
 		return;
 	} finally {
-		release(message);
+		releaseConnection(message);
 	}
 
-	yield {type: 'broken', message: 'Got a stream from the engine that ended before its proper end'};
+	yield {type: 'broken', message: 'Response from the engine ended without the [DONE] event'};
 }
 
-/** Leaves the connection of an answer that came to its end for other requests; any other is destroyed. */
-function release(message: IncomingMessage): void {
+/** Returns the connection to the pool if the response is complete, and destroys it otherwise. */
+function releaseConnection(message: IncomingMessage): void {
 	if (message.complete) {
 		message.resume();
 		return;
@@ -84,25 +84,25 @@
 	message.destroy();
 }
 
-/** Turns events into outputs; what only frames the answer is kept for the next piece or for the end. */
-class AnswerReader {
+/** Converts events into outputs. Events without content are buffered and sent with the next piece or with the trailer. */
+class EventConverter {
 	ended = false;
 	#offset: number;
 	readonly #tokensBefore: number;
 	#tokens = 0;
 	#usage: TokenUsage | undefined;
-	readonly #framing: ChatChunk[] = [];
+	readonly #bufferedChunks: ChatChunk[] = [];
 
 	constructor({resumeFrom, tokensBefore}: EngineEventOptions) {
 		this.#offset = resumeFrom;
 		this.#tokensBefore = tokensBefore;
 	}
 
-	/** Reads events up to the end of the answer; what comes after it is passed over. */
-	readAll(events: readonly string[]): readonly AttemptOutput[] {
+	/** Converts events up to the end of the answer and ignores any that follow. */
+	convertAll(events: readonly string[]): readonly AttemptOutput[] {
 		const outputs: AttemptOutput[] = [];
 		for (const data of events) {
-			const output = this.#read(data);
+			const output = this.#convert(data);
 			if (output !== undefined) {
 				outputs.push(output);
 			}
@@ -115,34 +115,34 @@
 		return outputs;
 	}
 
-	#read(data: string): AttemptOutput | undefined {
-		if (data === lastEvent) {
+	#convert(data: string): AttemptOutput | undefined {
+		if (data === doneEvent) {
 			this.ended = true;
-			return this.#complete();
+			return this.#toComplete();
 		}
 
 		const chunk = readChatChunk(data);
 		if (chunk === undefined) {
 			this.ended = true;
-			return {type: 'failed', message: 'Got an event from the engine that is no chunk of a chat completion'};
+			return {type: 'failed', message: 'Event from the engine is not a chat completion chunk'};
 		}
 
 		this.#usage = chunk.usage ?? this.#usage;
 		if (chunk.text === '' && !chunk.opaque) {
-			this.#framing.push(chunk);
+			this.#bufferedChunks.push(chunk);
 			return undefined;
 		}
 
-		return this.#piece(chunk);
+		return this.#toPiece(chunk);
 	}
 
-	/** The text that was there before counts as output, not as input, of the whole answer. */
-	#wholeUsage({input, output}: TokenUsage): TokenUsage {
+	/** Moves the tokens of the resumed text, which the engine counts as input, to the output of the whole answer. */
+	#adjustUsage({input, output}: TokenUsage): TokenUsage {
 		return {input: Math.max(0, input - this.#tokensBefore), output: output + this.#tokensBefore};
 	}
 
-	#piece(chunk: ChatChunk): AttemptOutput {
-		const payload = [...this.#framing.splice(0), chunk].map(({event}) => event).join('');
+	#toPiece(chunk: ChatChunk): AttemptOutput {
+		const payload = [...this.#bufferedChunks.splice(0), chunk].map(({event}) => event).join('');
 		const length = chunk.opaque ? payload.length : chunk.text.length;
 		const offset = this.#offset;
 		this.#offset += length;
@@ -154,11 +154,11 @@
 		};
 	}
 
-	#complete(): AttemptOutput {
+	#toComplete(): AttemptOutput {
 		const usage = this.#usage ?? {input: 0, output: this.#tokens};
-		const trailer = this.#framing.map(({event, json, usage: reported}) => reported ? writeChatChunk(json, this.#wholeUsage(reported)) : event).join('');
+		const trailer = this.#bufferedChunks.map(({event, json, usage: reported}) => reported ? writeChatChunk(json, this.#adjustUsage(reported)) : event).join('');
 		return {
-			type: 'complete', offset: this.#offset, usage, trailer: `${trailer}data: ${lastEvent}\n\n`,
+			type: 'complete', offset: this.#offset, usage, trailer: `${trailer}data: ${doneEvent}\n\n`,
 		};
 	}
 }
--- a/packages/daemon/src/entry/handle-chat.ts
+++ b/packages/daemon/src/entry/handle-chat.ts
@@ -17,10 +17,10 @@
 import {type Demand} from './traffic/admission-pools.js';
 
 const expectedOutputTokens = 200;
-/** How often a request that may have run asks for a server that is back; its caller cannot send it again safely. */
+/** The interval at which a request that may have run looks for an available server again, since its caller cannot safely resend it. */
 const comeBackMilliseconds = 1000;
 
-/** An authenticated request of a caller. */
+/** An authenticated request from a caller. */
 export type AuthenticatedCall = {
 	readonly request: IncomingMessage;
 	readonly response: ServerResponse;
@@ -28,15 +28,15 @@
 	readonly workspace: WorkspaceId;
 	readonly headers: CallerHeaders;
 	readonly active: ActiveConfiguration;
-	/** When the request arrived, in milliseconds on the monotonic clock. */
+	/** When the request arrived, in milliseconds of the monotonic clock. */
 	readonly arrivedAt: number;
 };
 
 /**
-Serves one chat completion from the body to the settled bill.
+Handles a chat completion, from reading the body to settling the bill.
 
 @param call The request.
-@param context What the entry works with.
+@param context The shared state of the entry part.
 @example
 ```ts
 await handleChat(call, context);
@@ -53,8 +53,8 @@
 
 	const chat = planned.unsafeCoerce();
 	const key = requestKey(call, body.unsafeCoerce());
-	const plan = lifePlan(call, {chat, claimed: key !== undefined, hedge: hedgeDelays({...chat.facts, ...chat, streamed: chat.facts.stream}, context)});
-	noteDecision(chat, context);
+	const plan = requestPlan(call, {chat, claimed: key !== undefined, hedge: hedgeDelays({...chat.facts, ...chat, streamed: chat.facts.stream}, context)});
+	recordDecision(chat, context);
 	const adapter = new ChatAdapter(chat, {
 		context,
 		deadline: plan.deadline,
@@ -71,32 +71,32 @@
 	}
 }
 
-type Answered = {
+type RememberOptions = {
 	readonly answeredBy: VersionTarget;
 	readonly ranAt: number;
 	readonly context: EntryContext;
 };
 
-/** The rating of an answer comes late, and tells the version by the request's id. */
-function rememberForRating({requestId, workspace, rule, escalatesTo, model: first}: ChatPlan, {answeredBy: {model, version}, ranAt, context}: Answered): void {
+/** Remembers which version answered, since a rating arrives later and refers to the request by its id only. */
+function rememberForRating({requestId, workspace, rule, escalatesTo, model: first}: ChatPlan, {answeredBy: {model, version}, ranAt, context}: RememberOptions): void {
 	const isAccepted = escalatesTo !== undefined && model === first;
 	context.ratings.remember({
 		requestId, workspace, rule: rule.name, model, version, ranAt, measure: isAccepted ? 'accepted-rating' : 'rating',
 	});
 }
 
-function noteDecision({requestId, workspace, considered}: ChatPlan, {decisions, clock}: EntryContext): void {
+function recordDecision({requestId, workspace, considered}: ChatPlan, {decisions, clock}: EntryContext): void {
 	decisions.begin({
 		request: requestId, workspace, at: clock.now().getTime(), versions: considered.map(({model, version, verdict}) => ({model, version, verdict})), attempts: [],
 	});
 }
 
-type Planned = {
+type PlannedChat = {
 	readonly chat: ChatPlan;
 	readonly plan: RequestPlan;
 };
 
-function demandOf({requestId, workspace, active}: AuthenticatedCall, {chat: {rule, facts}, plan}: Planned): Demand {
+function demandOf({requestId, workspace, active}: AuthenticatedCall, {chat: {rule, facts}, plan}: PlannedChat): Demand {
 	return {
 		id: requestId,
 		workspace,
@@ -109,11 +109,11 @@
 }
 
 /**
-The idempotency key of a request, where it carries one, with the digest of method, path and body.
+Returns the idempotency key of a request with the digest of its method, path and body.
 
 @param call The request.
 @param body Its body.
-@returns The key, or undefined where there is none.
+@returns The key and the digest, or undefined if the request has no idempotency key.
 @example
 ```ts
 requestKey(call, body)?.digest;
@@ -125,13 +125,13 @@
 		: {key: toId<IdempotencyKey>(headers.key), digest: sha256(`${request.method ?? ''}\n${request.url ?? ''}\n${sha256(body)}`)};
 }
 
-type ChatLife = {
+type RequestPlanOptions = {
 	readonly chat: ChatPlan;
 	readonly claimed: boolean;
 	readonly hedge: HedgeDelays | undefined;
 };
 
-function lifePlan({headers, arrivedAt}: AuthenticatedCall, {chat, claimed, hedge}: ChatLife): RequestPlan {
+function requestPlan({headers, arrivedAt}: AuthenticatedCall, {chat, claimed, hedge}: RequestPlanOptions): RequestPlan {
 	const {model, version, rule, facts, escalatesTo} = chat;
 	const isPinned = headers.session !== '' && headers.session !== newSession;
 	return {
--- a/packages/daemon/src/entry/join-pieces.ts
+++ b/packages/daemon/src/entry/join-pieces.ts
@@ -1,10 +1,10 @@
 import {type AnswerPiece, type AttemptOutput} from './attempt-output.js';
 
 /**
-Joins pieces of text that follow one another, so that what came with one read costs one step and one write.
+Joins adjacent text pieces, so that the data of one read needs one state machine step and one write.
 
-@param outputs What came with one read, in order.
-@returns The same with neighbouring pieces of text in one.
+@param outputs The outputs of one read, in order.
+@returns The outputs with adjacent text pieces joined.
 @example
 ```ts
 joinPieces([first, second, complete]); // [firstAndSecond, complete]
@@ -15,19 +15,19 @@
 	let last: AnswerPiece | undefined;
 	for (const output of outputs) {
 		const piece = output.type === 'piece' ? output.piece : undefined;
-		const both = last && piece && join(last, piece);
-		if (both !== undefined) {
+		const merged = last && piece && joinTextPieces(last, piece);
+		if (merged !== undefined) {
 			joined.pop();
 		}
 
-		joined.push(both === undefined ? output : {type: 'piece', piece: both});
-		last = both ?? piece;
+		joined.push(merged === undefined ? output : {type: 'piece', piece: merged});
+		last = merged ?? piece;
 	}
 
 	return joined;
 }
 
-function join(left: AnswerPiece, right: AnswerPiece): AnswerPiece | undefined {
+function joinTextPieces(left: AnswerPiece, right: AnswerPiece): AnswerPiece | undefined {
 	if (left.text === undefined || right.text === undefined || typeof left.payload !== 'string' || typeof right.payload !== 'string') {
 		return undefined;
 	}
--- a/packages/daemon/src/entry/life/dispatch-attempt.ts
+++ b/packages/daemon/src/entry/life/dispatch-attempt.ts
@@ -6,25 +6,25 @@
 import {type AttemptSet} from './attempt-set.js';
 import {type AnswerSoFar, type DispatchAction, type RequestAdapter} from './request-adapter.js';
 
-/** What a dispatch works with. */
+/** Options of {@linkcode dispatchAttempt}. */
 export type DispatchAttemptOptions = {
 	readonly requestId: RequestId;
 	readonly workspace: WorkspaceId;
 	readonly adapter: RequestAdapter;
 	readonly attempts: AttemptSet;
-	/** What the caller got. */
+	/** The part of the answer that the caller has received. */
 	readonly soFar: AnswerSoFar;
 	readonly context: Pick<EntryContext, 'servers' | 'timeline'>;
 };
 
-const fromTheStart: AnswerSoFar = {text: '', tokens: 0};
+const emptyAnswer: AnswerSoFar = {text: '', tokens: 0};
 
 /**
-Sends an attempt, after asking right before it whether the version and the server may still get work.
+Sends an attempt, after a final check that the target and the server may still receive requests.
 
 @param dispatch The attempt.
-@param options What it works with.
-@returns The event of a denial; undefined where the attempt was sent.
+@param options The request, its adapter and its attempts.
+@returns The event of a denial, or undefined if the attempt was sent.
 @example
 ```ts
 const denied = dispatchAttempt(action, options);
@@ -46,15 +46,15 @@
 	return undefined;
 }
 
-async function send(dispatch: DispatchAction, server: KnownServer, {adapter, attempts, soFar}: DispatchAttemptOptions): Promise<void> {
+async function send(dispatch: DispatchAction, server: KnownServer, {adapter, attempts, soFar: partialAnswer}: DispatchAttemptOptions): Promise<void> {
 	const {attempt: number, resumeFrom} = dispatch;
-	const before = resumeFrom === 0 ? fromTheStart : soFar;
+	const resumed = resumeFrom === 0 ? emptyAnswer : partialAnswer;
 	server.inFlight++;
 	await attempts.start({
 		number,
 		resumeFrom,
 		call: signal => adapter.send({
-			dispatch, address: server.announcement.address, signal, before,
+			dispatch, address: server.announcement.address, signal, before: resumed,
 		}),
 	});
 	server.inFlight--;
--- a/packages/daemon/src/entry/life/request-claim.ts
+++ b/packages/daemon/src/entry/life/request-claim.ts
@@ -6,13 +6,13 @@
 import {match} from 'ts-pattern';
 import {type EntryContext} from '../entry-context.js';
 
-/** The idempotency key of a request, and the digest that tells it from another under the same key. */
+/** The idempotency key of a request, and the digest that distinguishes it from other requests with the same key. */
 export type RequestKey = {
 	readonly key: IdempotencyKey;
 	readonly digest: string;
 };
 
-/** What the claim of a request needs. */
+/** Options of a {@linkcode RequestClaim}. */
 export type RequestClaimOptions = RequestKey & {
 	readonly workspace: WorkspaceId;
 	readonly requestId: RequestId;
@@ -22,7 +22,7 @@
 const retryAfterMilliseconds = 1000;
 
 /**
-The claim of one request on its idempotency key.
+The claim of a request on its idempotency key.
 
 @example
 ```ts
@@ -32,21 +32,21 @@
 */
 export class RequestClaim {
 	readonly #options: RequestClaimOptions;
-	#kept: KeptAnswer | undefined;
+	#storedAnswer: KeptAnswer | undefined;
 
 	constructor(options: RequestClaimOptions) {
 		this.#options = options;
 	}
 
-	/** What the claim kept of an earlier request under the same key. */
+	/** The stored answer of an earlier request with the same key. */
 	get kept(): KeptAnswer | undefined {
-		return this.#kept;
+		return this.#storedAnswer;
 	}
 
 	/**
 	Takes the claim.
 
-	@returns The event that tells where it stands.
+	@returns The event with the state of the claim.
 	*/
 	async take(): Promise<RequestEvent> {
 		const {context, workspace, requestId, key, digest} = this.#options;
@@ -56,15 +56,15 @@
 		context.timeline.record('claim-taken', {requestId, workspace, details: {answer: outcome.map(({type}) => type as string).orDefault('no-quorum')}});
 		return outcome.caseOf<RequestEvent>({
 			Left: failed => ({type: 'claim-answered', answer: 'no-quorum', retryAfterMilliseconds: failed.retryAfterMilliseconds ?? retryAfterMilliseconds}),
-			Right: found => this.#answered(found),
+			Right: claimOutcome => this.#toEvent(claimOutcome),
 		});
 	}
 
 	/**
-	Settles the claim; the settlement is sent until it is acknowledged.
+	Settles the claim in the background; the settlement is retried until it is acknowledged.
 
-	@param end How it ended.
-	@param answer The whole answer, where there is one.
+	@param end How the request ended.
+	@param answer The complete answer, if there is one.
 	*/
 	settle(end: ClaimEnd, answer: KeptAnswer | undefined): void {
 		const {context, workspace, requestId, key} = this.#options;
@@ -75,10 +75,10 @@
 		context.claims.settle({workspace, key, request: requestId}, settlement);
 	}
 
-	#answered(outcome: ClaimOutcome): RequestEvent {
+	#toEvent(outcome: ClaimOutcome): RequestEvent {
 		return match<ClaimOutcome, RequestEvent>(outcome)
 			.with({type: 'done'}, ({answer}) => {
-				this.#kept = answer;
+				this.#storedAnswer = answer;
 				return {type: 'claim-answered', answer: 'done'};
 			})
 			.with({type: 'released'}, {type: 'expired'}, () => ({type: 'claim-answered', answer: 'no-quorum', retryAfterMilliseconds}))
--- a/packages/daemon/src/entry/life/request-run.ts
+++ b/packages/daemon/src/entry/life/request-run.ts
@@ -19,31 +19,31 @@
 import {RequestBill, type SettleBillAction} from './request-bill.js';
 import {RequestClaim, type RequestKey} from './request-claim.js';
 
-/** One request to carry through its life. */
+/** Options of a {@linkcode RequestExecution}. */
 export type RequestRunOptions = {
 	readonly response: ServerResponse;
 	readonly requestId: RequestId;
 	readonly workspace: WorkspaceId;
 	readonly plan: RequestPlan;
 	readonly adapter: RequestAdapter;
-	/** Given where the plan takes a claim. */
+	/** The idempotency key; required if the plan takes a claim. */
 	readonly key: RequestKey | undefined;
-	/** What it asks admission for. */
+	/** The resources that the request needs, for its admission. */
 	readonly demand: Demand;
 	readonly context: EntryContext;
 };
 
-type Item = {
+type QueuedEvent = {
 	readonly event: RequestEvent;
 	readonly piece?: AnswerPiece | undefined;
 };
 
 /**
-Carries one request through its life: the actions of the state machine become input and output, and what comes of them becomes its events.
+Executes one request: performs the actions of its state machine and feeds their results back as events.
 
 @example
 ```ts
-await new RequestRun(options).run();
+await new RequestExecution(options).run();
 ```
 */
 export class RequestRun {
@@ -53,14 +53,14 @@
 	readonly #bill: RequestBill;
 	readonly #attempts: AttemptSet;
 	readonly #timers: LifeTimers;
-	readonly #queue: Item[] = [];
+	readonly #queue: QueuedEvent[] = [];
 	#onEnded: (() => void) | undefined;
 	#state: RequestState | undefined;
 	#stepping = false;
 	#isAnswered = false;
-	/** The tokens that the attempts used. */
+	/** The number of tokens used by all attempts. */
 	#tokens = 0;
-	#inHand: AnswerPiece | undefined;
+	#currentPiece: AnswerPiece | undefined;
 
 	constructor(options: RequestRunOptions) {
 		const {requestId, context, plan, key} = options;
@@ -76,19 +76,19 @@
 		});
 		this.#attempts = new AttemptSet({
 			onOutput: (attempt, output) => {
-				this.#takeOutput(attempt, output);
+				this.#handleOutput(attempt, output);
 			},
 			onError(error) {
-				context.log.error({err: error, requestId}, 'An attempt failed in its adapter');
+				context.log.error({err: error, requestId}, 'Unexpected error in the request adapter');
 			},
 			drained: async () => this.#answer.drained(),
 		});
 	}
 
 	/**
-	Begins the life of the request.
+	Executes the request.
 
-	@returns When it ended: what answered it whole, or undefined where nothing did.
+	@returns The target that answered completely, or undefined if none did; resolves when the request has ended.
 	*/
 	async run(): Promise<RequestTarget | undefined> {
 		const {response, plan, context, requestId} = this.#options;
@@ -102,44 +102,44 @@
 				this.take({type: 'caller-left'});
 			}
 		});
-		this.#carryOut(startRequest(plan));
-		this.#drain();
+		this.#perform(startRequest(plan));
+		this.#processQueue();
 		await ended;
 		context.admission.end(requestId, this.#tokens);
-		context.decisions.end(requestId, this.#isAnswered ? 'answered' : 'not answered whole');
+		context.decisions.end(requestId, this.#isAnswered ? 'answered' : 'not answered completely');
 		context.runs.delete(this);
 		return this.#isAnswered ? this.#target : undefined;
 	}
 
 	/**
-	Takes an event; one that comes while actions are carried out waits for its turn.
+	Passes an event to the state machine. An event that arrives while actions are performed is queued.
 
 	@param event The event.
-	@param piece The piece that came with it.
+	@param piece The piece of the answer that belongs to the event.
 	*/
 	take(event: RequestEvent, piece?: AnswerPiece): void {
 		this.#queue.push({event, piece});
-		this.#drain();
+		this.#processQueue();
 	}
 
-	#drain(): void {
+	#processQueue(): void {
 		while (!this.#stepping && this.#state !== undefined) {
-			const item = this.#queue.shift();
-			if (item === undefined) {
+			const queued = this.#queue.shift();
+			if (queued === undefined) {
 				return;
 			}
 
-			this.#inHand = item.piece;
-			this.#carryOut(stepRequest(this.#state, {event: item.event, now: this.#options.context.clock.monotonic()}));
+			this.#currentPiece = queued.piece;
+			this.#perform(stepRequest(this.#state, {event: queued.event, now: this.#options.context.clock.monotonic()}));
 		}
 	}
 
-	#carryOut({state, actions}: RequestStep): void {
+	#perform({state, actions}: RequestStep): void {
 		this.#stepping = true;
 		const isEnd = state.stage === 'ended' && this.#state?.stage !== 'ended';
 		this.#state = state;
 		for (const action of actions) {
-			this.#act(action);
+			this.#performAction(action);
 		}
 
 		this.#stepping = false;
@@ -150,11 +150,11 @@
 		}
 	}
 
-	#act(action: RequestAction): void {
+	#performAction(action: RequestAction): void {
 		match(action)
-			// The frequent ones come first, since the cases are tried in turn.
+			// Frequent actions come first, since the cases are tested in order.
 			.with({type: 'forward-piece'}, ({attempt}) => {
-				this.#forward(attempt, this.#inHand === undefined ? [] : [this.#inHand]);
+				this.#forward(attempt, this.#currentPiece === undefined ? [] : [this.#currentPiece]);
 			})
 			.with({type: 'set-timer'}, ({timer, at}) => {
 				this.#timers.set(timer, at);
@@ -195,15 +195,15 @@
 			.with({type: 'judge-attempt'}, ({attempt}) => {
 				this.#judge(attempt);
 			})
-			.otherwise(towardsCaller => {
-				this.#tell(towardsCaller);
+			.otherwise(callerAction => {
+				this.#performCallerAction(callerAction);
 			});
 	}
 
-	#tell(action: Exclude<CallerAction, {readonly type: 'forward-piece'}>): void {
+	#performCallerAction(action: Exclude<CallerAction, {readonly type: 'forward-piece'}>): void {
 		match(action)
 			.with({type: 'hold-piece'}, () => {
-				// The attempt keeps its pieces as they come.
+				// Nothing to do: pieces are buffered when they arrive.
 			})
 			.with({type: 'forward-held'}, ({attempt}) => {
 				this.#forward(attempt, this.#attempts.get(attempt)?.pieces ?? []);
@@ -259,8 +259,8 @@
 		}
 	}
 
-	#takeOutput(number: number, output: AttemptOutput): void {
-		if (output.type === 'piece' && this.#keepsPieces()) {
+	#handleOutput(number: number, output: AttemptOutput): void {
+		if (output.type === 'piece' && this.#buffersPieces()) {
 			this.#attempts.get(number)?.pieces.push(output.piece);
 		}
 
@@ -268,20 +268,20 @@
 			const {context, requestId} = this.#options;
 			context.log.info({
 				requestId, attempt: number, end: output.type, message: output.message,
-			}, output.type === 'silent' ? 'An attempt fell silent; its connection is kept' : 'An attempt brought no whole answer');
+			}, output.type === 'silent' ? 'No data received from the server within the stall timeout; keeping the connection' : 'An attempt ended without a complete answer');
 		}
 
 		this.take(toRequestEvent(number, output), output.type === 'piece' ? output.piece : undefined);
 	}
 
-	#keepsPieces(): boolean {
+	#buffersPieces(): boolean {
 		const {plan} = this.#options;
 		return plan.claimed || !plan.streamed || this.#state?.judged === true;
 	}
 
 	#judge(attempt: number): void {
-		const found = this.#attempts.get(attempt);
-		this.take({type: 'attempt-judged', attempt, ...this.#options.adapter.judge(this.#target, {head: found?.head, pieces: found?.pieces ?? []})});
+		const judged = this.#attempts.get(attempt);
+		this.take({type: 'attempt-judged', attempt, ...this.#options.adapter.judge(this.#target, {head: judged?.head, pieces: judged?.pieces ?? []})});
 	}
 
 	#forward(number: number, pieces: readonly AnswerPiece[]): void {
--- a/packages/daemon/src/entry/request-id.ts
+++ b/packages/daemon/src/entry/request-id.ts
@@ -4,14 +4,14 @@
 const tagLength = 6;
 
 /**
-Makes the id of a request, which shows the instance that serves it.
+Creates a request id that carries a tag of the instance that serves the request.
 
 @param instance The instance.
-@param unique A text that is never given twice.
+@param unique A globally unique string.
 @returns The id.
 @example
 ```ts
-requestIdOn(settings.instance, randomUUID());
+createRequestId(settings.instance, randomUUID());
 ```
 */
 export function requestIdOn(instance: InstanceId, unique: string): RequestId {
@@ -19,14 +19,14 @@
 }
 
 /**
-Tells whether an instance may have given out the id of a request; nearly no other one has the same mark.
+Returns whether an instance may have created a request id. False positives are possible but rare, since the tag is a short hash of the instance id.
 
-@param request The request.
+@param request The request id.
 @param instance The instance.
-@returns Whether the id bears its mark.
+@returns Whether the id carries the tag of the instance.
 @example
 ```ts
-members.filter(({instance}) => mayBeFrom(request, instance));
+members.filter(({instance}) => mayOriginateFrom(request, instance));
 ```
 */
 export function mayBeFrom(request: RequestId, instance: InstanceId): boolean {
--- a/packages/daemon/src/entry/start-entry.ts
+++ b/packages/daemon/src/entry/start-entry.ts
@@ -21,21 +21,21 @@
 import {AdmissionPools} from './traffic/admission-pools.js';
 import {ServerPicker} from './traffic/server-picker.js';
 
-/** What the entry part is built on. */
+/** The other parts of the daemon that the entry part uses. */
 export type StartEntryOptions = {
 	readonly control: ControlClient;
 	readonly distribution: DistributionPart;
 	readonly ratings: RatingsPart;
 };
 
-/** The part of a daemon that serves callers. */
+/** The part of the daemon that serves callers. */
 export type EntryPart = {
 	readonly context: EntryContext;
-	/** Answers a message of another daemon. */
+	/** Handles a message from another daemon and returns the reply. */
 	readonly answer: (message: EntryMessage) => Promise<unknown>;
-	/** Ends the requests in progress whole and hands over the bills; new ones are refused. */
+	/** Refuses new requests, completes those in progress and hands over the bills. */
 	readonly stop: () => Promise<void>;
-	/** Ends all that is still tried; what is not handed over stays with the holders of the copies. */
+	/** Stops all retries and timers. Bills that were not handed over remain as copies on their holders. */
 	readonly close: () => void;
 };
 
@@ -43,14 +43,14 @@
 const maximumCopies = 40_000;
 const lostAfterMilliseconds = 4000;
 const handOverPollMilliseconds = 50;
-const lingerMilliseconds = 500;
+const ledgerLingerMilliseconds = 500;
 const admissionMilliseconds = 250;
 
 /**
-Starts the part of a daemon that serves callers.
+Starts the part of the daemon that serves callers.
 
-@param base What every part works with.
-@param options The parts it is built on.
+@param base The state shared by all parts.
+@param options The parts that the entry part uses.
 @returns The part.
 @example
 ```ts
@@ -61,23 +61,23 @@
 	const {control, distribution} = options;
 	const outbox = new LedgerOutbox({propose: async command => control.propose(command), wait});
 	const startedAt = base.clock.now().getTime();
-	const bills = billKeeper(base, {...options, outbox, startedAt});
-	const stopTelling = keepRunKnown({instance: base.settings.instance, startedAt}, {
+	const bills = createBillStore(base, {...options, outbox, startedAt});
+	const stopHeartbeat = keepRunKnown({instance: base.settings.instance, startedAt}, {
 		rememberedMilliseconds: base.settings.controlLimits.originMilliseconds,
 		tell: async running => control.propose({type: 'record-bills', bills: [], running}),
 		onFailure(failed) {
-			base.log.info({failure: failed}, 'The ledger was not told that this run goes on');
+			base.log.info({failure: failed}, 'Could not report this run to the ledger; trying again at the next interval');
 		},
 	});
-	const held = heldBills(base, bills);
-	const claims = claimKeeper(base, control);
+	const billCopies = createBillCopyStore(base, bills);
+	const claims = createClaimClient(base, control);
 	claims.begin();
 	distribution.onInstanceLost(({instance}) => {
 		void claims.forget(instance);
 	});
 	const requests = new RequestCounter();
 	const decisions = new DecisionRing();
-	const picker = new ServerPicker({
+	const serverSelector = new ServerPicker({
 		...base, servers: distribution.servers, zone: base.settings.zone, decisions,
 	});
 	const admission = new AdmissionPools({...base, servers: distribution.servers, members: distribution.members});
@@ -85,8 +85,8 @@
 		admission.refresh();
 	}, admissionMilliseconds);
 	const closing = new AbortController();
-	const watch = watchBills({
-		bills, held, members: distribution.members, network: base.network,
+	const maintenance = watchBills({
+		bills, held: billCopies, members: distribution.members, network: base.network,
 	});
 	return {
 		context: {
@@ -95,53 +95,53 @@
 			active: distribution.active,
 			ratings: options.ratings,
 			admission,
-			picker,
+			picker: serverSelector,
 			history: new StageHistory(),
 			decisions,
 			requests,
 			inProgress: new InProgress(),
 			runs: new Set(),
 			bills,
-			held,
+			held: billCopies,
 			claims,
 		},
 		answer: async message => match(message)
-			.with({type: 'hold-bills'}, hold => held.hold(hold))
+			.with({type: 'hold-bills'}, hold => billCopies.hold(hold))
 			.with({type: 'owned-bills'}, question => bills.answerOwned(question))
 			.with({type: 'explain'}, ({request}) => decisions.get(request))
 			.exhaustive(),
 		async stop() {
 			await requests.stop();
-			held.stop();
-			// What others are about to send to the ledger still finds it here.
-			await wait(base.settings.roles.includes('control') ? lingerMilliseconds : 0);
-			while (!closing.signal.aborted && bills.size + claims.size + held.size + outbox.size > 0) {
+			billCopies.stop();
+			// Keeps the ledger available for a moment, since other instances may be about to send bills to it.
+			await wait(base.settings.roles.includes('control') ? ledgerLingerMilliseconds : 0);
+			while (!closing.signal.aborted && bills.size + claims.size + billCopies.size + outbox.size > 0) {
 				bills.renew();
 				await wait(handOverPollMilliseconds);
 			}
 		},
 		close() {
 			closing.abort();
-			watch.stop();
+			maintenance.stop();
 			clearInterval(admissionTimer);
-			stopTelling();
+			stopHeartbeat();
 			outbox.close();
 			claims.close();
 		},
 	};
 }
 
-// A wait does not keep the process from ending.
+// A pending delay does not keep the process alive.
 async function wait(milliseconds: number): Promise<void> {
 	await delay(milliseconds, undefined, {ref: false});
 }
 
-type BillKeeperParts = Pick<StartEntryOptions, 'distribution'> & {
+type BillStoreParts = Pick<StartEntryOptions, 'distribution'> & {
 	readonly outbox: LedgerOutbox;
 	readonly startedAt: number;
 };
 
-function billKeeper({self, clock, network, newId}: DaemonBase, {distribution, outbox, startedAt}: BillKeeperParts): BillKeeper {
+function createBillStore({self, clock, network, newId}: DaemonBase, {distribution, outbox, startedAt}: BillStoreParts): BillKeeper {
 	return new BillKeeper({
 		self,
 		start: newId(),
@@ -156,7 +156,7 @@
 	});
 }
 
-function heldBills({clock, timeline}: DaemonBase, bills: BillKeeper): HeldBills {
+function createBillCopyStore({clock, timeline}: DaemonBase, bills: BillKeeper): HeldBills {
 	return new HeldBills({
 		clock,
 		maximumCopies,
@@ -168,7 +168,7 @@
 	});
 }
 
-function claimKeeper({clock, log, settings: {instance}}: DaemonBase, control: ControlClient): ClaimKeeper {
+function createClaimClient({clock, log, settings: {instance}}: DaemonBase, control: ControlClient): ClaimKeeper {
 	return new ClaimKeeper({
 		instance,
 		clock,
@@ -176,12 +176,12 @@
 		forget: async lost => control.propose({type: 'instance-lost', instance: lost, at: clock.now().getTime()}),
 		async propose(command: ClaimCommand): Promise<Either<Failure, ClaimAnswer>> {
 			const answer = await control.propose(command);
-			return answer.chain(found => 'claim' in found
-				? Right(found)
-				: Left(failure('internal', 'Got an answer of the control role without a claim, wanted one with it')));
+			return answer.chain(reply => 'claim' in reply
+				? Right(reply)
+				: Left(failure('internal', 'The reply of the control role to a claim command has no claim')));
 		},
 		onRefused(claim, failed) {
-			log.error({requestId: claim.request, workspace: claim.workspace, failure: failed}, 'The settlement of a claim was refused');
+			log.error({requestId: claim.request, workspace: claim.workspace, failure: failed}, 'The control role refused the settlement of a claim');
 		},
 	});
 }
--- a/packages/daemon/src/entry/traffic/admission-pools.ts
+++ b/packages/daemon/src/entry/traffic/admission-pools.ts
@@ -5,7 +5,7 @@
 import {Admission, type RequestEvent, type RequestTarget} from '@valehitch/routing';
 import {type Member} from '../../member.js';
 
-/** What the pools work with. */
+/** Options of {@linkcode AdmissionPools}. */
 export type AdmissionPoolsOptions = {
 	readonly clock: Clock;
 	readonly servers: ServerTable;
@@ -14,50 +14,50 @@
 	readonly members: () => readonly Member[];
 };
 
-/** A request that asks for admission. */
+/** A request for admission. */
 export type Demand = {
 	readonly id: RequestId;
 	readonly workspace: WorkspaceId;
 	readonly target: RequestTarget;
-	/** The workspace's weight. */
+	/** The weight of the workspace. */
 	readonly weight: number;
-	/** Lower is sooner. */
+	/** The priority; lower values are admitted first. */
 	readonly priority: number;
-	/** The estimate of its tokens, prompt and answer. */
+	/** The estimated number of tokens of the prompt and the answer. */
 	readonly cost: number;
-	/** When its last byte is due, in milliseconds on the monotonic clock. */
+	/** When the last byte is due, in milliseconds of the monotonic clock. */
 	readonly deadline: number;
 };
 
 type Pool = {
 	readonly admission: Admission;
 	readonly target: RequestTarget;
-	/** Means of what requests cost, of what they were expected to cost and of how long they take, in which recent ones weigh more. */
+	/** Exponentially weighted means of the actual cost, the estimated cost and the duration of requests. */
 	meanCost: number;
 	meanEstimate: number;
 	meanMilliseconds: number;
-	/** How many requests the means are made of. */
-	seen: number;
+	/** The number of requests in the means. */
+	sampleCount: number;
 	refreshedAt: number;
 	/** When each admitted request began. */
-	readonly began: Map<RequestId, number>;
+	readonly beganAt: Map<RequestId, number>;
 };
 
-/** A request that was offered to its pool and has not ended. */
-type Offered = {
+/** A request that was submitted to its pool and has not ended. */
+type SubmittedRequest = {
 	readonly pool: Pool;
-	/** What it was expected to cost. */
+	/** The estimated cost. */
 	readonly estimate: number;
 };
 
 const headroom = 2;
-const leastMeanWeight = 0.05;
+const minimumMeanWeight = 0.05;
 const refreshMilliseconds = 250;
 
 /**
-Admits requests by the capacity of the servers that can serve them: one pool for each version and each service.
+Admits requests according to the capacity of the servers that can serve them, with one pool for each version and each service.
 
-An instance may use twice its equal share of the servers' capacity, since callers do not spread evenly over the instances.
+Each instance may use twice its equal share of the servers' capacity, since callers are not distributed evenly over the instances.
 
 @example
 ```ts
@@ -68,23 +68,23 @@
 export class AdmissionPools {
 	readonly #options: AdmissionPoolsOptions;
 	readonly #pools = new Map<string, Pool>();
-	readonly #offered = new Map<RequestId, Offered>();
+	readonly #submitted = new Map<RequestId, SubmittedRequest>();
 	readonly #waiting = new Map<RequestId, (event: RequestEvent) => void>();
 
 	constructor(options: AdmissionPoolsOptions) {
 		this.#options = options;
 	}
 
-	/** How many requests wait. */
+	/** The number of waiting requests. */
 	get waiting(): number {
 		return this.#waiting.size;
 	}
 
 	/**
-	Asks for admission.
+	Requests admission.
 
 	@param demand The request.
-	@returns When its turn came, or it was refused; a request that nothing can serve is let through to be told so.
+	@returns The event that admits or refuses the request, once its turn has come. A request that no server can serve is admitted, so that it fails with the reason.
 	*/
 	async admit(demand: Demand): Promise<RequestEvent> {
 		const pool = this.#poolFor(demand);
@@ -93,14 +93,14 @@
 			return {type: 'admitted'};
 		}
 
-		const answer = pool.admission.offer({...demand, cost: likelyCost(pool, demand.cost), serviceMilliseconds: pool.meanMilliseconds}, now);
+		const answer = pool.admission.offer({...demand, cost: correctedCost(pool, demand.cost), serviceMilliseconds: pool.meanMilliseconds}, now);
 		if (answer.type === 'refused') {
 			return {type: 'admission-refused', failure: answer.failure};
 		}
 
-		this.#offered.set(demand.id, {pool, estimate: demand.cost});
+		this.#submitted.set(demand.id, {pool, estimate: demand.cost});
 		if (answer.type === 'admitted') {
-			pool.began.set(demand.id, now);
+			pool.beganAt.set(demand.id, now);
 			return {type: 'admitted'};
 		}
 
@@ -110,46 +110,46 @@
 	}
 
 	/**
-	Ends a request, be it admitted or still waiting.
+	Ends an admitted or waiting request.
 
 	@param id The request.
-	@param tokens The tokens that it really used.
+	@param tokens The number of tokens that it used.
 	*/
 	end(id: RequestId, tokens: number): void {
-		const offered = this.#offered.get(id);
-		if (offered === undefined) {
+		const submitted = this.#submitted.get(id);
+		if (submitted === undefined) {
 			return;
 		}
 
-		const {pool, estimate} = offered;
-		this.#offered.delete(id);
+		const {pool, estimate} = submitted;
+		this.#submitted.delete(id);
 		const now = this.#options.clock.monotonic();
-		const began = pool.began.get(id);
-		if (began === undefined) {
+		const beganAt = pool.beganAt.get(id);
+		if (beganAt === undefined) {
 			this.#waiting.delete(id);
-			this.#begin(pool, pool.admission.leave(id));
+			this.#markAdmitted(pool, pool.admission.leave(id));
 			return;
 		}
 
-		pool.began.delete(id);
+		pool.beganAt.delete(id);
 		if (tokens > 0) {
-			pool.seen++;
-			const weight = Math.max(leastMeanWeight, 1 / pool.seen);
+			pool.sampleCount++;
+			const weight = Math.max(minimumMeanWeight, 1 / pool.sampleCount);
 			pool.meanCost += weight * (tokens - pool.meanCost);
 			pool.meanEstimate += weight * (estimate - pool.meanEstimate);
-			pool.meanMilliseconds += weight * (now - began - pool.meanMilliseconds);
+			pool.meanMilliseconds += weight * (now - beganAt - pool.meanMilliseconds);
 		}
 
-		this.#begin(pool, pool.admission.release(id, {tokens, now}));
+		this.#markAdmitted(pool, pool.admission.release(id, {tokens, now}));
 	}
 
-	/** Looks at the capacity of the pools in which requests wait; called every few hundred milliseconds. */
+	/** Updates the capacity of pools with waiting requests and removes unused pools; called every few hundred milliseconds. */
 	refresh(): void {
 		const now = this.#options.clock.monotonic();
 		for (const [key, pool] of this.#pools) {
 			if (pool.admission.waiting > 0) {
 				this.#refresh(pool, now);
-			} else if (pool.began.size === 0 && this.#capacityOf(pool) === 0) {
+			} else if (pool.beganAt.size === 0 && this.#capacityOf(pool) === 0) {
 				this.#pools.delete(key);
 			}
 		}
@@ -163,13 +163,13 @@
 		}
 
 		const pool: Pool = {
-			admission: new Admission({capacity: 0}), target, meanCost: cost, meanEstimate: cost, meanMilliseconds: 0, seen: 0, refreshedAt: Number.NEGATIVE_INFINITY, began: new Map(),
+			admission: new Admission({capacity: 0}), target, meanCost: cost, meanEstimate: cost, meanMilliseconds: 0, sampleCount: 0, refreshedAt: Number.NEGATIVE_INFINITY, beganAt: new Map(),
 		};
 		this.#pools.set(key, pool);
 		return pool;
 	}
 
-	/** Brings the capacity up to date; gives whether there is any. */
+	/** Updates the capacity of a pool, at most once per refresh interval; returns whether the pool has any. */
 	#refresh(pool: Pool, now: number): boolean {
 		if (now - pool.refreshedAt < refreshMilliseconds) {
 			return true;
@@ -180,7 +180,7 @@
 			pool.refreshedAt = now;
 		}
 
-		this.#begin(pool, pool.admission.setCapacity(capacity));
+		this.#markAdmitted(pool, pool.admission.setCapacity(capacity));
 		return capacity > 0;
 	}
 
@@ -193,20 +193,20 @@
 			slots += serves && state === 'joined' ? capacity : 0;
 		}
 
-		const sharers = Math.max(1, this.#options.members().length);
-		return slots === 0 ? 0 : Math.max(1, slots * headroom / sharers) * meanCost;
+		const instanceCount = Math.max(1, this.#options.members().length);
+		return slots === 0 ? 0 : Math.max(1, slots * headroom / instanceCount) * meanCost;
 	}
 
-	#begin(pool: Pool, admitted: readonly RequestId[]): void {
+	#markAdmitted(pool: Pool, admitted: readonly RequestId[]): void {
 		for (const id of admitted) {
-			pool.began.set(id, this.#options.clock.monotonic());
+			pool.beganAt.set(id, this.#options.clock.monotonic());
 			this.#waiting.get(id)?.({type: 'admitted'});
 			this.#waiting.delete(id);
 		}
 	}
 }
 
-/** The estimate put right by how far those before it were wrong: the capacity is in real tokens, and requests that are expected to be several times as large would leave most places empty. */
-function likelyCost({meanCost, meanEstimate}: Pool, estimate: number): number {
+/** Corrects an estimate by the ratio of actual to estimated cost so far. The capacity is in actual tokens, so estimates that are several times too high would leave most of it unused. */
+function correctedCost({meanCost, meanEstimate}: Pool, estimate: number): number {
 	return estimate * meanCost / meanEstimate;
 }
