--- a/packages/daemon/src/answer-json.ts
+++ b/packages/daemon/src/answer-json.ts
@@ -1,11 +1,11 @@
 import {type OutgoingHttpHeaders, type ServerResponse} from 'node:http';
 
 /**
-Answers with JSON.
+Sends a response with a JSON body.
 
 @param response The response.
-@param body The value to send.
-@param options `status` (200 unless given) and further headers.
+@param body The value to serialize as the body.
+@param options The status code, 200 by default, and additional headers.
 @example
 ```ts
 answerJson(response, {ok: true});
--- a/packages/daemon/src/bearer.ts
+++ b/packages/daemon/src/bearer.ts
@@ -4,10 +4,10 @@
 const bearerPattern = /^Bearer (?<key>\S{1,512})$/v;
 
 /**
-The digest of the key that a request carries.
+Computes the digest of the bearer key of a request.
 
 @param request The request.
-@returns The SHA-256 digest, or undefined where the request carries no bearer key.
+@returns The SHA-256 digest in hexadecimal, or undefined if the request has no bearer key.
 @example
 ```ts
 if (digests.has(bearerDigest(request) ?? '')) { ... }
--- a/packages/daemon/src/bin/valehitchd.ts
+++ b/packages/daemon/src/bin/valehitchd.ts
@@ -58,6 +58,6 @@
 	await main();
 } catch (error) {
 	process.stderr.write(`${error instanceof Error ? error.message : String(error)}\n`);
-	// Parts that started before the failure, such as the links to other daemons, would keep the process alive.
+	// Components that started before the failure, such as the connections to other daemons, would keep the process running.
 	process.exit(failureExitCode);
 }
--- a/packages/daemon/src/daemon-base.ts
+++ b/packages/daemon/src/daemon-base.ts
@@ -8,19 +8,19 @@
 import {type Metrics} from './metrics.js';
 import {type Timeline} from './timeline.js';
 
-/** What every part of a daemon works with. */
+/** The dependencies that all components of a daemon share. */
 export type DaemonBase = {
 	readonly settings: Settings;
 	readonly clock: Clock;
 	readonly random: RandomSource;
 	readonly log: Logger;
 	readonly timeline: Timeline;
-	/** The latest events of the time line, for operators. */
+	/** The most recent timeline events, which operators can query. */
 	readonly events: EventRing;
 	readonly metrics: Metrics;
 	readonly network: PeerNetwork<PeerMessage>;
-	/** This daemon as the others know it. */
+	/** The identity and address of this daemon, as other daemons see them. */
 	readonly self: Member;
-	/** Gives a new id. */
+	/** Generates a unique id. */
 	readonly newId: () => string;
 };
--- a/packages/daemon/src/digest.ts
+++ b/packages/daemon/src/digest.ts
@@ -1,10 +1,10 @@
 import {createHash} from 'node:crypto';
 
 /**
-The SHA-256 digest of a text.
+Computes a SHA-256 digest.
 
-@param text The text.
-@returns 64 hexadecimal digits.
+@param text The text, which is encoded as UTF-8, or the bytes to hash.
+@returns The digest as 64 hexadecimal digits.
 @example
 ```ts
 sha256('yard-key');
--- a/packages/daemon/src/event-ring.test.ts
+++ b/packages/daemon/src/event-ring.test.ts
@@ -4,16 +4,16 @@
 import {fc, testProp} from '@fast-check/ava';
 import {EventRing} from './event-ring.js';
 
-function eventOf(number: number): TimelineEvent {
+function createEvent(number: number): TimelineEvent {
 	return {
 		event: 'instance-started', stamp: {wall: number, counter: 0}, instance: toId<InstanceId>('i'), zone: toId<ZoneId>('z'),
 	};
 }
 
-testProp('a page holds the kept events after a number, in their order, and says how many went', [fc.integer({min: 1, max: 8}), fc.nat(30), fc.nat(40)], (t, capacity, count, after) => {
+testProp('a page contains the retained events after a position, in order, and the number of dropped ones', [fc.integer({min: 1, max: 8}), fc.nat(30), fc.nat(40)], (t, capacity, count, after) => {
 	const ring = new EventRing(capacity);
 	for (let number = 0; number < count; number++) {
-		ring.add(eventOf(number));
+		ring.add(createEvent(number));
 	}
 
 	const from = after > count ? 0 : after;
--- a/packages/daemon/src/event-ring.ts
+++ b/packages/daemon/src/event-ring.ts
@@ -1,69 +1,69 @@
 import {type TimelineEvent} from '@valehitch/core';
 
-/** A page of the latest events. */
+/** A page of recent events. */
 export type EventPage = {
-	/** In the order in which they happened here. */
+	/** The events, in the order in which they were recorded. */
 	readonly events: readonly TimelineEvent[];
-	/** What to pass as `after` for the events that come next. */
+	/** The value of `after` that requests the following events. */
 	readonly next: number;
-	/** How many of the events asked for are no longer kept. */
+	/** The number of requested events that have already been overwritten. */
 	readonly dropped: number;
 };
 
 const defaultCapacity = 2000;
 
 /**
-Keeps the latest events of this process, for operators who look at it live; the log keeps all.
+A ring buffer of the most recent events of this process, which operators can query. The log contains all events.
 
 @example
 ```ts
 const ring = new EventRing();
 ring.add(event);
-ring.after(0).events; // [event]
+ring.readAfter(0).events; // [event]
 ```
 */
 export class EventRing {
 	readonly #capacity: number;
 	readonly #events: TimelineEvent[] = [];
-	/** How many events came in all. */
-	#count = 0;
+	/** The number of events added since the start. */
+	#addedCount = 0;
 
 	/**
-	Makes an empty ring.
+	Creates an empty buffer.
 
-	@param capacity How many events it keeps; 2000 by default.
+	@param capacity The maximum number of retained events; 2000 by default.
 	*/
 	constructor(capacity: number = defaultCapacity) {
 		this.#capacity = capacity;
 	}
 
 	/**
-	Adds an event; the oldest goes where the ring is full.
+	Adds an event, and overwrites the oldest one if the buffer is full.
 
 	@param event The event.
 	*/
 	add(event: TimelineEvent): void {
-		this.#events[this.#count % this.#capacity] = event;
-		this.#count++;
+		this.#events[this.#addedCount % this.#capacity] = event;
+		this.#addedCount++;
 	}
 
 	/**
-	Reads the events that came after a number of them.
+	Returns the retained events after a position.
 
-	@param number How many events to pass over, as the last page's `next` said; a number from before a restart gives all.
-	@returns The events that are still kept.
+	@param position The number of events to skip, which is `next` of the previous page. A position beyond the last event stems from before a restart and returns all retained events.
+	@returns The page of events.
 	*/
-	after(number: number): EventPage {
-		const wanted = number > this.#count ? 0 : number;
-		const first = Math.max(wanted, this.#count - this.#capacity);
+	after(position: number): EventPage {
+		const start = position > this.#addedCount ? 0 : position;
+		const first = Math.max(start, this.#addedCount - this.#capacity);
 		const events: TimelineEvent[] = [];
-		for (let index = first; index < this.#count; index++) {
+		for (let index = first; index < this.#addedCount; index++) {
 			const event = this.#events[index % this.#capacity];
 			if (event !== undefined) {
 				events.push(event);
 			}
 		}
 
-		return {events, next: this.#count, dropped: first - wanted};
+		return {events, next: this.#addedCount, dropped: first - start};
 	}
 }
--- a/packages/daemon/src/member.ts
+++ b/packages/daemon/src/member.ts
@@ -1,10 +1,10 @@
 import {type InstanceId, type ZoneId} from '@valehitch/core';
 
-/** A daemon as the others know it. */
+/** The identity and address of a daemon, as other daemons see them. */
 export type Member = {
 	readonly instance: InstanceId;
 	readonly zone: ZoneId;
-	/** Where its peers' port is. */
+	/** The host of the port for peer connections. */
 	readonly host: string;
 	readonly port: number;
 };
--- a/packages/daemon/src/metrics.test.ts
+++ b/packages/daemon/src/metrics.test.ts
@@ -6,8 +6,8 @@
 import test from 'ava';
 import {openMetrics} from './metrics.js';
 
-const counts = 300_000;
-const mostBytes = 10_000_000;
+const incrementCount = 300_000;
+const maximumGrowthBytes = 10_000_000;
 
 function heapBytes(): number {
 	setFlagsFromString('--expose-gc');
@@ -20,19 +20,19 @@
 	throw error;
 }
 
-test('without settings nothing is kept of what is counted', async t => {
+test('without settings, counters retain no memory', async t => {
 	const metrics = await openMetrics(undefined, fail);
 	const before = heapBytes();
-	for (let number = 0; number < counts; number++) {
+	for (let number = 0; number < incrementCount; number++) {
 		metrics.increment('request.refused', {kind: `kind-${number}`});
 	}
 
 	const growth = heapBytes() - before;
 	metrics.close();
-	t.true(growth < mostBytes, `Got ${growth} bytes more, wanted less than ${mostBytes}`);
+	t.true(growth < maximumGrowthBytes, `The heap grew by ${growth} bytes; expected less than ${maximumGrowthBytes}`);
 });
 
-test('with settings a count is sent over UDP', async t => {
+test('with settings, counters are sent over UDP', async t => {
 	const receiver = createSocket('udp4');
 	receiver.bind(0, '127.0.0.1');
 	await once(receiver, 'listening');
--- a/packages/daemon/src/metrics.ts
+++ b/packages/daemon/src/metrics.ts
@@ -1,39 +1,39 @@
 import {type MetricsSettings} from '@valehitch/settings';
 
-/** Where counters and timings go. */
+/** A client that reports counters, timings and gauges. */
 export type Metrics = {
-	/** Adds one to a counter. */
+	/** Increments a counter by one. */
 	readonly increment: (name: string, tags?: Readonly<Record<string, string>>) => void;
 	/** Records a duration in milliseconds. */
 	readonly timing: (name: string, milliseconds: number, tags?: Readonly<Record<string, string>>) => void;
-	/** Sets a value. */
+	/** Sets a gauge. */
 	readonly gauge: (name: string, value: number) => void;
 	readonly close: () => void;
 };
 
-const silent: Metrics = {
+const noopMetrics: Metrics = {
 	increment() {
-		// Nothing is sent.
+		// Metrics are disabled.
 	},
 	timing() {
-		// Nothing is sent.
+		// Metrics are disabled.
 	},
 	gauge() {
-		// Nothing is sent.
+		// Metrics are disabled.
 	},
 	close() {
-		// Nothing is open.
+		// There is no socket to close.
 	},
 };
 
 /**
-Opens the metrics over UDP.
+Opens a StatsD client over UDP.
 
-Without settings the library is not loaded: its mock keeps every message for good.
+Without settings, the StatsD library is not loaded, because its mock mode retains every message in memory.
 
-@param settings Where to send them; nothing is sent without.
-@param onError Told of each error of the socket.
-@returns The metrics.
+@param settings The address of the StatsD server; without it, nothing is sent.
+@param onError Called with each socket error.
+@returns The metrics client.
 @example
 ```ts
 const metrics = await openMetrics(settings.metrics, error => log.warn(error));
@@ -41,7 +41,7 @@
 */
 export async function openMetrics(settings: MetricsSettings | undefined, onError: (error: Error) => void): Promise<Metrics> {
 	if (settings === undefined) {
-		return silent;
+		return noopMetrics;
 	}
 
 	const hotShots = await import('hot-shots');
--- a/packages/daemon/src/mod.ts
+++ b/packages/daemon/src/mod.ts
@@ -1,5 +1,5 @@
 /**
-The daemon: settings in, a running instance out.
+Starts a daemon from its settings.
 
 @module
 */
--- a/packages/daemon/src/result-reply.ts
+++ b/packages/daemon/src/result-reply.ts
@@ -1,13 +1,13 @@
 import {type Failure} from '@valehitch/core';
 import {type Either, Left, Right} from 'purify-ts';
 
-/** An `Either` as it goes over a link. */
+/** The serializable form of an `Either`. */
 export type ResultReply<Value>
 	= | {readonly ok: true; readonly value: Value}
 		| {readonly ok: false; readonly failure: Failure};
 
 /**
-Makes a result ready for a link.
+Converts a result to its serializable form.
 
 @param result The result.
 @returns The reply.
@@ -24,10 +24,10 @@
 }
 
 /**
-Reads a result that came over a link.
+Converts a received reply back to an `Either`.
 
 @param reply The reply.
-@returns The result.
+@returns The result or its failure.
 @example
 ```ts
 fromResultReply(reply).map(answer => answer.revision);
--- a/packages/daemon/src/timeline.ts
+++ b/packages/daemon/src/timeline.ts
@@ -2,20 +2,20 @@
 	type Clock, HybridClock, type HybridTimestamp, type InstanceId, type TimelineEvent, type TimelineEventName, type TimelineSubject, type ZoneId,
 } from '@valehitch/core';
 
-/** What a time line needs to stamp its events. */
+/** The dependencies of a `Timeline`. */
 export type TimelineOptions = {
 	readonly clock: Clock;
 	readonly instance: InstanceId;
 	readonly zone: ZoneId;
-	/** Takes each event; the daemon writes it to its log. */
+	/** Called with each recorded event; the daemon writes it to its log. */
 	readonly write: (event: TimelineEvent) => void;
 };
 
-/** A stamp further ahead of the own clock than this many milliseconds comes from a broken clock and is passed over. */
-const mostAheadMilliseconds = 60_000;
+/** A received timestamp that is at least this far ahead of the local clock is ignored, since the clock of its sender must be wrong. */
+const maximumClockSkewMilliseconds = 60_000;
 
 /**
-Records this process's part of the time line of events.
+Records the timeline events of this process and assigns their hybrid timestamps.
 
 @example
 ```ts
@@ -24,39 +24,39 @@
 */
 export class Timeline {
 	readonly #options: TimelineOptions;
-	readonly #stamps: HybridClock;
+	readonly #hybridClock: HybridClock;
 
 	constructor(options: TimelineOptions) {
 		this.#options = options;
-		this.#stamps = new HybridClock(options.clock);
+		this.#hybridClock = new HybridClock(options.clock);
 	}
 
 	/**
 	Records an event.
 
-	@param event The event's name.
-	@param subject What it is about.
+	@param event The name of the event.
+	@param subject The instance, server, version or other subject that the event is about.
 	*/
 	record(event: TimelineEventName, subject: TimelineSubject = {}): void {
 		const {instance, zone, write} = this.#options;
 		write({
-			...subject, event, stamp: this.#stamps.next(), instance, zone,
+			...subject, event, stamp: this.#hybridClock.next(), instance, zone,
 		});
 	}
 
-	/** The stamp that goes with a message to another process. */
+	/** Returns a new timestamp to attach to a message to another process. */
 	stamp(): HybridTimestamp {
-		return this.#stamps.next();
+		return this.#hybridClock.next();
 	}
 
 	/**
-	Takes note of a stamp that came with a message, unless it is a minute or more ahead of the own clock.
+	Advances the hybrid clock by the timestamp of a received message, unless that is a minute or more ahead of the local clock.
 
-	@param stamp The stamp.
+	@param stamp The received timestamp.
 	*/
 	observe(stamp: HybridTimestamp): void {
-		if (stamp.wall - this.#options.clock.now().getTime() < mostAheadMilliseconds) {
-			this.#stamps.observe(stamp);
+		if (stamp.wall - this.#options.clock.now().getTime() < maximumClockSkewMilliseconds) {
+			this.#hybridClock.observe(stamp);
 		}
 	}
 }
--- a/packages/daemon/src/wire.ts
+++ b/packages/daemon/src/wire.ts
@@ -21,11 +21,11 @@
 
 /** A running daemon. */
 export type Daemon = {
-	/** Ends the requests in progress whole, refuses new ones and closes everything. */
+	/** Refuses new requests, waits up to `shutdownMilliseconds` for those in progress, then closes all connections and files. */
 	readonly stop: () => Promise<void>;
 };
 
-type Parts = {
+type Components = {
 	control?: ControlPart;
 	distribution?: DistributionPart;
 	entry?: EntryPart;
@@ -33,10 +33,10 @@
 };
 
 /**
-Builds a daemon from its settings: the one place where the parts are put together.
+Starts a daemon: creates all components from the settings and connects them with each other.
 
 @param settings The settings.
-@param log Where log records go.
+@param log The logger.
 @returns The running daemon.
 @throws If a port cannot be opened.
 @example
@@ -46,18 +46,18 @@
 ```
 */
 export async function startDaemon(settings: Settings, log: Logger): Promise<Daemon> {
-	const parts: Parts = {};
-	const base = await startBase(settings, log, parts);
+	const components: Components = {};
+	const base = await startBase(settings, log, components);
 	const control = await startControl(base);
-	parts.control = control;
+	components.control = control;
 	const distribution = startDistribution(base, control);
-	parts.distribution = distribution;
+	components.distribution = distribution;
 	const tasks = startLeaderTasks(base, {control, distribution});
-	parts.tasks = tasks;
+	components.tasks = tasks;
 	const ratings = startRatings(base, {configuration: distribution.effective, exchange: tasks.exchange});
 	const entry = startEntry(base, {control: control.client, distribution, ratings: ratings.part});
-	parts.entry = entry;
-	const servers = await startServers(settings, log, {
+	components.entry = entry;
+	const httpServers = await startHttpServers(settings, log, {
 		callers: async (request, response) => handleCaller(request, response, entry.context),
 		backends: async (request, response) => handleBackend(request, response, {settings, onAnnouncement: distribution.announce, onRatings: ratings.take}),
 		operators: async (request, response) => handleOperator(request, response, {
@@ -69,10 +69,10 @@
 		async stop() {
 			base.timeline.record('instance-stopping');
 			distribution.drain();
-			await Promise.race([entry.stop(), elapsed(settings.timing.shutdownMilliseconds)]);
+			await Promise.race([entry.stop(), sleep(settings.timing.shutdownMilliseconds)]);
 			entry.close();
-			for (const server of servers) {
-				await server.close();
+			for (const httpServer of httpServers) {
+				await httpServer.close();
 			}
 
 			ratings.stop();
@@ -86,7 +86,7 @@
 	};
 }
 
-async function startBase(settings: Settings, log: Logger, parts: Parts): Promise<DaemonBase> {
+async function startBase(settings: Settings, log: Logger, components: Components): Promise<DaemonBase> {
 	const {instance, zone} = settings;
 	const clock = systemClock;
 	const events = new EventRing();
@@ -100,16 +100,16 @@
 		},
 	});
 	const metrics = await openMetrics(settings.metrics, error => {
-		log.warn({err: error}, 'Metrics could not be sent');
+		log.warn({err: error}, 'Failed to send metrics');
 	});
 	const network = await PeerNetwork.listen<PeerMessage>({
 		self: instance,
 		key: settings.keys.peers,
 		...settings.listen.peers,
-		onMessage: async (_from, message) => answerPeer(message, parts),
-		onRequest: async (_from, message) => answerPeer(message, parts),
+		onMessage: async (_from, message) => handlePeerMessage(message, components),
+		onRequest: async (_from, message) => handlePeerMessage(message, components),
 		onFailure(from, error) {
-			log.error({err: error, from}, 'A peer message could not be handled');
+			log.error({err: error, from}, 'Failed to handle a peer message');
 		},
 		stamp: () => timeline.stamp(),
 		onStamp(stamp) {
@@ -124,34 +124,34 @@
 	};
 }
 
-async function answerPeer(message: PeerMessage, {control, distribution, entry, tasks}: Parts): Promise<unknown> {
+async function handlePeerMessage(message: PeerMessage, {control, distribution, entry, tasks}: Components): Promise<unknown> {
 	return match(message)
-		.with({scope: 'control'}, async found => control?.answer(found))
-		.with({scope: 'distribution'}, async found => distribution?.answer(found))
-		.with({scope: 'entry'}, async found => entry?.answer(found))
+		.with({scope: 'control'}, async request => control?.answer(request))
+		.with({scope: 'distribution'}, async request => distribution?.answer(request))
+		.with({scope: 'entry'}, async request => entry?.answer(request))
 		.with({scope: 'ratings'}, async ({summary}) => tasks?.takeSummary(summary))
 		.exhaustive();
 }
 
-type Handlers = Readonly<Record<'callers' | 'backends' | 'operators', (request: IncomingMessage, response: ServerResponse) => Promise<void>>>;
+type RequestHandlers = Readonly<Record<'callers' | 'backends' | 'operators', (request: IncomingMessage, response: ServerResponse) => Promise<void>>>;
 
-async function startServers(settings: Settings, log: Logger, handlers: Handlers): Promise<HttpServer[]> {
-	const servers: HttpServer[] = [];
+async function startHttpServers(settings: Settings, log: Logger, handlers: RequestHandlers): Promise<HttpServer[]> {
+	const httpServers: HttpServer[] = [];
 	for (const name of ['callers', 'backends', 'operators'] as const) {
-		servers.push(await startHttpServer({
+		httpServers.push(await startHttpServer({
 			...settings.listen[name],
 			headerBytes: settings.limits.headerBytes,
 			handler: handlers[name],
 			onError(error) {
-				log.error({err: error, port: name}, 'A handler failed');
+				log.error({err: error, port: name}, 'The handler of an HTTP request failed');
 			},
 		}));
 	}
 
-	return servers;
+	return httpServers;
 }
 
-async function elapsed(milliseconds: number): Promise<void> {
+async function sleep(milliseconds: number): Promise<void> {
 	return new Promise(resolve => {
 		setTimeout(resolve, milliseconds).unref();
 	});
