--- a/packages/daemon/src/backends/handle-backend.ts
+++ b/packages/daemon/src/backends/handle-backend.ts
@@ -10,21 +10,21 @@
 
 const maximumAnnouncementBytes = 65_536;
 
-/** What the back ends' port works with. */
+/** The dependencies of the request handler of the back-end port. */
 export type BackendContext = {
 	readonly settings: Settings;
-	/** Takes an announcement and hands it on. */
+	/** Called with each valid announcement. */
 	readonly onAnnouncement: (announcement: Announcement) => void;
-	/** Takes ratings and counts what became of them. */
+	/** Called with the ratings of each valid request; returns how many were accepted, duplicated and unknown. */
 	readonly onRatings: (ratings: readonly Rating[]) => IntakeCount;
 };
 
 /**
-Handles each request on the back ends' port.
+Handles a request on the back-end port.
 
 @param request The request.
 @param response The response.
-@param context What the port works with.
+@param context The settings and the callbacks for valid requests.
 @example
 ```ts
 await handleBackend(request, response, {settings, onAnnouncement, onRatings});
@@ -33,12 +33,12 @@
 export async function handleBackend(request: IncomingMessage, response: ServerResponse, {settings, onAnnouncement, onRatings}: BackendContext): Promise<void> {
 	const isRatings = request.url === ratingsPath;
 	if (request.method !== 'POST' || (request.url !== '/v1/announcements' && !isRatings)) {
-		answerProblem(response, failure('not-found', `Got ${request.method ?? ''} ${request.url ?? ''}, wanted POST /v1/announcements or ${ratingsPath}`));
+		answerProblem(response, failure('not-found', `No route for ${request.method ?? ''} ${request.url ?? ''}; use POST /v1/announcements or POST ${ratingsPath}`));
 		return;
 	}
 
 	if (!settings.keys.backends.includes(bearerDigest(request) ?? '')) {
-		answerProblem(response, failure('unauthenticated', 'Got no key of a back end, wanted Authorization: Bearer KEY'));
+		answerProblem(response, failure('unauthenticated', 'Missing or unknown back-end key; send Authorization: Bearer KEY'));
 		return;
 	}
 
@@ -49,7 +49,7 @@
 
 	const body = await readBody(request, maximumAnnouncementBytes);
 	if (body.isLeft()) {
-		answerProblem(response, failure('malformed-request', 'Got no whole announcement'));
+		answerProblem(response, failure('malformed-request', `The announcement is incomplete or larger than ${maximumAnnouncementBytes} bytes`));
 		return;
 	}
 
--- a/packages/daemon/src/operators/apply-configuration.ts
+++ b/packages/daemon/src/operators/apply-configuration.ts
@@ -12,8 +12,8 @@
 import {type OperatorContext} from './operator-context.js';
 
 const entityTagPattern = /^"(?<revision>\d{1,15})"$/v;
-/** An operator's key is told by the start of its digest, as in the settings. */
-const operatorNameDigits = 12;
+/** The length of the prefix of its key digest by which a committed change identifies the operator. */
+const operatorDigestPrefixLength = 12;
 const maximumConfigurationBytes = 4_194_304;
 
 type Change = {
@@ -23,11 +23,11 @@
 };
 
 /**
-Checks a new document and has the control role commit it.
+Validates a new configuration document and commits it through the control role: `PUT /v1/configuration`.
 
-@param request The operator's request.
-@param response The response.
-@param context What the port works with.
+@param request The operator's request, with the headers `Valehitch-Change-Id` and `If-Match`.
+@param response The response, which is sent once the change is committed or rejected.
+@param context The components that the operator port uses.
 @example
 ```ts
 await applyConfiguration(request, response, context);
@@ -48,7 +48,7 @@
 		expectedRevision,
 		document,
 		digest: sha256(JSON.stringify(document)),
-		operator: bearerDigest(request)?.slice(0, operatorNameDigits),
+		operator: bearerDigest(request)?.slice(0, operatorDigestPrefixLength),
 		at: context.base.clock.now().getTime(),
 	});
 	if (result.isLeft()) {
@@ -66,12 +66,12 @@
 function readChange(request: IncomingMessage, bytes: Uint8Array): Either<Failure, Change> {
 	const changeId = request.headers['valehitch-change-id'];
 	if (typeof changeId !== 'string' || changeId.length > 128) {
-		return Left(failure('malformed-request', 'Got no header Valehitch-Change-Id, wanted 1 to 128 characters'));
+		return Left(failure('malformed-request', 'The header Valehitch-Change-Id is missing or longer than 128 characters'));
 	}
 
 	const revision = entityTagPattern.exec(request.headers['if-match'] ?? '')?.groups?.revision;
 	if (revision === undefined) {
-		return Left(failure('malformed-request', `Got If-Match ${request.headers['if-match'] ?? 'absent'}, wanted the revision in quotes`));
+		return Left(failure('malformed-request', `The header If-Match is ${request.headers['if-match'] ?? 'absent'}; expected the revision in quotes`));
 	}
 
 	return readDocument(bytes).map(document => ({
@@ -86,7 +86,7 @@
 function checkDocument(document: Configuration): Either<Failure, Configuration> {
 	const [finding] = checkReferences(document);
 	if (finding !== undefined) {
-		return Left(failure('invalid-configuration', `${finding.path.join('.')}: got ${finding.got}, wanted ${finding.wanted}`));
+		return Left(failure('invalid-configuration', `${finding.path.join('.')}: got ${finding.got}, expected ${finding.wanted}`));
 	}
 
 	return compilePolicies(document).chain(() => Right(document));
--- a/packages/daemon/src/operators/change-rollout.ts
+++ b/packages/daemon/src/operators/change-rollout.ts
@@ -23,11 +23,11 @@
 type RolloutChange = z.infer<typeof changeSchema>;
 
 /**
-Advances a roll-out by one stage or stops its version: `POST /v1/rollouts`.
+Advances a rollout by one stage, or stops its version: `POST /v1/rollouts`.
 
 @param request The operator's request.
-@param response The response; it comes when the change is committed.
-@param context What the port works with.
+@param response The response, which is sent once the change is committed.
+@param context The components that the operator port uses.
 @example
 ```ts
 await changeRollout(request, response, context);
@@ -35,13 +35,13 @@
 */
 export async function changeRollout(request: IncomingMessage, response: ServerResponse, {base, control}: OperatorContext): Promise<void> {
 	const body = await readBody(request, maximumBytes);
-	const change = body.chain(bytes => readChange(bytes));
+	const change = body.chain(bytes => parseChange(bytes));
 	if (change.isLeft()) {
 		answerProblem(response, change.extract());
 		return;
 	}
 
-	const result = await control.propose(commandOf(change.unsafeCoerce(), base.clock.now().getTime()));
+	const result = await control.propose(toCommand(change.unsafeCoerce(), base.clock.now().getTime()));
 	result.caseOf({
 		Left(failed) {
 			answerProblem(response, failed);
@@ -52,7 +52,7 @@
 	});
 }
 
-function commandOf(change: RolloutChange, at: number): Command {
+function toCommand(change: RolloutChange, at: number): Command {
 	const model = toId<ModelId>(change.model);
 	const version = toId<VersionId>(change.version);
 	return change.action === 'advance'
@@ -64,6 +64,6 @@
 		};
 }
 
-function readChange(bytes: Uint8Array): Either<Failure, RolloutChange> {
-	return parseJsonBody({bytes, schema: changeSchema}, {notJson: 'Got a body that is not JSON, wanted a change of a roll-out'});
+function parseChange(bytes: Uint8Array): Either<Failure, RolloutChange> {
+	return parseJsonBody({bytes, schema: changeSchema}, {notJson: 'The body is not JSON; expected a rollout change'});
 }
--- a/packages/daemon/src/operators/cut-links.ts
+++ b/packages/daemon/src/operators/cut-links.ts
@@ -12,36 +12,36 @@
 const cutSchema = z.strictObject({cut: z.array(z.string())});
 
 /**
-Cuts the links of this instance with others, in both directions, until the next call; for failure tests, and only with the setting `faults`.
+Drops all messages between this instance and the listed ones, in both directions, until the next call: `POST /v1/faults/links`. Fault-injection tests use it; it is available only with the setting `faults`.
 
-@param request The operator's request, with a body `{cut: [INSTANCE]}`.
+@param request The operator's request, with a body `{cut: [INSTANCE]}` that replaces the current list.
 @param response The response.
-@param base What every part works with.
+@param base The dependencies that all components share.
 @example
 ```ts
-await cutLinks(request, response, base);
+await injectLinkFaults(request, response, base);
 ```
 */
 export async function cutLinks(request: IncomingMessage, response: ServerResponse, {settings, network, log}: DaemonBase): Promise<void> {
 	if (!settings.faults) {
-		answerProblem(response, failure('not-found', 'Got POST /v1/faults/links, wanted a call that docs/API.md lists'));
+		answerProblem(response, failure('not-found', 'No route for POST /v1/faults/links; docs/API.md lists the routes'));
 		return;
 	}
 
 	const body = await readBody(request, maximumBytes);
-	body.chain(bytes => readCut(bytes)).caseOf({
+	body.chain(bytes => parseCut(bytes)).caseOf({
 		Left(failed) {
 			answerProblem(response, failed);
 		},
 		Right(cut) {
 			network.cut(new Set(cut));
-			log.warn({cut}, 'Links were cut by a failure test');
+			log.warn({cut}, 'Links to other instances are cut for fault injection');
 			answerJson(response, {cut});
 		},
 	});
 }
 
-function readCut(bytes: Uint8Array): Either<Failure, readonly InstanceId[]> {
-	return parseJsonBody({bytes, schema: cutSchema}, {misfit: 'Got a body without cut, wanted {"cut": [INSTANCE]}'})
+function parseCut(bytes: Uint8Array): Either<Failure, readonly InstanceId[]> {
+	return parseJsonBody({bytes, schema: cutSchema}, {misfit: 'The body does not match {"cut": [INSTANCE]}'})
 		.map(({cut}) => cut.map(instance => toId<InstanceId>(instance)));
 }
--- a/packages/daemon/src/operators/explain.ts
+++ b/packages/daemon/src/operators/explain.ts
@@ -7,23 +7,23 @@
 import {findDecisions} from './find-decisions.js';
 import {type OperatorContext} from './operator-context.js';
 
-/** Where the decisions of a request are asked for. */
+/** The path prefix of the call that returns the decisions of a request. */
 export const explainPath = '/v1/explain/';
 
-/** The most instances that are asked for one id: nearly never do two bear the same mark. */
-const mostAsked = 4;
+/** The maximum number of instances to query for one id. Instances rarely share the tag in the id, so this is nearly never reached. */
+const maximumQueriedInstances = 4;
 
 /**
-Answers with the decisions of a request: from this instance, or from the one whose mark the id bears.
+Responds with the routing decisions of a request: `GET /v1/explain/REQUEST_ID`. They come from this instance or from the one whose tag the request id contains.
 
-Decisions live in the memory of the instance that served the request, so that they are gone with it.
+The instance that served the request holds the decisions only in memory, so they are lost when it stops.
 
 @param response The response.
-@param pathname The path, which ends with the request's id.
-@param context What the port works with.
+@param pathname The path, which ends with the request id.
+@param context The components that the operator port uses.
 @example
 ```ts
-await answerExplain(response, '/v1/explain/REQUEST_ID', context);
+await respondWithDecisions(response, '/v1/explain/REQUEST_ID', context);
 ```
 */
 export async function answerExplain(response: ServerResponse, pathname: string, {base: {network, self}, distribution, entry}: OperatorContext): Promise<void> {
@@ -31,7 +31,7 @@
 	const others = distribution.members().filter(({instance}) => instance !== self.instance && mayBeFrom(request, instance));
 	const found = await findDecisions(request, {
 		own: entry.decisions.get(request),
-		others: others.slice(0, mostAsked),
+		others: others.slice(0, maximumQueriedInstances),
 		async ask(other) {
 			const reply = await network.request(other, {scope: 'entry', type: 'explain', request});
 			return reply.map(record => (record ?? undefined) as DecisionRecord | undefined);
--- a/packages/daemon/src/operators/find-decisions.test.ts
+++ b/packages/daemon/src/operators/find-decisions.test.ts
@@ -14,28 +14,28 @@
 const others = ['entry-b', 'entry-c'].map(instance => ({
 	instance: toId<InstanceId>(instance), zone: toId<ZoneId>('zone-a'), host: '127.0.0.1', port: 1,
 }));
-const noLink = failure('no-quorum', 'Got no link to entry-b, wanted a reply');
+const unreachable = failure('no-quorum', 'No connection to entry-b');
 
-test('what this instance holds is told without a question', async t => {
+test('a local record is returned without querying other instances', async t => {
 	const found = await findDecisions(request, {own: record, others, ask: async () => t.fail()});
 	t.deepEqual(found, Right(record));
 });
 
-test('the instance that holds them is found behind one that gives no answer', async t => {
+test('a record is found although another instance is unreachable', async t => {
 	const found = await findDecisions(request, {
-		own: undefined, others, ask: async ({instance}) => instance === 'entry-b' ? Left(noLink) : Right(record),
+		own: undefined, others, ask: async ({instance}) => instance === 'entry-b' ? Left(unreachable) : Right(record),
 	});
 	t.deepEqual(found, Right(record));
 });
 
-test('an instance that gives no answer is told as that, and not as a request that nobody served', async t => {
+test('an unreachable instance results in its failure, not in not-found', async t => {
 	const found = await findDecisions(request, {
-		own: undefined, others, ask: async ({instance}) => instance === 'entry-b' ? Left(noLink) : Right(undefined),
+		own: undefined, others, ask: async ({instance}) => instance === 'entry-b' ? Left(unreachable) : Right(undefined),
 	});
-	t.deepEqual(found, Left(noLink));
+	t.deepEqual(found, Left(unreachable));
 });
 
-test('a request that no instance holds is not found', async t => {
+test('a request without a record on any instance is not found', async t => {
 	const found = await findDecisions(request, {own: undefined, others, ask: async () => Right(undefined)});
 	t.is(found.swap().toMaybe().extractNullable()?.kind, 'not-found');
 });
--- a/packages/daemon/src/operators/find-decisions.ts
+++ b/packages/daemon/src/operators/find-decisions.ts
@@ -3,27 +3,27 @@
 import {type Either, Left, Right} from 'purify-ts';
 import {type Member} from '../member.js';
 
-/** Who may hold the decisions of a request. */
+/** Where to look for the decisions of a request. */
 export type FindDecisionsOptions = {
-	/** What this instance holds of the request itself. */
+	/** The record of this instance, if it has one. */
 	readonly own: DecisionRecord | undefined;
-	/** The other instances whose mark the id bears. */
+	/** The other instances whose tag matches the one in the request id. */
 	readonly others: readonly Member[];
-	/** Asks another instance; its answer is undefined where it holds nothing. */
+	/** Queries another instance; the result is undefined if it has no record. */
 	readonly ask: (other: Member) => Promise<Either<Failure, DecisionRecord | undefined>>;
 };
 
 /**
-Finds the decisions of a request, here or on an instance that may have served it.
+Finds the decisions of a request on this instance or on another one that may have served it.
 
-An instance that gives no answer may hold them, so that its failure is told in place of `not-found`.
+An unreachable instance may have the record, so its failure is returned instead of `not-found`.
 
-@param request The request.
-@param options Who may hold its decisions.
-@returns The decisions; the failure of the link where an instance gave no answer, else `not-found`.
+@param request The id of the request.
+@param options The local record and the instances to query.
+@returns The decisions; otherwise the failure of an unreachable instance, or `not-found` if all instances replied.
 @example
 ```ts
-const found = await findDecisions(request, {own: decisions.get(request), others, ask});
+const found = await findDecisions(request, {local: decisions.get(request), others, ask});
 ```
 */
 export async function findDecisions(request: RequestId, {own, others, ask}: FindDecisionsOptions): Promise<Either<Failure, DecisionRecord>> {
@@ -45,8 +45,8 @@
 		}
 	}
 
-	return Left(failed ?? failure('not-found', `Got request ${request.slice(0, shownLength)}, wanted one that an instance served lately`));
+	return Left(failed ?? failure('not-found', `No instance has a record of request ${request.slice(0, maximumEchoedLength)}; only recent requests are kept`));
 }
 
-/** The characters of an asked id that are shown again: an id has 43, and a caller may send any. */
-const shownLength = 64;
+/** The maximum length of a requested id in the error message: an id has 43 characters, but the path may contain any text. */
+const maximumEchoedLength = 64;
--- a/packages/daemon/src/operators/handle-operator.ts
+++ b/packages/daemon/src/operators/handle-operator.ts
@@ -12,11 +12,11 @@
 import {type OperatorContext} from './operator-context.js';
 
 /**
-Handles each request on the operators' port.
+Handles a request on the operator port.
 
 @param request The request.
 @param response The response.
-@param context What the port works with.
+@param context The components that the operator port uses.
 @example
 ```ts
 await handleOperator(request, response, context);
@@ -24,7 +24,7 @@
 */
 export async function handleOperator(request: IncomingMessage, response: ServerResponse, context: OperatorContext): Promise<void> {
 	if (!context.base.settings.keys.operators.includes(bearerDigest(request) ?? '')) {
-		answerProblem(response, failure('unauthenticated', 'Got no key of an operator, wanted Authorization: Bearer KEY'));
+		answerProblem(response, failure('unauthenticated', 'Missing or unknown operator key; send Authorization: Bearer KEY'));
 		return;
 	}
 
@@ -82,7 +82,7 @@
 		}
 
 		default: {
-			answerProblem(response, failure('not-found', `Got ${route}, wanted a call that docs/API.md lists`));
+			answerProblem(response, failure('not-found', `No route for ${route}; docs/API.md lists the routes`));
 		}
 	}
 }
@@ -108,14 +108,14 @@
 		waitingFor: inForce?.waitingFor ?? [],
 		members: distribution.members().length,
 		traffic: network.traffic,
-		process: {...cpuOf(process.cpuUsage()), residentBytes: process.memoryUsage.rss()},
+		process: {...toCpuUsage(process.cpuUsage()), residentBytes: process.memoryUsage.rss()},
 		servers: distribution.servers.current().map(({announcement, inFlight, state, load}) => ({
 			...announcement, inFlight, state, load,
 		})),
 	});
 }
 
-function cpuOf({user, system}: {readonly user: number; readonly system: number}): {readonly cpuMicroseconds: number} {
+function toCpuUsage({user, system}: {readonly user: number; readonly system: number}): {readonly cpuMicroseconds: number} {
 	return {cpuMicroseconds: user + system};
 }
 
@@ -132,8 +132,8 @@
 		Left(failed) {
 			answerProblem(response, failed);
 		},
-		Right(found) {
-			answerJson(response, found);
+		Right(bills) {
+			answerJson(response, bills);
 		},
 	});
 }
@@ -145,7 +145,7 @@
 	}
 }
 
-/** Reads the query's `after`; answers with a problem and gives undefined where it is no whole number from 0. */
+/** Reads the query parameter `after`. If it is not a non-negative integer, sends an error response and returns undefined. */
 function readAfter(url: URL, response: ServerResponse): number | undefined {
 	const text = url.searchParams.get('after') ?? '0';
 	const after = Number(text);
@@ -153,6 +153,6 @@
 		return after;
 	}
 
-	answerProblem(response, failure('malformed-request', `after: got ${text}, wanted a whole number from 0`));
+	answerProblem(response, failure('malformed-request', `after: got ${text}, expected a non-negative integer`));
 	return undefined;
 }
--- a/packages/daemon/src/operators/operator-context.ts
+++ b/packages/daemon/src/operators/operator-context.ts
@@ -3,7 +3,7 @@
 import {type DistributionPart} from '../distribution/start-distribution.js';
 import {type EntryContext} from '../entry/entry-context.js';
 
-/** What the operators' port works with. */
+/** The components that the request handlers of the operator port use. */
 export type OperatorContext = {
 	readonly base: DaemonBase;
 	readonly control: ControlClient;
