--- a/packages/daemon/src/operators/find-decisions.ts
+++ b/packages/daemon/src/operators/find-decisions.ts
@@ -26,9 +26,9 @@
 const found = await findDecisions(request, {local: decisions.get(request), others, ask});
 ```
 */
-export async function findDecisions(request: RequestId, {own, others, ask}: FindDecisionsOptions): Promise<Either<Failure, DecisionRecord>> {
-	if (own !== undefined) {
-		return Right(own);
+export async function findDecisions(request: RequestId, {own: local, others, ask}: FindDecisionsOptions): Promise<Either<Failure, DecisionRecord>> {
+	if (local !== undefined) {
+		return Right(local);
 	}
 
 	let failed: Failure | undefined;
--- a/packages/daemon/src/ratings/bad-version-settings-of.ts
+++ b/packages/daemon/src/ratings/bad-version-settings-of.ts
@@ -2,13 +2,13 @@
 import {type BadVersionSettings, type Settings} from '@valehitch/settings';
 
 /**
-Takes from the settings when a version counts as bad.
+Converts the daemon settings to the settings of the bad-version tests.
 
 @param settings The daemon's settings.
-@returns The settings of the tests, for the instance's own and for the leader's.
+@returns The settings per measure. The local tests of each instance and the tests of the leader over all instances use the same ones.
 @example
 ```ts
-new EvidenceKeeper({...options, badVersions: badVersionSettingsOf(settings)});
+new EvidenceAggregator({...options, badVersions: badVersionSettingsOf(settings)});
 ```
 */
 export function badVersionSettingsOf({badVersions}: Pick<Settings, 'badVersions'>): BadVersionSettingsByMeasure {
--- a/packages/daemon/src/ratings/evidence-keeper.ts
+++ b/packages/daemon/src/ratings/evidence-keeper.ts
@@ -4,28 +4,28 @@
 } from '@valehitch/policy';
 import {type RatingSummary, type RatingSummaryReply} from './rating-summary.js';
 
-/** What the leader's side of the ratings works with. */
+/** The dependencies of an `EvidenceAggregator`. */
 export type EvidenceKeeperOptions = {
 	readonly instance: InstanceId;
-	/** When the instance became leader, in milliseconds since 1970. */
+	/** When the instance became leader, in milliseconds since the Unix epoch. */
 	readonly startedAt: number;
-	/** Milliseconds since 1970. */
+	/** Returns the current time, in milliseconds since the Unix epoch. */
 	readonly now: () => number;
-	/** Told of each version that is bad by the evidence of all instances; proposes `stop-version`. */
+	/** Called with each version that the evidence of all instances shows to be bad; should lead to a `stop-version` command. */
 	readonly onAlarm: (alarm: BadVersionAlarm) => void;
-	/** When a version counts as bad; `defaultBadVersionSettings` unless given. */
+	/** The settings of the bad-version tests; `defaultBadVersionSettings` by default. */
 	readonly badVersions?: BadVersionSettingsByMeasure;
 };
 
-const mostEntries = 100_000;
+const maximumEntries = 100_000;
 
 /**
-The leader's side of the ratings: adds the summaries of all instances up and decides on bad versions for all; a new leader starts with an empty one.
+Aggregates the rating summaries of all instances on the leader and detects bad versions from the sums. A new leader starts with an empty aggregator.
 
 @example
 ```ts
-const reply = keeper.take(summary);
-keeper.table.evidence(target, progress.stageStartedAt).ratings;
+const reply = aggregator.mergeSummary(summary);
+aggregator.table.evidence(target, progress.stageStartedAt).ratings;
 ```
 */
 export class EvidenceKeeper {
@@ -35,15 +35,15 @@
 
 	constructor(options: EvidenceKeeperOptions) {
 		this.#options = options;
-		this.#book = new QualityBook({instance: toId<InstanceId>(`${options.instance}/evidence`), startedAt: options.startedAt, maximumEntries: mostEntries});
+		this.#book = new QualityBook({instance: toId<InstanceId>(`${options.instance}/evidence`), startedAt: options.startedAt, maximumEntries});
 		this.table = new EvidenceTable(options.badVersions);
 	}
 
 	/**
-	Takes the summary of an instance, this one's own included.
+	Merges the summary of an instance, which may be the leader itself.
 
-	@param summary The summary; one that comes twice changes nothing.
-	@returns The sums of the other instances for the estimates in it.
+	@param summary The summary; merging it again has no effect.
+	@returns The sums over the other instances for the estimates in the summary.
 	*/
 	take(summary: RatingSummary): RatingSummaryReply {
 		const {onAlarm, now} = this.#options;
@@ -59,9 +59,9 @@
 	}
 
 	/**
-	Drops what has faded and what is no longer configured; called every few minutes.
+	Removes entries whose weight has decayed and versions that are no longer configured. Call this every few minutes.
 
-	@param configuration The configuration in force.
+	@param configuration The current configuration.
 	*/
 	tidy(configuration: EffectiveConfiguration): void {
 		this.#book.forget(this.#options.now());
--- a/packages/daemon/src/ratings/handle-ratings.test.ts
+++ b/packages/daemon/src/ratings/handle-ratings.test.ts
@@ -13,8 +13,8 @@
 	requestId: 'r1', model: 'm', version: '1', workspace: 'yard', class: 'lookup', rating: 0.5, ratedAt: 1,
 };
 
-test('ratings are taken from a back end with a key, one or many, and nothing else is', async t => {
-	const taken: Rating[] = [];
+test('single ratings and lists are accepted with a valid key; anything else is rejected', async t => {
+	const received: Rating[] = [];
 	const server = await startHttpServer({
 		host: '127.0.0.1',
 		port: 0,
@@ -22,15 +22,15 @@
 		handler: async (request, response) => handleBackend(request, response, {
 			settings,
 			onAnnouncement() {
-				t.fail('Got an announcement');
+				t.fail('Unexpected announcement');
 			},
 			onRatings(ratings) {
-				taken.push(...ratings);
+				received.push(...ratings);
 				return {accepted: ratings.length, doubled: 0, unknown: 0};
 			},
 		}),
 		onError(error) {
-			t.fail(`Got an error: ${String(error)}`);
+			t.fail(`Unexpected error: ${String(error)}`);
 		},
 	});
 	const post = async (body: string, key = 'backend-key'): Promise<Response> => fetch(`http://127.0.0.1:${server.port}/v1/ratings`, {
@@ -41,9 +41,9 @@
 	t.deepEqual(await answer.json(), {accepted: 2, doubled: 0, unknown: 0});
 	const single = await post(JSON.stringify(rating));
 	t.is(single.status, 200);
-	t.is(taken.length, 3);
-	for (const wrong of ['{', '[1]', JSON.stringify({...rating, rating: 2}), JSON.stringify({...rating, ratedAt: undefined})]) {
-		const refused = await post(wrong);
+	t.is(received.length, 3);
+	for (const invalid of ['{', '[1]', JSON.stringify({...rating, rating: 2}), JSON.stringify({...rating, ratedAt: undefined})]) {
+		const refused = await post(invalid);
 		t.is(refused.status, 400);
 	}
 
@@ -51,6 +51,6 @@
 	t.is(unauthenticated.status, 401);
 	const tooLarge = await post(' '.repeat(1_100_000));
 	t.is(tooLarge.status, 413);
-	t.is(taken.length, 3);
+	t.is(received.length, 3);
 	server.destroy();
 });
--- a/packages/daemon/src/ratings/handle-ratings.ts
+++ b/packages/daemon/src/ratings/handle-ratings.ts
@@ -6,20 +6,20 @@
 import {type IntakeCount} from './rating-intake.js';
 import {type Rating, ratingsSchema} from './rating.js';
 
-/** Where the rating service posts. */
+/** The path to which the rating service posts ratings. */
 export const ratingsPath = '/v1/ratings';
 
 const maximumRatingsBytes = 1_048_576;
 
 /**
-Handles a post of the rating service, whose key was checked.
+Handles a request of the rating service: `POST /v1/ratings`. The caller has already checked its key.
 
 @param request The request.
 @param response The response: 200 with the counts `accepted`, `doubled` and `unknown`, or `malformed-request` or `too-large`.
-@param onRatings Takes the ratings.
+@param onRatings Called with the ratings of a valid request; returns the counts.
 @example
 ```ts
-await handleRatings(request, response, ratings => part.take(ratings));
+await handleRatings(request, response, ratings => tracker.recordRatings(ratings));
 ```
 */
 export async function handleRatings(request: IncomingMessage, response: ServerResponse, onRatings: (ratings: readonly Rating[]) => IntakeCount): Promise<void> {
@@ -37,6 +37,6 @@
 
 function parseRatings(bytes: Uint8Array): Either<Failure, readonly Rating[]> {
 	return parseJsonBody({bytes, schema: ratingsSchema}, {
-		misfit: 'Got a body that does not fit, wanted {requestId, model, version, workspace, class, rating, ratedAt} or a list of up to 1000 of them',
+		misfit: 'The body does not match {requestId, model, version, workspace, class, rating, ratedAt} or a list of at most 1000 of them',
 	});
 }
--- a/packages/daemon/src/ratings/rating-intake.ts
+++ b/packages/daemon/src/ratings/rating-intake.ts
@@ -3,52 +3,52 @@
 import {type RequestMemory} from './request-memory.js';
 import {type Rating} from './rating.js';
 
-/** What became of a post of ratings. */
+/** How many ratings of a request were accepted and ignored. */
 export type IntakeCount = {
 	accepted: number;
-	/** Ratings of a request that was rated before. */
+	/** Ratings of a request that has already been rated. */
 	doubled: number;
 	/** Ratings of a workspace, model or version that is not configured. */
 	unknown: number;
 };
 
-/** What ratings are checked against and where they go. */
+/** The dependencies of `recordRatings`. */
 export type IntakeOptions = {
 	readonly memory: RequestMemory;
 	readonly configuration: EffectiveConfiguration;
 	readonly observe: (observation: QualityObservation) => void;
 };
 
-/** The class of ratings whose rule is not known: they count for the tests of the version, and for no estimate of a rule. */
-const otherClass = '*';
+/** The class of ratings whose policy rule is unknown. They count for the tests of the version, but not for the quality estimate of any rule. */
+const unknownRuleClass = '*';
 
 /**
-Takes ratings in: by the request's own record where this instance served it, else by what the rating says.
+Records ratings as quality observations. If this instance served the rated request, the observation uses the record of the request; otherwise it uses the fields of the rating.
 
 @param ratings The ratings.
-@param options Where to look requests up and where observations go.
-@returns How many were accepted and passed over.
+@param options The served requests, the configuration and the receiver of observations.
+@returns How many were accepted and ignored.
 @example
 ```ts
-takeRatings(ratings, {memory, configuration, observe}).accepted;
+recordRatings(ratings, {servedRequests, configuration, observe}).accepted;
 ```
 */
-export function takeRatings(ratings: readonly Rating[], {memory, configuration, observe}: IntakeOptions): IntakeCount {
-	const count: IntakeCount = {accepted: 0, doubled: 0, unknown: 0};
+export function takeRatings(ratings: readonly Rating[], {memory: servedRequests, configuration, observe}: IntakeOptions): IntakeCount {
+	const counts: IntakeCount = {accepted: 0, doubled: 0, unknown: 0};
 	for (const rating of ratings) {
 		if (!isConfigured(rating, configuration)) {
-			count.unknown += 1;
+			counts.unknown += 1;
 			continue;
 		}
 
-		const served = memory.recall(rating.requestId);
+		const served = servedRequests.recall(rating.requestId);
 		if (served === 'rated') {
-			count.doubled += 1;
+			counts.doubled += 1;
 			continue;
 		}
 
 		observe(served === 'unknown'
-			? ownWord(rating, configuration)
+			? observationFromRating(rating, configuration)
 			: {
 				model: served.model,
 				version: served.version,
@@ -57,10 +57,10 @@
 				value: rating.rating,
 				ranAt: served.ranAt,
 			});
-		count.accepted += 1;
+		counts.accepted += 1;
 	}
 
-	return count;
+	return counts;
 }
 
 function isConfigured({workspace, model, version}: Rating, {document: {models, workspaces}}: EffectiveConfiguration): boolean {
@@ -69,10 +69,10 @@
 		&& Object.hasOwn(models[model]?.versions ?? {}, version);
 }
 
-function ownWord(rating: Rating, {document}: EffectiveConfiguration): QualityObservation {
+function observationFromRating(rating: Rating, {document}: EffectiveConfiguration): QualityObservation {
 	const {workspace, model, version, ratedAt} = rating;
 	const isRule = document.workspaces[workspace]?.policy.some(({name}) => name === rating.class) ?? false;
 	return {
-		model, version, qualityClass: qualityClass(workspace, isRule ? rating.class : otherClass), measure: 'rating', value: rating.rating, ranAt: ratedAt,
+		model, version, qualityClass: qualityClass(workspace, isRule ? rating.class : unknownRuleClass), measure: 'rating', value: rating.rating, ranAt: ratedAt,
 	};
 }
--- a/packages/daemon/src/ratings/rating.ts
+++ b/packages/daemon/src/ratings/rating.ts
@@ -3,21 +3,21 @@
 } from '@valehitch/core';
 import * as z from 'zod';
 
-/** A rating of one answer, as the rating service posts it. */
+/** The rating of one answer, as the rating service posts it. */
 export type Rating = {
 	readonly requestId: RequestId;
 	readonly model: ModelId;
 	readonly version: VersionId;
 	readonly workspace: WorkspaceId;
-	/** The name of the rule, or the class that the caller gave. */
+	/** The name of the policy rule, or the class that the caller specified. */
 	readonly class: string;
 	/** From 0 (useless) to 1 (perfect). */
 	readonly rating: number;
-	/** Milliseconds since 1970. */
+	/** Milliseconds since the Unix epoch. */
 	readonly ratedAt: number;
 };
 
-const mostRatings = 1000;
+const maximumRatings = 1000;
 const name = z.string().min(1).max(128);
 const ratingSchema = z.strictObject({
 	requestId: name,
@@ -29,8 +29,8 @@
 	ratedAt: z.int().min(0),
 });
 
-/** The schema of a post of the rating service: one rating or a list of up to 1,000; unknown fields are refused. */
+/** The schema of `POST /v1/ratings`: one rating or a list of at most 1,000. Unknown fields are rejected. */
 export const ratingsSchema = typedSchema<readonly Rating[]>(z.union([
-	z.array(ratingSchema).max(mostRatings),
+	z.array(ratingSchema).max(maximumRatings),
 	ratingSchema.transform(rating => [rating]),
 ]));
--- a/packages/daemon/src/ratings/ratings-part.ts
+++ b/packages/daemon/src/ratings/ratings-part.ts
@@ -11,46 +11,46 @@
 import {RequestMemory, type ServedRequest} from './request-memory.js';
 import {SummaryQueue} from './summary-queue.js';
 
-/** What the ratings of a daemon work with. */
+/** The dependencies of a `RatingsTracker`. */
 export type RatingsOptions = {
 	readonly instance: InstanceId;
-	/** When the instance started, in milliseconds since 1970. */
+	/** When the instance started, in milliseconds since the Unix epoch. */
 	readonly startedAt: number;
-	/** Milliseconds since 1970. */
+	/** Returns the current time, in milliseconds since the Unix epoch. */
 	readonly now: () => number;
-	/** The newest configuration known here. */
+	/** Returns the newest configuration that this instance knows. */
 	readonly configuration: () => EffectiveConfiguration;
-	/** Told of each version that this instance stops. */
+	/** Called with each version that this instance stops. */
 	readonly onAlarm: (alarm: BadVersionAlarm) => void;
-	/** Requests remembered until their rating comes; 10,000 unless given. */
+	/** The maximum number of served requests that are kept until their rating arrives; 10,000 by default. */
 	readonly remembered?: number;
-	/** When a version counts as bad; `defaultBadVersionSettings` unless given. */
+	/** The settings of the bad-version tests; `defaultBadVersionSettings` by default. */
 	readonly badVersions?: BadVersionSettingsByMeasure;
 };
 
-/** What is seen of one attempt or answer of a version. */
+/** One attempt or answer of a version. */
 export type VersionEvent = VersionTarget & {
 	readonly workspace: WorkspaceId;
-	/** The name of the rule that covered the request. */
+	/** The name of the policy rule that applied to the request. */
 	readonly rule: string;
-	/** When the request ran, in milliseconds since 1970. */
+	/** When the request ran, in milliseconds since the Unix epoch. */
 	readonly ranAt: number;
 };
 
-const defaultRemembered = 10_000;
-const mostKeys = 4096;
+const defaultServedRequestCapacity = 10_000;
+const queueCapacity = 4096;
 const entriesPerSummary = 6;
 const reportsPerSummary = 3;
-/** Reports on what looks bad do not wait for their turn. */
+/** Reports on suspected versions are sent in addition, without waiting in the queue. */
 const suspectsPerSummary = 2;
 
 /**
-The ratings of one daemon: takes them in, estimates qualities, tests versions and stops bad ones here, and sums up for the others.
+Tracks the ratings and outcomes of requests on one instance: estimates qualities, tests versions, stops bad ones locally, and summarizes its observations for the leader.
 
 @example
 ```ts
-const ratings = new RatingsPart({instance, startedAt, now, configuration, onAlarm});
-ratings.take(posted);
+const ratings = new RatingsTracker({instance, startedAt, now, configuration, onAlarm});
+ratings.recordRatings(received);
 chooseVersion(request, {configuration, rule, isServed, quality: ratings.quality, isStoppedHere: ratings.isStoppedHere});
 ```
 */
@@ -59,74 +59,74 @@
 	readonly #book: QualityBook;
 	readonly #monitor: BadVersionMonitor;
 	readonly #stops = new LocalStops();
-	readonly #memory: RequestMemory;
-	readonly #keys = new SummaryQueue<QualityKey>({capacity: mostKeys});
-	/** How many observations the last report on a version and measure had. */
-	readonly #reported = new Map<string, number>();
-	readonly #reports = new SummaryQueue<string>({capacity: mostKeys});
+	readonly #servedRequests: RequestMemory;
+	readonly #qualityKeys = new SummaryQueue<QualityKey>({capacity: queueCapacity});
+	/** The number of observations in the last report on each version and measure. */
+	readonly #reportedCounts = new Map<string, number>();
+	readonly #reportQueue = new SummaryQueue<string>({capacity: queueCapacity});
 
 	constructor(options: RatingsOptions) {
-		const {instance, startedAt, remembered = defaultRemembered, badVersions} = options;
+		const {instance, startedAt, remembered = defaultServedRequestCapacity, badVersions} = options;
 		this.#options = options;
 		this.#book = new QualityBook({instance, startedAt});
 		this.#monitor = new BadVersionMonitor({
 			instance, startedAt, book: this.#book, ...(badVersions !== undefined && {settings: badVersions}),
 		});
-		this.#memory = new RequestMemory(remembered);
+		this.#servedRequests = new RequestMemory(remembered);
 	}
 
-	/** The versions that this instance has stopped. */
+	/** The versions that this instance has stopped locally. */
 	get stops(): LocalStops {
 		return this.#stops;
 	}
 
-	/** Estimates a quality or share, for `chooseVersion`. */
+	/** Estimates a quality, failure share or escalation share; passed to `chooseVersion`. */
 	readonly quality = (key: QualityKey, prior: Prior): Estimate => {
-		this.#keys.use(keyText(key), key);
+		this.#qualityKeys.use(formatQualityKey(key), key);
 		return this.#book.estimate(key, {prior, now: this.#options.now()});
 	};
 
-	/** Tells whether this instance has stopped a version, for `chooseVersion` and `mayDispatch`. */
+	/** Returns whether this instance has stopped a version locally; passed to `chooseVersion` and `mayDispatch`. */
 	readonly isStoppedHere = (target: VersionTarget): boolean => this.#stops.isStopped(target);
 
 	/**
-	Remembers a request that was answered whole, until its rating comes.
+	Stores a completely answered request until its rating arrives.
 
-	@param request The request and the version that gave the answer.
+	@param request The request and the version that answered it.
 	*/
 	remember(request: ServedRequest): void {
-		this.#memory.remember(request);
+		this.#servedRequests.remember(request);
 	}
 
 	/**
-	Notes whether an attempt was answered or failed by the engine's own word; a lost connection says nothing of the version and is not noted.
+	Records whether the engine answered an attempt or reported a failure. Do not call this for a lost connection, which is no evidence about the version.
 
 	@param event The version and the request.
-	@param failed Whether it failed.
+	@param failed Whether the attempt failed.
 	*/
 	noteOutcome(event: VersionEvent, failed: boolean): void {
-		this.#observe(observationOf(event, {measure: 'failure', value: Number(failed)}));
+		this.#observe(toObservation(event, {measure: 'failure', value: Number(failed)}));
 	}
 
 	/**
-	Notes whether a cascade escalated the answer of its first version.
+	Records whether a cascade escalated after the answer of its first version.
 
 	@param event The first version and the request.
 	@param escalated Whether it escalated.
 	*/
 	noteEscalation(event: VersionEvent, escalated: boolean): void {
-		this.#observe(observationOf(event, {measure: 'escalation', value: Number(escalated)}));
+		this.#observe(toObservation(event, {measure: 'escalation', value: Number(escalated)}));
 	}
 
 	/**
-	Takes the ratings of a post.
+	Records received ratings.
 
 	@param ratings The ratings.
-	@returns How many were accepted and passed over.
+	@returns How many were accepted and ignored.
 	*/
 	take(ratings: readonly Rating[]): IntakeCount {
 		return takeRatings(ratings, {
-			memory: this.#memory,
+			memory: this.#servedRequests,
 			configuration: this.#options.configuration(),
 			observe: observation => {
 				this.#observe(observation);
@@ -135,9 +135,9 @@
 	}
 
 	/**
-	Makes the next summary for the leader and ends the stops that are decided; called at most once a second.
+	Creates the next summary for the leader, and releases the local stops that have ended. Call this at most once a second.
 
-	@returns The summary, or undefined where there is nothing to tell or ask.
+	@returns The summary, or undefined if there is nothing to report or request.
 	*/
 	summarize(): RatingSummary | undefined {
 		const configuration = this.#options.configuration();
@@ -147,45 +147,45 @@
 
 		this.#monitor.retain(configuration);
 
-		const keys = this.#keys.take(entriesPerSummary);
+		const keys = this.#qualityKeys.take(entriesPerSummary);
 		const digest = this.#book.digest(keys);
-		const sent = new Set(digest.entries.map(entry => keyText(entry)));
-		const wanted = new Set(this.#reports.take(reportsPerSummary));
+		const included = new Set(digest.entries.map(entry => formatQualityKey(entry)));
+		const selected = new Set(this.#reportQueue.take(reportsPerSummary));
 		for (const suspect of this.#monitor.suspects().slice(0, suspectsPerSummary)) {
-			wanted.add(reportText(suspect));
+			selected.add(formatReportKey(suspect));
 		}
 
-		const evidence = this.#monitor.reports().filter(report => wanted.has(reportText(report)));
-		this.#noteReported(evidence);
+		const evidence = this.#monitor.reports().filter(report => selected.has(formatReportKey(report)));
+		this.#markReported(evidence);
 		return keys.length === 0 && evidence.length === 0
 			? undefined
-			: {...digest, asked: keys.filter(key => !sent.has(keyText(key))), evidence};
+			: {...digest, asked: keys.filter(key => !included.has(formatQualityKey(key))), evidence};
 	}
 
 	/**
-	Makes a summary of the evidence on what looks bad and was observed since it was last reported; between the usual summaries.
+	Creates a summary of only the evidence on suspected versions that has grown since it was last reported. Call this between the regular summaries.
 
-	@returns The summary, or undefined where nothing new looks bad.
+	@returns The summary, or undefined if there is no new evidence on suspected versions.
 	*/
 	summarizeSuspects(): RatingSummary | undefined {
-		const suspects = new Set(this.#monitor.suspects().slice(0, suspectsPerSummary).map(suspect => reportText(suspect)));
-		const evidence = this.#monitor.reports().filter(report => suspects.has(reportText(report)) && this.#reported.get(reportText(report)) !== report.count);
-		this.#noteReported(evidence);
+		const suspects = new Set(this.#monitor.suspects().slice(0, suspectsPerSummary).map(suspect => formatReportKey(suspect)));
+		const evidence = this.#monitor.reports().filter(report => suspects.has(formatReportKey(report)) && this.#reportedCounts.get(formatReportKey(report)) !== report.count);
+		this.#markReported(evidence);
 		return evidence.length === 0 ? undefined : {...this.#book.digest([]), asked: [], evidence};
 	}
 
 	/**
-	Takes the leader's answer to a summary.
+	Applies the leader's reply to a summary.
 
-	@param reply The sums of the other instances.
+	@param reply The sums over the other instances.
 	*/
 	takeReply({others}: RatingSummaryReply): void {
 		this.#book.replaceOthers(others, this.#options.now());
 	}
 
-	#noteReported(evidence: readonly EvidenceReport[]): void {
+	#markReported(evidence: readonly EvidenceReport[]): void {
 		for (const report of evidence) {
-			this.#reported.set(reportText(report), report.count);
+			this.#reportedCounts.set(formatReportKey(report), report.count);
 		}
 	}
 
@@ -193,12 +193,12 @@
 		const {configuration, now, onAlarm} = this.#options;
 		const time = now();
 		const ranAt = Math.min(observation.ranAt, time);
-		this.#keys.touch(keyText(observation), observation);
+		this.#qualityKeys.touch(formatQualityKey(observation), observation);
 		const alarm = this.#monitor.observe({...observation, ranAt}, {configuration: configuration(), now: time});
 		if (observation.measure !== 'escalation') {
 			const measure = observation.measure === 'failure' ? 'failures' : 'ratings';
-			const text = reportText({...observation, measure});
-			this.#reports.touch(text, text);
+			const reportKey = formatReportKey({...observation, measure});
+			this.#reportQueue.touch(reportKey, reportKey);
 		}
 
 		if (alarm !== undefined) {
@@ -208,21 +208,21 @@
 	}
 }
 
-type Seen = {
+type Measurement = {
 	readonly measure: QualityMeasure;
 	readonly value: number;
 };
 
-function observationOf({model, version, workspace, rule, ranAt}: VersionEvent, seen: Seen): QualityObservation {
+function toObservation({model, version, workspace, rule, ranAt}: VersionEvent, measurement: Measurement): QualityObservation {
 	return {
-		model, version, qualityClass: qualityClass(workspace, rule), ranAt, ...seen,
+		model, version, qualityClass: qualityClass(workspace, rule), ranAt, ...measurement,
 	};
 }
 
-function keyText({model, version, qualityClass: name, measure}: QualityKey): string {
+function formatQualityKey({model, version, qualityClass: name, measure}: QualityKey): string {
 	return `${name}|${versionKey(model, version)}|${measure}`;
 }
 
-function reportText({model, version, measure}: Pick<EvidenceReport, 'model' | 'version' | 'measure'>): string {
+function formatReportKey({model, version, measure}: Pick<EvidenceReport, 'model' | 'version' | 'measure'>): string {
 	return `${versionKey(model, version)}|${measure}`;
 }
--- a/packages/daemon/src/ratings/request-memory.ts
+++ b/packages/daemon/src/ratings/request-memory.ts
@@ -1,28 +1,28 @@
 import {type RequestId, type WorkspaceId} from '@valehitch/core';
 import {type QualityMeasure, type VersionTarget} from '@valehitch/policy';
 
-/** What is remembered of a request until its rating comes. */
+/** The data of a served request that is kept until its rating arrives. */
 export type ServedRequest = VersionTarget & {
 	readonly requestId: RequestId;
 	readonly workspace: WorkspaceId;
-	/** The name of the rule that covered it. */
+	/** The name of the policy rule that applied to it. */
 	readonly rule: string;
-	/** `accepted-rating` where a cascade accepted the answer of its first version, else `rating`. */
+	/** `accepted-rating` if a cascade accepted the answer of its first version, `rating` otherwise. */
 	readonly measure: Extract<QualityMeasure, 'rating' | 'accepted-rating'>;
-	/** When it ran, in milliseconds since 1970. */
+	/** When it ran, in milliseconds since the Unix epoch. */
 	readonly ranAt: number;
 };
 
-/** What became of a rating's request id: served here and not rated yet, rated before, or not known here. */
+/** The result of looking up a rated request: the request if this instance served it and it was not rated yet, `rated` if it was, and `unknown` otherwise. */
 export type RecalledRequest = ServedRequest | 'rated' | 'unknown';
 
 /**
-The latest requests of this instance and the latest request ids that were rated here, both bounded.
+A bounded cache of the most recent requests that this instance served and of the most recent request ids that were rated here.
 
 @example
 ```ts
-memory.remember(served);
-memory.recall(served.requestId); // the request, and 'rated' from then on
+cache.add(served);
+cache.markRated(served.requestId); // the request; 'rated' on later calls
 ```
 */
 export class RequestMemory {
@@ -31,27 +31,27 @@
 	readonly #rated = new Set<RequestId>();
 
 	/**
-	@param capacity How many requests and how many rated ids are kept; about 400 bytes each.
+	@param capacity The maximum number of requests and, separately, of rated ids; each takes about 400 bytes.
 	*/
 	constructor(capacity: number) {
 		this.#capacity = capacity;
 	}
 
 	/**
-	Remembers a request that was answered.
+	Adds an answered request.
 
 	@param request The request.
 	*/
 	remember(request: ServedRequest): void {
 		this.#served.set(request.requestId, request);
-		this.#shrink(this.#served);
+		this.#evict(this.#served);
 	}
 
 	/**
-	Finds the request of a rating and marks it as rated.
+	Looks up the request of a rating and marks its id as rated.
 
-	@param requestId The id that came with the rating.
-	@returns The request, or why there is none.
+	@param requestId The request id in the rating.
+	@returns The request, `rated` or `unknown`.
 	*/
 	recall(requestId: RequestId): RecalledRequest {
 		if (this.#rated.has(requestId)) {
@@ -61,17 +61,17 @@
 		const served = this.#served.get(requestId);
 		this.#served.delete(requestId);
 		this.#rated.add(requestId);
-		this.#shrink(this.#rated);
+		this.#evict(this.#rated);
 		return served ?? 'unknown';
 	}
 
-	#shrink(kept: Map<RequestId, ServedRequest> | Set<RequestId>): void {
-		for (const oldest of kept.keys()) {
-			if (kept.size <= this.#capacity) {
+	#evict(cache: Map<RequestId, ServedRequest> | Set<RequestId>): void {
+		for (const oldest of cache.keys()) {
+			if (cache.size <= this.#capacity) {
 				break;
 			}
 
-			kept.delete(oldest);
+			cache.delete(oldest);
 		}
 	}
 }
--- a/packages/daemon/src/ratings/start-ratings.ts
+++ b/packages/daemon/src/ratings/start-ratings.ts
@@ -6,33 +6,33 @@
 import {type Rating} from './rating.js';
 import {RatingsPart} from './ratings-part.js';
 
-/** What the ratings of a daemon are built on. */
+/** The dependencies of the ratings component. */
 export type StartRatingsOptions = {
-	/** The newest configuration known here. */
+	/** Returns the newest configuration that this instance knows. */
 	readonly configuration: () => EffectiveConfiguration;
-	/** Hands a summary to the leader of the control replicas (`EvidenceKeeper.take` there) and gives its reply, or undefined where there is none. */
+	/** Sends a summary to the leader of the control replicas, which passes it to `EvidenceAggregator.mergeSummary`. Returns the reply, or undefined if there is none. */
 	readonly exchange: (summary: RatingSummary) => Promise<RatingSummaryReply | undefined>;
 };
 
-/** The running ratings of a daemon. */
+/** The running ratings component. */
 export type RunningRatings = {
 	readonly part: RatingsPart;
-	/** Takes the ratings of a post. */
+	/** Records received ratings and updates the metrics. */
 	readonly take: (ratings: readonly Rating[]) => IntakeCount;
 	readonly stop: () => void;
 };
 
 const summaryMilliseconds = 1000;
-/** What looks bad is reported between two summaries as well. */
+/** Evidence on suspected versions is also reported between two regular summaries. */
 const suspectMilliseconds = 500;
 const ticksPerSummary = summaryMilliseconds / suspectMilliseconds;
 
 /**
-Starts the ratings of a daemon; a summary goes out at most every second, and between two of them what looks bad; the next one only after the reply.
+Starts the ratings component. It sends a summary at most every second and, between two of them, new evidence on suspected versions. While a reply is outstanding, nothing is sent.
 
-@param base What every part works with.
-@param options Where the configuration comes from and where summaries go.
-@returns The running ratings.
+@param base The dependencies that all components share.
+@param options The configuration and the exchange with the leader.
+@returns The running component.
 @example
 ```ts
 const ratings = startRatings(base, {configuration: distribution.effective, exchange});
@@ -40,7 +40,7 @@
 */
 export function startRatings(base: DaemonBase, {configuration, exchange}: StartRatingsOptions): RunningRatings {
 	const {settings, clock, timeline, metrics, log} = base;
-	const part = new RatingsPart({
+	const tracker = new RatingsPart({
 		instance: settings.instance,
 		startedAt: clock.now().getTime(),
 		now: () => clock.now().getTime(),
@@ -59,8 +59,8 @@
 
 	const totals: IntakeCount = {accepted: 0, doubled: 0, unknown: 0};
 	let isExchanging = false;
-	const exchangeNext = (next: () => RatingSummary | undefined) => {
-		const summary = isExchanging ? undefined : next();
+	const exchangeSummary = (createSummary: () => RatingSummary | undefined) => {
+		const summary = isExchanging ? undefined : createSummary();
 		if (summary !== undefined) {
 			isExchanging = true;
 			void send(summary);
@@ -70,8 +70,8 @@
 	let ticks = 0;
 	const timer = setInterval(() => {
 		ticks += 1;
-		const isWhole = ticks % ticksPerSummary === 0;
-		exchangeNext(() => isWhole ? part.summarize() : part.summarizeSuspects());
+		const isRegular = ticks % ticksPerSummary === 0;
+		exchangeSummary(() => isRegular ? tracker.summarize() : tracker.summarizeSuspects());
 	}, suspectMilliseconds);
 	timer.unref();
 
@@ -79,27 +79,27 @@
 		try {
 			const reply = await exchange(summary);
 			if (reply !== undefined) {
-				part.takeReply(reply);
+				tracker.takeReply(reply);
 			}
 		} catch (error) {
-			log.warn({err: error}, 'A summary of ratings could not be handed on');
+			log.warn({err: error}, 'Failed to send a rating summary to the leader');
 		} finally {
 			isExchanging = false;
 		}
 	}
 
 	return {
-		part,
+		part: tracker,
 		take(ratings) {
-			const count = part.take(ratings);
-			totals.accepted += count.accepted;
-			totals.doubled += count.doubled;
-			totals.unknown += count.unknown;
+			const counts = tracker.take(ratings);
+			totals.accepted += counts.accepted;
+			totals.doubled += counts.doubled;
+			totals.unknown += counts.unknown;
 			for (const [name, total] of Object.entries(totals)) {
 				metrics.gauge(`ratings.${name}`, total);
 			}
 
-			return count;
+			return counts;
 		},
 		stop() {
 			clearInterval(timer);
--- a/packages/daemon/src/ratings/summary-queue.ts
+++ b/packages/daemon/src/ratings/summary-queue.ts
@@ -1,82 +1,82 @@
-/** What a queue hands out. */
+/** The options of a `SummaryQueue`. */
 export type SummaryQueueOptions = {
-	/** The most items that are kept; the oldest is dropped. */
+	/** The maximum number of items; when it is exceeded, the oldest are dropped. */
 	readonly capacity: number;
 };
 
 /**
-The things that changed since they were last sent, and in turn those that did not, so that what was lost on the way is sent again.
+A queue of the items to send next: those that changed since they were last sent and, in rotation, those that did not. Resending unchanged items makes up for lost messages.
 
 @example
 ```ts
-queue.touch('yard/lookup', key);
-queue.take(6);
+queue.markChanged('yard/lookup', key);
+queue.next(6);
 ```
 */
 export class SummaryQueue<Item> {
 	readonly #capacity: number;
 	readonly #changed = new Map<string, Item>();
-	readonly #rest = new Map<string, Item>();
+	readonly #unchanged = new Map<string, Item>();
 
 	constructor({capacity}: SummaryQueueOptions) {
 		this.#capacity = capacity;
 	}
 
 	/**
-	Notes a change.
+	Adds an item, or marks it as changed.
 
-	@param key What changed.
-	@param item What is handed out for it.
+	@param key The key of the item.
+	@param item The item to send.
 	*/
 	touch(key: string, item: Item): void {
-		this.#rest.delete(key);
+		this.#unchanged.delete(key);
 		this.#changed.set(key, item);
-		this.#shrink();
+		this.#evict();
 	}
 
 	/**
-	Notes something without calling it changed, unless it is new.
+	Adds an item if the queue does not contain it, without marking a known one as changed.
 
-	@param key The thing.
-	@param item What is handed out for it.
+	@param key The key of the item.
+	@param item The item to send.
 	*/
 	use(key: string, item: Item): void {
-		if (!this.#rest.has(key) && !this.#changed.has(key)) {
+		if (!this.#unchanged.has(key) && !this.#changed.has(key)) {
 			this.touch(key, item);
 		}
 	}
 
 	/**
-	Takes what is to be sent next.
+	Returns the items to send next and marks them as unchanged.
 
-	@param most How many at most; those that did not change get one place, or more where nothing changed.
+	@param limit The maximum number of items. One place is reserved for unchanged items; the others go to changed ones.
 	@returns The items.
 	*/
-	take(most: number): readonly Item[] {
-		const taken = [...firstOf(this.#rest, 1), ...firstOf(this.#changed, most - 1)];
+	take(limit: number): readonly Item[] {
+		const taken = [...firstEntries(this.#unchanged, 1), ...firstEntries(this.#changed, limit - 1)];
 		for (const [key, item] of taken) {
 			this.#changed.delete(key);
-			this.#rest.delete(key);
-			this.#rest.set(key, item);
+			this.#unchanged.delete(key);
+			this.#unchanged.set(key, item);
 		}
 
 		return taken.map(([, item]) => item);
 	}
 
-	#shrink(): void {
-		const over = this.#rest.size + this.#changed.size - this.#capacity;
-		const oldest = [...firstOf(this.#rest, over), ...firstOf(this.#changed, over - this.#rest.size)];
+	#evict(): void {
+		const excess = this.#unchanged.size + this.#changed.size - this.#capacity;
+		const oldest = [...firstEntries(this.#unchanged, excess), ...firstEntries(this.#changed, excess - this.#unchanged.size)];
 		for (const [key] of oldest) {
-			this.#rest.delete(key);
+			this.#unchanged.delete(key);
 			this.#changed.delete(key);
 		}
 	}
 }
 
-function firstOf<Item>(items: ReadonlyMap<string, Item>, most: number): ReadonlyArray<[string, Item]> {
+function firstEntries<Item>(items: ReadonlyMap<string, Item>, limit: number): ReadonlyArray<[string, Item]> {
 	const first: Array<[string, Item]> = [];
 	for (const entry of items) {
-		if (first.length >= most) {
+		if (first.length >= limit) {
 			break;
 		}
 
