--- a/packages/daemon/src/control/archive/archive-bills.ts
+++ b/packages/daemon/src/control/archive/archive-bills.ts
@@ -1,17 +1,17 @@
 import {type ControlState} from '@valehitch/control';
 import {type BillArchive} from './bill-archive.js';
 
-/** The part of the control state that the archive works with. */
+/** The members of the control state that the archive uses. */
 export type ArchivedState = Pick<ControlState, 'archivableBills' | 'billPositions' | 'dropArchived' | 'readLedger'>;
 
-const batchSize = 500;
+const minimumBatchSize = 500;
 
 /**
-Moves the oldest bills of the replicated state to the archive, once there are enough of them.
+Moves the oldest bills of the replicated state to the archive, if there are at least 500 that can be archived.
 
 @param state The replicated state.
-@param archive Where they go.
-@throws If the disk fails; the bills stay in the state then.
+@param archive The archive.
+@throws If the archive cannot be written; the bills then stay in the state.
 @example
 ```ts
 await archiveBills(state, archive);
@@ -19,7 +19,7 @@
 */
 export async function archiveBills(state: ArchivedState, archive: BillArchive): Promise<void> {
 	const page = state.archivableBills();
-	if (page.bills.length < batchSize) {
+	if (page.bills.length < minimumBatchSize) {
 		return;
 	}
 
--- a/packages/daemon/src/control/archive/archived-piece.ts
+++ b/packages/daemon/src/control/archive/archived-piece.ts
@@ -2,9 +2,9 @@
 import {type Either, Left, Right} from 'purify-ts';
 import {sha256} from '../../digest.js';
 
-/** A piece of the archived bills, as it travels between two replicas. */
+/** A chunk of consecutive bills that one replica sends to another. */
 export type ArchivedPiece = {
-	/** One line of JSON a bill, without gaps; empty where the asked replica does not have the first. */
+	/** One line of JSON per bill, for consecutive positions; empty if the sender does not have the first one. */
 	readonly lines: string;
 	/** The SHA-256 digest of the lines. */
 	readonly digest: string;
@@ -13,13 +13,13 @@
 type Line = {readonly position: number; readonly bill: Bill};
 
 /**
-Seals lines with their digest.
+Creates a chunk from lines and their digest.
 
 @param lines The lines.
-@returns The piece.
+@returns The chunk.
 @example
 ```ts
-const piece = sealPiece(await archive.readLines({first: 1, bytes: 65_536}));
+const chunk = createBillChunk(await archive.readLines({first: 1, bytes: 65_536}));
 ```
 */
 export function sealPiece(lines: string): ArchivedPiece {
@@ -27,27 +27,27 @@
 }
 
 /**
-Checks a piece and reads its bills.
+Verifies a received chunk and parses its bills.
 
-@param piece What another replica sent.
-@param first The position that was asked for.
-@returns The bills, or what is wrong with the piece.
+@param chunk The chunk that another replica sent.
+@param first The requested position of the first bill.
+@returns The bills, or an error if the digest or a position is wrong.
 @example
 ```ts
-const bills = openPiece(piece, 1);
+const bills = parseBillChunk(chunk, 1);
 ```
 */
 export function openPiece({lines, digest}: ArchivedPiece, first: number): Either<Error, readonly Bill[]> {
-	const found = sha256(lines);
-	if (found !== digest) {
-		return Left(new RangeError(`Got lines with the digest ${found}, wanted ${digest}`));
+	const actualDigest = sha256(lines);
+	if (actualDigest !== digest) {
+		return Left(new RangeError(`The lines have the digest ${actualDigest}; expected ${digest}`));
 	}
 
 	const bills: Bill[] = [];
 	for (const text of lines.split('\n').slice(0, -1)) {
 		const {position, bill} = JSON.parse(text) as Line;
 		if (position !== first + bills.length) {
-			return Left(new RangeError(`Got a bill at position ${position}, wanted position ${first + bills.length}`));
+			return Left(new RangeError(`The chunk contains a bill at position ${position}; expected position ${first + bills.length}`));
 		}
 
 		bills.push(bill);
--- a/packages/daemon/src/control/archive/bill-archive.ts
+++ b/packages/daemon/src/control/archive/bill-archive.ts
@@ -10,26 +10,26 @@
 
 type Segment = {readonly first: number; last: number};
 type Line = {readonly position: number; readonly bill: Bill};
-type Bookmark = {readonly segment: number; readonly position: number; readonly offset: number};
+type ReadPosition = {readonly segment: number; readonly position: number; readonly offset: number};
 type ArchivedLine = {readonly text: string; readonly position: number; readonly segment: number; readonly end: number};
 
-/** Positions that are not in the archive, the first and the last of them included. */
+/** An inclusive range of positions that are missing in the archive. */
 export type ArchiveGap = {readonly first: number; readonly last: number};
 
-/** How many bills of the archive are read in one piece. */
+/** Which lines to read from the archive. */
 export type ReadLinesOptions = {
 	/** The position of the first bill. */
 	readonly first: number;
-	/** The piece ends with the line that reaches this number of bytes. */
+	/** Reading ends after the line that reaches this number of bytes. */
 	readonly bytes: number;
 };
 
 const billsPerSegment = 20_000;
-const namePattern = /^bills-(?<first>\d{15})\.ndjson$/v;
-const lineEnd = 0x0A;
+const segmentNamePattern = /^bills-(?<first>\d{15})\.ndjson$/v;
+const newlineByte = 0x0A;
 
 /**
-The bills that left the replicated state, in segments of lines under the data folder; synced before they leave.
+Stores the bills that were removed from the replicated state, in segment files with one line of JSON per bill. Bills are synced to disk before they are removed from the state.
 
 @example
 ```ts
@@ -40,10 +40,10 @@
 */
 export class BillArchive {
 	/**
-	Opens the archive, and cuts back a line that a crash left half written.
+	Opens the archive, and truncates an incomplete last line, which a crash can leave in a segment.
 
-	@param folder Where the segments are; made where it is missing.
-	@param firstBill The position of the first bill that must be here; 1 by default, later ones once operators took older bills away.
+	@param folder The folder of the segments, which is created if it does not exist.
+	@param firstBill The position of the first bill that the archive must contain; 1 by default, higher if operators have removed older bills.
 	@returns The archive.
 	@throws If the folder cannot be read or written.
 	*/
@@ -52,7 +52,7 @@
 		const segments: Segment[] = [];
 		const names = await readdir(folder);
 		for (const name of names.toSorted()) {
-			const first = namePattern.exec(name)?.groups?.first;
+			const first = segmentNamePattern.exec(name)?.groups?.first;
 			if (first !== undefined) {
 				const count = await countLines(path.join(folder, name));
 				segments.push({first: Number(first), last: Number(first) + count - 1});
@@ -65,10 +65,10 @@
 	readonly #folder: string;
 	readonly #segments: Segment[];
 	readonly #firstBill: number;
-	/** Where the last piece for another replica ended, so that the next one need not search. */
-	#bookmark: Bookmark | undefined;
-	/** Set once a write failed: what is in the file is known again only after a restart. */
-	#failure: unknown;
+	/** Where the last call of `readLines` ended, so that the next one can continue there without scanning the segment. */
+	#lastReadEnd: ReadPosition | undefined;
+	/** The error of the first failed write. Afterwards the content of the file is unknown until a restart reads it again. */
+	#writeError: unknown;
 
 	private constructor(folder: string, {segments, firstBill}: {readonly segments: Segment[]; readonly firstBill: number}) {
 		this.#folder = folder;
@@ -76,16 +76,16 @@
 		this.#firstBill = firstBill;
 	}
 
-	/** The position of the last bill that is synced here; 0 while there is none. */
+	/** The position of the last archived bill, which is synced to disk; 0 if the archive is empty. */
 	get last(): number {
 		return this.#segments.at(-1)?.last ?? 0;
 	}
 
 	/**
-	The first positions that are missing below a position.
+	Finds the first gap in the archive before a position.
 
-	@param position Bills from here on are in the replicated state.
-	@returns The gap; undefined where everything below the position is here.
+	@param position The position of the first bill in the replicated state.
+	@returns The gap, or undefined if the archive contains all bills before the position.
 	*/
 	gapBefore(position: number): ArchiveGap | undefined {
 		let next = this.#firstBill;
@@ -106,36 +106,36 @@
 	}
 
 	/**
-	Writes the bills that are not here yet, and syncs them.
+	Appends the bills that are not archived yet, and syncs them to disk.
 
 	@param page The oldest bills of the replicated state.
-	@throws If the disk fails; nothing may be dropped then.
+	@throws If the write fails; the caller must not remove the bills from the state then.
 	*/
 	async append({firstPosition, bills}: ArchivableBills): Promise<void> {
-		const fresh = bills.slice(Math.max(0, this.last + 1 - firstPosition));
-		await this.#writeOnce(fresh, firstPosition + bills.length - fresh.length);
+		const newBills = bills.slice(Math.max(0, this.last + 1 - firstPosition));
+		await this.#writeUnlessFailed(newBills, firstPosition + bills.length - newBills.length);
 	}
 
 	/**
-	Writes bills into a gap, and syncs them.
+	Writes bills into a gap, and syncs them to disk.
 
-	@param page Bills that begin where the gap begins; those beyond its end are passed over.
-	@param gap The gap, from `gapBefore`.
-	@throws If the disk fails, or if the bills begin elsewhere.
+	@param page The bills, starting at the first position of the gap; those beyond its end are ignored.
+	@param gap The gap that `gapBefore` returned.
+	@throws If the write fails, or if the bills do not start at the first position of the gap.
 	*/
 	async fill({firstPosition, bills}: ArchivableBills, gap: ArchiveGap): Promise<void> {
 		if (firstPosition !== gap.first) {
-			throw new RangeError(`Got bills from position ${firstPosition}, wanted them from ${gap.first}`);
+			throw new RangeError(`The bills start at position ${firstPosition}; expected ${gap.first}`);
 		}
 
-		await this.#writeOnce(bills.slice(0, gap.last + 1 - gap.first), firstPosition);
+		await this.#writeUnlessFailed(bills.slice(0, gap.last + 1 - gap.first), firstPosition);
 	}
 
 	/**
 	Reads a page of the archive.
 
-	@param question The workspace, the position after which to read, and the size of the page.
-	@returns The page; `next` goes on into the replicated state where the archive ends.
+	@param query The workspace, the position after which to read, and the page size.
+	@returns The page. At the end of the archive, `next` is the position after which to continue in the replicated state.
 	*/
 	async read({workspace, after, limit}: LedgerQuestion): Promise<LedgerPage> {
 		// Bills that are archived during the read belong to the next page.
@@ -156,10 +156,10 @@
 	}
 
 	/**
-	Reads lines without a gap between them, as they are on the disk.
+	Reads consecutive lines as they are stored on disk.
 
-	@param options Where to begin and how many.
-	@returns The lines, each with its end; empty where the first is not here.
+	@param options The first position and the size limit.
+	@returns The lines, each with its newline; empty if the first one is missing.
 	*/
 	async readLines({first, bytes}: ReadLinesOptions): Promise<string> {
 		const lines: string[] = [];
@@ -171,19 +171,19 @@
 
 			lines.push(`${text}\n`);
 			size += Buffer.byteLength(text) + 1;
-			this.#bookmark = {segment, position: position + 1, offset: end};
+			this.#lastReadEnd = {segment, position: position + 1, offset: end};
 		}
 
 		return lines.join('');
 	}
 
-	/** The lines from one position to another, each with its segment and the offset at which it ends there. */
+	/** Yields the stored lines between two positions, each with its segment and its end offset in that segment. */
 	async * #lines(first: number, last: number): AsyncGenerator<ArchivedLine> {
 		const segments = this.#segments.filter(segment => segment.last >= first && segment.first <= last).map(segment => ({...segment}));
 		for (const segment of segments) {
-			const start = this.#startIn(segment.first, first);
+			const start = this.#readStart(segment.first, first);
 			let {position, offset: end} = start;
-			for await (const text of createInterface({input: createReadStream(this.#nameOf(segment), {start: start.offset})})) {
+			for await (const text of createInterface({input: createReadStream(this.#segmentPath(segment), {start: start.offset})})) {
 				end += Buffer.byteLength(text) + 1;
 				if (position >= first) {
 					yield {
@@ -192,7 +192,7 @@
 				}
 
 				if (position === segment.last) {
-					// What follows was not synced when the read began.
+					// Later lines were not synced yet when the read started.
 					break;
 				}
 
@@ -201,52 +201,52 @@
 		}
 	}
 
-	/** Where to begin in a segment: where the last piece ended, or at its start. */
-	#startIn(segment: number, first: number): Pick<Bookmark, 'position' | 'offset'> {
-		const mark = this.#bookmark;
-		return mark?.segment === segment && mark.position === first ? mark : {position: segment, offset: 0};
+	/** Returns where to start reading in a segment: at the end of the previous read if the position matches, otherwise at the start. */
+	#readStart(segment: number, first: number): Pick<ReadPosition, 'position' | 'offset'> {
+		const previous = this.#lastReadEnd;
+		return previous?.segment === segment && previous.position === first ? previous : {position: segment, offset: 0};
 	}
 
-	async #writeOnce(bills: readonly Bill[], first: number): Promise<void> {
+	async #writeUnlessFailed(bills: readonly Bill[], first: number): Promise<void> {
 		if (bills.length === 0) {
 			return;
 		}
 
-		if (this.#failure !== undefined) {
-			throw new Error('Got bills after a failed write, wanted a restart', {cause: this.#failure});
+		if (this.#writeError !== undefined) {
+			throw new Error('The archive cannot be written after a failed write; restart the daemon', {cause: this.#writeError});
 		}
 
 		try {
 			await this.#write(bills, first);
 		} catch (error) {
-			this.#failure = error;
+			this.#writeError = error;
 			throw error;
 		}
 	}
 
-	async #write(fresh: readonly Bill[], first: number): Promise<void> {
+	async #write(bills: readonly Bill[], first: number): Promise<void> {
 		const segment = this.#segmentFor(first);
-		const file = await open(this.#nameOf(segment), 'a');
+		const file = await open(this.#segmentPath(segment), 'a');
 		try {
-			await file.appendFile(fresh.map((bill, index) => `${JSON.stringify({position: first + index, bill})}\n`).join(''));
+			await file.appendFile(bills.map((bill, index) => `${JSON.stringify({position: first + index, bill})}\n`).join(''));
 			await file.sync();
 		} finally {
 			await file.close();
 		}
 
 		await this.#syncFolder();
-		segment.last = first + fresh.length - 1;
+		segment.last = first + bills.length - 1;
 		if (!this.#segments.includes(segment)) {
 			this.#segments.push(segment);
 			this.#segments.sort((left, right) => left.first - right.first);
 		}
 	}
 
-	/** The segment that a bill belongs to; a gap, as on a replica that got a snapshot, begins a new one. */
+	/** Returns the segment to which to append a bill. A new one starts when the previous one is full, or after a gap, as on a replica that installed a snapshot. */
 	#segmentFor(position: number): Segment {
-		const before = this.#segments.findLast(({first}) => first < position);
-		if (before?.last === position - 1 && position - before.first < billsPerSegment) {
-			return before;
+		const previous = this.#segments.findLast(({first}) => first < position);
+		if (previous?.last === position - 1 && position - previous.first < billsPerSegment) {
+			return previous;
 		}
 
 		return {first: position, last: position - 1};
@@ -261,7 +261,7 @@
 		}
 	}
 
-	#nameOf({first}: Segment): string {
+	#segmentPath({first}: Segment): string {
 		return path.join(this.#folder, `bills-${String(first).padStart(15, '0')}.ndjson`);
 	}
 }
@@ -270,7 +270,7 @@
 	const bytes = await readFile(file);
 	let lines = 0;
 	let end = 0;
-	for (let at = bytes.indexOf(lineEnd); at !== -1; at = bytes.indexOf(lineEnd, at + 1)) {
+	for (let at = bytes.indexOf(newlineByte); at !== -1; at = bytes.indexOf(newlineByte, at + 1)) {
 		lines++;
 		end = at + 1;
 	}
--- a/packages/daemon/src/control/archive/fill-gap.ts
+++ b/packages/daemon/src/control/archive/fill-gap.ts
@@ -2,45 +2,45 @@
 import {type ArchivedPiece, openPiece} from './archived-piece.js';
 import {type BillArchive} from './bill-archive.js';
 
-/** What a gap is filled from. */
+/** The options of `fillGap`. */
 export type FillGapOptions = {
-	/** Bills from here on are in the replicated state. */
+	/** The position of the first bill in the replicated state. */
 	readonly before: number;
-	/** Asks the other replicas one after the other for a piece that begins at a position. */
+	/** Functions that request a chunk from another replica, starting at a position; tried in order. */
 	readonly sources: ReadonlyArray<(first: number) => Promise<Either<unknown, ArchivedPiece>>>;
-	/** Told of a piece that is not what was asked for. */
+	/** Called with the error of each chunk that fails verification. */
 	readonly onDamage: (error: Error) => void;
 };
 
-/** What came of one step: nothing is missing, a piece was written, or no replica gave one. */
+/** The result of one step: `complete` if no bills are missing, `progress` if a chunk was written, and `stuck` if no replica returned a valid one. */
 export type FillResult = 'complete' | 'progress' | 'stuck';
 
 /**
-Fetches one piece of the bills that are missing in the archive and writes it.
+Fetches one chunk of the bills that are missing in the archive from another replica, and writes it.
 
 @param archive The archive.
-@param options What is missing and who is asked.
-@returns What came of it.
-@throws If the disk fails.
+@param options The end of the range to check and the replicas to request bills from.
+@returns The result of this step.
+@throws If the archive cannot be written.
 @example
 ```ts
-const result = await fillGap(archive, {before: 5001, sources, onDamage});
+const result = await fillGap(archive, {before: 5001, sources, onInvalidChunk});
 ```
 */
-export async function fillGap(archive: BillArchive, {before, sources, onDamage}: FillGapOptions): Promise<FillResult> {
+export async function fillGap(archive: BillArchive, {before, sources, onDamage: onInvalidChunk}: FillGapOptions): Promise<FillResult> {
 	const gap = archive.gapBefore(before);
 	if (gap === undefined) {
 		return 'complete';
 	}
 
-	for (const ask of sources) {
-		const reply = await ask(gap.first);
-		const opened = reply.chain(piece => openPiece(piece, gap.first)).ifLeft(error => {
+	for (const requestChunk of sources) {
+		const reply = await requestChunk(gap.first);
+		const parsed = reply.chain(chunk => openPiece(chunk, gap.first)).ifLeft(error => {
 			if (error instanceof RangeError) {
-				onDamage(error);
+				onInvalidChunk(error);
 			}
 		});
-		const bills = opened.orDefault([]);
+		const bills = parsed.orDefault([]);
 		if (bills.length > 0) {
 			await archive.fill({firstPosition: gap.first, bills}, gap);
 			return 'progress';
--- a/packages/daemon/src/control/archive/read-held-lines.ts
+++ b/packages/daemon/src/control/archive/read-held-lines.ts
@@ -1,23 +1,23 @@
 import {type ArchivedState} from './archive-bills.js';
 import {type BillArchive, type ReadLinesOptions} from './bill-archive.js';
 
-/** Where the bills of a replica are. */
+/** The places where a replica stores bills. */
 export type HeldBills = {
 	readonly archive: BillArchive;
 	readonly state: ArchivedState;
 };
 
-const mostBills = 500;
+const maximumBills = 500;
 
 /**
-Reads lines without a gap from the archive, or from the replicated state where the archive does not reach.
+Reads consecutive lines from the archive, or from the replicated state if the archive does not contain the first one.
 
-@param options Where to begin and how many.
-@param held Where the bills are.
-@returns The lines; empty where the replica does not have the first.
+@param options The first position and the size limit.
+@param stores The archive and the replicated state.
+@returns The lines; empty if the replica does not have the first one.
 @example
 ```ts
-const lines = await readHeldLines({first: 1, bytes: 65_536}, {archive, state});
+const lines = await readBillLines({first: 1, bytes: 65_536}, {archive, state});
 ```
 */
 export async function readHeldLines({first, bytes}: ReadLinesOptions, {archive, state}: HeldBills): Promise<string> {
@@ -26,6 +26,6 @@
 		return archived;
 	}
 
-	const {bills} = state.readLedger({after: first - 1, limit: mostBills});
+	const {bills} = state.readLedger({after: first - 1, limit: maximumBills});
 	return bills.map((bill, index) => `${JSON.stringify({position: first + index, bill})}\n`).join('');
 }
--- a/packages/daemon/src/control/archive/start-archive.ts
+++ b/packages/daemon/src/control/archive/start-archive.ts
@@ -9,40 +9,40 @@
 import {fillGap} from './fill-gap.js';
 import {readHeldLines} from './read-held-lines.js';
 
-/** What the archive needs. */
+/** The dependencies of the archive. */
 export type StartArchiveOptions = {
 	readonly dataFolder: string;
-	/** The position of the first bill that the archive must hold. */
+	/** The position of the first bill that the archive must contain. */
 	readonly firstBill: number;
-	/** The replicated state as far as it is applied here. */
+	/** Returns the replicated state as applied on this replica. */
 	readonly state: () => ArchivedState;
-	/** Asks each other replica for a piece of its bills. */
+	/** Functions that request a chunk of bills, one per other replica. */
 	readonly sources: ReadonlyArray<(first: number) => Promise<Either<Failure, ArchivedPiece>>>;
 };
 
 /** The running archive of a control replica. */
 export type RunningArchive = {
 	readonly read: (question: LedgerQuestion) => Promise<LedgerPage>;
-	/** A piece of the bills that this replica has, for another one that lacks them. */
+	/** Reads a chunk of bills for another replica that lacks them. */
 	readonly piece: (first: number) => Promise<ArchivedPiece>;
-	/** The position up to which this replica has every bill, in the archive or in the state. */
+	/** Returns the position up to which this replica has all bills, in the archive or in the state. */
 	readonly heldUpTo: () => number;
 	readonly stop: () => Promise<void>;
 };
 
-const archiveMilliseconds = 1000;
+const archiveIntervalMilliseconds = 1000;
 const folderName = 'bills';
-// Far below the largest frame between daemons, also with one long bill at the end.
-const pieceBytes = 262_144;
+// Far below the maximum frame size between daemons, even if the last bill of the chunk is long.
+const chunkBytes = 262_144;
 
 /**
-Opens the archive under the data folder, moves bills there every second, and fetches from the other replicas those that this one never had.
+Opens the archive in the data folder. Every second, moves bills from the replicated state to it, and fetches bills that this replica never had from the other replicas.
 
-A disk that fails leaves the bills in memory, and is logged and counted.
+If the disk fails, the bills stay in memory, and the error is logged and counted.
 
-@param base What every part works with.
-@param options The data folder, the replicated state as far as it is applied here, and the other replicas.
-@returns The running archive; undefined where it cannot be opened.
+@param base The logger and the metrics.
+@param options The data folder, the replicated state, and the other replicas.
+@returns The running archive, or undefined if it cannot be opened.
 @example
 ```ts
 const archive = await startArchive(base, {dataFolder, firstBill: 1, state: () => host.state, sources});
@@ -52,9 +52,9 @@
 	dataFolder, firstBill, state, sources,
 }: StartArchiveOptions): Promise<RunningArchive | undefined> {
 	const folder = path.join(dataFolder, folderName);
-	const failed = (error: unknown) => {
+	const reportFailure = (error: unknown) => {
 		metrics.increment('archive.failed');
-		log.error({err: error, folder}, 'Bills could not be archived; they stay in memory');
+		log.error({err: error, folder}, 'Failed to archive bills; they stay in memory');
 	};
 
 	try {
@@ -62,21 +62,21 @@
 		let running = Promise.resolve();
 		let isBusy = false;
 		let isStopped = false;
-		const onDamage = (error: Error) => {
+		const onInvalidChunk = (error: Error) => {
 			metrics.increment('archive.damaged');
-			log.error({err: error, folder}, 'Another replica sent bills that are damaged; the next one is asked');
+			log.error({err: error, folder}, 'Another replica sent a damaged chunk of bills; trying the next one');
 		};
 
-		const work = async (): Promise<void> => {
+		const archiveAndFillGaps = async (): Promise<void> => {
 			await archiveBills(state(), archive);
-			const result = await fillGap(archive, {before: state().billPositions.first, sources, onDamage});
+			const result = await fillGap(archive, {before: state().billPositions.first, sources, onDamage: onInvalidChunk});
 			if (result === 'stuck') {
 				metrics.increment('archive.incomplete');
-				log.warn({folder, gap: archive.gapBefore(state().billPositions.first)}, 'No other replica gave the bills that are missing here; they are asked for again');
+				log.warn({folder, gap: archive.gapBefore(state().billPositions.first)}, 'No other replica returned the bills that are missing in the archive; retrying');
 			}
 
 			if (result === 'progress' && !isStopped) {
-				await work();
+				await archiveAndFillGaps();
 			}
 		};
 
@@ -86,13 +86,13 @@
 			}
 
 			isBusy = true;
-			running = work().catch(failed).finally(() => {
+			running = archiveAndFillGaps().catch(reportFailure).finally(() => {
 				isBusy = false;
 			});
-		}, archiveMilliseconds);
+		}, archiveIntervalMilliseconds);
 		return {
 			read: async question => archive.read(question),
-			piece: async first => sealPiece(await readHeldLines({first, bytes: pieceBytes}, {archive, state: state()})),
+			piece: async first => sealPiece(await readHeldLines({first, bytes: chunkBytes}, {archive, state: state()})),
 			heldUpTo() {
 				const {first, last} = state().billPositions;
 				const gap = archive.gapBefore(first);
@@ -105,7 +105,7 @@
 			},
 		};
 	} catch (error) {
-		failed(error);
+		reportFailure(error);
 		return undefined;
 	}
 }
