--- a/packages/daemon/src/control/snapshot-pieces.test.ts
+++ b/packages/daemon/src/control/snapshot-pieces.test.ts
@@ -8,7 +8,7 @@
 const from = toReplicaId('control-a', 'one');
 const to = toReplicaId('control-b', 'two');
 
-function envelopeAt(lastIndex: number): SnapshotEnvelope {
+function createEnvelope(lastIndex: number): SnapshotEnvelope {
 	const data = Uint8Array.from({length: 1000}, (_, index) => (index + lastIndex) % 256);
 	return {
 		from,
@@ -24,30 +24,30 @@
 	};
 }
 
-test('a snapshot arrives whole in pieces, and pieces of two are never mixed', t => {
-	const pieces = new SnapshotPieces();
-	const first = [...splitSnapshot(envelopeAt(5), 300)];
-	const second = [...splitSnapshot(envelopeAt(6), 300)];
+test('a snapshot is assembled from its chunks, and chunks of different snapshots are never combined', t => {
+	const assembler = new SnapshotPieces();
+	const first = [...splitSnapshot(createEnvelope(5), 300)];
+	const second = [...splitSnapshot(createEnvelope(6), 300)];
 	t.is(first.length, 4);
-	const taken = [first[0], first[1], second[2], first[2], first[3], second[0], second[1], second[2], second[3]]
-		.map(piece => piece && pieces.take(piece));
-	t.deepEqual(taken.filter(envelope => envelope !== undefined), [envelopeAt(6)]);
+	const results = [first[0], first[1], second[2], first[2], first[3], second[0], second[1], second[2], second[3]]
+		.map(chunk => chunk && assembler.take(chunk));
+	t.deepEqual(results.filter(envelope => envelope !== undefined), [createEnvelope(6)]);
 });
 
-test('the sender waits for each piece, sends one snapshot at a time to a replica, and begins anew after a loss', async t => {
-	const pieces = new SnapshotPieces();
+test('the sender waits for each chunk, sends one snapshot at a time to a replica, and starts again after a lost reply', async t => {
+	const assembler = new SnapshotPieces();
 	const received: SnapshotEnvelope[] = [];
-	let asked = 0;
+	let sentCount = 0;
 	const sender = new SnapshotSender({
 		pieceBytes: 300,
-		async ask(piece) {
-			asked++;
+		async ask(chunk) {
+			sentCount++;
 			await Promise.resolve();
-			if (asked === 3) {
-				return Left(failure('no-quorum', 'Got no reply'));
+			if (sentCount === 3) {
+				return Left(failure('no-quorum', 'No reply'));
 			}
 
-			const envelope = pieces.take(piece);
+			const envelope = assembler.take(chunk);
 			if (envelope !== undefined) {
 				received.push(envelope);
 			}
@@ -55,8 +55,8 @@
 			return Right({isTaken: true});
 		},
 	});
-	t.deepEqual(await Promise.all([sender.send(envelopeAt(5)), sender.send(envelopeAt(5))]), [false, false]);
-	t.is(asked, 3);
-	t.true(await sender.send(envelopeAt(5)));
-	t.deepEqual(received, [envelopeAt(5)]);
+	t.deepEqual(await Promise.all([sender.send(createEnvelope(5)), sender.send(createEnvelope(5))]), [false, false]);
+	t.is(sentCount, 3);
+	t.true(await sender.send(createEnvelope(5)));
+	t.deepEqual(received, [createEnvelope(5)]);
 });
--- a/packages/daemon/src/control/snapshot-pieces.ts
+++ b/packages/daemon/src/control/snapshot-pieces.ts
@@ -2,25 +2,25 @@
 import {type ReplicaDelivery} from '@valehitch/replication';
 import {type SnapshotPieceMessage} from './messages.js';
 
-/** A snapshot on its way to another replica. */
+/** A snapshot request with its sender and receiver. */
 export type SnapshotEnvelope = ReplicaDelivery & {readonly message: SnapshotRequest};
 
-const defaultPieceBytes = 1_048_576;
+const defaultChunkBytes = 1_048_576;
 
 /**
-Splits a snapshot into pieces that fit into a frame between daemons.
+Splits a snapshot into chunks that fit into a frame between daemons.
 
-@param envelope The snapshot and whom it is for.
-@param pieceBytes The most bytes of the state in one piece; 1048576 by default.
-@returns The pieces in order.
+@param envelope The snapshot with its sender and receiver.
+@param chunkBytes The maximum number of bytes of the state in one chunk; 1048576 by default.
+@returns The chunks, in order.
 @example
 ```ts
-for (const piece of splitSnapshot(envelope)) await ask(piece);
+for (const chunk of splitSnapshot(envelope)) await send(chunk);
 ```
 */
-export function * splitSnapshot({from, to, message}: SnapshotEnvelope, pieceBytes: number = defaultPieceBytes): Generator<SnapshotPieceMessage> {
+export function * splitSnapshot({from, to, message}: SnapshotEnvelope, chunkBytes: number = defaultChunkBytes): Generator<SnapshotPieceMessage> {
 	const {snapshot: {data}} = message;
-	for (let offset = 0; offset < data.byteLength; offset += pieceBytes) {
+	for (let offset = 0; offset < data.byteLength; offset += chunkBytes) {
 		yield {
 			scope: 'control',
 			type: 'snapshot-piece',
@@ -29,33 +29,33 @@
 			message: {...message, snapshot: {...message.snapshot, data: new Uint8Array()}},
 			offset,
 			totalBytes: data.byteLength,
-			data: data.subarray(offset, offset + pieceBytes),
+			data: data.subarray(offset, offset + chunkBytes),
 		};
 	}
 }
 
 /**
-Puts the pieces of snapshots together, one snapshot a sender.
+Assembles snapshots from their chunks, one snapshot per sender at a time.
 
 @example
 ```ts
-const envelope = pieces.take(piece);
+const envelope = assembler.add(chunk);
 ```
 */
 export class SnapshotPieces {
-	readonly #pending = new Map<ReplicaId, {readonly key: string; readonly parts: Uint8Array[]; bytes: number}>();
+	readonly #pending = new Map<ReplicaId, {readonly key: string; readonly chunks: Uint8Array[]; bytes: number}>();
 
 	/**
-	Takes the next piece; one that is out of order drops what came before it.
+	Adds the next chunk. A chunk that is out of order discards the previous chunks of its sender.
 
-	@param piece The piece.
-	@returns The whole snapshot once the last piece is there.
+	@param chunk The chunk.
+	@returns The snapshot if it is complete, otherwise undefined.
 	*/
 	take({from, to, message, offset, totalBytes, data}: SnapshotPieceMessage): SnapshotEnvelope | undefined {
 		const {lastIndex, lastTerm} = message.snapshot;
 		const key = `${to}/${message.term}/${lastTerm}/${lastIndex}/${totalBytes}`;
 		if (offset === 0) {
-			this.#pending.set(from, {key, parts: [], bytes: 0});
+			this.#pending.set(from, {key, chunks: [], bytes: 0});
 		}
 
 		const pending = this.#pending.get(from);
@@ -64,7 +64,7 @@
 			return undefined;
 		}
 
-		pending.parts.push(data);
+		pending.chunks.push(data);
 		pending.bytes += data.byteLength;
 		if (pending.bytes < totalBytes) {
 			return undefined;
@@ -72,17 +72,17 @@
 
 		this.#pending.delete(from);
 		return {
-			from, to, message: {...message, snapshot: {...message.snapshot, data: joined(pending.parts, totalBytes)}},
+			from, to, message: {...message, snapshot: {...message.snapshot, data: concatenate(pending.chunks, totalBytes)}},
 		};
 	}
 }
 
-function joined(parts: readonly Uint8Array[], totalBytes: number): Uint8Array {
+function concatenate(chunks: readonly Uint8Array[], totalBytes: number): Uint8Array {
 	const all = new Uint8Array(totalBytes);
 	let offset = 0;
-	for (const part of parts) {
-		all.set(part, offset);
-		offset += part.byteLength;
+	for (const chunk of chunks) {
+		all.set(chunk, offset);
+		offset += chunk.byteLength;
 	}
 
 	return all;
--- a/packages/daemon/src/control/snapshot-sender.ts
+++ b/packages/daemon/src/control/snapshot-sender.ts
@@ -3,18 +3,18 @@
 import {type SnapshotPieceMessage, type SnapshotPieceReply} from './messages.js';
 import {type SnapshotEnvelope, splitSnapshot} from './snapshot-pieces.js';
 
-/** What the sender needs. */
+/** The dependencies of a `SnapshotSender`. */
 export type SnapshotSenderOptions = {
-	/** Sends a piece and waits until the receiver has it. */
+	/** Sends a chunk and waits for the acknowledgement. */
 	readonly ask: (piece: SnapshotPieceMessage) => Promise<Either<Failure, SnapshotPieceReply>>;
-	/** The most bytes of the state in one piece; that of `splitSnapshot` by default. */
+	/** The maximum number of bytes of the state in one chunk; the default of `splitSnapshot` if not given. */
 	readonly pieceBytes?: number;
 };
 
 /**
-Sends snapshots in pieces, each once the one before has arrived, and one at a time to each replica.
+Sends snapshots in chunks. Each chunk is sent after the previous one was acknowledged, and each replica receives one snapshot at a time.
 
-A snapshot that comes while one is on its way is left out: the leader offers it again.
+A snapshot for a replica that is still receiving one is dropped, since the leader sends it again.
 
 @example
 ```ts
@@ -23,7 +23,7 @@
 */
 export class SnapshotSender {
 	readonly #options: SnapshotSenderOptions;
-	readonly #busy = new Set<string>();
+	readonly #receivers = new Set<string>();
 
 	constructor(options: SnapshotSenderOptions) {
 		this.#options = options;
@@ -32,25 +32,25 @@
 	/**
 	Sends a snapshot.
 
-	@param envelope The snapshot and whom it is for.
-	@returns Whether all of it arrived.
+	@param envelope The snapshot with its sender and receiver.
+	@returns Whether all chunks were acknowledged.
 	*/
 	async send(envelope: SnapshotEnvelope): Promise<boolean> {
-		if (this.#busy.has(envelope.to)) {
+		if (this.#receivers.has(envelope.to)) {
 			return false;
 		}
 
-		this.#busy.add(envelope.to);
+		this.#receivers.add(envelope.to);
 		try {
-			return await this.#sendAll(envelope);
+			return await this.#sendChunks(envelope);
 		} finally {
-			this.#busy.delete(envelope.to);
+			this.#receivers.delete(envelope.to);
 		}
 	}
 
-	async #sendAll(envelope: SnapshotEnvelope): Promise<boolean> {
-		for (const piece of splitSnapshot(envelope, this.#options.pieceBytes)) {
-			const reply = await this.#options.ask(piece);
+	async #sendChunks(envelope: SnapshotEnvelope): Promise<boolean> {
+		for (const chunk of splitSnapshot(envelope, this.#options.pieceBytes)) {
+			const reply = await this.#options.ask(chunk);
 			if (!reply.map(({isTaken}) => isTaken).orDefault(false)) {
 				return false;
 			}
