--- a/packages/daemon/src/control/_command-codec.ts
+++ b/packages/daemon/src/control/_command-codec.ts
@@ -3,12 +3,12 @@
 
 const packr = new Packr({useRecords: false, encodeUndefinedAsNil: false});
 
-/** Writes a command for the log. */
+/** Encodes a command as the payload of a log entry. */
 export function encodeCommand(command: Command): Uint8Array {
 	return new Uint8Array(packr.pack(command));
 }
 
-/** Reads a command of the log. */
+/** Decodes the payload of a log entry. */
 export function decodeCommand(data: Uint8Array): Command {
 	return packr.unpack(data) as Command;
 }
--- a/packages/daemon/src/control/candidates.ts
+++ b/packages/daemon/src/control/candidates.ts
@@ -1,60 +1,60 @@
 import {instanceOf, type ReplicaId} from '@valehitch/consensus';
 import {type Clock} from '@valehitch/core';
 
-/** Which replicas count. */
+/** The options of `NonvotingReplicas`. */
 export type CandidatesOptions = {
 	readonly clock: Clock;
-	/** The instances that the settings list with the control role. */
+	/** The instances with the control role, according to the settings. */
 	readonly control: readonly string[];
 };
 
-const presentMilliseconds = 2000;
+const livenessMilliseconds = 2000;
 
 /**
-The replicas without a vote that said lately that they are there, one an instance.
+Tracks the replicas without a vote that have recently sent a join request, at most one per instance.
 
 @example
 ```ts
-const candidates = new Candidates({clock, control});
-candidates.note(replica);
+const nonvoters = new NonvotingReplicas({clock, control});
+nonvoters.recordJoin(replica, billsHeldUpTo);
 ```
 */
 export class Candidates {
 	readonly #options: CandidatesOptions;
-	readonly #seen = new Map<string, {readonly replica: ReplicaId; readonly billsHeldUpTo: number; readonly at: number}>();
+	readonly #joins = new Map<string, {readonly replica: ReplicaId; readonly billsHeldUpTo: number; readonly at: number}>();
 
 	constructor(options: CandidatesOptions) {
 		this.#options = options;
 	}
 
-	/** The replicas that are there. */
+	/** The replicas whose last join request is recent. */
 	get present(): readonly ReplicaId[] {
-		const oldest = this.#options.clock.monotonic() - presentMilliseconds;
-		return [...this.#seen.values()].filter(({at}) => at >= oldest).map(({replica}) => replica);
+		const oldest = this.#options.clock.monotonic() - livenessMilliseconds;
+		return [...this.#joins.values()].filter(({at}) => at >= oldest).map(({replica}) => replica);
 	}
 
 	/**
-	The replicas that are there, without the learners that lack bills: one of those is not promoted yet.
+	Returns the live replicas, without the learners that lack archived bills and so cannot be promoted yet.
 
-	@param learners The replicas that learn.
-	@param billsArchivedUpTo The position up to which the bills are no longer in the leader's state.
-	@returns The replicas.
+	@param learners The current learners.
+	@param billsArchivedUpTo The position up to which bills were removed from the state of the leader.
+	@returns The replicas that can be added as a learner or promoted.
 	*/
 	ready(learners: readonly ReplicaId[], billsArchivedUpTo: number): readonly ReplicaId[] {
-		const lacking = new Set([...this.#seen.values()].filter(({billsHeldUpTo}) => billsHeldUpTo < billsArchivedUpTo).map(({replica}) => replica));
+		const lacking = new Set([...this.#joins.values()].filter(({billsHeldUpTo}) => billsHeldUpTo < billsArchivedUpTo).map(({replica}) => replica));
 		return this.present.filter(replica => !learners.includes(replica) || !lacking.has(replica));
 	}
 
 	/**
-	Notes that a replica is there.
+	Records a join request. Instances without the control role are ignored.
 
-	@param replica The replica.
-	@param billsHeldUpTo The position up to which it has every bill.
+	@param replica The replica that sent it.
+	@param billsHeldUpTo The position up to which the replica has all bills.
 	*/
 	note(replica: ReplicaId, billsHeldUpTo: number): void {
 		const instance = instanceOf(replica);
 		if (this.#options.control.includes(instance)) {
-			this.#seen.set(instance, {replica, billsHeldUpTo, at: this.#options.clock.monotonic()});
+			this.#joins.set(instance, {replica, billsHeldUpTo, at: this.#options.clock.monotonic()});
 		}
 	}
 }
--- a/packages/daemon/src/control/control-answers.ts
+++ b/packages/daemon/src/control/control-answers.ts
@@ -13,13 +13,13 @@
 } from './messages.js';
 import {SnapshotPieces} from './snapshot-pieces.js';
 
-/** What the answers come from. */
+/** The dependencies of a `ControlRequestHandler`. */
 export type ControlAnswersOptions = {
 	readonly base: DaemonBase;
 	readonly host: ControlHost;
-	/** The bills that left the state; undefined where they cannot be read. */
+	/** The bills that were removed from the state; undefined if the archive could not be opened. */
 	readonly archive: RunningArchive | undefined;
-	/** Asks another control instance. */
+	/** Sends a request to another control instance. */
 	readonly ask: (to: PeerAddress, message: ControlMessage) => Promise<Either<Failure, unknown>>;
 };
 
@@ -27,23 +27,23 @@
 const retryMilliseconds = 1000;
 
 /**
-Answers the messages to the control role: the leader itself, any other replica by passing the question on once.
+Handles the messages to the control role. The leader replies itself; any other replica forwards a request for the leader at most once.
 
 @example
 ```ts
-const answers = new ControlAnswers({base, host, ask});
+const handler = new ControlRequestHandler({base, host, archive, ask});
 ```
 */
 export class ControlAnswers {
 	readonly #options: ControlAnswersOptions;
-	readonly #pieces = new SnapshotPieces();
+	readonly #snapshots = new SnapshotPieces();
 
 	constructor(options: ControlAnswersOptions) {
 		this.#options = options;
 	}
 
 	/**
-	Answers a message.
+	Handles a message.
 
 	@param message The message.
 	@returns The reply; undefined for messages between replicas.
@@ -55,56 +55,56 @@
 				host.receive({...envelope, message: readReplicaMessage(envelope.message)});
 				return undefined;
 			})
-			.with({type: 'snapshot-piece'}, (piece): SnapshotPieceReply => {
-				const envelope = this.#pieces.take(piece);
+			.with({type: 'snapshot-piece'}, (chunk): SnapshotPieceReply => {
+				const envelope = this.#snapshots.take(chunk);
 				if (envelope !== undefined) {
 					host.receive(envelope);
 				}
 
 				return {isTaken: true};
 			})
-			.with({type: 'join'}, question => host.join(question))
+			.with({type: 'join'}, request => host.join(request))
 			.with({type: 'archived-bills'}, async ({first}) => this.#options.archive?.piece(first))
 			.with({type: 'leader'}, (): LeaderReply => ({leader: host.leader}))
-			.with({type: 'propose'}, {type: 'ledger'}, {type: 'orders'}, async question => this.#answerAsLeader(question))
+			.with({type: 'propose'}, {type: 'ledger'}, {type: 'orders'}, async request => this.#answerOrForward(request))
 			.exhaustive();
 	}
 
-	async #answerAsLeader(question: LeaderQuestion): Promise<ControlReply<unknown>> {
+	async #answerOrForward(request: LeaderQuestion): Promise<ControlReply<unknown>> {
 		const {host} = this.#options;
 		const {leader} = host;
-		if (host.isLeader || question.isForwarded === true || leader === undefined || leader === this.#options.base.settings.instance) {
-			const result = host.isLeader ? await this.#answerHere(question) : Left(this.#noQuorum());
+		if (host.isLeader || request.isForwarded === true || leader === undefined || leader === this.#options.base.settings.instance) {
+			const result = host.isLeader ? await this.#answerAsLeader(request) : Left(this.#noQuorum());
 			return {result: toResultReply<unknown>(result), leader: host.leader};
 		}
 
-		return this.#forward(question, leader);
+		return this.#forward(request, leader);
 	}
 
-	async #forward(question: LeaderQuestion, leader: string): Promise<ControlReply<unknown>> {
+	async #forward(request: LeaderQuestion, leader: string): Promise<ControlReply<unknown>> {
 		const {base: {settings}, ask} = this.#options;
 		const address = settings.control.find(({instance}) => instance === leader);
 		const reply = address === undefined
 			? Left(this.#noQuorum())
-			: await ask(address, {...question, isForwarded: true});
+			: await ask(address, {...request, isForwarded: true});
 		return reply.caseOf<ControlReply<unknown>>({
 			Left: failed => ({result: toResultReply<unknown>(Left(failed))}),
 			Right: body => body as ControlReply<unknown>,
 		});
 	}
 
-	async #answerHere(question: LeaderQuestion): Promise<Either<Failure, CommandAnswer | LedgerPage | OrderList>> {
+	async #answerAsLeader(request: LeaderQuestion): Promise<Either<Failure, CommandAnswer | LedgerPage | OrderList>> {
 		const {host} = this.#options;
-		if (question.type === 'propose') {
-			return host.propose(question.command);
+		if (request.type === 'propose') {
+			return host.propose(request.command);
 		}
 
 		if (!await host.catchUp()) {
 			return Left(this.#noQuorum());
 		}
 
-		if (question.type === 'ledger') {
-			return this.#readLedger(question);
+		if (request.type === 'ledger') {
+			return this.#readLedger(request);
 		}
 
 		return Right(this.#readOrders());
@@ -117,26 +117,26 @@
 
 	async #readLedger({workspace, after, isRefused}: LedgerMessage): Promise<Either<Failure, LedgerPage>> {
 		const {host: {state}, archive} = this.#options;
-		const question = {
+		const query = {
 			workspace, after, isRefused, limit: ledgerPageSize,
 		};
-		const recent = state.readLedger(question);
+		const recent = state.readLedger(query);
 		if (after >= recent.archivedUpTo) {
-			return Right(pageOf(recent));
+			return Right(toLedgerPage(recent));
 		}
 
 		if (archive === undefined || archive.heldUpTo() < recent.archivedUpTo) {
-			return Left(failure('no-quorum', 'Got a leader that still fetches older bills from another replica, wanted one that has all', {retryAfterMilliseconds: retryMilliseconds}));
+			return Left(failure('no-quorum', 'The leader is still fetching older bills from another replica', {retryAfterMilliseconds: retryMilliseconds}));
 		}
 
-		return Right(pageOf(await archive.read(question)));
+		return Right(toLedgerPage(await archive.read(query)));
 	}
 
 	#noQuorum(): Failure {
-		return failure('no-quorum', 'Got no leader with a valid lease, wanted one', {retryAfterMilliseconds: retryMilliseconds});
+		return failure('no-quorum', 'There is no leader with a valid lease', {retryAfterMilliseconds: retryMilliseconds});
 	}
 }
 
-function pageOf({bills, next}: Awaited<ReturnType<RunningArchive['read']>>): LedgerPage {
+function toLedgerPage({bills, next}: Awaited<ReturnType<RunningArchive['read']>>): LedgerPage {
 	return {bills, ...(next !== undefined && {next})};
 }
--- a/packages/daemon/src/control/control-client.ts
+++ b/packages/daemon/src/control/control-client.ts
@@ -9,33 +9,33 @@
 	type ControlReply, type LeaderMessage, type LeaderQuestion, type LeaderReply, type LedgerMessage, type LedgerPage, type OrderList,
 } from './messages.js';
 
-/** What a client of the control role needs. */
+/** The dependencies of a `ControlClient`. */
 export type ControlClientOptions = {
 	readonly clock: Clock;
-	/** Asks one control instance; a failure where no reply came in time, with the outcome `notRun` where nothing was sent. */
+	/** Sends a request to one control instance. Returns a failure if no reply arrives in time, with the outcome `notRun` if nothing was sent. */
 	readonly ask: (to: PeerAddress, message: LeaderQuestion | LeaderMessage) => Promise<Either<Failure, unknown>>;
 	/** The instances with the control role. */
 	readonly control: readonly PeerAddress[];
-	/** The instance that is asked first while no leader is known: this one where it has the control role, else one of the own zone. */
+	/** The instance to query first while no leader is known: this one if it has the control role, otherwise one in the same zone. */
 	readonly first?: InstanceId | undefined;
-	/** Waits some milliseconds. */
+	/** Waits for a number of milliseconds. */
 	readonly wait: (milliseconds: number) => Promise<void>;
 };
 
-/** How long a question may take. */
+/** The options of a request. */
 export type AskOptions = {
-	/** Milliseconds until the client gives up; 5000 by default. */
+	/** The time after which the client stops retrying; 5000 ms by default. */
 	readonly timeoutMilliseconds?: number;
 };
 
 const defaultTimeoutMilliseconds = 5000;
-const pauseMilliseconds = 150;
-const retryMilliseconds = 1000;
+const retryPauseMilliseconds = 150;
+const retryAfterMilliseconds = 1000;
 
 /**
-Passes commands and questions to the leader of the control role.
+Sends commands and queries to the leader of the control role.
 
-Where no leader is known it asks the control instances who leads, and sends the command only then: a cut-off instance that finds none can say truly that nothing ran. A leader that does not answer is tried through the instance that named it. Every command is idempotent by its own id, so that one whose answer was lost is sent again.
+While no leader is known, the client first asks the control instances for it and sends the command only after that, so a partitioned instance that finds no leader can report that the command did not run. If the leader cannot be reached directly, the request goes through the instance that named it. Every command is idempotent by its own id, so the client sends it again if the reply is lost.
 
 @example
 ```ts
@@ -50,17 +50,17 @@
 		this.#options = options;
 	}
 
-	/** The leader that answered last. */
+	/** The leader according to the last successful reply. */
 	get leader(): InstanceId | undefined {
 		return this.#leader;
 	}
 
 	/**
-	Passes a command to the control role.
+	Sends a command to the control role.
 
 	@param command The command.
-	@param options How long it may take.
-	@returns What it gave; `no-quorum` with the outcome `notRun` where it surely was not carried out, with `unknown` where it may have been.
+	@param options The timeout.
+	@returns The result of the command; or `no-quorum`, with the outcome `notRun` if the command definitely did not run and `unknown` if it may have run.
 	*/
 	async propose<Kind extends Command>(command: Kind, options: AskOptions = {}): Promise<Either<Failure, AnswerOf<Kind>>> {
 		const result = await this.#request({scope: 'control', type: 'propose', command}, options);
@@ -68,17 +68,17 @@
 	}
 
 	/**
-	Asks for a page of the ledger.
+	Reads a page of the ledger.
 
-	@param question The workspace and the position after which to read.
+	@param query The workspace and the position after which to read.
 	@returns The page.
 	*/
-	async ledger(question: Omit<LedgerMessage, 'type' | 'scope'>): Promise<Either<Failure, LedgerPage>> {
-		const result = await this.#request({scope: 'control', type: 'ledger', ...question}, {});
+	async ledger(query: Omit<LedgerMessage, 'type' | 'scope'>): Promise<Either<Failure, LedgerPage>> {
+		const result = await this.#request({scope: 'control', type: 'ledger', ...query}, {});
 		return result.map(body => body as LedgerPage);
 	}
 
-	/** Asks for the orders to engines. */
+	/** Reads the orders to engines. */
 	async orders(): Promise<Either<Failure, OrderList>> {
 		const result = await this.#request({scope: 'control', type: 'orders'}, {});
 		return result.map(body => body as OrderList);
@@ -88,44 +88,44 @@
 		const {clock, wait} = this.#options;
 		const deadline = clock.monotonic() + timeoutMilliseconds;
 		let mayHaveRun = false;
-		let unreached: InstanceId | undefined;
+		let unreachable: InstanceId | undefined;
 		do {
-			const target = await this.#findTarget(unreached);
-			const result = target === undefined ? Left(noLeader()) : await this.#ask(target, message);
+			const target = await this.#findTarget(unreachable);
+			const result = target === undefined ? Left(noLeader()) : await this.#send(target, message);
 			const failed = result.isLeft() ? result.extract() : undefined;
 			if (failed?.kind !== 'no-quorum') {
 				return result;
 			}
 
 			mayHaveRun ||= failed.outcome === 'unknown';
-			unreached = target?.instance;
-			await wait(pauseMilliseconds);
+			unreachable = target?.instance;
+			await wait(retryPauseMilliseconds);
 		} while (clock.monotonic() < deadline);
 
 		return Left({...noLeader(), outcome: mayHaveRun ? 'unknown' : 'notRun'});
 	}
 
-	/** The leader, or the instance that named it where the leader itself did not answer. */
-	async #findTarget(unreached: InstanceId | undefined): Promise<PeerAddress | undefined> {
-		const known = this.#addressOf(this.#leader);
-		if (known !== undefined) {
-			return known;
+	/** Returns the leader, or the instance that named it if the leader itself was unreachable. */
+	async #findTarget(unreachable: InstanceId | undefined): Promise<PeerAddress | undefined> {
+		const cached = this.#addressOf(this.#leader);
+		if (cached !== undefined) {
+			return cached;
 		}
 
-		const {control, first, ask} = this.#options;
-		const order = control.toSorted((left, right) => Number(right.instance === first) - Number(left.instance === first));
-		for (const asked of order) {
-			const reply = await ask(asked, {scope: 'control', type: 'leader'});
+		const {control, first: preferred, ask} = this.#options;
+		const instances = control.toSorted((left, right) => Number(right.instance === preferred) - Number(left.instance === preferred));
+		for (const instance of instances) {
+			const reply = await ask(instance, {scope: 'control', type: 'leader'});
 			const leader = this.#addressOf((reply.orDefault({}) as LeaderReply).leader);
 			if (leader !== undefined) {
-				return leader.instance === unreached ? asked : leader;
+				return leader.instance === unreachable ? instance : leader;
 			}
 		}
 
 		return undefined;
 	}
 
-	async #ask(target: PeerAddress, message: LeaderQuestion): Promise<Either<Failure, unknown>> {
+	async #send(target: PeerAddress, message: LeaderQuestion): Promise<Either<Failure, unknown>> {
 		const reply = await this.#options.ask(target, message);
 		if (reply.isLeft()) {
 			this.#leader = undefined;
@@ -133,8 +133,8 @@
 		}
 
 		const {result, leader} = reply.extract() as ControlReply<unknown>;
-		const isAnswered = result.ok || result.failure.kind !== 'no-quorum';
-		this.#leader = isAnswered ? leader : undefined;
+		const isFromLeader = result.ok || result.failure.kind !== 'no-quorum';
+		this.#leader = isFromLeader ? leader : undefined;
 		return fromResultReply(result);
 	}
 
@@ -144,5 +144,5 @@
 }
 
 function noLeader(): Failure {
-	return failure('no-quorum', 'Got no leader that answers, wanted one with a quorum', {retryAfterMilliseconds: retryMilliseconds});
+	return failure('no-quorum', 'No leader with a quorum replied', {retryAfterMilliseconds});
 }
--- a/packages/daemon/src/control/control-host-options.ts
+++ b/packages/daemon/src/control/control-host-options.ts
@@ -6,22 +6,22 @@
 import {type DaemonBase} from '../daemon-base.js';
 import {type JoinMessage, type JoinReply} from './messages.js';
 
-/** What the host of the control role needs. */
+/** The dependencies of a `ControlHost`. */
 export type ControlHostOptions = {
 	readonly base: Pick<DaemonBase, 'settings' | 'clock' | 'random' | 'log' | 'timeline' | 'newId'>;
 	readonly folder: DataFolder;
-	/** Asks another control instance a question of this host's own. */
+	/** Sends a join request to another control instance. */
 	readonly ask: (to: InstanceId, message: JoinMessage) => Promise<Either<Failure, JoinReply>>;
-	/** The position up to which this replica has every bill. */
+	/** Returns the position up to which this replica has all bills. */
 	readonly billsHeldUpTo: () => number;
-	/** Sends a message between replicas; it may be lost. */
+	/** Sends a message to another replica; the message may be lost. */
 	readonly send: (to: InstanceId, delivery: ReplicaDelivery) => void;
-	/** Told once why the role stopped for good. */
+	/** Called once if the role stops permanently, with the reason. */
 	readonly onFailure: (failed: Failure) => void;
 };
 
-/** One command that was applied to the control state. */
+/** A command that was applied to the control state, with its result. */
 export type AppliedCommand = Applied<Command, CommandAnswer>;
 
-/** Told of each command that was applied here. */
+/** Called with each command that this replica has applied. */
 export type AppliedListener = (applied: AppliedCommand) => void;
--- a/packages/daemon/src/control/control-host.test.ts
+++ b/packages/daemon/src/control/control-host.test.ts
@@ -17,9 +17,9 @@
 const settingsText = await readFile(new URL('../../../../examples/embedded.yaml', import.meta.url), 'utf8');
 const command: Command = {type: 'instance-lost', instance: toId<InstanceId>('entry-9'), at: 0};
 
-async function startHost(t: ExecutionContext, place: string): Promise<ControlHost> {
+async function startHost(t: ExecutionContext, dataPath: string): Promise<ControlHost> {
 	const settings = parseSettings(settingsText, 'embedded.yaml').unsafeCoerce();
-	const folder = await openDataFolder(place);
+	const folder = await openDataFolder(dataPath);
 	const host = new ControlHost({
 		base: {
 			settings,
@@ -32,7 +32,7 @@
 			newId: randomUUID,
 		},
 		folder: folder.unsafeCoerce(),
-		ask: async () => Left(failure('no-quorum', 'Got a question, wanted none from the only instance')),
+		ask: async () => Left(failure('no-quorum', 'The only control instance must not send a join request')),
 		billsHeldUpTo: () => 0,
 		send: ignore,
 		onFailure(failed) {
@@ -48,15 +48,15 @@
 }
 
 function ignore(): void {
-	// Nothing to note.
+	// Not relevant for these tests.
 }
 
-test('the only instance founds its group at once, and commands that arrive during a sync are taken', async t => {
-	const place = await mkdtemp(path.join(tmpdir(), 'valehitch-host-'));
-	t.teardown(async () => rm(place, {recursive: true}));
-	const host = await startHost(t, place);
+test('a single instance bootstraps its group immediately and accepts commands that arrive during a disk sync', async t => {
+	const dataPath = await mkdtemp(path.join(tmpdir(), 'valehitch-host-'));
+	t.teardown(async () => rm(dataPath, {recursive: true}));
+	const host = await startHost(t, dataPath);
 	const results = [];
-	for (let wave = 0; wave < 50; wave++) {
+	for (let round = 0; round < 50; round++) {
 		results.push(host.propose(command), host.propose(command));
 		await setImmediate();
 	}
@@ -64,19 +64,19 @@
 	const settled = await Promise.all(results);
 	t.is(settled.filter(result => result.isRight()).length, 100);
 	await host.stop();
-	const again = await startHost(t, place);
-	const after = await again.propose(command);
-	t.true(after.isRight());
-	await again.stop();
+	const restarted = await startHost(t, dataPath);
+	const result = await restarted.propose(command);
+	t.true(result.isRight());
+	await restarted.stop();
 });
 
-test('commands beyond the bound of those that wait are refused at once', async t => {
-	const place = await mkdtemp(path.join(tmpdir(), 'valehitch-host-'));
-	t.teardown(async () => rm(place, {recursive: true}));
-	const host = await startHost(t, place);
+test('commands beyond the limit of pending proposals are rejected immediately', async t => {
+	const dataPath = await mkdtemp(path.join(tmpdir(), 'valehitch-host-'));
+	t.teardown(async () => rm(dataPath, {recursive: true}));
+	const host = await startHost(t, dataPath);
 	const results = await Promise.all(Array.from({length: 4100}, async () => host.propose(command)));
-	const refused = results.filter(result => result.isLeft()).map(result => result.extract());
-	t.is(refused.length, 4);
-	t.like(refused[0], {kind: 'overloaded', outcome: undefined});
+	const rejected = results.filter(result => result.isLeft()).map(result => result.extract());
+	t.is(rejected.length, 4);
+	t.like(rejected[0], {kind: 'overloaded', outcome: undefined});
 	await host.stop();
 });
--- a/packages/daemon/src/control/control-host.ts
+++ b/packages/daemon/src/control/control-host.ts
@@ -9,7 +9,7 @@
 	type ReplicaDelivery, ReplicaDriver, StateMachine, StepWaiters,
 } from '@valehitch/replication';
 import {type Either, Left} from 'purify-ts';
-import {decodeCommand, encodeCommand} from './_encode-command.js';
+import {decodeCommand, encodeCommand} from './_command-codec.js';
 import {Candidates} from './candidates.js';
 import {type AppliedListener, type ControlHostOptions} from './control-host-options.js';
 import {searchGroup} from './group-search.js';
@@ -17,17 +17,17 @@
 import {LeadershipWatch} from './leadership-watch.js';
 import {replicaTiming} from './replica-timing.js';
 
-/** A part of the heartbeat interval, so that a heartbeat is late by no more than that. */
+/** Shorter than the heartbeat interval, since a heartbeat can be delayed by up to one tick. */
 const tickMilliseconds = 250;
-const searchMilliseconds = 250;
-const commitMilliseconds = 1500;
-const retryMilliseconds = 500;
+const discoveryMilliseconds = 250;
+const commitTimeoutMilliseconds = 1500;
+const retryAfterMilliseconds = 500;
 const tailEntries = 100;
-const mostWaiting = 4096;
+const maximumPendingProposals = 4096;
 const seedRange = 2 ** 31;
 
 /**
-Hosts a replica of the control state: time, links and the data folder around the pure parts.
+Hosts a replica of the control state: connects the deterministic consensus code and state machine with the clock, the network and the data folder.
 
 @example
 ```ts
@@ -41,13 +41,13 @@
 	readonly #self: ReplicaId;
 	readonly #machine: StateMachine<Command, CommandAnswer, ControlState>;
 	readonly #driver: ReplicaDriver;
-	readonly #candidates: Candidates;
-	readonly #watch: LeadershipWatch;
+	readonly #nonvoters: Candidates;
+	readonly #leadership: LeadershipWatch;
 	readonly #suspension: SuspensionWatch;
 	readonly #listeners = new Set<AppliedListener>();
-	readonly #steps = new StepWaiters();
+	readonly #stepWaiters = new StepWaiters();
 	#timers: NodeJS.Timeout[] = [];
-	#hasBegun = false;
+	#hasBootstrapped = false;
 	#isStopped = false;
 
 	constructor(options: ControlHostOptions) {
@@ -55,8 +55,8 @@
 		const {identity, hardState, snapshot, entries} = folder.takeStored();
 		this.#options = options;
 		this.#self = toReplicaId(base.settings.instance, identity);
-		this.#candidates = new Candidates({clock: base.clock, control: base.settings.control.map(({instance}) => instance)});
-		this.#watch = new LeadershipWatch(base);
+		this.#nonvoters = new Candidates({clock: base.clock, control: base.settings.control.map(({instance}) => instance)});
+		this.#leadership = new LeadershipWatch(base);
 		this.#suspension = new SuspensionWatch(base.clock);
 		this.#machine = new StateMachine<Command, CommandAnswer, ControlState>({
 			create: data => data === undefined ? new ControlState() : ControlState.fromSnapshot(data),
@@ -67,7 +67,7 @@
 				}
 			},
 			onReplicas: replicas => {
-				this.#watch.noteReplicas(replicas);
+				this.#leadership.noteReplicas(replicas);
 			},
 		});
 		if (snapshot !== undefined) {
@@ -87,7 +87,7 @@
 				this.#machine.apply(actions);
 			},
 			onStepped: state => {
-				this.#stepped(state);
+				this.#onStepped(state);
 			},
 			onFailure: failed => {
 				this.#fail(failed);
@@ -95,42 +95,42 @@
 		});
 	}
 
-	/** The control state as far as it is applied here. */
+	/** The control state as applied on this replica. */
 	get state(): ControlState {
 		return this.#machine.state;
 	}
 
-	/** The leader that this replica knows of. */
+	/** The leader, if this replica knows one. */
 	get leader(): InstanceId | undefined {
 		const leader = knownLeader(this.#driver.state);
 		return leader === undefined || this.#isStopped ? undefined : toId<InstanceId>(instanceOf(leader));
 	}
 
-	/** Milliseconds on the monotonic clock until which no other replica can lead; undefined where this one holds no lease. */
+	/** The end of the leader lease of this replica, in milliseconds of the monotonic clock; no other replica can lead before that. Undefined if it has no lease. */
 	get leaseValidUntil(): number | undefined {
 		return this.#isStopped ? undefined : leaseValidUntil(this.#driver.state, {validSince: this.#suspension.lastWake()});
 	}
 
-	/** Whether this replica leads under a valid lease, with everything applied that was committed before its term. */
+	/** Whether this replica is the leader, has a valid lease, and has applied all entries that were committed before its term. */
 	get isLeader(): boolean {
 		const {role} = this.#driver.state;
 		return role.type === 'leader' && this.#machine.appliedIndex >= role.termStartIndex && this.#readIndex() !== undefined;
 	}
 
-	/** Starts the ticks, and the search for a group where this replica has none. */
+	/** Starts the tick timer, and discovers or bootstraps the group if this replica is not a voter. */
 	start(): void {
 		this.#timers = [
 			setInterval(() => {
 				this.#tick();
 			}, tickMilliseconds),
 			setInterval(() => {
-				void this.#search();
-			}, searchMilliseconds),
+				void this.#discover();
+			}, discoveryMilliseconds),
 		];
-		void this.#search();
+		void this.#discover();
 	}
 
-	/** Stops the replica once its steps in progress are on the disk, and closes the folder. */
+	/** Stops the replica after its pending steps are written to disk, and closes the data folder. */
 	async stop(): Promise<void> {
 		this.#isStopped = true;
 		for (const timer of this.#timers) {
@@ -138,42 +138,42 @@
 		}
 
 		await this.#driver.stop();
-		this.#steps.wake();
+		this.#stepWaiters.wake();
 		await this.#options.folder.close();
 	}
 
 	/**
-	Has a command committed and applied, where this replica leads.
+	Commits and applies a command; works only on the leader.
 
 	@param command The command.
-	@returns What it gave; a failure `no-quorum` says with its outcome whether it may still be committed.
+	@returns The result of the command. The outcome of a `no-quorum` failure says whether the command may still be committed.
 	*/
 	async propose(command: Command): Promise<Either<Failure, CommandAnswer>> {
 		if (!this.isLeader) {
-			return Left(failure('no-quorum', 'Got a command on a replica without a valid lease, wanted it on the leader', {retryAfterMilliseconds: retryMilliseconds}));
+			return Left(failure('no-quorum', 'This replica has no valid lease; send the command to the leader', {retryAfterMilliseconds}));
 		}
 
-		if (this.#machine.waitingCount >= mostWaiting) {
-			return Left(failure('overloaded', `Got a command while ${mostWaiting} wait to be committed, wanted fewer`, {retryAfterMilliseconds: retryMilliseconds}));
+		if (this.#machine.waitingCount >= maximumPendingProposals) {
+			return Left(failure('overloaded', `${maximumPendingProposals} commands are already waiting to be committed`, {retryAfterMilliseconds}));
 		}
 
 		const proposalId = this.#options.base.newId();
 		const result = this.#machine.resultOf(proposalId);
 		this.#driver.push({type: 'propose', proposals: [{proposalId, data: encodeCommand(command)}]});
 		const timer = setTimeout(() => {
-			this.#machine.giveUp(proposalId, failure('no-quorum', `Got no quorum in ${commitMilliseconds} ms, wanted the command committed`, {
-				outcome: 'unknown', retryAfterMilliseconds: retryMilliseconds,
+			this.#machine.giveUp(proposalId, failure('no-quorum', `The command was not committed within ${commitTimeoutMilliseconds} ms`, {
+				outcome: 'unknown', retryAfterMilliseconds,
 			}));
-		}, commitMilliseconds);
+		}, commitTimeoutMilliseconds);
 		const settled = await result;
 		clearTimeout(timer);
 		return settled;
 	}
 
 	/**
-	Waits until everything is applied here that was committed when the call began.
+	Waits until this replica has applied all entries that were committed when the call started, so that a read is linearizable.
 
-	@returns Whether the state may be read as the newest; false where this replica does not lead.
+	@returns Whether the state is current; false if this replica is not the leader.
 	*/
 	async catchUp(): Promise<boolean> {
 		const index = this.#readIndex();
@@ -182,17 +182,17 @@
 		}
 
 		while (!this.#isStopped && this.#machine.appliedIndex < index) {
-			await this.#steps.next();
+			await this.#stepWaiters.next();
 		}
 
 		return !this.#isStopped;
 	}
 
 	/**
-	Adds a listener for the commands that are applied here.
+	Adds a listener for applied commands.
 
-	@param listener Told of each command.
-	@returns Takes the listener away.
+	@param listener Called with each command that this replica applies.
+	@returns A function that removes the listener.
 	*/
 	onApplied(listener: AppliedListener): () => void {
 		this.#listeners.add(listener);
@@ -202,9 +202,9 @@
 	}
 
 	/**
-	Takes a message of another replica; one to a former identity of this instance is dropped.
+	Receives a message from another replica. A message to a former identity of this instance is dropped.
 
-	@param envelope The message.
+	@param envelope The message with its sender and receiver.
 	*/
 	receive({from, to, message}: ReplicaDelivery): void {
 		if (to === this.#self && !this.#isStopped) {
@@ -213,13 +213,13 @@
 	}
 
 	/**
-	Answers a replica that looks for its group, and remembers that it is there.
+	Handles the join request of a replica without a vote, and records that the replica is live.
 
-	@param message Who asks.
-	@returns What this replica is.
+	@param message The request.
+	@returns The status of this replica.
 	*/
 	join({replica, billsHeldUpTo}: JoinMessage): JoinReply {
-		this.#candidates.note(replica, billsHeldUpTo);
+		this.#nonvoters.note(replica, billsHeldUpTo);
 		const {log: {snapshot}} = this.#driver.state;
 		return {
 			replica: this.#self,
@@ -230,7 +230,7 @@
 
 	#isEmpty(): boolean {
 		const {replicas, hardState, log} = this.#driver.state;
-		return replicas === undefined && hardState.term === 0 && log.entries.length === 0 && !this.#hasBegun;
+		return replicas === undefined && hardState.term === 0 && log.entries.length === 0 && !this.#hasBootstrapped;
 	}
 
 	#readIndex(): number | undefined {
@@ -241,40 +241,40 @@
 	#tick(): void {
 		const {state} = this.#driver;
 		this.#driver.push({type: 'tick'});
-		this.#watch.note(state);
+		this.#leadership.note(state);
 		const learners = state.replicas?.learners ?? [];
-		const present = this.#candidates.ready(learners, this.#machine.state.billPositions.first - 1);
+		const present = this.#nonvoters.ready(learners, this.#machine.state.billPositions.first - 1);
 		const change = isLeader(state) ? planReplacement(state, {present}) : undefined;
 		if (change !== undefined) {
 			this.#driver.push({type: 'change-replicas', change});
 		}
 	}
 
-	/** A replica that does not vote asks until it does: without a group to find one, as a learner so that the leader knows that it is there. */
-	async #search(): Promise<void> {
+	/** Sends join requests until this replica is a voter: without a group in order to find one, and as a learner to let the leader know that it is live. */
+	async #discover(): Promise<void> {
 		const {replicas} = this.#driver.state;
-		if (this.#hasBegun || this.#isStopped || replicas?.voters.includes(this.#self) === true) {
+		if (this.#hasBootstrapped || this.#isStopped || replicas?.voters.includes(this.#self) === true) {
 			return;
 		}
 
-		const isFounding = this.#isEmpty();
+		const mayBootstrap = this.#isEmpty();
 		const {base: {settings}, ask, billsHeldUpTo} = this.#options;
-		const found = await searchGroup({
+		const initial = await searchGroup({
 			self: this.#self,
 			control: settings.control,
 			ask: async ({instance}) => ask(instance, {
 				scope: 'control', type: 'join', replica: this.#self, billsHeldUpTo: billsHeldUpTo(),
 			}),
-			isEmpty: () => isFounding && this.#isEmpty(),
+			isEmpty: () => mayBootstrap && this.#isEmpty(),
 		});
-		if (found !== undefined && !this.#isStopped) {
-			this.#begin(found);
+		if (initial !== undefined && !this.#isStopped) {
+			this.#bootstrap(initial);
 		}
 	}
 
-	#begin(replicas: ReplicaSet): void {
-		// From here on this replica no longer says that it is empty.
-		this.#hasBegun = true;
+	#bootstrap(replicas: ReplicaSet): void {
+		// From now on, join replies no longer report this replica as empty.
+		this.#hasBootstrapped = true;
 		this.#driver.push({
 			type: 'begin-group', initial: {
 				lastIndex: 0, lastTerm: 0, replicas, data: new Uint8Array(),
@@ -282,9 +282,9 @@
 		});
 	}
 
-	#stepped(state: ReplicaState): void {
-		this.#watch.note(state);
-		this.#steps.wake();
+	#onStepped(state: ReplicaState): void {
+		this.#leadership.note(state);
+		this.#stepWaiters.wake();
 		const {base: {settings: {controlLog}}} = this.#options;
 		const {entries, bytes} = this.#machine.sinceSnapshot;
 		if (entries >= controlLog.snapshotEntries || bytes >= controlLog.snapshotBytes) {
@@ -295,7 +295,7 @@
 
 	#fail(failed: Failure): void {
 		this.#isStopped = true;
-		this.#steps.wake();
+		this.#stepWaiters.wake();
 		for (const timer of this.#timers) {
 			clearInterval(timer);
 		}
--- a/packages/daemon/src/control/expired-bills.test.ts
+++ b/packages/daemon/src/control/expired-bills.test.ts
@@ -7,25 +7,25 @@
 import bunyan from 'bunyan';
 import {reportExpiredBills} from './expired-bills.js';
 
-function billAt(settledAt: number): Bill {
+function createBill(settledAt: number): Bill {
 	return {
 		workspace: toId<WorkspaceId>('yard'), request: toId<RequestId>(`request-${settledAt}`), instance: toId<InstanceId>('entry-a'), lines: [], total: 1 as Micros, outcome: 'answered', settledAt,
 	};
 }
 
-test('a bill that the ledger refused as expired is logged whole and counted, once, by the replica that answers', t => {
+test('a bill that the ledger rejected as expired is logged completely and counted once, by the replica that replies to the proposer', t => {
 	const state = new ControlState();
 	state.apply({type: 'set-limits', limits: {...state.limits, billWindow: 1}}, {term: 1, index: 1});
-	state.apply({type: 'record-bills', bills: [billAt(10), billAt(11)]}, {term: 1, index: 2});
-	const command: Command = {type: 'record-bills', bills: [billAt(9), billAt(12)]};
+	state.apply({type: 'record-bills', bills: [createBill(10), createBill(11)]}, {term: 1, index: 2});
+	const command: Command = {type: 'record-bills', bills: [createBill(9), createBill(12)]};
 	const result = state.apply(command, {term: 1, index: 3});
 	const stream = new PassThrough();
-	const counted: string[] = [];
+	const counters: string[] = [];
 	const base = {
 		log: bunyan.createLogger({name: 'test', stream}),
 		metrics: {
 			increment(name: string) {
-				counted.push(name);
+				counters.push(name);
 			},
 			timing: ignore, gauge: ignore, close: ignore,
 		},
@@ -34,11 +34,11 @@
 		command, result, term: 1, index: 3,
 	};
 	t.deepEqual(reportExpiredBills(base, {...applied, isAwaited: false}), []);
-	t.deepEqual(reportExpiredBills(base, {...applied, isAwaited: true}), [billAt(9)]);
-	t.deepEqual(counted, ['ledger.expired']);
+	t.deepEqual(reportExpiredBills(base, {...applied, isAwaited: true}), [createBill(9)]);
+	t.deepEqual(counters, ['ledger.expired']);
 	t.like(JSON.parse(String(stream.read())), {level: bunyan.ERROR, bill: {request: 'request-9', total: 1}});
 });
 
 function ignore(): void {
-	// Only counters are looked at.
+	// The test checks only counters.
 }
--- a/packages/daemon/src/control/expired-bills.ts
+++ b/packages/daemon/src/control/expired-bills.ts
@@ -4,13 +4,13 @@
 import {type AppliedCommand} from './control-host-options.js';
 
 /**
-Raises the alarm for bills that the ledger refused as expired: their owners keep no copy.
+Logs and counts the bills that the ledger rejected as expired, since their owners keep no copy.
 
-Only the replica that answers the proposer does so, which is once for each answer.
+Only the replica that replies to the proposer reports them, so each reply is reported once.
 
-@param base Where the alarm goes.
-@param applied A command that was applied.
-@returns The refused bills.
+@param base The logger and the metrics.
+@param applied The applied command.
+@returns The rejected bills.
 @example
 ```ts
 host.onApplied(applied => reportExpiredBills(base, applied));
@@ -22,11 +22,11 @@
 	}
 
 	const {expired} = result.map(answer => answer as BillsAnswer).orDefault({recorded: 0, expired: [], revision: 0});
-	const refused = command.bills.filter(({request}) => expired.includes(request));
-	for (const bill of refused) {
+	const rejected = command.bills.filter(({request}) => expired.includes(request));
+	for (const bill of rejected) {
 		metrics.increment('ledger.expired');
-		log.error({bill}, 'The ledger refused a bill as expired; it is listed as refused and must be added by hand');
+		log.error({bill}, 'The ledger rejected a bill as expired; it is listed among the refused bills and must be added manually');
 	}
 
-	return refused;
+	return rejected;
 }
--- a/packages/daemon/src/control/group-search.test.ts
+++ b/packages/daemon/src/control/group-search.test.ts
@@ -12,7 +12,7 @@
 	a: {replica: a, isEmpty: true}, b: {replica: b, isEmpty: true}, c: {replica: c, isEmpty: true},
 };
 
-async function search(self: typeof a, replies: Readonly<Record<string, JoinReply>>, isEmpty = true): Promise<ReplicaSet | undefined> {
+async function discover(self: typeof a, replies: Readonly<Record<string, JoinReply>>, isEmpty = true): Promise<ReplicaSet | undefined> {
 	return searchGroup({
 		self,
 		control,
@@ -24,20 +24,20 @@
 	});
 }
 
-test('the lowest instance founds the group when all are empty, and no other', async t => {
-	t.deepEqual(await search(a, empty), all);
-	t.is(await search(b, empty), undefined);
-	t.is(await search(c, empty), undefined);
+test('only the instance with the lowest name bootstraps the group, if all instances are empty', async t => {
+	t.deepEqual(await discover(a, empty), all);
+	t.is(await discover(b, empty), undefined);
+	t.is(await discover(c, empty), undefined);
 });
 
-test('nobody founds a group while one instance does not answer or is not empty', async t => {
-	t.is(await search(a, {b: empty.b}), undefined);
-	t.is(await search(a, {...empty, c: {replica: c, isEmpty: false}}), undefined);
-	t.is(await search(a, empty, false), undefined);
+test('no instance bootstraps a group while one does not reply or is not empty', async t => {
+	t.is(await discover(a, {b: empty.b}), undefined);
+	t.is(await discover(a, {...empty, c: {replica: c, isEmpty: false}}), undefined);
+	t.is(await discover(a, empty, false), undefined);
 });
 
-test('a replica that the founder counted takes its answer, a wiped one does not', async t => {
-	const founder = {replica: a, isEmpty: false, initial: all};
-	t.deepEqual(await search(b, {a: founder}), all);
-	t.is(await search(toReplicaId('b', 'new-disk'), {a: founder, c: empty.c}), undefined);
+test('a replica in the initial set adopts that set; a replica with a wiped disk does not', async t => {
+	const bootstrapped = {replica: a, isEmpty: false, initial: all};
+	t.deepEqual(await discover(b, {a: bootstrapped}), all);
+	t.is(await discover(toReplicaId('b', 'new-disk'), {a: bootstrapped, c: empty.c}), undefined);
 });
--- a/packages/daemon/src/control/group-search.ts
+++ b/packages/daemon/src/control/group-search.ts
@@ -4,37 +4,37 @@
 import {type PeerAddress} from '@valehitch/transport';
 import {type JoinReply} from './messages.js';
 
-/** What a replica without a group needs to find or to found one. */
+/** The options of `discoverGroup`. */
 export type GroupSearchOptions = {
 	readonly self: ReplicaId;
-	/** All control instances, this one too. */
+	/** All control instances, including this one. */
 	readonly control: readonly PeerAddress[];
-	/** Asks another control instance. */
+	/** Sends a join request to another control instance. */
 	readonly ask: (to: PeerAddress) => Promise<Either<unknown, JoinReply>>;
-	/** Whether this replica still belongs to no group. */
+	/** Returns whether this replica still has never belonged to a group. */
 	readonly isEmpty: () => boolean;
 };
 
 /**
-Looks once for the replicas that this replica's group begins with.
+Tries once to determine the initial replica set of the group, in order to bootstrap the group or to join its bootstrap.
 
-A group is founded only when every control instance answers that it never belonged to one, and only by the instance with the lowest name: so a group that exists is never founded again, whichever disks were lost, unless all of them were. A replica that the founder counted takes the founder's answer. Any other replica waits until a leader takes it in.
+Only the instance with the lowest name bootstraps a group, and only if every control instance replies that it has never belonged to one. An existing group is therefore never bootstrapped again, whichever disks are lost, unless all of them are. A replica in the initial set of the bootstrapping instance adopts that set. Any other replica waits until a leader adds it.
 
-@param options Who is asked.
-@returns The replicas to begin with; undefined where this replica must go on waiting.
+@param options The control instances and how to reach them.
+@returns The initial replica set; undefined if this replica must keep waiting.
 @example
 ```ts
-const replicas = await searchGroup({self, control, ask, isEmpty});
+const replicas = await discoverGroup({self, control, ask, isEmpty});
 ```
 */
 export async function searchGroup({self, control, ask, isEmpty}: GroupSearchOptions): Promise<ReplicaSet | undefined> {
 	const others = control.filter(({instance}) => instance !== instanceOf(self));
-	const answers = await Promise.all(others.map(async other => ask(other)));
+	const results = await Promise.all(others.map(async other => ask(other)));
 	if (!isEmpty()) {
 		return undefined;
 	}
 
-	const replies = answers.flatMap(answer => answer.isRight() ? [answer.extract()] : []);
+	const replies = results.flatMap(result => result.isRight() ? [result.extract()] : []);
 	for (const {initial} of replies) {
 		if (initial?.voters.includes(self) === true) {
 			return initial;
@@ -42,12 +42,12 @@
 	}
 
 	const allAreEmpty = replies.length === others.length && replies.every(reply => reply.isEmpty);
-	return allAreEmpty && isLowest(instanceOf(self), control)
+	return allAreEmpty && hasLowestName(instanceOf(self), control)
 		? {voters: [self, ...replies.map(({replica}) => replica)], learners: []}
 		: undefined;
 }
 
-function isLowest(self: string, control: readonly PeerAddress[]): boolean {
+function hasLowestName(self: string, control: readonly PeerAddress[]): boolean {
 	const names: InstanceId[] = control.map(({instance}) => instance);
 	return names.every(name => self <= name);
 }
--- a/packages/daemon/src/control/leader-tasks.ts
+++ b/packages/daemon/src/control/leader-tasks.ts
@@ -8,31 +8,31 @@
 import {RolloutController} from './rollouts/rollout-controller.js';
 import {type ControlPart} from './start-control.js';
 
-/** What the tasks of the leader need. */
+/** The dependencies of the leader tasks. */
 export type LeaderTasksOptions = {
 	readonly control: ControlPart;
 	readonly distribution: Pick<DistributionPart, 'servers'>;
 };
 
-/** The running tasks; they do nothing where this instance does not lead. */
+/** The running tasks; they have no effect while this instance is not the leader. */
 export type LeaderTasks = {
-	/** Takes a summary of ratings and evidence; undefined where this instance does not lead. */
+	/** Merges a summary of ratings and evidence; returns undefined if this instance is not the leader. */
 	readonly takeSummary: (summary: RatingSummary) => RatingSummaryReply | undefined;
-	/** Hands this instance's own summary to the leader. */
+	/** Sends the summary of this instance to the leader and returns the reply. */
 	readonly exchange: (summary: RatingSummary) => Promise<RatingSummaryReply | undefined>;
 	readonly stop: () => void;
 };
 
 const orderTickMilliseconds = 100;
 const rolloutTickMilliseconds = 500;
-const limitsMilliseconds = 500;
-const tidyMilliseconds = 60_000;
+const limitsCheckMilliseconds = 500;
+const pruneMilliseconds = 60_000;
 
 /**
-Starts what the leader of the control replicas does besides the log: orders, roll-outs, and the bounds and the expiry of what is kept.
+Starts the periodic tasks of the leader of the control replicas: it carries out orders, advances rollouts, applies the limits from its settings, and expires old state.
 
-@param base What every part works with.
-@param options The control part and where engines are found.
+@param base The dependencies that all components share.
+@param options The control component and the known backend servers.
 @returns The running tasks.
 @example
 ```ts
@@ -43,7 +43,7 @@
 	const {clock, timeline, settings, network, log} = base;
 	const run = (act: () => Promise<void>) => {
 		act().catch((error: unknown) => {
-			log.error({err: error}, 'A task of the leader failed');
+			log.error({err: error}, 'A leader task failed');
 		});
 	};
 
@@ -72,12 +72,12 @@
 			executor.tick();
 		}),
 		every(rolloutTickMilliseconds, async () => rollouts.tick()),
-		every(limitsMilliseconds, async () => {
-			if (control.isLeader() && !isSame(control.state()?.limits, settings.controlLimits)) {
+		every(limitsCheckMilliseconds, async () => {
+			if (control.isLeader() && !hasLimits(control.state()?.limits, settings.controlLimits)) {
 				await control.propose({type: 'set-limits', limits: settings.controlLimits});
 			}
 		}),
-		every(tidyMilliseconds, async () => {
+		every(pruneMilliseconds, async () => {
 			evidence.tidy();
 		}),
 		every(clockReadingMilliseconds, async () => {
@@ -106,7 +106,7 @@
 	};
 }
 
-function isSame(found: ControlLimits | undefined, wanted: ControlLimits): boolean {
-	const names = Object.keys(wanted) as Array<keyof ControlLimits>;
-	return found !== undefined && names.every(name => found[name] === wanted[name]);
+function hasLimits(current: ControlLimits | undefined, expected: ControlLimits): boolean {
+	const names = Object.keys(expected) as Array<keyof ControlLimits>;
+	return current !== undefined && names.every(name => current[name] === expected[name]);
 }
--- a/packages/daemon/src/control/leadership-watch.ts
+++ b/packages/daemon/src/control/leadership-watch.ts
@@ -5,17 +5,17 @@
 import {type DaemonBase} from '../daemon-base.js';
 
 /**
-Records on the time line when this replica begins and ceases to lead, and which replicas a leader took in and removed.
+Records on the timeline when this replica gains and loses leadership and, as the leader, which voters are added and removed.
 
 @example
 ```ts
-const watch = new LeadershipWatch(base);
-watch.note(driver.state);
+const recorder = new LeadershipRecorder(base);
+recorder.update(driver.state);
 ```
 */
 export class LeadershipWatch {
 	readonly #base: Pick<DaemonBase, 'clock' | 'timeline' | 'log'>;
-	#leadsTerm: number | undefined;
+	#ledTerm: number | undefined;
 	#isLeader = false;
 	#voters: readonly ReplicaId[] = [];
 
@@ -24,30 +24,30 @@
 	}
 
 	/**
-	Compares the replica with what it was before.
+	Records a change of the leadership since the previous call.
 
-	@param state The replica.
+	@param state The current state of the replica.
 	*/
 	note(state: ReplicaState): void {
 		this.#isLeader = isLeader(state);
 		const until = leaseValidUntil(state);
 		const holdsLease = until !== undefined && this.#base.clock.monotonic() < until;
 		const {term} = state.hardState;
-		if (this.#leadsTerm !== undefined && (!holdsLease || this.#leadsTerm !== term)) {
-			this.#base.timeline.record('leader-lease-lost', {term: this.#leadsTerm});
-			this.#leadsTerm = undefined;
+		if (this.#ledTerm !== undefined && (!holdsLease || this.#ledTerm !== term)) {
+			this.#base.timeline.record('leader-lease-lost', {term: this.#ledTerm});
+			this.#ledTerm = undefined;
 		}
 
-		if (holdsLease && this.#leadsTerm === undefined) {
+		if (holdsLease && this.#ledTerm === undefined) {
 			this.#base.timeline.record('leader-elected', {term});
-			this.#leadsTerm = term;
+			this.#ledTerm = term;
 		}
 	}
 
 	/**
-	Compares a committed replica set with the one before.
+	Records the changes from the previously committed replica set.
 
-	@param replicas The replica set.
+	@param replicas The committed replica set.
 	*/
 	noteReplicas({voters}: ReplicaSet): void {
 		this.#record('replica-added', voters.filter(replica => !this.#voters.includes(replica)));
--- a/packages/daemon/src/control/messages.ts
+++ b/packages/daemon/src/control/messages.ts
@@ -4,30 +4,30 @@
 import {type ReplicaWire} from '@valehitch/replication';
 import {type ResultReply} from '../result-reply.js';
 
-/** Asks the control role to carry out a command. */
+/** Requests that the control role commit a command. */
 export type ProposeMessage = {
 	readonly scope: 'control';
 	readonly type: 'propose';
 	readonly command: Command;
-	/** Whether a control instance passed it on; it is passed on only once. */
+	/** Whether a control instance forwarded the message; it is forwarded at most once. */
 	readonly isForwarded?: boolean;
 };
 
-/** What every question to the control role gets: the result, and the leader where one is known. */
+/** The reply to a `LeaderRequest`: the result and, if known, the leader. */
 export type ControlReply<Value> = {
 	readonly result: ResultReply<Value>;
 	readonly leader?: InstanceId | undefined;
 };
 
-/** Asks the control role for a page of the ledger. */
+/** Requests a page of the ledger. */
 export type LedgerMessage = {
 	readonly scope: 'control';
 	readonly type: 'ledger';
-	/** Bills of this workspace only. */
+	/** Return only the bills of this workspace. */
 	readonly workspace?: string | undefined;
 	/** The position after which to read. */
 	readonly after: number;
-	/** Whether the bills are asked for that the ledger refused, in place of those that it has. */
+	/** Whether to return the bills that the ledger rejected instead of those that it recorded. */
 	readonly isRefused?: boolean | undefined;
 	readonly isForwarded?: boolean;
 };
@@ -35,11 +35,11 @@
 /** A page of the ledger. */
 export type LedgerPage = {
 	readonly bills: readonly Bill[];
-	/** What to pass as `after` for the next page; undefined on the last. */
+	/** The value of `after` that requests the next page; undefined on the last page. */
 	readonly next?: number;
 };
 
-/** Asks the control role for the orders to engines. */
+/** Requests the orders to engines. */
 export type OrdersMessage = {
 	readonly scope: 'control';
 	readonly type: 'orders';
@@ -48,13 +48,13 @@
 
 /** The orders to engines. */
 export type OrderList = {
-	/** In the order in which they were issued. */
+	/** The open orders, in the sequence in which they were issued. */
 	readonly open: readonly OrderRecord[];
-	/** Those of late, the oldest first. */
+	/** The recently completed orders, oldest first. */
 	readonly completed: readonly OrderRecord[];
 };
 
-/** A message between two replicas; one to a former identity of an instance is dropped. */
+/** A message from one replica to another. A message to a former identity of an instance is dropped. */
 export type ReplicaEnvelope = {
 	readonly scope: 'control';
 	readonly type: 'replica';
@@ -63,65 +63,65 @@
 	readonly message: ReplicaWire;
 };
 
-/** A piece of a snapshot, which may be larger than a frame. */
+/** A chunk of a snapshot, since a whole snapshot can exceed the maximum frame size. */
 export type SnapshotPieceMessage = {
 	readonly scope: 'control';
 	readonly type: 'snapshot-piece';
 	readonly from: ReplicaId;
 	readonly to: ReplicaId;
-	/** The message without the state. */
+	/** The snapshot request without the state. */
 	readonly message: SnapshotRequest;
-	/** Where the piece begins, in bytes. */
+	/** The offset of the chunk in the state, in bytes. */
 	readonly offset: number;
-	/** The bytes of the whole state. */
+	/** The size of the whole state, in bytes. */
 	readonly totalBytes: number;
 	readonly data: Uint8Array;
 };
 
-/** Answers a piece of a snapshot. */
+/** The acknowledgement of a snapshot chunk. */
 export type SnapshotPieceReply = {
 	readonly isTaken: boolean;
 };
 
-/** What a replica without a vote says of itself while it waits for a group. */
+/** The join request that a replica without a vote sends until it is a voter. */
 export type JoinMessage = {
 	readonly scope: 'control';
 	readonly type: 'join';
 	readonly replica: ReplicaId;
-	/** The position up to which it has every bill, in its archive or in its state. */
+	/** The position up to which it has all bills, in its archive or in its state. */
 	readonly billsHeldUpTo: number;
 };
 
-/** What the asked instance says of itself. */
+/** The reply to a join request: the status of the replica that received it. */
 export type JoinReply = {
 	readonly replica: ReplicaId;
-	/** Whether it never belonged to a group. */
+	/** Whether it has never belonged to a group. */
 	readonly isEmpty: boolean;
-	/** The replicas that the group began with, while its log holds nothing else. */
+	/** The initial replica set of the group, while the replica has no later snapshot. */
 	readonly initial?: ReplicaSet | undefined;
 };
 
-/** Asks a replica for a piece of its bills that begins at a position. */
+/** Requests a chunk of the bills of a replica. */
 export type ArchivedBillsMessage = {
 	readonly scope: 'control';
 	readonly type: 'archived-bills';
-	/** Positions count from 1. */
+	/** The position of the first bill to return; positions start at 1. */
 	readonly first: number;
 };
 
-/** Asks a control instance which instance leads. */
+/** Asks a control instance for the current leader. */
 export type LeaderMessage = {
 	readonly scope: 'control';
 	readonly type: 'leader';
 };
 
-/** Which instance leads, as far as the asked one knows. */
+/** The leader, if the queried instance knows one. */
 export type LeaderReply = {
 	readonly leader?: InstanceId | undefined;
 };
 
-/** The questions that only the leader answers. */
+/** The requests that only the leader can handle. */
 export type LeaderQuestion = ProposeMessage | LedgerMessage | OrdersMessage;
 
-/** The closed list of messages to the control role. */
+/** Any message to the control role. */
 export type ControlMessage = LeaderQuestion | ReplicaEnvelope | JoinMessage | LeaderMessage | ArchivedBillsMessage | SnapshotPieceMessage;
--- a/packages/daemon/src/control/start-control.ts
+++ b/packages/daemon/src/control/start-control.ts
@@ -21,38 +21,38 @@
 import {type SnapshotEnvelope} from './snapshot-pieces.js';
 import {SnapshotSender} from './snapshot-sender.js';
 
-/** The control part of a daemon. */
+/** The control component of a daemon. */
 export type ControlPart = {
 	readonly client: ControlClient;
-	/** Answers a message to the control role; undefined where this instance does not have it. */
+	/** Handles a message to the control role; returns undefined if this instance does not have the role. */
 	readonly answer: (message: ControlMessage) => Promise<unknown>;
-	/** Whether this instance leads under a valid lease, with everything applied that was committed before its term. */
+	/** Returns whether this instance is the leader, has a valid lease, and has applied all entries that were committed before its term. */
 	readonly isLeader: () => boolean;
-	/** Waits until all that was committed is applied here; false where this instance does not lead. */
+	/** Waits until this instance has applied all committed entries; returns false if it is not the leader. */
 	readonly catchUp: () => Promise<boolean>;
-	/** Milliseconds on the monotonic clock until which no other instance can lead; undefined where this one holds no lease. */
+	/** Returns the end of the leader lease, in milliseconds of the monotonic clock; no other instance can lead before that. Undefined if this instance has no lease. */
 	readonly leaseValidUntil: () => number | undefined;
-	/** The leader, where this instance knows one. */
+	/** Returns the leader, if this instance knows one. */
 	readonly leader: () => InstanceId | undefined;
-	/** The control state as far as it is applied here; undefined without the control role. */
+	/** Returns the control state as applied on this instance; undefined without the control role. */
 	readonly state: () => ControlState | undefined;
-	/** Tells a listener of each command that is applied here; gives what takes the listener away. */
+	/** Adds a listener for the commands that this instance applies; returns a function that removes it. */
 	readonly onApplied: (listener: AppliedListener) => () => void;
-	/** Has a command committed where this instance leads; for tasks of the leader. */
+	/** Commits a command if this instance is the leader; used by the leader tasks. */
 	readonly propose: (command: Command) => Promise<Either<Failure, CommandAnswer>>;
 	readonly stop: () => Promise<void>;
 };
 
-const commitReplyMilliseconds = 2500;
-const replyMilliseconds = 1500;
+const proposeTimeoutMilliseconds = 2500;
+const requestTimeoutMilliseconds = 1500;
 
 /**
-Starts the control part: the client on every instance, a replica of the control state where the settings give the role.
+Starts the control component: a client on every instance, and a replica of the control state on instances with the control role.
 
-A data folder that cannot be opened or written stops the role and not the daemon.
+If the data folder cannot be opened or written, the role stops, but the daemon continues.
 
-@param base What every part works with.
-@returns The part.
+@param base The dependencies that all components share.
+@returns The component.
 @example
 ```ts
 const control = await startControl(base);
@@ -61,30 +61,30 @@
 export async function startControl(base: DaemonBase): Promise<ControlPart> {
 	const {settings, clock} = base;
 	const folder = await openFolder(base);
-	const held: {archive?: RunningArchive | undefined} = {};
-	const host = folder === undefined ? undefined : startHost(base, {folder, billsHeldUpTo: () => held.archive?.heldUpTo() ?? 0});
+	const started: {archive?: RunningArchive | undefined} = {};
+	const host = folder === undefined ? undefined : startHost(base, {folder, billsHeldUpTo: () => started.archive?.heldUpTo() ?? 0});
 	const archive = host === undefined || settings.dataFolder === undefined
 		? undefined
 		: await startArchive(base, {
 			dataFolder: settings.dataFolder, firstBill: settings.controlLog.firstArchivedBill, state: () => host.state, sources: billSources(base),
 		});
-	held.archive = archive;
-	const answers = host === undefined
+	started.archive = archive;
+	const handler = host === undefined
 		? undefined
 		: new ControlAnswers({
 			base, host, archive, ask: async (to, message) => askPeer(base, to, message),
 		});
-	const answer = async (message: ControlMessage): Promise<unknown> => answers?.answer(message);
-	const zoneMate = settings.control.find(({zone}) => zone === settings.zone);
+	const answer = async (message: ControlMessage): Promise<unknown> => handler?.answer(message);
+	const sameZone = settings.control.find(({zone}) => zone === settings.zone);
 	return {
 		client: new ControlClient({
 			clock,
 			control: settings.control,
-			first: host === undefined ? zoneMate?.instance : settings.instance,
+			first: host === undefined ? sameZone?.instance : settings.instance,
 			ask: async (to, message) => to.instance === settings.instance
 				? toReply(await answer(message))
 				: askPeer<unknown>(base, to, message),
-			wait: elapsed,
+			wait: sleep,
 		}),
 		answer,
 		isLeader: () => host?.isLeader ?? false,
@@ -92,8 +92,8 @@
 		leaseValidUntil: () => host?.leaseValidUntil,
 		leader: () => host?.leader,
 		state: () => host?.state,
-		onApplied: listener => host?.onApplied(listener) ?? nothing,
-		propose: async command => host?.propose(command) ?? Left(failure('no-quorum', 'Got a command on an instance without the control role, wanted it on the leader')),
+		onApplied: listener => host?.onApplied(listener) ?? noop,
+		propose: async command => host?.propose(command) ?? Left(failure('no-quorum', 'This instance does not have the control role; send the command to the leader')),
 		async stop() {
 			await archive?.stop();
 			await host?.stop();
@@ -109,7 +109,7 @@
 	const opened = await openDataFolder(settings.dataFolder, {segmentBytes: settings.controlLog.segmentBytes});
 	return opened.caseOf<DataFolder | undefined>({
 		Left(failed) {
-			log.error({failure: failed, folder: settings.dataFolder}, 'The data folder could not be opened; the control role does not start');
+			log.error({failure: failed, folder: settings.dataFolder}, 'Failed to open the data folder; the control role does not start');
 			return undefined;
 		},
 		Right(folder) {
@@ -122,7 +122,7 @@
 	});
 }
 
-/** The other control instances, each asked for a piece of its bills. */
+/** Returns a function per other control instance that requests a chunk of its bills. */
 function billSources(base: DaemonBase) {
 	const {instance: self, control} = base.settings;
 	return control.filter(({instance}) => instance !== self).map(address => async (first: number) =>
@@ -133,11 +133,11 @@
 	const {settings: {control}, network, log, metrics, timeline} = base;
 	const addresses = new Map(control.map(address => [address.instance, address]));
 	const snapshots = new SnapshotSender({
-		async ask(piece) {
-			const address = addresses.get(toId<InstanceId>(instanceOf(piece.to)));
+		async ask(chunk) {
+			const address = addresses.get(toId<InstanceId>(instanceOf(chunk.to)));
 			return address === undefined
-				? Left(failure('no-quorum', `Got ${piece.to}, wanted a replica of a control instance`))
-				: askPeer<SnapshotPieceReply>(base, address, piece);
+				? Left(failure('no-quorum', `${chunk.to} is not a replica of a control instance`))
+				: askPeer<SnapshotPieceReply>(base, address, chunk);
 		},
 	});
 	const host = new ControlHost({
@@ -147,7 +147,7 @@
 		async ask(to, message) {
 			const address = addresses.get(to);
 			return address === undefined
-				? Left(failure('no-quorum', `Got ${to}, wanted a control instance`))
+				? Left(failure('no-quorum', `${to} is not a control instance`))
 				: askPeer<JoinReply>(base, address, message);
 		},
 		send(to, delivery) {
@@ -156,7 +156,7 @@
 				return;
 			}
 
-			if (isSnapshot(delivery)) {
+			if (needsChunks(delivery)) {
 				void snapshots.send(delivery);
 				return;
 			}
@@ -167,7 +167,7 @@
 		},
 		onFailure(failed) {
 			metrics.increment('control.failed');
-			log.error({failure: failed}, 'The control role stopped; the daemon goes on without it');
+			log.error({failure: failed}, 'The control role stopped; the daemon continues without it');
 		},
 	});
 	host.onApplied(applied => {
@@ -184,30 +184,30 @@
 
 async function askPeer<Reply>({network}: DaemonBase, to: PeerAddress, message: ControlMessage): Promise<Either<Failure, Reply>> {
 	const needsCommit = message.type === 'propose';
-	const reply = await network.request(to, message, {timeoutMilliseconds: needsCommit ? commitReplyMilliseconds : replyMilliseconds});
-	return reply.chain(body => body === undefined ? Left(withoutRole(to)) : Right(body as Reply));
+	const reply = await network.request(to, message, {timeoutMilliseconds: needsCommit ? proposeTimeoutMilliseconds : requestTimeoutMilliseconds});
+	return reply.chain(body => body === undefined ? Left(missingRole(to)) : Right(body as Reply));
 }
 
-/** The first snapshot, at index 0, holds no state and goes as the other messages do. */
-function isSnapshot(delivery: ReplicaDelivery): delivery is SnapshotEnvelope {
+/** Returns whether a message must be sent in chunks. The initial snapshot at index 0 contains no state and is sent like any other message. */
+function needsChunks(delivery: ReplicaDelivery): delivery is SnapshotEnvelope {
 	return delivery.message.type === 'snapshot-request' && delivery.message.snapshot.data.byteLength > 0;
 }
 
 function toReply(body: unknown): Either<Failure, unknown> {
 	return body === undefined
-		? Left(failure('no-quorum', 'Got a question on an instance without the control role'))
+		? Left(failure('no-quorum', 'This instance does not have the control role'))
 		: Right(body);
 }
 
-function withoutRole({instance}: PeerAddress): Failure {
-	return failure('no-quorum', `Got ${instance} without the control role, wanted it to have a data folder that works`);
+function missingRole({instance}: PeerAddress): Failure {
+	return failure('no-quorum', `The control role is not running on ${instance}; check the data folder of that instance`);
 }
 
-function nothing(): void {
+function noop(): void {
 	// No listener was added.
 }
 
-async function elapsed(milliseconds: number): Promise<void> {
+async function sleep(milliseconds: number): Promise<void> {
 	return new Promise(resolve => {
 		setTimeout(resolve, milliseconds);
 	});
