--- a/packages/daemon/src/control/orders/engine-calls.ts
+++ b/packages/daemon/src/control/orders/engine-calls.ts
@@ -4,17 +4,18 @@
 import {type Either} from 'purify-ts';
 import * as z from 'zod';
 
-/** How the executor reaches an engine; the address is its base address. */
+/** A client for the control endpoints of engines; `address` is the base address of the engine. */
 export type EngineCalls = {
-	/** Gives the engine's state, or undefined where it did not say. */
+	/** Reads the state of the engine; returns undefined if it does not send a valid one. */
 	readonly readState: (address: string, signal: AbortSignal) => Promise<EngineState | undefined>;
+	/** Sends an order to the engine. */
 	readonly send: (address: string, order: OrderRecord, signal: AbortSignal) => Promise<SendOutcome>;
 };
 
 type Reply = {readonly status: number; readonly text: string};
 
-const maximumAnswerBytes = 1_048_576;
-const refusedStatus = 409;
+const maximumResponseBytes = 1_048_576;
+const conflictStatus = 409;
 const name = z.string().min(1).max(128);
 const stateSchema = typedSchema<EngineState>(z.object({
 	models: z.array(z.object({model: name, version: name})),
@@ -22,7 +23,7 @@
 	lastOrder: z.object({orderId: z.string(), term: z.int(), sequence: z.int()}).optional(),
 }));
 
-/** Calls engines over HTTP, each on a connection of its own, so that a call that is given up leaves nothing behind. */
+/** Calls engines over HTTP. Each call has its own connection, so that aborting one does not affect a later call. */
 export const httpEngineCalls: EngineCalls = {
 	async readState(address, signal) {
 		const reply = await call({
@@ -36,12 +37,12 @@
 		});
 		return reply.caseOf<SendOutcome>({
 			Left: detail => ({type: 'failed', detail}),
-			Right: ({status, text}) => outcomeOf(status, text),
+			Right: ({status, text}) => toSendOutcome(status, text),
 		});
 	},
 };
 
-type Call = {
+type EngineRequest = {
 	readonly address: string;
 	readonly method: string;
 	readonly path: string;
@@ -49,22 +50,22 @@
 	readonly signal: AbortSignal;
 };
 
-async function call({body, ...to}: Call): Promise<Either<string, Reply>> {
-	const answer = await sendHttp({
-		...to, headers: {'content-type': 'application/json'}, body: new TextEncoder().encode(body), reuseConnection: false,
+async function call({body, ...request}: EngineRequest): Promise<Either<string, Reply>> {
+	const response = await sendHttp({
+		...request, headers: {'content-type': 'application/json'}, body: new TextEncoder().encode(body), reuseConnection: false,
 	});
-	const head = answer.mapLeft(({message}) => message);
+	const head = response.mapLeft(({message}) => message);
 	if (head.isLeft()) {
 		return head;
 	}
 
 	const {status, message} = head.unsafeCoerce();
-	const read = await readBody(message, maximumAnswerBytes);
+	const read = await readBody(message, maximumResponseBytes);
 	return read.bimap(({message: failed}) => failed, bytes => ({status, text: new TextDecoder().decode(bytes)}));
 }
 
-function outcomeOf(status: number, text: string): SendOutcome {
-	if (status === refusedStatus) {
+function toSendOutcome(status: number, text: string): SendOutcome {
+	if (status === conflictStatus) {
 		return {type: 'refused', detail: text.slice(0, 200)};
 	}
 
--- a/packages/daemon/src/control/orders/handle-orders.ts
+++ b/packages/daemon/src/control/orders/handle-orders.ts
@@ -6,7 +6,7 @@
 import {type ControlClient} from '../control-client.js';
 import {type OrderRequest, orderRequestSchema} from './order-schema.js';
 
-/** What the calls on orders work with. */
+/** The dependencies of the order handlers. */
 export type OrdersContext = {
 	readonly clock: Clock;
 	readonly control: ControlClient;
@@ -16,11 +16,11 @@
 const acceptedStatus = 202;
 
 /**
-Issues an order for an operator: `POST /v1/orders`; the answer comes when it is committed, not when it is obeyed.
+Issues an order to an engine: `POST /v1/orders`. The response is sent when the order is committed, not when the engine has executed it.
 
 @param request The operator's request.
 @param response The response.
-@param context What the call works with.
+@param context The clock and the control client.
 @example
 ```ts
 await issueOrder(request, response, {clock, control});
@@ -28,28 +28,28 @@
 */
 export async function issueOrder(request: IncomingMessage, response: ServerResponse, {clock, control}: OrdersContext): Promise<void> {
 	const body = await readBody(request, maximumBytes);
-	const wanted = body.chain(bytes => parseOrder(bytes));
-	if (wanted.isLeft()) {
-		answerProblem(response, wanted.extract());
+	const order = body.chain(bytes => parseOrder(bytes));
+	if (order.isLeft()) {
+		answerProblem(response, order.extract());
 		return;
 	}
 
-	const result = await control.propose({type: 'issue-order', ...wanted.unsafeCoerce(), at: clock.now().getTime()});
+	const result = await control.propose({type: 'issue-order', ...order.unsafeCoerce(), at: clock.now().getTime()});
 	result.caseOf({
 		Left(failed) {
 			answerProblem(response, failed);
 		},
-		Right({order}) {
-			answerJson(response, order, {status: acceptedStatus});
+		Right({order: issued}) {
+			answerJson(response, issued, {status: acceptedStatus});
 		},
 	});
 }
 
 /**
-Lists the open orders and the completed ones of late: `GET /v1/orders`.
+Lists the open and the recently completed orders: `GET /v1/orders`.
 
 @param response The response.
-@param context What the call works with.
+@param context The clock and the control client.
 @example
 ```ts
 await listOrders(response, {clock, control});
@@ -68,5 +68,5 @@
 }
 
 function parseOrder(bytes: Uint8Array): Either<Failure, OrderRequest> {
-	return parseJsonBody({bytes, schema: orderRequestSchema}, {notJson: 'Got a body that is not JSON, wanted an order'});
+	return parseJsonBody({bytes, schema: orderRequestSchema}, {notJson: 'The body is not JSON; expected an order'});
 }
--- a/packages/daemon/src/control/orders/order-executor.ts
+++ b/packages/daemon/src/control/orders/order-executor.ts
@@ -6,28 +6,28 @@
 import {type ControlPart} from '../start-control.js';
 import {type EngineCalls} from './engine-calls.js';
 
-/** An engine as the executor needs it. */
+/** The properties of an engine that the executor uses. */
 export type OrderTarget = {
 	/** The base address. */
 	readonly address: string;
-	/** Whether it refuses an order with an old fencing number. */
+	/** Whether it rejects an order with an outdated fencing token. */
 	readonly checksFencing: boolean;
 };
 
-/** What the executor needs. */
+/** The dependencies of an `OrderExecutor`. */
 export type OrderExecutorOptions = {
 	readonly clock: Clock;
 	readonly timeline: Pick<Timeline, 'record'>;
 	readonly control: Pick<ControlPart, 'isLeader' | 'leaseValidUntil' | 'propose'> & {readonly state: () => Pick<ControlState, 'openOrders'> | undefined};
-	/** Finds an announced engine. */
+	/** Returns an engine that has announced itself, or undefined. */
 	readonly engineOf: (server: ServerId) => OrderTarget | undefined;
 	readonly calls: EngineCalls;
-	/** `defaultOrderTiming` unless given. */
+	/** The timing of order runs; `defaultOrderTiming` by default. */
 	readonly timing?: OrderTiming;
 };
 
 /**
-Carries out the open orders while this instance leads: one at a time for each engine.
+Executes the open orders while this instance is the leader, one at a time per engine.
 
 @example
 ```ts
@@ -39,17 +39,17 @@
 	readonly #options: OrderExecutorOptions;
 	readonly #timing: OrderTiming;
 	readonly #runs = new Map<ServerId, OrderRun>();
-	/** Steps are numbered over all runs, so that the answer to a step of a run that ended fits no later one. */
+	/** Step numbers are unique over all runs, so that a late reply to a step of an earlier run never matches a step of a later one. */
 	#lastStep = 0;
 	#leadingSince = 0;
-	#leaseSeen = 0;
+	#lastLeaseEnd = 0;
 
 	constructor(options: OrderExecutorOptions) {
 		this.#options = options;
 		this.#timing = options.timing ?? defaultOrderTiming;
 	}
 
-	/** Takes the steps that are due; called several times a second. */
+	/** Executes the steps that are due. Call this several times a second. */
 	tick(): void {
 		const leadership = this.#leadership();
 		if (leadership === undefined) {
@@ -64,12 +64,12 @@
 	}
 
 	#step(server: ServerId, {event, order}: {readonly event: OrderEvent; readonly order: OrderRecord | undefined}): void {
-		const known = this.#runs.get(server);
-		if (known === undefined && event.type !== 'tick') {
+		const current = this.#runs.get(server);
+		if (current === undefined && event.type !== 'tick') {
 			return;
 		}
 
-		const {run, action} = stepOrder({...known ?? idleOrderRun, ...(known === undefined && {step: this.#lastStep})}, {event, context: this.#context(server, order)});
+		const {run, action} = stepOrder({...current ?? idleOrderRun, ...(current === undefined && {step: this.#lastStep})}, {event, context: this.#context(server, order)});
 		this.#lastStep = Math.max(this.#lastStep, run.step);
 		if (order === undefined) {
 			this.#runs.delete(server);
@@ -78,17 +78,17 @@
 		}
 
 		if (action !== undefined) {
-			void this.#carryOut(server, action);
+			void this.#perform(server, action);
 		}
 	}
 
-	async #carryOut(server: ServerId, action: OrderAction): Promise<void> {
-		const event = await this.#resultOf(server, action);
+	async #perform(server: ServerId, action: OrderAction): Promise<void> {
+		const event = await this.#performAction(server, action);
 		this.#step(server, {event, order: this.#oldestOrders().get(server)});
 	}
 
-	async #resultOf(server: ServerId, action: OrderAction): Promise<OrderEvent> {
-		const {calls, control, engineOf} = this.#options;
+	async #performAction(server: ServerId, action: OrderAction): Promise<OrderEvent> {
+		const {calls: engineClient, control, engineOf: findEngine} = this.#options;
 		const {step} = action;
 		if (action.type === 'complete') {
 			const {orderId, outcome, detail} = action.command;
@@ -97,36 +97,36 @@
 			return {type: 'completed', step};
 		}
 
-		const address = engineOf(server)?.address;
+		const address = findEngine(server)?.address;
 		const signal = AbortSignal.timeout(this.#timing.flightMilliseconds);
 		if (action.type === 'read-state') {
-			return {type: 'state-read', step, state: address === undefined ? undefined : await calls.readState(address, signal)};
+			return {type: 'state-read', step, state: address === undefined ? undefined : await engineClient.readState(address, signal)};
 		}
 
-		// The lease is looked at once more with nothing between the look and the send.
+		// Check the lease again immediately before sending, with no asynchronous step in between.
 		if (address === undefined || this.#leadership() === undefined) {
 			return {type: 'sent', step, outcome: {type: 'failed', detail: 'The engine or the lease is gone'}};
 		}
 
-		const sending = calls.send(address, action.order, signal);
+		const reply = engineClient.send(address, action.order, signal);
 		const {orderId, fencing: {term, sequence}, order: {type}} = action.order;
 		this.#options.timeline.record('order-sent', {server, term, details: {orderId, sequence, type}});
-		return {type: 'sent', step, outcome: await sending};
+		return {type: 'sent', step, outcome: await reply};
 	}
 
 	#context(server: ServerId, order: OrderRecord | undefined): OrderContext {
-		const {clock, engineOf} = this.#options;
+		const {clock, engineOf: findEngine} = this.#options;
 		return {
 			now: clock.monotonic(),
 			wallClock: clock.now().getTime(),
 			leadership: this.#leadership(),
 			order,
-			engine: engineOf(server),
+			engine: findEngine(server),
 			timing: this.#timing,
 		};
 	}
 
-	/** A lease that had run out before it was seen renewed counts as a new leadership: another leader may have been in between. */
+	/** Returns the current leadership. If the lease expired before its renewal was observed, a new leadership starts, since another leader may have acted in between. */
 	#leadership(): {readonly since: number; readonly leaseValidUntil: number} | undefined {
 		const {clock, control} = this.#options;
 		const now = clock.monotonic();
@@ -135,11 +135,11 @@
 			return undefined;
 		}
 
-		if (this.#leaseSeen <= now) {
+		if (this.#lastLeaseEnd <= now) {
 			this.#leadingSince = now;
 		}
 
-		this.#leaseSeen = until;
+		this.#lastLeaseEnd = until;
 		return {since: this.#leadingSince, leaseValidUntil: until};
 	}
 
--- a/packages/daemon/src/control/rollouts/leader-evidence.ts
+++ b/packages/daemon/src/control/rollouts/leader-evidence.ts
@@ -6,81 +6,81 @@
 import {type RatingSummary, type RatingSummaryReply} from '../../ratings/rating-summary.js';
 import {type ControlPart} from '../start-control.js';
 
-/** What the evidence needs. */
+/** The dependencies of `LeaderEvidence`. */
 export type LeaderEvidenceOptions = {
 	readonly base: Pick<DaemonBase, 'clock' | 'settings'>;
 	readonly control: Pick<ControlPart, 'isLeader' | 'state'>;
-	/** Told at once of each version that is bad by the sum; the controller reads the alarm with the evidence and proposes the stop. */
+	/** Called immediately when the summed evidence shows a version to be bad. The rollout controller then reads the alarm from the evidence and proposes the stop. */
 	readonly onAlarm: () => void;
 };
 
-const tidyMilliseconds = 300_000;
+const pruneMilliseconds = 300_000;
 
 /**
-Keeps the evidence of all instances while this one leads, and begins with none each time it begins to lead; the instances' next summaries bring it back, since their sums only grow.
+Aggregates the evidence of all instances while this one is the leader. Each leadership starts without evidence; the next summaries of the instances restore it, since they contain cumulative sums.
 
 @example
 ```ts
 const evidence = new LeaderEvidence({base, control, onAlarm});
-evidence.take(summary);
+evidence.mergeSummary(summary);
 ```
 */
 export class LeaderEvidence {
 	readonly #options: LeaderEvidenceOptions;
-	#keeper: EvidenceKeeper | undefined;
-	#tidiedAt = 0;
+	#aggregator: EvidenceKeeper | undefined;
+	#prunedAt = 0;
 
 	constructor(options: LeaderEvidenceOptions) {
 		this.#options = options;
 	}
 
 	/**
-	Takes an instance's summary.
+	Merges the summary of an instance.
 
 	@param summary The summary.
-	@returns The reply for the instance; undefined where this instance does not lead.
+	@returns The reply to the instance, or undefined if this instance is not the leader.
 	*/
 	take(summary: RatingSummary): RatingSummaryReply | undefined {
 		return this.#current()?.take(summary);
 	}
 
 	/**
-	The evidence on a version, for the steps of its roll-out.
+	Returns the evidence on a version, which decides on the next step of its rollout.
 
 	@param target The version.
-	@param progress The progress of its roll-out; ratings count from the start of the stage.
-	@returns The evidence; none where this instance does not lead.
+	@param progress The progress of its rollout; ratings count from the start of the current stage.
+	@returns The evidence; empty if this instance is not the leader.
 	*/
 	on(target: RolloutTarget, progress: RolloutProgress | undefined): RolloutEvidence {
 		return this.#current()?.table.evidence(target, progress?.stageStartedAt ?? 0) ?? {ratings: 0};
 	}
 
-	/** Drops what has faded, and everything once this instance no longer leads. */
+	/** Removes decayed entries, and all evidence if this instance is no longer the leader. */
 	tidy(): void {
 		const {base: {clock}, control} = this.#options;
-		const keeper = this.#current();
+		const aggregator = this.#current();
 		const effective = control.state()?.effective;
 		const now = clock.monotonic();
-		if (keeper !== undefined && effective !== undefined && now - this.#tidiedAt > tidyMilliseconds) {
-			this.#tidiedAt = now;
-			keeper.tidy(effective);
+		if (aggregator !== undefined && effective !== undefined && now - this.#prunedAt > pruneMilliseconds) {
+			this.#prunedAt = now;
+			aggregator.tidy(effective);
 		}
 	}
 
 	#current(): EvidenceKeeper | undefined {
 		const {base: {clock, settings}, control, onAlarm} = this.#options;
 		if (!control.isLeader()) {
-			this.#keeper = undefined;
+			this.#aggregator = undefined;
 			return undefined;
 		}
 
-		this.#keeper ??= new EvidenceKeeper({
+		this.#aggregator ??= new EvidenceKeeper({
 			instance: settings.instance,
 			startedAt: clock.now().getTime(),
 			now: () => clock.now().getTime(),
 			badVersions: badVersionSettingsOf(settings),
 			onAlarm,
 		});
-		return this.#keeper;
+		return this.#aggregator;
 	}
 }
--- a/packages/daemon/src/control/rollouts/ratings-message.ts
+++ b/packages/daemon/src/control/rollouts/ratings-message.ts
@@ -1,6 +1,6 @@
 import {type RatingSummary} from '../../ratings/rating-summary.js';
 
-/** Hands an instance's ratings and evidence to the leader of the control replicas; the reply is a `RatingSummaryReply`, or nothing where the asked one does not lead. */
+/** Sends the ratings and evidence of an instance to the leader of the control replicas. The reply is a `RatingSummaryReply`, or undefined if the receiver is not the leader. */
 export type RatingsMessage = {
 	readonly scope: 'ratings';
 	readonly type: 'report-evidence';
--- a/packages/daemon/src/control/rollouts/rollout-controller.ts
+++ b/packages/daemon/src/control/rollouts/rollout-controller.ts
@@ -3,21 +3,21 @@
 import {type Timeline} from '../../timeline.js';
 import {type ControlPart} from '../start-control.js';
 
-/** What the controller needs. */
+/** The dependencies of a `RolloutController`. */
 export type RolloutControllerOptions = {
 	readonly clock: Clock;
 	readonly timeline: Pick<Timeline, 'record'>;
 	readonly control: Pick<ControlPart, 'isLeader' | 'propose'> & {readonly state: () => Pick<ControlState, 'effective'> | undefined};
-	/** The evidence on a version over all instances. */
+	/** Returns the evidence on a version from all instances. */
 	readonly evidence: RolloutCommandsOptions['evidence'];
-	/** How long a new leader waits for the instances' evidence before its first step; 3,000 unless given. */
+	/** How long a new leader waits for the evidence of the instances before its first step; 3,000 by default. */
 	readonly evidenceMilliseconds?: number;
 };
 
 const defaultEvidenceMilliseconds = 3000;
 
 /**
-Takes roll-outs from stage to stage and stops bad versions, while this instance leads; it keeps nothing of its own, so a new leader goes on where the last one stopped.
+Advances rollouts through their stages and stops bad versions while this instance is the leader. All progress is in the replicated state, so a new leader continues where the previous one stopped.
 
 @example
 ```ts
@@ -34,7 +34,7 @@
 		this.#options = options;
 	}
 
-	/** Proposes the steps that are due; a call while one is in progress does nothing. */
+	/** Proposes the steps that are due. A call while another is in progress has no effect. */
 	async tick(): Promise<void> {
 		const {control, clock, evidence} = this.#options;
 		const effective = control.state()?.effective;
@@ -52,7 +52,7 @@
 		}
 	}
 
-	/** A new leader has no evidence yet, and would take a bad version for a good one. */
+	/** Returns whether the instances had time to send their evidence. Without it, a new leader would treat a bad version as a good one. */
 	#hasEvidence(): boolean {
 		const {control, clock, evidenceMilliseconds = defaultEvidenceMilliseconds} = this.#options;
 		this.#leadingSince = control.isLeader() ? this.#leadingSince ?? clock.monotonic() : undefined;
