--- a/packages/daemon/src/control/archive/bill-archive.test.ts
+++ b/packages/daemon/src/control/archive/bill-archive.test.ts
@@ -10,7 +10,7 @@
 import {Right} from 'purify-ts';
 import {sealPiece} from './archived-piece.js';
 import {BillArchive} from './bill-archive.js';
-import {fillGap} from './fill-gap.js';
+import {fillGap, type FillGapOptions} from './fill-gap.js';
 
 const createBill = (position: number): Bill => ({
 	workspace: toId<WorkspaceId>(`w${position % 2}`),
@@ -54,7 +54,7 @@
 	const target = await BillArchive.open(targetFolder);
 	await target.append(createPage(71, 100));
 	const errors: string[] = [];
-	const options = {
+	const options: FillGapOptions = {
 		before: 101,
 		sources: [
 			async () => Right({lines: '{"position":1,"bill":{}}\n', digest: 'wrong'}),
