--- a/packages/daemon/src/control/rollouts/rollout-controller.ts
+++ b/packages/daemon/src/control/rollouts/rollout-controller.ts
@@ -14,7 +14,7 @@
 	readonly evidenceMilliseconds?: number;
 };
 
-const defaultEvidenceMilliseconds = 3000;
+const defaultEvidenceDelayMilliseconds = 3000;
 
 /**
 Advances rollouts through their stages and stops bad versions while this instance is the leader. All progress is in the replicated state, so a new leader continues where the previous one stopped.
@@ -54,9 +54,9 @@
 
 	/** Returns whether the instances had time to send their evidence. Without it, a new leader would treat a bad version as a good one. */
 	#hasEvidence(): boolean {
-		const {control, clock, evidenceMilliseconds = defaultEvidenceMilliseconds} = this.#options;
+		const {control, clock, evidenceMilliseconds: evidenceDelayMilliseconds = defaultEvidenceDelayMilliseconds} = this.#options;
 		this.#leadingSince = control.isLeader() ? this.#leadingSince ?? clock.monotonic() : undefined;
-		return this.#leadingSince !== undefined && clock.monotonic() - this.#leadingSince >= evidenceMilliseconds;
+		return this.#leadingSince !== undefined && clock.monotonic() - this.#leadingSince >= evidenceDelayMilliseconds;
 	}
 
 	async #propose(command: ReturnType<typeof rolloutCommands>[number]): Promise<void> {
--- a/packages/daemon/src/control/snapshot-sender.ts
+++ b/packages/daemon/src/control/snapshot-sender.ts
@@ -6,7 +6,7 @@
 /** The dependencies of a `SnapshotSender`. */
 export type SnapshotSenderOptions = {
 	/** Sends a chunk and waits for the acknowledgement. */
-	readonly ask: (piece: SnapshotPieceMessage) => Promise<Either<Failure, SnapshotPieceReply>>;
+	readonly ask: (chunk: SnapshotPieceMessage) => Promise<Either<Failure, SnapshotPieceReply>>;
 	/** The maximum number of bytes of the state in one chunk; the default of `splitSnapshot` if not given. */
 	readonly pieceBytes?: number;
 };
