--- a/packages/storage/src/_frame.ts
+++ b/packages/storage/src/_frame.ts
@@ -5,7 +5,7 @@
 A frame is what one write puts into a file: the payload's length, the CRC-32 of the length, the CRC-32 of the payload, then the payload.
 The length has a checksum of its own, so that a flipped bit in it cannot make a good record look like an unfinished one.
 */
-export type ReadFrame
+export type FrameReadResult
 	= | {readonly type: 'frame'; readonly body: unknown; readonly end: number}
 	/** An unfinished write: nothing behind it was ever synced. */
 		| {readonly type: 'torn'}
@@ -16,11 +16,11 @@
 const lengthChecksumOffset = 4;
 const payloadChecksumOffset = 8;
 const sectorBytes = 512;
-const leastZeroBytes = 64;
+const minimumZeroBytes = 64;
 const packr = new Packr({useRecords: false, encodeUndefinedAsNil: false, copyBuffers: true});
 
 /** Writes a frame. */
-export function writeFrame(body: unknown): Uint8Array {
+export function encodeFrame(body: unknown): Uint8Array {
 	const payload = packr.pack(body);
 	const frame = new Uint8Array(frameHeaderBytes + payload.length);
 	const view = new DataView(frame.buffer);
@@ -32,7 +32,7 @@
 }
 
 /** Reads the frame at an offset; `offset` is before the end of the data. */
-export function readFrame(data: Uint8Array, offset: number): ReadFrame {
+export function decodeFrame(data: Uint8Array, offset: number): FrameReadResult {
 	const bytes = data.subarray(offset);
 	if (bytes.length < frameHeaderBytes) {
 		return {type: 'torn'};
@@ -40,7 +40,7 @@
 
 	const view = new DataView(bytes.buffer, bytes.byteOffset);
 	if (crc32(bytes.subarray(0, lengthChecksumOffset)) !== view.getUint32(lengthChecksumOffset, true)) {
-		return isZero(bytes) ? {type: 'torn'} : {type: 'damaged', reason: 'the checksum of the length is wrong'};
+		return isAllZeros(bytes) ? {type: 'torn'} : {type: 'damaged', reason: 'the checksum of the length is wrong'};
 	}
 
 	const length = frameHeaderBytes + view.getUint32(0, true);
@@ -59,10 +59,10 @@
 }
 
 /** Whether a sector of the last write never reached the disk and reads as zeros. */
-function hasUnwrittenSector(bytes: Uint8Array, from: number): boolean {
-	for (let start = from; start < bytes.length; start = nextSector(start)) {
-		const sector = bytes.subarray(start, Math.min(nextSector(start), bytes.length));
-		if (sector.length >= leastZeroBytes && isZero(sector)) {
+function hasUnwrittenSector(data: Uint8Array, offset: number): boolean {
+	for (let start = offset; start < data.length; start = nextSector(start)) {
+		const sector = data.subarray(start, Math.min(nextSector(start), data.length));
+		if (sector.length >= minimumZeroBytes && isAllZeros(sector)) {
 			return true;
 		}
 	}
@@ -74,6 +74,6 @@
 	return (Math.floor(offset / sectorBytes) + 1) * sectorBytes;
 }
 
-function isZero(bytes: Uint8Array): boolean {
+function isAllZeros(bytes: Uint8Array): boolean {
 	return bytes.every(byte => byte === 0);
 }
--- a/packages/storage/src/_load-folder.ts
+++ b/packages/storage/src/_load-folder.ts
@@ -1,5 +1,5 @@
 import {type LogEntry, type Snapshot} from '@valehitch/consensus';
-import {type Place} from './_place.js';
+import {type FolderAccess} from './_folder-access.js';
 import {replayLog, type ReplayedLog} from './_replay-log.js';
 import {findSnapshot} from './_snapshot-file.js';
 import {StorageError} from './_storage-error.js';
@@ -17,32 +17,32 @@
 };
 
 /** Reads everything a folder holds. */
-export async function loadFolder(place: Place, identity: string): Promise<LoadedFolder> {
-	const log = await replayLog(place, identity);
-	const {snapshot, damaged} = await findSnapshot(place);
-	const {image} = log;
-	if (damaged !== undefined && image.lastIndex < damaged.lastIndex) {
+export async function loadFolder(access: FolderAccess, identity: string): Promise<LoadedFolder> {
+	const log = await replayLog(access, identity);
+	const {snapshot, damaged} = await findSnapshot(access);
+	const {memoryLog} = log;
+	if (damaged !== undefined && memoryLog.lastIndex < damaged.lastIndex) {
 		throw damaged.error;
 	}
 
 	const snapshotIndex = snapshot?.lastIndex ?? 0;
 	if (log.previousIndex > snapshotIndex) {
-		throw damaged?.error ?? new StorageError(`Got a log that begins after entry ${log.previousIndex} and a snapshot up to entry ${snapshotIndex} in ${place.folder}, wanted no gap between them`);
+		throw damaged?.error ?? new StorageError(`Got a log that begins after entry ${log.previousIndex} and a snapshot up to entry ${snapshotIndex} in ${access.folder}, wanted no gap between them`);
 	}
 
-	const termInLog = image.termAt(snapshotIndex);
-	const isSameLog = termInLog === undefined || termInLog === snapshot?.lastTerm;
-	const keepsEarlier = isSameLog && image.lastIndex >= snapshotIndex;
+	const termInLog = memoryLog.termAt(snapshotIndex);
+	const agreesWithSnapshot = termInLog === undefined || termInLog === snapshot?.lastTerm;
+	const keepsEarlier = agreesWithSnapshot && memoryLog.lastIndex >= snapshotIndex;
 	return {
 		snapshot,
-		entries: keepsEarlier ? image.entries.filter(({index}) => index > snapshotIndex) : [],
+		entries: keepsEarlier ? memoryLog.entries.filter(({index}) => index > snapshotIndex) : [],
 		keepsEarlier,
 		log,
-		warnings: warningsOf(log, damaged?.error),
+		warnings: describeRepairs(log, damaged?.error),
 	};
 }
 
-function warningsOf({tornBytes}: ReplayedLog, damaged: StorageError | undefined): readonly string[] {
+function describeRepairs({tornBytes}: ReplayedLog, damaged: StorageError | undefined): readonly string[] {
 	return [
 		...(tornBytes > 0 ? [`Cut back ${tornBytes} bytes of a write that was not finished`] : []),
 		...(damaged === undefined ? [] : [`Went back to the snapshot before: ${damaged.message}`]),
--- a/packages/storage/src/_log-image.ts
+++ b/packages/storage/src/_memory-log.ts
@@ -1,7 +1,7 @@
 import {type LogEntry} from '@valehitch/consensus';
 
 /** The entries of a log as they stand after some records; entries may begin after a snapshot. */
-export class LogImage {
+export class MemoryLog {
 	#entries: LogEntry[] = [];
 	#previousIndex = 0;
 
@@ -21,26 +21,26 @@
 	}
 
 	/** Takes an entry, which replaces the ones at its index and after; false where it would leave a gap. */
-	take(entry: LogEntry): boolean {
+	append(entry: LogEntry): boolean {
 		if (entry.index > this.lastIndex + 1) {
 			return false;
 		}
 
-		const first = this.#entries[0]?.index;
-		if (first === undefined || entry.index < first) {
+		const firstIndex = this.#entries[0]?.index;
+		if (firstIndex === undefined || entry.index < firstIndex) {
 			this.#entries = [entry];
 			this.#previousIndex = entry.index - 1;
 			return true;
 		}
 
-		this.#entries.length = entry.index - first;
+		this.#entries.length = entry.index - firstIndex;
 		this.#entries.push(entry);
 		return true;
 	}
 
 	/** The term of the entry at an index, where it is here. */
 	termAt(index: number): number | undefined {
-		const first = this.#entries[0]?.index ?? 0;
-		return this.#entries[index - first]?.term;
+		const firstIndex = this.#entries[0]?.index ?? 0;
+		return this.#entries[index - firstIndex]?.term;
 	}
 }
--- a/packages/storage/src/_segment-writer.ts
+++ b/packages/storage/src/_segment-writer.ts
@@ -1,38 +1,38 @@
 import path from 'node:path';
-import {writeFrame} from './_frame.js';
-import {segmentName} from './_names.js';
-import {type Place} from './_place.js';
+import {encodeFrame} from './_frame.js';
+import {segmentFileName} from './_file-names.js';
+import {type FolderAccess} from './_folder-access.js';
 import {type BatchRecord, formatVersion, type SegmentHeader} from './_records.js';
-import {type OldSegment, sealFrame} from './_replay-log.js';
+import {type ClosedSegment, sealFrame} from './_replay-log.js';
 import {type OpenFile} from './file-functions.js';
 
-type Opened = {
+type ActiveSegment = {
 	readonly file: OpenFile;
 	readonly sequence: number;
 	bytes: number;
-	greatestIndex: number;
+	highestIndex: number;
 };
 
 /** What a new segment begins with. */
-export type NewSegment = Pick<SegmentHeader, 'hardState' | 'previousIndex' | 'keepsEarlier'>;
+export type SegmentStart = Pick<SegmentHeader, 'hardState' | 'previousIndex' | 'keepsEarlier'>;
 
 /** Writes the segments of a log: one write and one sync a batch. */
 export class SegmentWriter {
-	readonly #place: Place;
+	readonly #access: FolderAccess;
 	readonly #identity: string;
-	readonly #older: OldSegment[];
-	#opened: Opened | undefined;
+	readonly #closed: ClosedSegment[];
+	#active: ActiveSegment | undefined;
 	#bytesWritten = 0;
 
-	constructor(place: Place, {identity, older}: {readonly identity: string; readonly older: readonly OldSegment[]}) {
-		this.#place = place;
+	constructor(access: FolderAccess, {identity, closed}: {readonly identity: string; readonly closed: readonly ClosedSegment[]}) {
+		this.#access = access;
 		this.#identity = identity;
-		this.#older = [...older];
+		this.#closed = [...closed];
 	}
 
 	/** The size of the segment that is written, in bytes. */
-	get segmentBytes(): number {
-		return this.#opened?.bytes ?? 0;
+	get activeBytes(): number {
+		return this.#active?.bytes ?? 0;
 	}
 
 	/** Bytes written to segments since the folder was opened. */
@@ -42,75 +42,75 @@
 
 	/** Appends a batch and returns once it is on the disk. */
 	async append(batch: BatchRecord): Promise<void> {
-		const opened = this.#opened;
-		if (opened === undefined) {
+		const active = this.#active;
+		if (active === undefined) {
 			throw new RangeError('Got a batch before a segment was begun');
 		}
 
-		const data = writeFrame(batch);
-		await opened.file.append(data);
-		await opened.file.sync();
-		opened.bytes += data.length;
+		const data = encodeFrame(batch);
+		await active.file.append(data);
+		await active.file.sync();
+		active.bytes += data.length;
 		this.#bytesWritten += data.length;
 		for (const {index} of batch.entries) {
-			opened.greatestIndex = Math.max(opened.greatestIndex, index);
+			active.highestIndex = Math.max(active.highestIndex, index);
 		}
 	}
 
 	/** Begins the next segment; the one before is marked as followed once the next one is on the disk. */
-	async begin(start: NewSegment): Promise<void> {
-		const {folder, files} = this.#place;
-		const sequence = (this.#opened?.sequence ?? this.#older.at(-1)?.sequence ?? 0) + 1;
+	async startSegment(start: SegmentStart): Promise<void> {
+		const {folder, files} = this.#access;
+		const sequence = (this.#active?.sequence ?? this.#closed.at(-1)?.sequence ?? 0) + 1;
 		const header: SegmentHeader = {
 			type: 'header', version: formatVersion, sequence, identity: this.#identity, ...start,
 		};
-		const data = writeFrame(header);
-		const file = await files.create(path.join(folder, segmentName(sequence)));
-		const earlier = this.#opened;
-		this.#opened = {
-			file, sequence, bytes: data.length, greatestIndex: start.previousIndex,
+		const data = encodeFrame(header);
+		const file = await files.create(path.join(folder, segmentFileName(sequence)));
+		const previous = this.#active;
+		this.#active = {
+			file, sequence, bytes: data.length, highestIndex: start.previousIndex,
 		};
 		await file.append(data);
 		await file.sync();
 		await files.syncFolder(folder);
 		this.#bytesWritten += data.length;
-		await this.#seal(earlier);
+		await this.#sealPrevious(previous);
 	}
 
 	/** Removes the oldest segments that mention only entries up to an index. */
-	async removeThrough(index: number): Promise<void> {
-		const {folder, files} = this.#place;
-		while (this.#older[0] !== undefined && this.#older[0].greatestIndex <= index) {
-			await files.remove(path.join(folder, segmentName(this.#older[0].sequence)));
-			this.#older.shift();
+	async removeClosedThrough(index: number): Promise<void> {
+		const {folder, files} = this.#access;
+		while (this.#closed[0] !== undefined && this.#closed[0].highestIndex <= index) {
+			await files.remove(path.join(folder, segmentFileName(this.#closed[0].sequence)));
+			this.#closed.shift();
 		}
 	}
 
 	/** Removes all segments but the one that is written. */
-	async removeOlder(): Promise<void> {
-		await this.removeThrough(Number.POSITIVE_INFINITY);
+	async removeClosed(): Promise<void> {
+		await this.removeClosedThrough(Number.POSITIVE_INFINITY);
 	}
 
 	async close(): Promise<void> {
-		const opened = this.#opened;
-		this.#opened = undefined;
-		await opened?.file.close();
+		const active = this.#active;
+		this.#active = undefined;
+		await active?.file.close();
 	}
 
-	async #seal(earlier: Opened | undefined): Promise<void> {
-		if (earlier === undefined) {
-			await this.#sealOnDisk();
+	async #sealPrevious(previous: ActiveSegment | undefined): Promise<void> {
+		if (previous === undefined) {
+			await this.#sealLastOfPreviousRun();
 			return;
 		}
 
-		this.#older.push({sequence: earlier.sequence, greatestIndex: earlier.greatestIndex});
-		await sealAndClose(earlier.file);
+		this.#closed.push({sequence: previous.sequence, highestIndex: previous.highestIndex});
+		await sealAndClose(previous.file);
 	}
 
-	async #sealOnDisk(): Promise<void> {
-		const last = this.#older.at(-1);
+	async #sealLastOfPreviousRun(): Promise<void> {
+		const last = this.#closed.at(-1);
 		if (last !== undefined) {
-			await sealAndClose(await this.#place.files.openForAppend(path.join(this.#place.folder, segmentName(last.sequence))));
+			await sealAndClose(await this.#access.files.openForAppend(path.join(this.#access.folder, segmentFileName(last.sequence))));
 		}
 	}
 }
--- a/packages/storage/src/_storage-error.ts
+++ b/packages/storage/src/_storage-error.ts
@@ -2,10 +2,10 @@
 export class StorageError extends Error {
 	override readonly name = 'StorageError';
 	/** Which file and offset it is about, where it is about one. */
-	readonly place: {readonly file: string; readonly offset: number} | undefined;
+	readonly location: {readonly file: string; readonly offset: number} | undefined;
 
-	constructor(message: string, place?: {readonly file: string; readonly offset: number}) {
-		super(place === undefined ? message : `${message}, in ${place.file} at byte ${place.offset}`);
-		this.place = place;
+	constructor(message: string, location?: {readonly file: string; readonly offset: number}) {
+		super(location === undefined ? message : `${message}, in ${location.file} at byte ${location.offset}`);
+		this.location = location;
 	}
 }
--- a/packages/storage/src/data-folder.test.ts
+++ b/packages/storage/src/data-folder.test.ts
@@ -14,23 +14,23 @@
 const folder = '/data';
 const replicas = {voters: [toReplicaId('entry-1', 'one')], learners: []};
 
-type Node = {data: Uint8Array; synced: Uint8Array};
+type MemoryFile = {data: Uint8Array; synced: Uint8Array};
 
 /** A folder in memory that forgets what was not synced, and fails on demand. */
-class MemoryFiles implements FileFunctions {
-	failsAfter = Number.POSITIVE_INFINITY;
-	current = new Map<string, Node>();
-	#lasting = new Map<string, Node>();
+class MemoryFileSystem implements FileFunctions {
+	operationsUntilFailure = Number.POSITIVE_INFINITY;
+	current = new Map<string, MemoryFile>();
+	#durable = new Map<string, MemoryFile>();
 
 	readonly makeFolder = async () => {
-		this.#spend('ENOSPC');
+		this.#countOperation('ENOSPC');
 	};
 
 	readonly list = async () => [...this.current.keys()].map(file => path.basename(file));
 	readonly read = async (file: string) => Buffer.from(this.current.get(file)?.data ?? Buffer.alloc(0));
 	readonly openForAppend = async (file: string) => this.#open(file);
 	readonly create = async (file: string) => {
-		this.#spend('ENOSPC');
+		this.#countOperation('ENOSPC');
 		this.current.set(file, {data: Buffer.alloc(0), synced: Buffer.alloc(0)});
 		return this.#open(file);
 	};
@@ -48,24 +48,24 @@
 	};
 
 	readonly syncFolder = async () => {
-		this.#spend('EIO');
-		this.#lasting = new Map(this.current);
+		this.#countOperation('EIO');
+		this.#durable = new Map(this.current);
 	};
 
 	/** Goes on as after a loss of power: of each file, `kept` of 1 of the bytes that were not synced are there. */
-	crash({kept, keepsNames}: {readonly kept: number; readonly keepsNames: boolean}): MemoryFiles {
-		const after = new MemoryFiles();
-		for (const [file, {data, synced}] of keepsNames ? this.current : this.#lasting) {
+	crash({kept, keepsNames}: {readonly kept: number; readonly keepsNames: boolean}): MemoryFileSystem {
+		const after = new MemoryFileSystem();
+		for (const [file, {data, synced}] of keepsNames ? this.current : this.#durable) {
 			const length = synced.length + Math.floor((data.length - synced.length) * kept);
 			const rest = Buffer.from(data.subarray(0, length));
 			after.current.set(file, {data: rest, synced: rest});
 		}
 
-		after.#lasting = new Map(after.current);
+		after.#durable = new Map(after.current);
 		return after;
 	}
 
-	copy(): MemoryFiles {
+	copy(): MemoryFileSystem {
 		return this.crash({kept: 1, keepsNames: true});
 	}
 
@@ -74,15 +74,15 @@
 		this.current.set(file, node);
 		return {
 			append: async data => {
-				const isFull = this.failsAfter <= 1;
+				const isFull = this.operationsUntilFailure <= 1;
 				node.data = Buffer.concat([node.data, isFull ? data.subarray(0, data.length / 2) : data]);
-				this.#spend('ENOSPC');
+				this.#countOperation('ENOSPC');
 			},
 			async truncate(length) {
 				node.data = node.data.subarray(0, length);
 			},
 			sync: async () => {
-				this.#spend('EIO');
+				this.#countOperation('EIO');
 				node.synced = node.data;
 			},
 			async close() {
@@ -91,29 +91,29 @@
 		};
 	}
 
-	#spend(code: string): void {
-		this.failsAfter--;
-		if (this.failsAfter <= 0) {
+	#countOperation(code: string): void {
+		this.operationsUntilFailure--;
+		if (this.operationsUntilFailure <= 0) {
 			throw new Error(`${code}: injected`);
 		}
 	}
 }
 
-async function openOn(files: MemoryFiles, segmentBytes = 256) {
+async function openFolder(files: MemoryFileSystem, segmentBytes = 256) {
 	return openDataFolder(folder, {
 		files, segmentBytes, lock: async () => Right(async () => undefined), newIdentity: () => 'one',
 	});
 }
 
-async function mustOpen(files: MemoryFiles, segmentBytes?: number): Promise<DataFolder> {
-	const opened = await openOn(files, segmentBytes);
+async function openOrThrow(files: MemoryFileSystem, segmentBytes?: number): Promise<DataFolder> {
+	const opened = await openFolder(files, segmentBytes);
 	return opened.mapLeft(({message}) => {
 		throw new Error(message);
 	}).unsafeCoerce();
 }
 
-async function storedOn(files: MemoryFiles): Promise<StoredState> {
-	const opened = await mustOpen(files);
+async function readStoredState(files: MemoryFileSystem): Promise<StoredState> {
+	const opened = await openOrThrow(files);
 	return opened.takeStored();
 }
 
@@ -133,9 +133,9 @@
 	};
 }
 
-async function filled(count: number, segmentBytes?: number): Promise<MemoryFiles> {
-	const files = new MemoryFiles();
-	const opened = await mustOpen(files, segmentBytes);
+async function createFilledFolder(count: number, segmentBytes?: number): Promise<MemoryFileSystem> {
+	const files = new MemoryFileSystem();
+	const opened = await openOrThrow(files, segmentBytes);
 	for (let index = 1; index <= count; index++) {
 		const written = await opened.persist(batch([entry(index)]));
 		written.unsafeCoerce();
@@ -145,65 +145,65 @@
 	return files;
 }
 
-async function indexesOf(files: MemoryFiles): Promise<readonly number[] | string> {
-	const opened = await openOn(files);
+async function readEntryIndexes(files: MemoryFileSystem): Promise<readonly number[] | string> {
+	const opened = await openFolder(files);
 	return opened.caseOf<readonly number[] | string>({
 		Left: ({message}) => message,
 		Right: found => found.takeStored().entries.map(({index}) => index),
 	});
 }
 
-function segmentsOf(files: MemoryFiles): readonly string[] {
+function listSegments(files: MemoryFileSystem): readonly string[] {
 	return [...files.current.keys()].filter(file => file.endsWith('.segment')).toSorted((left, right) => left.localeCompare(right));
 }
 
-function dataOf(files: MemoryFiles, file: string): Uint8Array {
+function readData(files: MemoryFileSystem, file: string): Uint8Array {
 	return files.current.get(file)?.data ?? new Uint8Array();
 }
 
-function put(files: MemoryFiles, {file, data}: {readonly file: string; readonly data: Uint8Array}): void {
+function writeSynced(files: MemoryFileSystem, {file, data}: {readonly file: string; readonly data: Uint8Array}): void {
 	files.current.set(file, {data, synced: data});
 }
 
 test('an empty folder gets an identity, which stays', async t => {
-	const files = new MemoryFiles();
-	const first = await storedOn(files);
+	const files = new MemoryFileSystem();
+	const first = await readStoredState(files);
 	t.like(first, {
 		identity: 'one', isNew: true, hardState: {term: 0}, snapshot: undefined,
 	});
-	const second = await mustOpen(files);
+	const second = await openOrThrow(files);
 	t.like(second.takeStored(), {identity: 'one', isNew: false});
 	t.throws(() => second.takeStored(), {instanceOf: RangeError});
 });
 
 test('a tear at every byte of the last record loses that record and nothing else', async t => {
-	const files = await filled(3, 100_000);
-	const [file = ''] = segmentsOf(files);
-	const whole = dataOf(files, file);
-	const without = dataOf(await filled(2, 100_000), file).length;
+	const files = await createFilledFolder(3, 100_000);
+	const [file = ''] = listSegments(files);
+	const whole = readData(files, file);
+	const without = readData(await createFilledFolder(2, 100_000), file).length;
 	for (let length = without; length <= whole.length; length++) {
 		for (const fill of [0, 40]) {
 			const torn = files.copy();
 			// Where the length of a file grew before its data came, the rest reads as zeros.
-			put(torn, {file, data: Buffer.concat([whole.subarray(0, length), Buffer.alloc(length === without ? fill : 0)])});
-			t.deepEqual(await indexesOf(torn), length === whole.length ? [1, 2, 3] : [1, 2], `torn at ${length}`);
-			t.deepEqual(await indexesOf(torn), length === whole.length ? [1, 2, 3] : [1, 2], 'the second start');
+			writeSynced(torn, {file, data: Buffer.concat([whole.subarray(0, length), Buffer.alloc(length === without ? fill : 0)])});
+			t.deepEqual(await readEntryIndexes(torn), length === whole.length ? [1, 2, 3] : [1, 2], `torn at ${length}`);
+			t.deepEqual(await readEntryIndexes(torn), length === whole.length ? [1, 2, 3] : [1, 2], 'the second start');
 		}
 	}
 });
 
 test('a flipped bit anywhere is an error that names the file, or changes nothing', async t => {
-	const files = await filled(8);
-	t.true(segmentsOf(files).length > 2);
+	const files = await createFilledFolder(8);
+	t.true(listSegments(files).length > 2);
 	for (const file of files.current.keys()) {
-		const whole = dataOf(files, file);
+		const whole = readData(files, file);
 		for (let offset = 0; offset < whole.length; offset++) {
 			const flipped = files.copy();
 			const data = Buffer.from(whole);
 			const byte = data.readUInt8(offset);
 			data.writeUInt8(byte % 2 === 0 ? byte + 1 : byte - 1, offset);
-			put(flipped, {file, data});
-			const found = await indexesOf(flipped);
+			writeSynced(flipped, {file, data});
+			const found = await readEntryIndexes(flipped);
 			if (typeof found === 'string') {
 				t.true(found.includes(file) || found.includes('of folder one'));
 			} else {
@@ -214,65 +214,65 @@
 });
 
 test('a missing segment is an error that names it', async t => {
-	const files = await filled(12);
-	for (const file of segmentsOf(files).slice(0, -1)) {
+	const files = await createFilledFolder(12);
+	for (const file of listSegments(files).slice(0, -1)) {
 		const without = files.copy();
 		without.current.delete(file);
-		t.regex(String(await indexesOf(without)), /Got no log-|begins after entry/v);
+		t.regex(String(await readEntryIndexes(without)), /Got no log-|begins after entry/v);
 	}
 
 	const withoutLast = files.copy();
-	withoutLast.current.delete(segmentsOf(withoutLast).at(-1) ?? '');
-	t.regex(String(await indexesOf(withoutLast)), /Got no log-/v);
+	withoutLast.current.delete(listSegments(withoutLast).at(-1) ?? '');
+	t.regex(String(await readEntryIndexes(withoutLast)), /Got no log-/v);
 });
 
 test('a torn record in a segment that is not the last is an error with file and offset', async t => {
-	const files = await filled(12);
-	const [file = ''] = segmentsOf(files);
-	put(files, {file, data: dataOf(files, file).subarray(0, -40)});
-	const opened = await openOn(files);
+	const files = await createFilledFolder(12);
+	const [file = ''] = listSegments(files);
+	writeSynced(files, {file, data: readData(files, file).subarray(0, -40)});
+	const opened = await openFolder(files);
 	t.like(opened.swap().unsafeCoerce(), {kind: 'internal', details: {file}});
 });
 
 test('a snapshot removes old segments and the one before', async t => {
-	const files = await filled(20);
-	const before = segmentsOf(files).length;
-	const opened = await mustOpen(files);
+	const files = await createFilledFolder(20);
+	const before = listSegments(files).length;
+	const opened = await openOrThrow(files);
 	await opened.persist(batch([], snapshotAt(10)));
 	await opened.persist(batch([entry(21)], snapshotAt(18)));
 	await opened.close();
-	t.true(segmentsOf(files).length < before / 2);
+	t.true(listSegments(files).length < before / 2);
 	t.deepEqual([...files.current.keys()].filter(file => file.endsWith('.snapshot')), [`${folder}/state-0000000000000018.snapshot`]);
-	const stored = await storedOn(files);
+	const stored = await readStoredState(files);
 	t.is(stored.snapshot?.lastIndex, 18);
 	t.deepEqual(stored.entries.map(({index}) => index), [19, 20, 21]);
 });
 
 test('a damaged snapshot is passed over only where the log still covers it', async t => {
-	const files = await filled(12);
-	const opened = await mustOpen(files);
+	const files = await createFilledFolder(12);
+	const opened = await openOrThrow(files);
 	await opened.persist(batch([], snapshotAt(4)));
 	await opened.close();
 	const earlier = files.copy();
-	put(earlier, {file: `${folder}/state-0000000000000009.snapshot`, data: Buffer.from('not a snapshot')});
-	const again = await mustOpen(earlier.copy());
+	writeSynced(earlier, {file: `${folder}/state-0000000000000009.snapshot`, data: Buffer.from('not a snapshot')});
+	const again = await openOrThrow(earlier.copy());
 	t.is(again.takeStored().snapshot?.lastIndex, 4);
 	t.regex(again.warnings.join(','), /Went back/v);
-	put(earlier, {file: `${folder}/state-0000000000000040.snapshot`, data: Buffer.from('not a snapshot')});
-	t.regex(String(await indexesOf(earlier)), /damaged snapshot/v);
+	writeSynced(earlier, {file: `${folder}/state-0000000000000040.snapshot`, data: Buffer.from('not a snapshot')});
+	t.regex(String(await readEntryIndexes(earlier)), /damaged snapshot/v);
 });
 
 test('a full disk and a failed sync stop every later write, and nothing acknowledged is lost', async t => {
 	for (let failsAfter = 1; failsAfter < 60; failsAfter++) {
-		const files = new MemoryFiles();
-		const opened = await mustOpen(files);
-		files.failsAfter = failsAfter;
+		const files = new MemoryFileSystem();
+		const opened = await openOrThrow(files);
+		files.operationsUntilFailure = failsAfter;
 		const {acknowledged, failures} = await writeUntilFailure(opened);
-		files.failsAfter = Number.POSITIVE_INFINITY;
+		files.operationsUntilFailure = Number.POSITIVE_INFINITY;
 		t.regex(failures[0] ?? '', /ENOSPC|EIO/v);
 		t.is(failures[1], failures[0], 'the disk is free again, the folder stays failed');
 		for (const kept of [0, 0.5, 1]) {
-			const stored = await storedOn(files.crash({kept, keepsNames: kept > 0}));
+			const stored = await readStoredState(files.crash({kept, keepsNames: kept > 0}));
 			const last = stored.entries.at(-1)?.index ?? stored.snapshot?.lastIndex ?? 0;
 			t.true(last >= acknowledged, `failed after ${failsAfter}: got entry ${last} at the end, wanted ${acknowledged}`);
 		}
@@ -308,7 +308,7 @@
 );
 
 /** A list of entries after a snapshot: what the folder must hold. */
-class Oracle {
+class ReferenceModel {
 	term = 1;
 	snapshot: Snapshot | undefined;
 	entries: LogEntry[] = [];
@@ -322,18 +322,18 @@
 	}
 
 	/** The write that an operation stands for, and what it makes of the list. */
-	plan(operation: Exclude<Operation, {type: 'crash'}>): PersistAction {
+	nextAction(operation: Exclude<Operation, {type: 'crash'}>): PersistAction {
 		if (operation.type === 'write') {
 			return batch(this.#nextEntries(operation));
 		}
 
 		this.term++;
 		return operation.type === 'snapshot'
-			? batch([], this.#snapshotOfOwn(this.last - operation.back))
+			? batch([], this.#snapshotOfEntry(this.last - operation.back))
 			: batch([], snapshotAt(Math.max(this.base + 1, this.last + operation.ahead), this.term), true);
 	}
 
-	take({entries, snapshot, discardsLog}: PersistAction): void {
+	apply({entries, snapshot, discardsLog}: PersistAction): void {
 		for (const taken of entries) {
 			this.entries = [...this.entries.filter(({index}) => index < taken.index), taken];
 		}
@@ -351,23 +351,23 @@
 		return Array.from({length: count}, (_, offset) => entry(first + offset, this.term));
 	}
 
-	#snapshotOfOwn(index: number): Snapshot | undefined {
+	#snapshotOfEntry(index: number): Snapshot | undefined {
 		const found = this.entries.find(candidate => candidate.index === index);
 		return found === undefined ? undefined : snapshotAt(index, found.term);
 	}
 }
 
 testProp('what was acknowledged is there after any crash', [fc.array(operations, {minLength: 4, maxLength: 30})], async (t, plan) => {
-	let files = new MemoryFiles();
-	let opened = await mustOpen(files);
-	const oracle = new Oracle();
+	let files = new MemoryFileSystem();
+	let opened = await openOrThrow(files);
+	const oracle = new ReferenceModel();
 	let unsure: PersistAction | undefined;
 	for (const operation of plan) {
 		if (operation.type !== 'crash') {
-			const action = oracle.plan(operation);
+			const action = oracle.nextAction(operation);
 			const written = await opened.persist(action);
 			if (written.isRight()) {
-				oracle.take(action);
+				oracle.apply(action);
 			} else {
 				unsure ??= action;
 			}
@@ -376,27 +376,27 @@
 		}
 
 		files = files.crash(operation);
-		opened = await mustOpen(files);
+		opened = await openOrThrow(files);
 		const stored = opened.takeStored();
-		checkStored(oracle, {stored, unsure});
+		assertStoredState(oracle, {stored, unsure});
 		oracle.entries = [...stored.entries];
 		oracle.snapshot = stored.snapshot;
 		unsure = undefined;
-		files.failsAfter = operation.failsAfter;
+		files.operationsUntilFailure = operation.failsAfter;
 	}
 
 	t.pass();
 }, {seed, numRuns: 600});
 
 /** The folder holds the acknowledged list, or that with the write that failed; a snapshot in the background may have come or not. */
-function checkStored(oracle: Oracle, {stored, unsure}: {readonly stored: StoredState; readonly unsure: PersistAction | undefined}): void {
+function assertStoredState(oracle: ReferenceModel, {stored, unsure}: {readonly stored: StoredState; readonly unsure: PersistAction | undefined}): void {
 	const wanted = [describe(oracle, stored.snapshot)];
 	if (unsure !== undefined) {
-		const further = new Oracle();
+		const further = new ReferenceModel();
 		Object.assign(further, {snapshot: oracle.snapshot, entries: oracle.entries});
-		further.take({...unsure, snapshot: undefined});
+		further.apply({...unsure, snapshot: undefined});
 		wanted.push(describe(further, stored.snapshot));
-		further.take(unsure);
+		further.apply(unsure);
 		wanted.push(describe(further, stored.snapshot));
 	}
 
@@ -406,6 +406,6 @@
 	}
 }
 
-function describe({entries}: Oracle, snapshot: Snapshot | undefined): string {
+function describe({entries}: ReferenceModel, snapshot: Snapshot | undefined): string {
 	return JSON.stringify(entries.filter(({index}) => index > (snapshot?.lastIndex ?? 0)).map(({index, term}) => [index, term]));
 }
--- a/packages/storage/src/data-folder.ts
+++ b/packages/storage/src/data-folder.ts
@@ -4,7 +4,7 @@
 import {type Failure, failure} from '@valehitch/core';
 import {type Either, Left, Right} from 'purify-ts';
 import {type LoadedFolder} from './_load-folder.js';
-import {type Place} from './_place.js';
+import {type FolderAccess} from './_folder-access.js';
 import {SegmentWriter} from './_segment-writer.js';
 import {removeSnapshotsBefore, writeSnapshot} from './_snapshot-file.js';
 import {StorageError} from './_storage-error.js';
@@ -13,7 +13,7 @@
 
 /** What an open data folder is made of. */
 export type DataFolderParts = {
-	readonly place: Place;
+	readonly place: FolderAccess;
 	readonly segmentBytes: number;
 	readonly identity: string;
 	readonly isNew: boolean;
@@ -43,30 +43,30 @@
 export class DataFolder {
 	/** What the operators should know of the start, such as an unfinished write that was cut back. */
 	readonly warnings: readonly string[];
-	readonly #place: Place;
+	readonly #access: FolderAccess;
 	readonly #segmentBytes: number;
 	readonly #unlock: Unlock;
-	readonly #segments: SegmentWriter;
+	readonly #segmentWriter: SegmentWriter;
 	/** The terms of the entries after `#base`. */
 	readonly #terms: number[];
 	#base: {index: number; term: number};
 	#hardState: HardState;
-	#stored: StoredState | undefined;
+	#storedState: StoredState | undefined;
 	#failure: Failure | undefined;
-	#batches = 0;
-	#queue: Promise<unknown> = Promise.resolve();
-	#snapshotInProgress: Promise<void> | undefined;
+	#batchCount = 0;
+	#lastWrite: Promise<unknown> = Promise.resolve();
+	#lastSnapshotWrite: Promise<void> | undefined;
 
-	constructor({place, segmentBytes, identity, isNew, loaded, unlock}: DataFolderParts) {
+	constructor({place: access, segmentBytes, identity, isNew, loaded, unlock}: DataFolderParts) {
 		const {snapshot, entries, log} = loaded;
-		this.#place = place;
+		this.#access = access;
 		this.#segmentBytes = segmentBytes;
 		this.#unlock = unlock;
-		this.#segments = new SegmentWriter(place, {identity, older: log.segments});
+		this.#segmentWriter = new SegmentWriter(access, {identity, closed: log.segments});
 		this.#terms = entries.map(({term}) => term);
 		this.#base = {index: snapshot?.lastIndex ?? 0, term: snapshot?.lastTerm ?? 0};
 		this.#hardState = log.hardState;
-		this.#stored = {
+		this.#storedState = {
 			identity, isNew, hardState: log.hardState, snapshot, entries,
 		};
 		this.warnings = loaded.warnings;
@@ -79,7 +79,7 @@
 
 	/** How much was written. */
 	get written(): WrittenCounts {
-		return {batches: this.#batches, segmentBytes: this.#segments.bytesWritten};
+		return {batches: this.#batchCount, segmentBytes: this.#segmentWriter.bytesWritten};
 	}
 
 	get #lastIndex(): number {
@@ -93,13 +93,13 @@
 	@throws If it was handed over before.
 	*/
 	takeStored(): StoredState {
-		const stored = this.#stored;
-		if (stored === undefined) {
+		const storedState = this.#storedState;
+		if (storedState === undefined) {
 			throw new RangeError('Got a second call of takeStored, wanted one');
 		}
 
-		this.#stored = undefined;
-		return stored;
+		this.#storedState = undefined;
+		return storedState;
 	}
 
 	/**
@@ -111,29 +111,29 @@
 	@returns Nothing once it is on the disk; else why not, and then every later call fails in the same way.
 	*/
 	async persist(action: PersistAction): Promise<Either<Failure, undefined>> {
-		return this.#inTurn(async () => this.#persist(action));
+		return this.#enqueue(async () => this.#persist(action));
 	}
 
 	/** Waits for writes in progress, closes the files and gives the lock back. */
 	async close(): Promise<void> {
-		await this.#snapshotInProgress;
-		await this.#queue;
-		await this.#segments.close();
+		await this.#lastSnapshotWrite;
+		await this.#lastWrite;
+		await this.#segmentWriter.close();
 		await this.#unlock();
 	}
 
 	/** Begins the first segment of this run; `openDataFolder` calls it once. */
 	async begin(keepsEarlier: boolean): Promise<void> {
-		await this.#beginSegment(keepsEarlier);
+		await this.#startSegment(keepsEarlier);
 		if (!keepsEarlier) {
-			await this.#segments.removeOlder();
+			await this.#segmentWriter.removeClosed();
 		}
 	}
 
 	async #persist({hardState, entries, snapshot, discardsLog}: PersistAction): Promise<void> {
 		this.#hardState = hardState ?? this.#hardState;
 		if (snapshot !== undefined && discardsLog) {
-			await this.#install(snapshot);
+			await this.#installSnapshot(snapshot);
 		}
 
 		if (hardState !== undefined || entries.length > 0) {
@@ -141,21 +141,21 @@
 		}
 
 		if (snapshot !== undefined && !discardsLog) {
-			this.#snapshotInProgress = this.#writeInBackground(snapshot, this.#snapshotInProgress);
+			this.#lastSnapshotWrite = this.#writeSnapshotInBackground(snapshot, this.#lastSnapshotWrite);
 		}
 	}
 
 	async #append({hardState, entries}: Pick<PersistAction, 'hardState' | 'entries'>): Promise<void> {
-		if (this.#segments.segmentBytes >= this.#segmentBytes) {
-			await this.#beginSegment(true);
+		if (this.#segmentWriter.activeBytes >= this.#segmentBytes) {
+			await this.#startSegment(true);
 		}
 
-		this.#noteTerms(entries);
-		await this.#segments.append({type: 'batch', ...(hardState !== undefined && {hardState}), entries});
-		this.#batches++;
+		this.#recordTerms(entries);
+		await this.#segmentWriter.append({type: 'batch', ...(hardState !== undefined && {hardState}), entries});
+		this.#batchCount++;
 	}
 
-	#noteTerms(entries: readonly LogEntry[]): void {
+	#recordTerms(entries: readonly LogEntry[]): void {
 		for (const {index, term} of entries) {
 			const position = index - this.#base.index - 1;
 			if (position < 0 || position > this.#terms.length) {
@@ -167,29 +167,29 @@
 		}
 	}
 
-	async #install(snapshot: Snapshot): Promise<void> {
-		await writeSnapshot(this.#place, snapshot);
+	async #installSnapshot(snapshot: Snapshot): Promise<void> {
+		await writeSnapshot(this.#access, snapshot);
 		this.#base = {index: snapshot.lastIndex, term: snapshot.lastTerm};
 		this.#terms.length = 0;
-		await this.#beginSegment(false);
-		await this.#segments.removeOlder();
-		await removeSnapshotsBefore(this.#place, snapshot.lastIndex);
+		await this.#startSegment(false);
+		await this.#segmentWriter.removeClosed();
+		await removeSnapshotsBefore(this.#access, snapshot.lastIndex);
 	}
 
-	async #writeInBackground(snapshot: Snapshot, earlier: Promise<void> | undefined): Promise<void> {
-		await earlier;
+	async #writeSnapshotInBackground(snapshot: Snapshot, previousWrite: Promise<void> | undefined): Promise<void> {
+		await previousWrite;
 		if (this.#failure !== undefined || snapshot.lastIndex < this.#base.index) {
 			return;
 		}
 
 		try {
-			await writeSnapshot(this.#place, snapshot);
+			await writeSnapshot(this.#access, snapshot);
 		} catch (error) {
-			this.#fail(error);
+			this.#recordFailure(error);
 			return;
 		}
 
-		await this.#inTurn(async () => this.#compact(snapshot));
+		await this.#enqueue(async () => this.#compact(snapshot));
 	}
 
 	async #compact({lastIndex, lastTerm}: Snapshot): Promise<void> {
@@ -199,16 +199,16 @@
 
 		this.#terms.splice(0, lastIndex - this.#base.index);
 		this.#base = {index: lastIndex, term: lastTerm};
-		await this.#segments.removeThrough(lastIndex);
-		await removeSnapshotsBefore(this.#place, lastIndex);
+		await this.#segmentWriter.removeClosedThrough(lastIndex);
+		await removeSnapshotsBefore(this.#access, lastIndex);
 	}
 
-	async #beginSegment(keepsEarlier: boolean): Promise<void> {
-		await this.#segments.begin({hardState: this.#hardState, previousIndex: this.#lastIndex, keepsEarlier});
+	async #startSegment(keepsEarlier: boolean): Promise<void> {
+		await this.#segmentWriter.startSegment({hardState: this.#hardState, previousIndex: this.#lastIndex, keepsEarlier});
 	}
 
-	async #inTurn(write: () => Promise<void>): Promise<Either<Failure, undefined>> {
-		const turn = this.#queue.then(async () => {
+	async #enqueue(write: () => Promise<void>): Promise<Either<Failure, undefined>> {
+		const result = this.#lastWrite.then(async () => {
 			if (this.#failure !== undefined) {
 				return Left(this.#failure);
 			}
@@ -217,15 +217,15 @@
 				await write();
 				return Right(undefined);
 			} catch (error) {
-				return Left(this.#fail(error));
+				return Left(this.#recordFailure(error));
 			}
 		});
-		this.#queue = turn;
-		return turn;
+		this.#lastWrite = result;
+		return result;
 	}
 
-	#fail(error: unknown): Failure {
-		this.#failure ??= toStorageFailure(error, this.#place.folder);
+	#recordFailure(error: unknown): Failure {
+		this.#failure ??= toStorageFailure(error, this.#access.folder);
 		return this.#failure;
 	}
 }
@@ -234,6 +234,6 @@
 export function toStorageFailure(error: unknown, folder: string): Failure {
 	const message = error instanceof Error ? error.message : String(error);
 	return failure('internal', error instanceof StorageError ? message : `Got ${message} for the data folder ${folder}, wanted it to be written`, {
-		...(error instanceof StorageError && error.place !== undefined && {details: error.place}),
+		...(error instanceof StorageError && error.location !== undefined && {details: error.location}),
 	});
 }
--- a/packages/storage/src/open-data-folder.ts
+++ b/packages/storage/src/open-data-folder.ts
@@ -2,9 +2,9 @@
 import path from 'node:path';
 import {type Failure} from '@valehitch/core';
 import {type Either, Left, Right} from 'purify-ts';
-import {openIdentity} from './_identity.js';
+import {readOrCreateIdentity} from './_identity.js';
 import {loadFolder} from './_load-folder.js';
-import {type Place} from './_place.js';
+import {type FolderAccess} from './_folder-access.js';
 import {DataFolder, toStorageFailure} from './data-folder.js';
 import {type FileFunctions, systemFiles} from './file-functions.js';
 import {lockFolder, type Unlock} from './lock-folder.js';
@@ -39,36 +39,36 @@
 */
 export async function openDataFolder(folder: string, options: DataFolderOptions = {}): Promise<Either<Failure, DataFolder>> {
 	const files = options.files ?? systemFiles;
-	const place = {folder, files};
+	const access = {folder, files};
 	try {
 		await files.makeFolder(folder);
-		const unlock = await (options.lock ?? lockFolder)(folder);
-		return await unlock.caseOf<Promise<Either<Failure, DataFolder>>>({
+		const locked = await (options.lock ?? lockFolder)(folder);
+		return await locked.caseOf<Promise<Either<Failure, DataFolder>>>({
 			Left: async failed => Left(failed),
-			Right: async held => openLocked(place, held, options),
+			Right: async release => openLockedFolder(access, release, options),
 		});
 	} catch (error) {
 		return Left(toStorageFailure(error, folder));
 	}
 }
 
-async function openLocked(place: Place, unlock: Unlock, options: DataFolderOptions): Promise<Either<Failure, DataFolder>> {
+async function openLockedFolder(access: FolderAccess, unlock: Unlock, options: DataFolderOptions): Promise<Either<Failure, DataFolder>> {
 	try {
-		await removeTemporaryFiles(place);
-		const identity = await openIdentity(place, options.newIdentity ?? randomUUID);
-		const loaded = await loadFolder(place, identity.identity);
+		await removeTemporaryFiles(access);
+		const identity = await readOrCreateIdentity(access, options.newIdentity ?? randomUUID);
+		const loaded = await loadFolder(access, identity.identity);
 		const opened = new DataFolder({
-			...identity, place, loaded, unlock, segmentBytes: options.segmentBytes ?? defaultSegmentBytes,
+			...identity, place: access, loaded, unlock, segmentBytes: options.segmentBytes ?? defaultSegmentBytes,
 		});
 		await opened.begin(loaded.keepsEarlier);
 		return Right(opened);
 	} catch (error) {
 		await unlock();
-		return Left(toStorageFailure(error, place.folder));
+		return Left(toStorageFailure(error, access.folder));
 	}
 }
 
-async function removeTemporaryFiles({folder, files}: Place): Promise<void> {
+async function removeTemporaryFiles({folder, files}: FolderAccess): Promise<void> {
 	for (const name of await files.list(folder)) {
 		if (name.endsWith(temporarySuffix)) {
 			await files.remove(path.join(folder, name));
