--- a/packages/storage/src/_file-names.ts
+++ b/packages/storage/src/_file-names.ts
@@ -15,12 +15,12 @@
 	return `${name}.temporary`;
 }
 
-/** The sequence numbers of the segments among some names, in order. */
+/** Returns the sequence numbers of the segment files among the names, in ascending order. */
 export function segmentSequences(names: readonly string[]): readonly number[] {
 	return parseNumbers(names, segmentPattern);
 }
 
-/** The last indexes of the snapshots among some names, in order. */
+/** Returns the last indexes of the snapshot files among the names, in ascending order. */
 export function snapshotIndexes(names: readonly string[]): readonly number[] {
 	return parseNumbers(names, snapshotPattern);
 }
--- a/packages/storage/src/_folder-access.ts
+++ b/packages/storage/src/_folder-access.ts
@@ -1,7 +1,7 @@
 import {type FileFunctions} from './file-functions.js';
 
-/** A folder and the functions that reach it. */
+/** A folder and the file system that it is on. */
 export type FolderAccess = {
 	readonly folder: string;
-	readonly files: FileFunctions;
+	readonly fileSystem: FileFunctions;
 };
--- a/packages/storage/src/_frame.ts
+++ b/packages/storage/src/_frame.ts
@@ -2,14 +2,15 @@
 import {Packr} from 'msgpackr';
 
 /**
-A frame is what one write puts into a file: the payload's length, the CRC-32 of the length, the CRC-32 of the payload, then the payload.
-The length has a checksum of its own, so that a flipped bit in it cannot make a good record look like an unfinished one.
+The result of decoding a frame.
+
+A frame consists of the payload's length, the CRC-32 of the length, the CRC-32 of the payload and the payload. The length has its own checksum so that a flipped bit in it cannot make an intact record look like a torn write.
 */
 export type FrameReadResult
 	= | {readonly type: 'frame'; readonly body: unknown; readonly end: number}
-	/** An unfinished write: nothing behind it was ever synced. */
+	/** An incomplete write; no data after it was ever synced. */
 		| {readonly type: 'torn'}
-	/** Bytes that were synced and have changed since. */
+	/** Data that was synced and has been corrupted since. */
 		| {readonly type: 'damaged'; readonly reason: string};
 
 export const frameHeaderBytes = 12;
@@ -19,7 +20,7 @@
 const minimumZeroBytes = 64;
 const packr = new Packr({useRecords: false, encodeUndefinedAsNil: false, copyBuffers: true});
 
-/** Writes a frame. */
+/** Encodes a value as a frame. */
 export function encodeFrame(body: unknown): Uint8Array {
 	const payload = packr.pack(body);
 	const frame = new Uint8Array(frameHeaderBytes + payload.length);
@@ -31,7 +32,7 @@
 	return frame;
 }
 
-/** Reads the frame at an offset; `offset` is before the end of the data. */
+/** Decodes the frame at an offset, which must be less than the length of the data. */
 export function decodeFrame(data: Uint8Array, offset: number): FrameReadResult {
 	const bytes = data.subarray(offset);
 	if (bytes.length < frameHeaderBytes) {
@@ -58,7 +59,7 @@
 		: {type: 'damaged', reason: 'the checksum of the payload is wrong'};
 }
 
-/** Whether a sector of the last write never reached the disk and reads as zeros. */
+/** Whether the data contains a sector that was never written to the disk and therefore reads as zeros. */
 function hasUnwrittenSector(data: Uint8Array, offset: number): boolean {
 	for (let start = offset; start < data.length; start = nextSector(start)) {
 		const sector = data.subarray(start, Math.min(nextSector(start), data.length));
--- a/packages/storage/src/_load-folder.ts
+++ b/packages/storage/src/_load-folder.ts
@@ -4,19 +4,19 @@
 import {findSnapshot} from './_snapshot-file.js';
 import {StorageError} from './_storage-error.js';
 
-/** The snapshot and the log of a folder, made to fit. */
+/** The reconciled snapshot and log of a data folder. */
 export type LoadedFolder = {
 	readonly snapshot: Snapshot | undefined;
-	/** The entries after the snapshot. */
+	/** The log entries that follow the snapshot. */
 	readonly entries: readonly LogEntry[];
-	/** False where the log before the snapshot says something else than the snapshot. */
+	/** Whether earlier segments stay valid; false if the log ends before the snapshot or conflicts with its last term. */
 	readonly keepsEarlier: boolean;
 	readonly log: ReplayedLog;
-	/** What the operators should know, in sentence case. */
+	/** Repairs to report to operators, in sentence case. */
 	readonly warnings: readonly string[];
 };
 
-/** Reads everything a folder holds. */
+/** Reads the log and the newest intact snapshot, and reconciles them. */
 export async function loadFolder(access: FolderAccess, identity: string): Promise<LoadedFolder> {
 	const log = await replayLog(access, identity);
 	const {snapshot, damaged} = await findSnapshot(access);
@@ -27,7 +27,7 @@
 
 	const snapshotIndex = snapshot?.lastIndex ?? 0;
 	if (log.previousIndex > snapshotIndex) {
-		throw damaged?.error ?? new StorageError(`Got a log that begins after entry ${log.previousIndex} and a snapshot up to entry ${snapshotIndex} in ${access.folder}, wanted no gap between them`);
+		throw damaged?.error ?? new StorageError(`The data folder ${access.folder} lacks entries: the snapshot ends at entry ${snapshotIndex}, the log starts after entry ${log.previousIndex}`);
 	}
 
 	const termInLog = memoryLog.termAt(snapshotIndex);
@@ -44,7 +44,7 @@
 
 function describeRepairs({tornBytes}: ReplayedLog, damaged: StorageError | undefined): readonly string[] {
 	return [
-		...(tornBytes > 0 ? [`Cut back ${tornBytes} bytes of a write that was not finished`] : []),
-		...(damaged === undefined ? [] : [`Went back to the snapshot before: ${damaged.message}`]),
+		...(tornBytes > 0 ? [`Truncated ${tornBytes} bytes of an incomplete write`] : []),
+		...(damaged === undefined ? [] : [`Fell back to an earlier snapshot: ${damaged.message}`]),
 	];
 }
--- a/packages/storage/src/_memory-log.ts
+++ b/packages/storage/src/_memory-log.ts
@@ -1,11 +1,11 @@
 import {type LogEntry} from '@valehitch/consensus';
 
-/** The entries of a log as they stand after some records; entries may begin after a snapshot. */
+/** The log entries in memory while segments are replayed. The first entry may follow a snapshot. */
 export class MemoryLog {
 	#entries: LogEntry[] = [];
 	#previousIndex = 0;
 
-	/** The entries, without gaps. */
+	/** The entries, with contiguous indexes. */
 	get entries(): readonly LogEntry[] {
 		return this.#entries;
 	}
@@ -14,13 +14,13 @@
 		return this.#entries.at(-1)?.index ?? this.#previousIndex;
 	}
 
-	/** Forgets everything; the log goes on after an index. */
+	/** Removes all entries; the next entry follows `previousIndex`. */
 	reset(previousIndex: number): void {
 		this.#entries = [];
 		this.#previousIndex = previousIndex;
 	}
 
-	/** Takes an entry, which replaces the ones at its index and after; false where it would leave a gap. */
+	/** Appends an entry and discards existing entries at its index and after it; returns false if there would be a gap. */
 	append(entry: LogEntry): boolean {
 		if (entry.index > this.lastIndex + 1) {
 			return false;
@@ -38,7 +38,7 @@
 		return true;
 	}
 
-	/** The term of the entry at an index, where it is here. */
+	/** The term of the entry at an index; undefined if the log does not contain that entry. */
 	termAt(index: number): number | undefined {
 		const firstIndex = this.#entries[0]?.index ?? 0;
 		return this.#entries[index - firstIndex]?.term;
--- a/packages/storage/src/_records.ts
+++ b/packages/storage/src/_records.ts
@@ -1,6 +1,6 @@
 import {type HardState, type LogEntry} from '@valehitch/consensus';
 
-/** What the first frame of a segment says. */
+/** The first record of a segment. */
 export type SegmentHeader = {
 	readonly type: 'header';
 	readonly version: number;
@@ -8,21 +8,21 @@
 	/** The identity of the folder that the segment belongs to. */
 	readonly identity: string;
 	readonly hardState: HardState;
-	/** The last index of the log before the segment. */
+	/** The index of the last log entry before the segment. */
 	readonly previousIndex: number;
-	/** False where a snapshot replaced everything that earlier segments hold. */
+	/** False if a snapshot replaced the content of all earlier segments. */
 	readonly keepsEarlier: boolean;
 };
 
-/** One batch: what one write and one sync put on the disk. */
+/** A batch of changes that is written and synced together. */
 export type BatchRecord = {
 	readonly type: 'batch';
 	readonly hardState?: HardState | undefined;
-	/** Each replaces the entries of its index and after. */
+	/** Each entry replaces any existing entries at its index and after it. */
 	readonly entries: readonly LogEntry[];
 };
 
-/** Says that the next segment is on the disk. */
+/** The last record of a segment; written once the next segment is durable. */
 export type SealRecord = {readonly type: 'seal'};
 
 export type SegmentRecord = SegmentHeader | BatchRecord | SealRecord;
--- a/packages/storage/src/_replace-file.ts
+++ b/packages/storage/src/_replace-file.ts
@@ -3,10 +3,10 @@
 import {type FolderAccess} from './_folder-access.js';
 import {StorageError} from './_storage-error.js';
 
-/** Writes a file whole or not at all: to a temporary file, synced, read back, renamed, and the folder synced. */
-export async function replaceFile({folder, files}: FolderAccess, {name, data}: {readonly name: string; readonly data: Uint8Array}): Promise<void> {
+/** Writes a file atomically: writes and syncs a temporary file, reads it back, renames it and syncs the folder. */
+export async function replaceFile({folder, fileSystem}: FolderAccess, {name, data}: {readonly name: string; readonly data: Uint8Array}): Promise<void> {
 	const temporary = path.join(folder, temporaryFileName(name));
-	const file = await files.create(temporary);
+	const file = await fileSystem.create(temporary);
 	try {
 		await file.append(data);
 		await file.sync();
@@ -14,11 +14,11 @@
 		await file.close();
 	}
 
-	const readBack = await files.read(temporary);
+	const readBack = await fileSystem.read(temporary);
 	if (readBack.length !== data.length) {
-		throw new StorageError(`Got ${readBack.length} bytes back from ${temporary}, wanted ${data.length}`);
+		throw new StorageError(`Wrote ${data.length} bytes to ${temporary} but read back ${readBack.length}`);
 	}
 
-	await files.rename(temporary, path.join(folder, name));
-	await files.syncFolder(folder);
+	await fileSystem.rename(temporary, path.join(folder, name));
+	await fileSystem.syncFolder(folder);
 }
--- a/packages/storage/src/_replay-log.ts
+++ b/packages/storage/src/_replay-log.ts
@@ -11,30 +11,30 @@
 } from './_records.js';
 import {StorageError} from './_storage-error.js';
 
-/** A segment that is complete. */
+/** A segment that receives no more batches. */
 export type ClosedSegment = {
 	readonly sequence: number;
-	/** The greatest index that it mentions. */
+	/** The highest entry index in the segment. */
 	readonly highestIndex: number;
 };
 
-/** What the segments say. */
+/** The state reconstructed from the log segments. */
 export type ReplayedLog = {
 	readonly hardState: HardState;
 	readonly memoryLog: MemoryLog;
 	readonly segments: readonly ClosedSegment[];
-	/** The last index before the oldest segment. */
+	/** The index of the last entry before the reconstructed log. */
 	readonly previousIndex: number;
-	/** How many bytes of an unfinished write were cut back. */
+	/** The number of bytes truncated from torn writes. */
 	readonly tornBytes: number;
 };
 
 export const sealFrame = encodeFrame({type: 'seal'} satisfies SealRecord);
 
-/** Reads all segments in order, and cuts an unfinished write at the end back. */
+/** Reads all segments in order and truncates a torn write at the end of the log. */
 export async function replayLog(access: FolderAccess, identity: string): Promise<ReplayedLog> {
 	const replay = new LogReplay(access, identity);
-	const sequences = segmentSequences(await access.files.list(access.folder));
+	const sequences = segmentSequences(await access.fileSystem.list(access.folder));
 	for (const sequence of sequences) {
 		await replay.readSegment(sequence, sequence === sequences.at(-1));
 	}
@@ -65,7 +65,7 @@
 		}
 
 		const file = path.join(this.#access.folder, segmentFileName(sequence));
-		const data = await this.#access.files.read(file);
+		const data = await this.#access.fileSystem.read(file);
 		const end = this.#readFrames(data, {file, sequence});
 		if (end < data.length) {
 			await this.#truncateTornWrite({
@@ -103,7 +103,7 @@
 
 			const location = {file, offset};
 			if (frame.type === 'damaged') {
-				throw new StorageError(`Got a damaged record (${frame.reason}), wanted one whose checksums hold`, location);
+				throw new StorageError(`Found a damaged record (${frame.reason})`, location);
 			}
 
 			this.#applyRecord(frame.body as SegmentRecord, {...location, sequence});
@@ -115,11 +115,11 @@
 
 	#applyRecord(record: SegmentRecord, location: {readonly file: string; readonly offset: number; readonly sequence: number}): void {
 		if (this.#isSealed && record.type !== 'header') {
-			throw new StorageError(`Got a record of type ${record.type} after the end of the segment`, location);
+			throw new StorageError(`Found a record of type ${record.type} after the end of the segment`, location);
 		}
 
 		if ((location.offset === 0) !== (record.type === 'header')) {
-			throw new StorageError(`Got a record of type ${record.type}, wanted the header first and once`, location);
+			throw new StorageError(`Found a record of type ${record.type}: a segment must have exactly one header, as its first record`, location);
 		}
 
 		match(record)
@@ -130,7 +130,7 @@
 				this.#hardState = hardState ?? this.#hardState;
 				for (const entry of entries) {
 					if (!this.#memoryLog.append(entry)) {
-						throw new StorageError(`Got entry ${entry.index}, wanted at most entry ${this.#memoryLog.lastIndex + 1}`, location);
+						throw new StorageError(`Found entry ${entry.index}, expected at most entry ${this.#memoryLog.lastIndex + 1}`, location);
 					}
 
 					this.#highestIndex = Math.max(this.#highestIndex, entry.index);
@@ -144,11 +144,11 @@
 
 	#applyHeader(header: SegmentHeader, location: {readonly file: string; readonly offset: number; readonly sequence: number}): void {
 		if (header.version !== formatVersion) {
-			throw new StorageError(`Got a segment of format ${header.version}, wanted format ${formatVersion}`, location);
+			throw new StorageError(`Unsupported segment format ${header.version}, expected format ${formatVersion}`, location);
 		}
 
 		if (header.identity !== this.#identity || header.sequence !== location.sequence) {
-			throw new StorageError(`Got segment ${header.sequence} of folder ${header.identity}, wanted segment ${location.sequence} of folder ${this.#identity}`, location);
+			throw new StorageError(`Found segment ${header.sequence} of folder ${header.identity}, expected segment ${location.sequence} of folder ${this.#identity}`, location);
 		}
 
 		const isOldest = this.#segments.length === 0;
@@ -156,7 +156,7 @@
 			this.#memoryLog.reset(header.previousIndex);
 			this.#previousIndex = header.previousIndex;
 		} else if (header.previousIndex !== this.#memoryLog.lastIndex) {
-			throw new StorageError(`Got a segment that begins after entry ${header.previousIndex}, wanted it after entry ${this.#memoryLog.lastIndex}`, location);
+			throw new StorageError(`Found a segment that starts after entry ${header.previousIndex}, expected it to start after entry ${this.#memoryLog.lastIndex}`, location);
 		}
 
 		this.#highestIndex = header.previousIndex;
@@ -168,18 +168,18 @@
 		const tail = Buffer.from(data.buffer, data.byteOffset + end, data.length - end);
 		const isUnfinishedSeal = end > 0 && tail.length < sealFrame.length && tail.equals(sealFrame.subarray(0, tail.length));
 		if (!isLast && !isUnfinishedSeal) {
-			throw new StorageError('Got an unfinished record in a segment that is not the last, wanted it whole', {file, offset: end});
+			throw new StorageError('Found an incomplete record in a segment that is not the last', {file, offset: end});
 		}
 
 		this.#tornBytes += tail.length;
-		const {files, folder} = this.#access;
+		const {fileSystem, folder} = this.#access;
 		if (end === 0) {
-			await files.remove(file);
-			await files.syncFolder(folder);
+			await fileSystem.remove(file);
+			await fileSystem.syncFolder(folder);
 			return;
 		}
 
-		const open = await files.openForAppend(file);
+		const open = await fileSystem.openForAppend(file);
 		try {
 			await open.truncate(end);
 			await open.sync();
@@ -189,6 +189,6 @@
 	}
 
 	#missingSegment(sequence: number): StorageError {
-		return new StorageError(`Got no ${segmentFileName(sequence)} in ${this.#access.folder}, wanted every segment up to the last`);
+		return new StorageError(`The log segment ${segmentFileName(sequence)} is missing in ${this.#access.folder}`);
 	}
 }
--- a/packages/storage/src/_segment-writer.ts
+++ b/packages/storage/src/_segment-writer.ts
@@ -13,10 +13,10 @@
 	highestIndex: number;
 };
 
-/** What a new segment begins with. */
+/** The log position and hard state recorded in the header of a new segment. */
 export type SegmentStart = Pick<SegmentHeader, 'hardState' | 'previousIndex' | 'keepsEarlier'>;
 
-/** Writes the segments of a log: one write and one sync a batch. */
+/** Writes log segments, with one write and one sync per batch. */
 export class SegmentWriter {
 	readonly #access: FolderAccess;
 	readonly #identity: string;
@@ -30,21 +30,21 @@
 		this.#closed = [...closed];
 	}
 
-	/** The size of the segment that is written, in bytes. */
+	/** The size of the active segment in bytes. */
 	get activeBytes(): number {
 		return this.#active?.bytes ?? 0;
 	}
 
-	/** Bytes written to segments since the folder was opened. */
+	/** The number of bytes in headers and batches written since the folder was opened. */
 	get bytesWritten(): number {
 		return this.#bytesWritten;
 	}
 
-	/** Appends a batch and returns once it is on the disk. */
+	/** Appends a batch to the active segment and syncs it. */
 	async append(batch: BatchRecord): Promise<void> {
 		const active = this.#active;
 		if (active === undefined) {
-			throw new RangeError('Got a batch before a segment was begun');
+			throw new RangeError('Cannot append a batch before the first segment is started');
 		}
 
 		const data = encodeFrame(batch);
@@ -57,36 +57,36 @@
 		}
 	}
 
-	/** Begins the next segment; the one before is marked as followed once the next one is on the disk. */
+	/** Starts the next segment, and seals the previous one once the new one is durable. */
 	async startSegment(start: SegmentStart): Promise<void> {
-		const {folder, files} = this.#access;
+		const {folder, fileSystem} = this.#access;
 		const sequence = (this.#active?.sequence ?? this.#closed.at(-1)?.sequence ?? 0) + 1;
 		const header: SegmentHeader = {
 			type: 'header', version: formatVersion, sequence, identity: this.#identity, ...start,
 		};
 		const data = encodeFrame(header);
-		const file = await files.create(path.join(folder, segmentFileName(sequence)));
+		const file = await fileSystem.create(path.join(folder, segmentFileName(sequence)));
 		const previous = this.#active;
 		this.#active = {
 			file, sequence, bytes: data.length, highestIndex: start.previousIndex,
 		};
 		await file.append(data);
 		await file.sync();
-		await files.syncFolder(folder);
+		await fileSystem.syncFolder(folder);
 		this.#bytesWritten += data.length;
 		await this.#sealPrevious(previous);
 	}
 
-	/** Removes the oldest segments that mention only entries up to an index. */
+	/** Removes the oldest closed segments whose entries are all at or before `index`. */
 	async removeClosedThrough(index: number): Promise<void> {
-		const {folder, files} = this.#access;
+		const {folder, fileSystem} = this.#access;
 		while (this.#closed[0] !== undefined && this.#closed[0].highestIndex <= index) {
-			await files.remove(path.join(folder, segmentFileName(this.#closed[0].sequence)));
+			await fileSystem.remove(path.join(folder, segmentFileName(this.#closed[0].sequence)));
 			this.#closed.shift();
 		}
 	}
 
-	/** Removes all segments but the one that is written. */
+	/** Removes all segments except the active one. */
 	async removeClosed(): Promise<void> {
 		await this.removeClosedThrough(Number.POSITIVE_INFINITY);
 	}
@@ -110,7 +110,7 @@
 	async #sealLastOfPreviousRun(): Promise<void> {
 		const last = this.#closed.at(-1);
 		if (last !== undefined) {
-			await sealAndClose(await this.#access.files.openForAppend(path.join(this.#access.folder, segmentFileName(last.sequence))));
+			await sealAndClose(await this.#access.fileSystem.openForAppend(path.join(this.#access.folder, segmentFileName(last.sequence))));
 		}
 	}
 }
--- a/packages/storage/src/_snapshot-file.ts
+++ b/packages/storage/src/_snapshot-file.ts
@@ -6,32 +6,32 @@
 import {replaceFile} from './_replace-file.js';
 import {StorageError} from './_storage-error.js';
 
-/** The newest snapshot that can be read, and the newest that cannot. */
+/** The newest intact snapshot, and the newest damaged snapshot after it. */
 export type SnapshotSearchResult = {
 	readonly snapshot: Snapshot | undefined;
-	/** The last index of a newer snapshot that is damaged, and what is wrong with it. */
+	/** The last index of the newest damaged snapshot that is newer than the intact one, and the error found in it. */
 	readonly damaged: {readonly lastIndex: number; readonly error: StorageError} | undefined;
 };
 
-/** Writes a snapshot; the earlier ones stay until `removeSnapshotsBefore`. */
+/** Writes a snapshot and verifies it. Earlier snapshots are kept until `removeSnapshotsBefore` is called. */
 export async function writeSnapshot(access: FolderAccess, snapshot: Snapshot): Promise<void> {
 	await replaceFile(access, {name: snapshotFileName(snapshot.lastIndex), data: encodeFrame(snapshot)});
 	await readSnapshot(access, snapshot.lastIndex);
 }
 
-/** Removes the snapshots that a newer one replaced. */
-export async function removeSnapshotsBefore({folder, files}: FolderAccess, lastIndex: number): Promise<void> {
-	for (const index of snapshotIndexes(await files.list(folder))) {
+/** Removes the snapshots whose last index is less than `lastIndex`. */
+export async function removeSnapshotsBefore({folder, fileSystem}: FolderAccess, lastIndex: number): Promise<void> {
+	for (const index of snapshotIndexes(await fileSystem.list(folder))) {
 		if (index < lastIndex) {
-			await files.remove(path.join(folder, snapshotFileName(index)));
+			await fileSystem.remove(path.join(folder, snapshotFileName(index)));
 		}
 	}
 }
 
-/** Finds the newest good snapshot. */
+/** Finds the newest intact snapshot. */
 export async function findSnapshot(access: FolderAccess): Promise<SnapshotSearchResult> {
 	let damaged: SnapshotSearchResult['damaged'];
-	for (const lastIndex of snapshotIndexes(await access.files.list(access.folder)).toReversed()) {
+	for (const lastIndex of snapshotIndexes(await access.fileSystem.list(access.folder)).toReversed()) {
 		try {
 			return {snapshot: await readSnapshot(access, lastIndex), damaged};
 		} catch (error) {
@@ -46,12 +46,12 @@
 	return {snapshot: undefined, damaged};
 }
 
-async function readSnapshot({folder, files}: FolderAccess, lastIndex: number): Promise<Snapshot> {
+async function readSnapshot({folder, fileSystem}: FolderAccess, lastIndex: number): Promise<Snapshot> {
 	const file = path.join(folder, snapshotFileName(lastIndex));
-	const data = await files.read(file);
+	const data = await fileSystem.read(file);
 	const frame = decodeFrame(data, 0);
 	if (frame.type !== 'frame' || frame.end !== data.length) {
-		throw new StorageError('Got a damaged snapshot, wanted one whose checksum holds', {file, offset: 0});
+		throw new StorageError('Found a damaged snapshot', {file, offset: 0});
 	}
 
 	return frame.body as Snapshot;
--- a/packages/storage/src/_storage-error.ts
+++ b/packages/storage/src/_storage-error.ts
@@ -1,7 +1,7 @@
-/** Carries a failure of the data folder up to its door. */
+/** An error in a data folder; the exported functions convert it to a `Failure`. */
 export class StorageError extends Error {
 	override readonly name = 'StorageError';
-	/** Which file and offset it is about, where it is about one. */
+	/** The file and byte offset of the error; undefined if it does not concern one file. */
 	readonly location: {readonly file: string; readonly offset: number} | undefined;
 
 	constructor(message: string, location?: {readonly file: string; readonly offset: number}) {
--- a/packages/storage/src/data-folder.test.ts
+++ b/packages/storage/src/data-folder.test.ts
@@ -16,7 +16,7 @@
 
 type MemoryFile = {data: Uint8Array; synced: Uint8Array};
 
-/** A folder in memory that forgets what was not synced, and fails on demand. */
+/** An in-memory file system that discards unsynced data on a crash and fails at a chosen operation. */
 class MemoryFileSystem implements FileFunctions {
 	operationsUntilFailure = Number.POSITIVE_INFINITY;
 	current = new Map<string, MemoryFile>();
@@ -52,7 +52,7 @@
 		this.#durable = new Map(this.current);
 	};
 
-	/** Goes on as after a loss of power: of each file, `kept` of 1 of the bytes that were not synced are there. */
+	/** Returns the state after a power loss, in which the fraction `kept` of each file's unsynced bytes survives. */
 	crash({kept, keepsNames}: {readonly kept: number; readonly keepsNames: boolean}): MemoryFileSystem {
 		const after = new MemoryFileSystem();
 		for (const [file, {data, synced}] of keepsNames ? this.current : this.#durable) {
@@ -86,7 +86,7 @@
 				node.synced = node.data;
 			},
 			async close() {
-				// Nothing to do.
+				// In-memory files need no closing.
 			},
 		};
 	}
@@ -165,7 +165,7 @@
 	files.current.set(file, {data, synced: data});
 }
 
-test('an empty folder gets an identity, which stays', async t => {
+test('an empty folder gets an identity that persists', async t => {
 	const files = new MemoryFileSystem();
 	const first = await readStoredState(files);
 	t.like(first, {
@@ -176,7 +176,7 @@
 	t.throws(() => second.takeStored(), {instanceOf: RangeError});
 });
 
-test('a tear at every byte of the last record loses that record and nothing else', async t => {
+test('a torn write at any byte of the last record loses only that record', async t => {
 	const files = await createFilledFolder(3, 100_000);
 	const [file = ''] = listSegments(files);
 	const whole = readData(files, file);
@@ -184,7 +184,7 @@
 	for (let length = without; length <= whole.length; length++) {
 		for (const fill of [0, 40]) {
 			const torn = files.copy();
-			// Where the length of a file grew before its data came, the rest reads as zeros.
+			// If the file's length was updated before its data was written, the tail reads as zeros.
 			writeSynced(torn, {file, data: Buffer.concat([whole.subarray(0, length), Buffer.alloc(length === without ? fill : 0)])});
 			t.deepEqual(await readEntryIndexes(torn), length === whole.length ? [1, 2, 3] : [1, 2], `torn at ${length}`);
 			t.deepEqual(await readEntryIndexes(torn), length === whole.length ? [1, 2, 3] : [1, 2], 'the second start');
@@ -192,7 +192,7 @@
 	}
 });
 
-test('a flipped bit anywhere is an error that names the file, or changes nothing', async t => {
+test('a flipped bit at any position is either reported with the file name or has no effect', async t => {
 	const files = await createFilledFolder(8);
 	t.true(listSegments(files).length > 2);
 	for (const file of files.current.keys()) {
@@ -213,20 +213,20 @@
 	}
 });
 
-test('a missing segment is an error that names it', async t => {
+test('a missing segment is reported', async t => {
 	const files = await createFilledFolder(12);
 	for (const file of listSegments(files).slice(0, -1)) {
 		const without = files.copy();
 		without.current.delete(file);
-		t.regex(String(await readEntryIndexes(without)), /Got no log-|begins after entry/v);
+		t.regex(String(await readEntryIndexes(without)), /log-\d{16}\.segment is missing|starts after entry/v);
 	}
 
 	const withoutLast = files.copy();
 	withoutLast.current.delete(listSegments(withoutLast).at(-1) ?? '');
-	t.regex(String(await readEntryIndexes(withoutLast)), /Got no log-/v);
+	t.regex(String(await readEntryIndexes(withoutLast)), /log-\d{16}\.segment is missing/v);
 });
 
-test('a torn record in a segment that is not the last is an error with file and offset', async t => {
+test('a torn record in a segment other than the last is reported with file and offset', async t => {
 	const files = await createFilledFolder(12);
 	const [file = ''] = listSegments(files);
 	writeSynced(files, {file, data: readData(files, file).subarray(0, -40)});
@@ -234,7 +234,7 @@
 	t.like(opened.swap().unsafeCoerce(), {kind: 'internal', details: {file}});
 });
 
-test('a snapshot removes old segments and the one before', async t => {
+test('a snapshot removes the segments it covers and the previous snapshot', async t => {
 	const files = await createFilledFolder(20);
 	const before = listSegments(files).length;
 	const opened = await openOrThrow(files);
@@ -248,7 +248,7 @@
 	t.deepEqual(stored.entries.map(({index}) => index), [19, 20, 21]);
 });
 
-test('a damaged snapshot is passed over only where the log still covers it', async t => {
+test('a damaged snapshot is skipped only if the log still covers its entries', async t => {
 	const files = await createFilledFolder(12);
 	const opened = await openOrThrow(files);
 	await opened.persist(batch([], snapshotAt(4)));
@@ -257,12 +257,12 @@
 	writeSynced(earlier, {file: `${folder}/state-0000000000000009.snapshot`, data: Buffer.from('not a snapshot')});
 	const again = await openOrThrow(earlier.copy());
 	t.is(again.takeStored().snapshot?.lastIndex, 4);
-	t.regex(again.warnings.join(','), /Went back/v);
+	t.regex(again.warnings.join(','), /Fell back/v);
 	writeSynced(earlier, {file: `${folder}/state-0000000000000040.snapshot`, data: Buffer.from('not a snapshot')});
 	t.regex(String(await readEntryIndexes(earlier)), /damaged snapshot/v);
 });
 
-test('a full disk and a failed sync stop every later write, and nothing acknowledged is lost', async t => {
+test('after a full disk or a failed sync every later write fails and no acknowledged write is lost', async t => {
 	for (let failsAfter = 1; failsAfter < 60; failsAfter++) {
 		const files = new MemoryFileSystem();
 		const opened = await openOrThrow(files);
@@ -270,11 +270,11 @@
 		const {acknowledged, failures} = await writeUntilFailure(opened);
 		files.operationsUntilFailure = Number.POSITIVE_INFINITY;
 		t.regex(failures[0] ?? '', /ENOSPC|EIO/v);
-		t.is(failures[1], failures[0], 'the disk is free again, the folder stays failed');
+		t.is(failures[1], failures[0], 'the folder stays failed after the disk recovers');
 		for (const kept of [0, 0.5, 1]) {
 			const stored = await readStoredState(files.crash({kept, keepsNames: kept > 0}));
 			const last = stored.entries.at(-1)?.index ?? stored.snapshot?.lastIndex ?? 0;
-			t.true(last >= acknowledged, `failed after ${failsAfter}: got entry ${last} at the end, wanted ${acknowledged}`);
+			t.true(last >= acknowledged, `failed after ${failsAfter}: the last entry is ${last}, expected at least ${acknowledged}`);
 		}
 	}
 });
@@ -307,7 +307,7 @@
 	}),
 );
 
-/** A list of entries after a snapshot: what the folder must hold. */
+/** A reference model of the folder's content: a snapshot and the entries after it. */
 class ReferenceModel {
 	term = 1;
 	snapshot: Snapshot | undefined;
@@ -321,7 +321,7 @@
 		return this.entries.at(-1)?.index ?? this.base;
 	}
 
-	/** The write that an operation stands for, and what it makes of the list. */
+	/** Converts an operation into the write to perform; `apply` updates the model with it. */
 	nextAction(operation: Exclude<Operation, {type: 'crash'}>): PersistAction {
 		if (operation.type === 'write') {
 			return batch(this.#nextEntries(operation));
@@ -338,7 +338,7 @@
 			this.entries = [...this.entries.filter(({index}) => index < taken.index), taken];
 		}
 
-		// A snapshot of what the list holds comes in the background, so the entries stay.
+		// A snapshot of entries in the log is written in the background, so the entries are kept.
 		if (snapshot !== undefined && snapshot.lastIndex >= this.base) {
 			this.entries = discardsLog ? [] : this.entries;
 			this.snapshot = snapshot;
@@ -357,19 +357,19 @@
 	}
 }
 
-testProp('what was acknowledged is there after any crash', [fc.array(operations, {minLength: 4, maxLength: 30})], async (t, plan) => {
+testProp('acknowledged writes survive any crash', [fc.array(operations, {minLength: 4, maxLength: 30})], async (t, plan) => {
 	let files = new MemoryFileSystem();
 	let opened = await openOrThrow(files);
-	const oracle = new ReferenceModel();
-	let unsure: PersistAction | undefined;
+	const model = new ReferenceModel();
+	let unacknowledged: PersistAction | undefined;
 	for (const operation of plan) {
 		if (operation.type !== 'crash') {
-			const action = oracle.nextAction(operation);
+			const action = model.nextAction(operation);
 			const written = await opened.persist(action);
 			if (written.isRight()) {
-				oracle.apply(action);
+				model.apply(action);
 			} else {
-				unsure ??= action;
+				unacknowledged ??= action;
 			}
 
 			continue;
@@ -378,31 +378,31 @@
 		files = files.crash(operation);
 		opened = await openOrThrow(files);
 		const stored = opened.takeStored();
-		assertStoredState(oracle, {stored, unsure});
-		oracle.entries = [...stored.entries];
-		oracle.snapshot = stored.snapshot;
-		unsure = undefined;
+		assertStoredState(model, {stored, unacknowledged});
+		model.entries = [...stored.entries];
+		model.snapshot = stored.snapshot;
+		unacknowledged = undefined;
 		files.operationsUntilFailure = operation.failsAfter;
 	}
 
 	t.pass();
 }, {seed, numRuns: 600});
 
-/** The folder holds the acknowledged list, or that with the write that failed; a snapshot in the background may have come or not. */
-function assertStoredState(oracle: ReferenceModel, {stored, unsure}: {readonly stored: StoredState; readonly unsure: PersistAction | undefined}): void {
-	const wanted = [describe(oracle, stored.snapshot)];
-	if (unsure !== undefined) {
-		const further = new ReferenceModel();
-		Object.assign(further, {snapshot: oracle.snapshot, entries: oracle.entries});
-		further.apply({...unsure, snapshot: undefined});
-		wanted.push(describe(further, stored.snapshot));
-		further.apply(unsure);
-		wanted.push(describe(further, stored.snapshot));
+/** Checks that the folder contains the acknowledged entries, with or without the failed write; a background snapshot may or may not be complete. */
+function assertStoredState(model: ReferenceModel, {stored, unacknowledged}: {readonly stored: StoredState; readonly unacknowledged: PersistAction | undefined}): void {
+	const expected = [describe(model, stored.snapshot)];
+	if (unacknowledged !== undefined) {
+		const alternative = new ReferenceModel();
+		Object.assign(alternative, {snapshot: model.snapshot, entries: model.entries});
+		alternative.apply({...unacknowledged, snapshot: undefined});
+		expected.push(describe(alternative, stored.snapshot));
+		alternative.apply(unacknowledged);
+		expected.push(describe(alternative, stored.snapshot));
 	}
 
-	const got = JSON.stringify(stored.entries.map(({index, term}) => [index, term]));
-	if (!wanted.includes(got)) {
-		throw new Error(`Got ${got} after snapshot ${stored.snapshot?.lastIndex ?? 0}, wanted one of ${wanted.join(' or ')}`);
+	const found = JSON.stringify(stored.entries.map(({index, term}) => [index, term]));
+	if (!expected.includes(found)) {
+		throw new Error(`Found ${found} after snapshot ${stored.snapshot?.lastIndex ?? 0}, expected ${expected.join(' or ')}`);
 	}
 }
 
--- a/packages/storage/src/data-folder.ts
+++ b/packages/storage/src/data-folder.ts
@@ -11,7 +11,7 @@
 import {type Unlock} from './lock-folder.js';
 import {type StoredState} from './stored-state.js';
 
-/** What an open data folder is made of. */
+/** The parts that a `DataFolder` is constructed from. */
 export type DataFolderParts = {
 	readonly place: FolderAccess;
 	readonly segmentBytes: number;
@@ -21,33 +21,33 @@
 	readonly unlock: Unlock;
 };
 
-/** How much was written since the folder was opened. */
+/** Write counters since the folder was opened. */
 export type WrittenCounts = {
-	/** Syncs of batches. */
+	/** Batches that were written and synced. */
 	readonly batches: number;
-	/** Bytes of log segments. */
+	/** Bytes written to log segments. */
 	readonly segmentBytes: number;
 };
 
 /**
-An open data folder: what `persist` reported as done is on the disk.
+An open data folder. Once `persist` succeeds, the data is durable.
 
 @example
 ```ts
 const folder = (await openDataFolder('data/entry-1')).unsafeCoerce();
-const {identity, entries} = folder.takeStored();
+const {identity, entries} = folder.takeStoredState();
 await folder.persist({hardState: {term: 1}, entries: [], snapshot: undefined});
 await folder.close();
 ```
 */
 export class DataFolder {
-	/** What the operators should know of the start, such as an unfinished write that was cut back. */
+	/** Warnings about repairs made while opening the folder, such as a truncated torn write. */
 	readonly warnings: readonly string[];
 	readonly #access: FolderAccess;
 	readonly #segmentBytes: number;
 	readonly #unlock: Unlock;
 	readonly #segmentWriter: SegmentWriter;
-	/** The terms of the entries after `#base`. */
+	/** The terms of the log entries after `#base`. */
 	readonly #terms: number[];
 	#base: {index: number; term: number};
 	#hardState: HardState;
@@ -72,12 +72,11 @@
 		this.warnings = loaded.warnings;
 	}
 
-	/** Why nothing can be written any more, once a write failed. */
+	/** The first write failure, after which every write is rejected; undefined if no write has failed. */
 	get failure(): Failure | undefined {
 		return this.#failure;
 	}
 
-	/** How much was written. */
 	get written(): WrittenCounts {
 		return {batches: this.#batchCount, segmentBytes: this.#segmentWriter.bytesWritten};
 	}
@@ -87,15 +86,15 @@
 	}
 
 	/**
-	Hands over what the folder held when it was opened, and forgets it.
+	Returns the state that was read when the folder was opened, and releases the memory it occupies.
 
-	@returns The state.
-	@throws If it was handed over before.
+	@returns The stored state.
+	@throws {RangeError} If the state was already taken.
 	*/
 	takeStored(): StoredState {
 		const storedState = this.#storedState;
 		if (storedState === undefined) {
-			throw new RangeError('Got a second call of takeStored, wanted one');
+			throw new RangeError('The stored state was already taken');
 		}
 
 		this.#storedState = undefined;
@@ -103,18 +102,18 @@
 	}
 
 	/**
-	Writes what a step of the replica asks for; one write and one sync for all of it.
+	Persists the output of one replica step. The hard state and the entries share one write and one sync.
 
-	A snapshot of entries that the log holds is written in the background, since the log alone is enough until it is there; a snapshot that replaces the log is on the disk before this returns.
+	A snapshot of entries that are still in the log is written in the background, because the log alone is enough for recovery until the snapshot is complete. A snapshot that replaces the log is durable before this method returns.
 
-	@param action What must be on the disk.
-	@returns Nothing once it is on the disk; else why not, and then every later call fails in the same way.
+	@param action The state to persist.
+	@returns Nothing once the data is durable. On failure, the reason; every later call then fails with the same reason.
 	*/
 	async persist(action: PersistAction): Promise<Either<Failure, undefined>> {
 		return this.#enqueue(async () => this.#persist(action));
 	}
 
-	/** Waits for writes in progress, closes the files and gives the lock back. */
+	/** Waits for writes in progress, closes the files and releases the lock. */
 	async close(): Promise<void> {
 		await this.#lastSnapshotWrite;
 		await this.#lastWrite;
@@ -122,7 +121,7 @@
 		await this.#unlock();
 	}
 
-	/** Begins the first segment of this run; `openDataFolder` calls it once. */
+	/** Starts the first segment of this run; called once by `openDataFolder`. */
 	async begin(keepsEarlier: boolean): Promise<void> {
 		await this.#startSegment(keepsEarlier);
 		if (!keepsEarlier) {
@@ -159,7 +158,7 @@
 		for (const {index, term} of entries) {
 			const position = index - this.#base.index - 1;
 			if (position < 0 || position > this.#terms.length) {
-				throw new StorageError(`Got entry ${index} for a log of entries ${this.#base.index + 1} to ${this.#lastIndex}, wanted no gap`);
+				throw new StorageError(`Cannot append entry ${index} to a log of entries ${this.#base.index + 1} to ${this.#lastIndex}: the log would have a gap`);
 			}
 
 			this.#terms.length = position;
@@ -230,10 +229,10 @@
 	}
 }
 
-/** Turns what a file function threw into a failure. */
+/** Converts an error thrown by a file operation into a failure. */
 export function toStorageFailure(error: unknown, folder: string): Failure {
 	const message = error instanceof Error ? error.message : String(error);
-	return failure('internal', error instanceof StorageError ? message : `Got ${message} for the data folder ${folder}, wanted it to be written`, {
+	return failure('internal', error instanceof StorageError ? message : `Cannot access the data folder ${folder}: ${message}`, {
 		...(error instanceof StorageError && error.location !== undefined && {details: error.location}),
 	});
 }
--- a/packages/storage/src/file-functions.ts
+++ b/packages/storage/src/file-functions.ts
@@ -2,36 +2,36 @@
 	type FileHandle, mkdir, open, readdir, readFile, rename, rm,
 } from 'node:fs/promises';
 
-/** A file that is open for writing. */
+/** A file open for writing. */
 export type OpenFile = {
-	/** Writes all of the data at the end of the file. */
+	/** Appends all of the data to the file. */
 	readonly append: (data: Uint8Array) => Promise<void>;
-	/** Cuts the file to a length in bytes. */
+	/** Truncates the file to a length in bytes. */
 	readonly truncate: (length: number) => Promise<void>;
-	/** Returns once everything written is on the disk. */
+	/** Flushes all written data to the disk. */
 	readonly sync: () => Promise<void>;
 	readonly close: () => Promise<void>;
 };
 
-/** What the data folder needs of a file system; passed in, so that tests can make it fail. */
+/** The file system operations that this package uses. They are injected so that tests can simulate failures. */
 export type FileFunctions = {
 	readonly makeFolder: (folder: string) => Promise<void>;
-	/** The names in a folder. */
+	/** Lists the file names in a folder. */
 	readonly list: (folder: string) => Promise<readonly string[]>;
 	readonly read: (file: string) => Promise<Uint8Array>;
-	/** Opens a file for appending, and makes it where it is missing. */
+	/** Opens a file for appending; creates it if it does not exist. */
 	readonly openForAppend: (file: string) => Promise<OpenFile>;
-	/** Opens an empty file, in place of one that is there. */
+	/** Creates an empty file, or truncates an existing one, and opens it for writing. */
 	readonly create: (file: string) => Promise<OpenFile>;
 	readonly rename: (from: string, to: string) => Promise<void>;
 	readonly remove: (file: string) => Promise<void>;
-	/** Makes the names in a folder last. */
+	/** Flushes a folder's directory entries to the disk. */
 	readonly syncFolder: (folder: string) => Promise<void>;
 };
 
 const ownerOnly = 0o600;
 
-/** The file functions of the machine. */
+/** The file system of the machine. */
 export const systemFiles: FileFunctions = {
 	async makeFolder(folder) {
 		await mkdir(folder, {recursive: true});
--- a/packages/storage/src/lock-folder.test.ts
+++ b/packages/storage/src/lock-folder.test.ts
@@ -8,19 +8,19 @@
 import test from 'ava';
 import {openDataFolder} from './mod.js';
 
-test('a folder opens once at a time, also against another process, and a killed holder leaves no lock', async t => {
+test('a data folder can be open only once across processes, and a killed process leaves no stale lock', async t => {
 	const folder = await mkdtemp(path.join(tmpdir(), 'valehitch-lock-'));
 	t.teardown(async () => rm(folder, {recursive: true}));
-	const door = new URL('mod.js', import.meta.url).href;
-	const script = `const {openDataFolder} = await import(${JSON.stringify(door)});
+	const moduleUrl = new URL('mod.js', import.meta.url).href;
+	const script = `const {openDataFolder} = await import(${JSON.stringify(moduleUrl)});
 const opened = await openDataFolder(${JSON.stringify(folder)}); 
 console.log(opened.isRight()); setInterval(() => {}, 1000);`;
 	const holder = spawn(process.execPath, ['--input-type=module', '--eval', script], {stdio: ['ignore', 'pipe', 'inherit']});
-	const [said] = await once(holder.stdout, 'data') as [Uint8Array];
-	t.regex(String(said), /true/v);
+	const [output] = await once(holder.stdout, 'data') as [Uint8Array];
+	t.regex(String(output), /true/v);
 
 	const refused = await openDataFolder(folder);
-	t.regex(refused.swap().unsafeCoerce().message, /another process has open/v);
+	t.regex(refused.swap().unsafeCoerce().message, /is already open in another process/v);
 	holder.kill('SIGKILL');
 	await once(holder, 'exit');
 
--- a/packages/storage/src/lock-folder.ts
+++ b/packages/storage/src/lock-folder.ts
@@ -3,16 +3,16 @@
 import {type Failure, failure} from '@valehitch/core';
 import {type Either, Left, Right} from 'purify-ts';
 
-/** Gives a lock back. */
+/** Releases a lock. */
 export type Unlock = () => Promise<void>;
 
 /**
-Takes the lock of a folder that another process of the same machine cannot hold at the same time.
+Acquires an exclusive lock on a folder among the processes of one machine.
 
-The kernel holds it, as a socket in the abstract namespace named by the folder's device and inode: it ends with the process, whatever ends that, so no stale lock is left behind.
+The lock is a Unix socket in the abstract namespace, named after the folder's device and inode. The kernel closes it when the process ends for any reason, so no stale lock remains.
 
-@param folder The folder.
-@returns What gives the lock back, or a failure where another process has the folder open.
+@param folder The path of the folder.
+@returns A function that releases the lock, or a failure if another process holds it.
 @example
 ```ts
 const unlock = await lockFolder('/var/lib/valehitch');
@@ -31,8 +31,8 @@
 	});
 	if (error !== undefined) {
 		return Left(failure('internal', error.code === 'EADDRINUSE'
-			? `Got the data folder ${folder} that another process has open, wanted it for this process alone`
-			: `Got ${error.message} for the lock of ${folder}`));
+			? `The data folder ${folder} is already open in another process`
+			: `Cannot lock the data folder ${folder}: ${error.message}`));
 	}
 
 	server.unref();
--- a/packages/storage/src/mod.ts
+++ b/packages/storage/src/mod.ts
@@ -1,5 +1,5 @@
 /**
-The data folder: log segments, snapshots and the replica's identity, synced before they are acknowledged.
+Durable storage of a replica: a data folder with log segments, snapshots and the replica's identity. Writes are synced to disk before they are acknowledged.
 
 @module
 */
--- a/packages/storage/src/open-data-folder.ts
+++ b/packages/storage/src/open-data-folder.ts
@@ -9,15 +9,15 @@
 import {type FileFunctions, systemFiles} from './file-functions.js';
 import {lockFolder, type Unlock} from './lock-folder.js';
 
-/** How to open a data folder. */
+/** Options for `openDataFolder`. */
 export type DataFolderOptions = {
-	/** Bytes after which the next segment is begun; 4 194 304 by default. */
+	/** Segment size in bytes at which a new segment is started; 4 194 304 by default. */
 	readonly segmentBytes?: number;
-	/** Reaches the file system; the machine's by default. */
+	/** The file system to use; that of the machine by default. */
 	readonly files?: FileFunctions;
-	/** Locks the folder against other processes; a lock of the kernel by default. */
+	/** Acquires the lock that excludes other processes; `lockFolder` by default. */
 	readonly lock?: (folder: string) => Promise<Either<Failure, Unlock>>;
-	/** Names an empty folder; a random UUID by default. */
+	/** Generates the identity of an empty folder; a random UUID by default. */
 	readonly newIdentity?: () => string;
 };
 
@@ -25,23 +25,23 @@
 const temporarySuffix = '.temporary';
 
 /**
-Opens a data folder: locks it, reads its identity, snapshot and log, and cuts an unfinished write at the end of the log back.
+Opens a data folder: locks it, reads its identity, snapshot and log, and truncates a torn write at the end of the log.
 
-A record that is damaged anywhere else, a missing segment and a missing snapshot are failures that name the file: the folder was acknowledged to hold what it no longer does, so nothing may be built on it.
+A record that is damaged anywhere else, a missing segment or a missing snapshot is reported as a failure that names the file. In these cases data that was already acknowledged is lost, so the replica must not continue from this folder.
 
-@param folder The folder; made where it is missing.
-@param options How to open it.
-@returns The open folder.
+@param folder The path of the folder; created if it does not exist.
+@param options How to open the folder.
+@returns The open folder, or the reason why it cannot be opened.
 @example
 ```ts
 const folder = await openDataFolder('data/entry-1');
 ```
 */
 export async function openDataFolder(folder: string, options: DataFolderOptions = {}): Promise<Either<Failure, DataFolder>> {
-	const files = options.files ?? systemFiles;
-	const access = {folder, files};
+	const fileSystem = options.files ?? systemFiles;
+	const access = {folder, fileSystem};
 	try {
-		await files.makeFolder(folder);
+		await fileSystem.makeFolder(folder);
 		const locked = await (options.lock ?? lockFolder)(folder);
 		return await locked.caseOf<Promise<Either<Failure, DataFolder>>>({
 			Left: async failed => Left(failed),
@@ -68,10 +68,10 @@
 	}
 }
 
-async function removeTemporaryFiles({folder, files}: FolderAccess): Promise<void> {
-	for (const name of await files.list(folder)) {
+async function removeTemporaryFiles({folder, fileSystem}: FolderAccess): Promise<void> {
+	for (const name of await fileSystem.list(folder)) {
 		if (name.endsWith(temporarySuffix)) {
-			await files.remove(path.join(folder, name));
+			await fileSystem.remove(path.join(folder, name));
 		}
 	}
 }
--- a/packages/storage/src/small-file.test.ts
+++ b/packages/storage/src/small-file.test.ts
@@ -6,7 +6,7 @@
 import {systemFiles} from './file-functions.js';
 import {SmallFile} from './small-file.js';
 
-test('a small file is read back as it was replaced last, and a write that fails leaves it', async t => {
+test('a read returns the last content written, and a failed write keeps the old content', async t => {
 	const folder = await mkdtemp(path.join(tmpdir(), 'valehitch-small-'));
 	t.teardown(async () => rm(folder, {recursive: true}));
 	const name = path.join(folder, 'servers.json');
--- a/packages/storage/src/small-file.ts
+++ b/packages/storage/src/small-file.ts
@@ -5,18 +5,18 @@
 import {toStorageFailure} from './data-folder.js';
 import {type FileFunctions, systemFiles} from './file-functions.js';
 
-/** How a small file is reached. */
+/** Options for `AtomicFile`. */
 export type SmallFileOptions = {
-	/** Reaches the file system; the machine's by default. */
+	/** The file system to use; that of the machine by default. */
 	readonly files?: FileFunctions;
 };
 
 /**
-A file that is replaced whole, for what is good to have after a restart and may be lost.
+A file whose content is replaced atomically. Meant for caches that speed up a restart and whose loss is harmless.
 
 @example
 ```ts
-const file = new SmallFile('data/servers.json');
+const file = new AtomicFile('data/servers.json');
 await file.replace(bytes);
 const bytes = await file.read();
 ```
@@ -24,41 +24,41 @@
 export class SmallFile {
 	readonly #folder: string;
 	readonly #name: string;
-	readonly #files: FileFunctions;
+	readonly #fileSystem: FileFunctions;
 
 	/**
-	@param file The path of the file; its folder must be there.
-	@param options How it is reached.
+	@param file The path of the file; its folder must exist.
+	@param options The file system to use.
 	*/
-	constructor(file: string, {files = systemFiles}: SmallFileOptions = {}) {
+	constructor(file: string, {files: fileSystem = systemFiles}: SmallFileOptions = {}) {
 		this.#folder = path.dirname(file);
 		this.#name = path.basename(file);
-		this.#files = files;
+		this.#fileSystem = fileSystem;
 	}
 
 	/**
 	Reads the file.
 
-	@returns Its bytes, or undefined where there is none.
+	@returns The content, or undefined if the file does not exist.
 	*/
 	async read(): Promise<Either<Failure, Uint8Array | undefined>> {
 		try {
-			const names = await this.#files.list(this.#folder);
-			return Right(names.includes(this.#name) ? await this.#files.read(path.join(this.#folder, this.#name)) : undefined);
+			const names = await this.#fileSystem.list(this.#folder);
+			return Right(names.includes(this.#name) ? await this.#fileSystem.read(path.join(this.#folder, this.#name)) : undefined);
 		} catch (error) {
 			return Left(toStorageFailure(error, this.#folder));
 		}
 	}
 
 	/**
-	Replaces the file; it holds either its former bytes or the new ones.
+	Replaces the content atomically: after a crash the file has either the old or the new content.
 
-	@param data The new bytes.
-	@returns Nothing once they are on the disk.
+	@param data The new content.
+	@returns Nothing once the new content is durable; otherwise the failure.
 	*/
 	async replace(data: Uint8Array): Promise<Either<Failure, undefined>> {
 		try {
-			await replaceFile({folder: this.#folder, files: this.#files}, {name: this.#name, data});
+			await replaceFile({folder: this.#folder, fileSystem: this.#fileSystem}, {name: this.#name, data});
 			return Right(undefined);
 		} catch (error) {
 			return Left(toStorageFailure(error, this.#folder));
--- a/packages/storage/src/stored-state.ts
+++ b/packages/storage/src/stored-state.ts
@@ -1,13 +1,13 @@
 import {type HardState, type LogEntry, type Snapshot} from '@valehitch/consensus';
 
-/** What a data folder holds when it is opened. */
+/** The state read from a data folder when it is opened. */
 export type StoredState = {
-	/** The identity of the folder; made anew for an empty one. */
+	/** The identity of the folder; generated if the folder was empty. */
 	readonly identity: string;
-	/** Whether the folder was empty. */
+	/** Whether the folder had no identity yet. */
 	readonly isNew: boolean;
 	readonly hardState: HardState;
 	readonly snapshot: Snapshot | undefined;
-	/** The entries after the snapshot, without gaps. */
+	/** The contiguous log entries that follow the snapshot. */
 	readonly entries: readonly LogEntry[];
 };
