--- a/packages/transport/src/_frame.ts
+++ b/packages/transport/src/_frame.ts
@@ -1,7 +1,7 @@
 import {type HybridTimestamp} from '@valehitch/core';
 import {Packr} from 'msgpackr';
 
-/** What goes over a link. */
+/** A message on a peer link. */
 export type Frame
 	= | {readonly type: 'message'; readonly body: unknown}
 		| {readonly type: 'request'; readonly id: number; readonly body: unknown}
@@ -10,26 +10,26 @@
 const frameTypes = ['message', 'request', 'reply'] as const;
 const packr = new Packr({useRecords: false, encodeUndefinedAsNil: false});
 
-/** Writes a frame as [type, id, body], or as [type, id, body, wall, counter] with the sender's time stamp. */
-export function writeFrame(frame: Frame, stamp?: HybridTimestamp): Uint8Array {
+/** Encodes a frame as `[type, id, body]`, or as `[type, id, body, wall, counter]` if it has a timestamp of the sender. */
+export function encodeFrame(frame: Frame, timestamp?: HybridTimestamp): Uint8Array {
 	const id = frame.type === 'message' ? 0 : frame.id;
-	const plain = [frameTypes.indexOf(frame.type), id, frame.body];
-	return packr.pack(stamp === undefined ? plain : [...plain, stamp.wall, stamp.counter]);
+	const fields = [frameTypes.indexOf(frame.type), id, frame.body];
+	return packr.pack(timestamp === undefined ? fields : [...fields, timestamp.wall, timestamp.counter]);
 }
 
-/** A frame that was read, and the sender's time stamp where it came along. */
-export type ReadFrame = Frame & {readonly stamp?: HybridTimestamp};
+/** A received frame with the sender's timestamp, if it had one. */
+export type ReceivedFrame = Frame & {readonly timestamp?: HybridTimestamp};
 
-/** Reads a frame; undefined where the bytes are none. */
-export function readFrame(data: Uint8Array): ReadFrame | undefined {
+/** Decodes a frame; returns undefined if the bytes are not a valid frame. */
+export function decodeFrame(data: Uint8Array): ReceivedFrame | undefined {
 	try {
 		const [type, id, body, wall, counter] = packr.unpack(data) as [number, number, unknown, unknown, unknown];
-		const name = frameTypes[type];
-		const stamp = typeof wall === 'number' && typeof counter === 'number' ? {wall, counter} : undefined;
-		return name === undefined
+		const frameType = frameTypes[type];
+		const timestamp = typeof wall === 'number' && typeof counter === 'number' ? {wall, counter} : undefined;
+		return frameType === undefined
 			? undefined
 			: {
-				type: name, id, body, ...(stamp && {stamp}),
+				type: frameType, id, body, ...(timestamp && {timestamp}),
 			};
 	} catch {
 		return undefined;
--- a/packages/transport/src/_peer-link.ts
+++ b/packages/transport/src/_peer-link.ts
@@ -1,59 +1,59 @@
 import {type HybridTimestamp, type InstanceId} from '@valehitch/core';
 import {WebSocket} from 'ws';
-import {type Frame, readFrame} from './_frame.js';
+import {type Frame, decodeFrame} from './_frame.js';
 import {type PeerAddress} from './peer-network.js';
 import {intervalAfterInput} from './interval-after-input.js';
 import {timeoutAfterInput} from './timeout-after-input.js';
 
-type Waiting = {
+type PendingRequest = {
 	readonly settle: (frame: (Frame & {type: 'reply'}) | undefined) => void;
-	readonly stopTimeout: () => void;
+	readonly cancelTimeout: () => void;
 };
 
-/** What came of a request: the reply, that it was surely not sent, or nothing where the receiver may have got it. */
-export type PeerReply = (Frame & {type: 'reply'}) | 'not-sent' | undefined;
+/** The result of a request: the reply, `not-sent` if the request certainly did not leave this process, or undefined if the peer may have received it. */
+export type PeerRequestResult = (Frame & {type: 'reply'}) | 'not-sent' | undefined;
 
 type PeerLinkOptions = {
 	readonly self: InstanceId;
 	readonly key: string;
-	/** Told the size of each reply in bytes, and the time stamp that came with it. */
-	readonly onReceived: (bytes: number, stamp: HybridTimestamp | undefined) => void;
-	/** Milliseconds between two checks that the peer still answers; 2000 unless given. */
+	/** Called with the size of each reply in bytes and the sender's timestamp. */
+	readonly onReceived: (bytes: number, timestamp: HybridTimestamp | undefined) => void;
+	/** The interval between heartbeat pings in milliseconds; 2000 by default. */
 	readonly pingMilliseconds?: number;
 };
 
-/** A connection within a region opens in some milliseconds; the packet that opens one to an instance without power is lost, and the system repeats it only after a second. */
-const openTimeoutMilliseconds = 300;
-/** Each attempt may take twice as long as the one before, since a busy peer answers late: 0.3, 0.6 and 1.2 s, for which frames wait for the link before they are dropped. */
-const openBackoff = 2;
-const maximumOpenAttempts = 3;
+/** A connection within a region opens within a few milliseconds. A SYN packet to an instance without power is lost, and the kernel retransmits it only after 1 s. */
+const connectTimeoutMilliseconds = 300;
+/** Each attempt waits twice as long as the one before, because a busy peer accepts connections late: 0.3, 0.6 and 1.2 s. Frames are queued for that time before they are dropped. */
+const connectBackoffFactor = 2;
+const maximumConnectAttempts = 3;
 const defaultPingMilliseconds = 2000;
-const idlePingsBeforeClose = 30;
+const maximumIdlePings = 30;
 const maximumBufferedBytes = 4 * 1024 * 1024;
 const maximumQueuedFrames = 1000;
 
-/** One outgoing link; it is opened when it is used and opened again after it broke. */
+/** An outgoing link to a peer. The connection is opened on first use and reopened on the next use after it was lost. */
 export class PeerLink {
-	readonly #to: PeerAddress;
+	readonly #address: PeerAddress;
 	readonly #options: PeerLinkOptions;
-	readonly #waiting = new Map<number, Waiting>();
+	readonly #pendingRequests = new Map<number, PendingRequest>();
 	#socket: WebSocket | undefined;
-	#queue: Uint8Array[] = [];
+	#queuedFrames: Uint8Array[] = [];
 	#lastId = 0;
-	#isUsed = false;
+	#wasUsedSincePing = false;
 
-	constructor(to: PeerAddress, options: PeerLinkOptions) {
-		this.#to = to;
+	constructor(address: PeerAddress, options: PeerLinkOptions) {
+		this.#address = address;
 		this.#options = options;
 	}
 
-	isFor(to: PeerAddress): boolean {
-		return to.host === this.#to.host && to.port === this.#to.port;
+	hasAddress(address: PeerAddress): boolean {
+		return address.host === this.#address.host && address.port === this.#address.port;
 	}
 
 	send(data: Uint8Array): void {
-		this.#isUsed = true;
-		const socket = this.#open();
+		this.#wasUsedSincePing = true;
+		const socket = this.#getOrOpenSocket();
 		if (socket.readyState === WebSocket.OPEN) {
 			if (socket.bufferedAmount < maximumBufferedBytes) {
 				socket.send(data);
@@ -62,53 +62,53 @@
 			return;
 		}
 
-		if (this.#queue.length < maximumQueuedFrames) {
-			this.#queue.push(data);
+		if (this.#queuedFrames.length < maximumQueuedFrames) {
+			this.#queuedFrames.push(data);
 		}
 	}
 
-	async request(write: (id: number) => Uint8Array, timeoutMilliseconds: number): Promise<PeerReply> {
+	async request(encode: (id: number) => Uint8Array, timeoutMilliseconds: number): Promise<PeerRequestResult> {
 		const id = ++this.#lastId;
-		const data = write(id);
+		const data = encode(id);
 		return new Promise(resolve => {
 			const settle = (frame: (Frame & {type: 'reply'}) | undefined): void => {
-				this.#forget(id);
-				resolve(frame ?? (this.#withdraw(data) ? 'not-sent' : undefined));
+				this.#removePendingRequest(id);
+				resolve(frame ?? (this.#removeQueuedFrame(data) ? 'not-sent' : undefined));
 			};
 
-			const stopTimeout = timeoutAfterInput(timeoutMilliseconds, () => {
+			const cancelTimeout = timeoutAfterInput(timeoutMilliseconds, () => {
 				settle(undefined);
 			});
-			this.#waiting.set(id, {settle, stopTimeout});
+			this.#pendingRequests.set(id, {settle, cancelTimeout});
 			this.send(data);
 		});
 	}
 
 	close(): void {
 		this.#socket?.terminate();
-		this.#lose(this.#socket);
+		this.#discardSocket(this.#socket);
 	}
 
-	#open(): WebSocket {
+	#getOrOpenSocket(): WebSocket {
 		return this.#socket !== undefined && this.#socket.readyState <= WebSocket.OPEN ? this.#socket : this.#connect(1);
 	}
 
-	/** Opens a connection; one that is not open in time is given up for another, which keeps the frames that wait. */
+	/** Opens a connection. If it times out, another attempt follows and the queued frames are kept. */
 	#connect(attempt: number): WebSocket {
-		const socket = new WebSocket(`ws://${this.#to.host}:${this.#to.port}/`, {
+		const socket = new WebSocket(`ws://${this.#address.host}:${this.#address.port}/`, {
 			headers: {authorization: `Bearer ${this.#options.key}`, 'valehitch-instance': this.#options.self},
 			perMessageDeflate: false,
 		});
 		this.#socket = socket;
-		let isTooSlow = false;
-		const stopTimeout = timeoutAfterInput(openTimeoutMilliseconds * (openBackoff ** (attempt - 1)), () => {
-			isTooSlow = true;
+		let hasTimedOut = false;
+		const cancelTimeout = timeoutAfterInput(connectTimeoutMilliseconds * (connectBackoffFactor ** (attempt - 1)), () => {
+			hasTimedOut = true;
 			socket.terminate();
 		});
 		socket.on('open', () => {
-			stopTimeout();
-			this.#watch(socket);
-			for (const data of this.#queue.splice(0)) {
+			cancelTimeout();
+			this.#startHeartbeat(socket);
+			for (const data of this.#queuedFrames.splice(0)) {
 				socket.send(data);
 			}
 		});
@@ -119,27 +119,27 @@
 			socket.terminate();
 		});
 		socket.on('close', () => {
-			stopTimeout();
-			if (isTooSlow && attempt < maximumOpenAttempts && this.#socket === socket) {
+			cancelTimeout();
+			if (hasTimedOut && attempt < maximumConnectAttempts && this.#socket === socket) {
 				this.#connect(attempt + 1);
 			} else {
-				this.#lose(socket);
+				this.#discardSocket(socket);
 			}
 		});
 		return socket;
 	}
 
-	/** Ends a connection whose peer no longer answers, which TCP alone would notice after minutes, and one that is no longer used. */
-	#watch(socket: WebSocket): void {
+	/** Closes the connection if it is idle or if the peer stops answering pings, which TCP alone would detect only after minutes. */
+	#startHeartbeat(socket: WebSocket): void {
 		let isAlive = true;
 		let idlePings = 0;
 		socket.on('pong', () => {
 			isAlive = true;
 		});
-		const look = (): void => {
-			idlePings = this.#isUsed ? 0 : idlePings + 1;
-			this.#isUsed = false;
-			if (!isAlive || idlePings > idlePingsBeforeClose) {
+		const checkPeer = (): void => {
+			idlePings = this.#wasUsedSincePing ? 0 : idlePings + 1;
+			this.#wasUsedSincePing = false;
+			if (!isAlive || idlePings > maximumIdlePings) {
 				socket.terminate();
 				return;
 			}
@@ -148,44 +148,44 @@
 			socket.ping();
 		};
 
-		const stopLooking = intervalAfterInput(this.#options.pingMilliseconds ?? defaultPingMilliseconds, look);
-		socket.on('close', stopLooking);
+		const stopHeartbeat = intervalAfterInput(this.#options.pingMilliseconds ?? defaultPingMilliseconds, checkPeer);
+		socket.on('close', stopHeartbeat);
 	}
 
 	#receive(data: Uint8Array): void {
-		const frame = readFrame(data);
+		const frame = decodeFrame(data);
 		if (frame?.type === 'reply') {
-			this.#options.onReceived(data.byteLength, frame.stamp);
-			this.#waiting.get(frame.id)?.settle(frame);
+			this.#options.onReceived(data.byteLength, frame.timestamp);
+			this.#pendingRequests.get(frame.id)?.settle(frame);
 		}
 	}
 
-	#lose(socket: WebSocket | undefined): void {
+	#discardSocket(socket: WebSocket | undefined): void {
 		if (this.#socket !== socket) {
 			return;
 		}
 
 		this.#socket = undefined;
-		for (const {settle} of this.#waiting.values()) {
+		for (const {settle} of this.#pendingRequests.values()) {
 			settle(undefined);
 		}
 
-		this.#queue = [];
+		this.#queuedFrames = [];
 	}
 
-	/** Takes a frame back that still waits for the link to open. */
-	#withdraw(data: Uint8Array): boolean {
-		const index = this.#queue.indexOf(data);
+	/** Removes a frame that is still queued; returns false if it was already sent or dropped. */
+	#removeQueuedFrame(data: Uint8Array): boolean {
+		const index = this.#queuedFrames.indexOf(data);
 		if (index === -1) {
 			return false;
 		}
 
-		this.#queue.splice(index, 1);
+		this.#queuedFrames.splice(index, 1);
 		return true;
 	}
 
-	#forget(id: number): void {
-		this.#waiting.get(id)?.stopTimeout();
-		this.#waiting.delete(id);
+	#removePendingRequest(id: number): void {
+		this.#pendingRequests.get(id)?.cancelTimeout();
+		this.#pendingRequests.delete(id);
 	}
 }
--- a/packages/transport/src/_test-hold-up.ts
+++ b/packages/transport/src/_test-event-loop.ts
@@ -1,18 +1,18 @@
 import {once} from 'node:events';
 import {type AddressInfo, connect, createServer} from 'node:net';
 
-/** A connection on which a server has an answer for this process. */
-export type AnsweredConnection = {
+/** A client connection with received data that has not been read yet. */
+export type PendingInputConnection = {
 	readonly close: () => void;
 };
 
 /**
-Opens a connection whose server answers at once.
+Connects to a server that sends data immediately.
 
-@param onInput Called once the answer is read.
-@returns The open connection, with its answer not read yet.
+@param onInput Called when the data is read.
+@returns The open connection, before its data is read.
 */
-export async function openAnswered(onInput: () => void): Promise<AnsweredConnection> {
+export async function connectWithPendingInput(onInput: () => void): Promise<PendingInputConnection> {
 	const server = createServer(socket => {
 		socket.write('answer');
 	}).listen(0, '127.0.0.1');
@@ -29,13 +29,13 @@
 }
 
 /**
-Holds this process up: it does nothing else meanwhile.
+Blocks the event loop.
 
-@param milliseconds How long.
+@param milliseconds The duration.
 */
-export function holdUp(milliseconds: number): void {
+export function blockEventLoop(milliseconds: number): void {
 	const end = performance.now() + milliseconds;
 	while (performance.now() < end) {
-		// Waits for the end.
+		// Busy wait.
 	}
 }
--- a/packages/transport/src/http-server.ts
+++ b/packages/transport/src/http-server.ts
@@ -4,34 +4,34 @@
 import {type Failure, failure} from '@valehitch/core';
 import {answerProblem, toProblem} from './problem.js';
 
-/** How to serve HTTP. */
+/** Options for `startHttpServer`. */
 export type HttpServerOptions = {
 	readonly host: string;
-	/** The port; 0 takes a free one. */
+	/** The port; 0 selects a free one. */
 	readonly port: number;
-	/** The most bytes that the headers of a request may have. */
+	/** The maximum size of a request's headers in bytes. */
 	readonly headerBytes: number;
-	/** Answers a request; a failure that it throws becomes `internal`. */
+	/** Handles a request; an exception is answered with an `internal` failure. */
 	readonly handler: (request: IncomingMessage, response: ServerResponse) => Promise<void>;
-	/** Told of each error that a handler threw. */
+	/** Called with each error that a handler throws. */
 	readonly onError: (error: unknown) => void;
 };
 
 /** A running HTTP server. */
 export type HttpServer = {
 	readonly port: number;
-	/** Stops listening and waits until the requests in progress are answered. */
+	/** Stops accepting connections and waits for requests in progress. */
 	readonly close: () => Promise<void>;
-	/** Stops listening and ends all connections at once. */
+	/** Stops accepting connections and closes all open ones immediately. */
 	readonly destroy: () => void;
 };
 
 /**
-Starts an HTTP server that answers malformed requests from the error table.
+Starts an HTTP server that answers malformed requests with problem details.
 
-@param options Where to listen and what to do.
-@returns The server.
-@throws If the port cannot be opened.
+@param options The address, the header limit and the handlers.
+@returns The running server.
+@throws {Error} If the server cannot listen on the address.
 @example
 ```ts
 const server = await startHttpServer({host: '127.0.0.1', port: 0, headerBytes: 16384, handler, onError});
@@ -41,13 +41,13 @@
 	const server = createServer({maxHeaderSize: options.headerBytes}, (request, response) => {
 		options.handler(request, response).catch((error: unknown) => {
 			options.onError(error);
-			answerProblem(response, failure('internal', 'The daemon failed while it handled the request'));
+			answerProblem(response, failure('internal', 'Unexpected error in the request handler'));
 		});
 	});
 	server.on('clientError', (error: NodeJS.ErrnoException, socket: Socket) => {
-		answerOnSocket(socket, error.code === 'HPE_HEADER_OVERFLOW'
-			? failure('headers-too-large', `Got request headers of more than ${options.headerBytes} bytes`)
-			: failure('malformed-request', 'Got bytes that are not an HTTP/1.1 request'));
+		sendProblemOnSocket(socket, error.code === 'HPE_HEADER_OVERFLOW'
+			? failure('headers-too-large', `The request headers exceed ${options.headerBytes} bytes`)
+			: failure('malformed-request', 'The request is not valid HTTP/1.1'));
 	});
 	await new Promise<void>((resolve, reject) => {
 		server.once('error', reject);
@@ -70,7 +70,7 @@
 	};
 }
 
-function answerOnSocket(socket: Socket, failed: Failure): void {
+function sendProblemOnSocket(socket: Socket, failed: Failure): void {
 	if (!socket.writable) {
 		socket.destroy();
 		return;
--- a/packages/transport/src/http.test.ts
+++ b/packages/transport/src/http.test.ts
@@ -8,8 +8,8 @@
 
 const bodyLimit = 100;
 
-function ignore(): void {
-	// What follows shows in the answer.
+function doNothing(): void {
+	// The tests check the response instead.
 }
 
 async function startEcho(): Promise<HttpServer> {
@@ -19,7 +19,7 @@
 		headerBytes: 2048,
 		async handler(request, response) {
 			if (request.url === '/throws') {
-				throw new Error('Broken on purpose');
+				throw new Error('Injected handler error');
 			}
 
 			const body = await readBody(request, bodyLimit);
@@ -32,7 +32,7 @@
 				},
 			});
 		},
-		onError: ignore,
+		onError: doNothing,
 	});
 }
 
@@ -54,14 +54,14 @@
 		socket.on('data', chunk => {
 			received += chunk.toString();
 		});
-		socket.on('error', ignore);
+		socket.on('error', doNothing);
 		socket.on('close', () => {
 			resolve(received);
 		});
 	});
 }
 
-test('a body comes back whole, and one above the limit is refused', async t => {
+test('a body up to the limit is read in full, and a larger one is refused', async t => {
 	const server = await startEcho();
 	t.deepEqual(await send(server, '/', 'hello'), {status: 200, text: 'hello'});
 	const refused = await send(server, '/', 'x'.repeat(bodyLimit + 1));
@@ -70,7 +70,7 @@
 	server.destroy();
 });
 
-test('a handler that throws gives an answer whose outcome is unknown', async t => {
+test('an exception in the handler is answered with the outcome unknown', async t => {
 	const server = await startEcho();
 	const answer = await send(server, '/throws', '');
 	t.is(answer.status, 500);
@@ -78,14 +78,14 @@
 	server.destroy();
 });
 
-test('bytes that are not HTTP and headers that are too large get problem details', async t => {
+test('invalid HTTP and oversized headers are answered with problem details', async t => {
 	const server = await startEcho();
 	t.regex(await sendRaw(server, 'HELLO\r\n\r\n'), /^HTTP\/1\.1 400 .*"kind":"malformed-request"/sv);
 	t.regex(await sendRaw(server, `GET / HTTP/1.1\r\nHost: x\r\nLong: ${'y'.repeat(4000)}\r\n\r\n`), /^HTTP\/1\.1 431 .*"kind":"headers-too-large"/sv);
 	server.destroy();
 });
 
-test('a call to a port where nobody listens was surely never sent', async t => {
+test('a request to a port without a listener is reported as never sent', async t => {
 	const server = await startEcho();
 	await server.close();
 	const answer = await sendHttp({
@@ -94,7 +94,7 @@
 	t.like(answer.extract(), {neverSent: true});
 });
 
-test('a call whose server hangs up after the request may have run', async t => {
+test('a request whose connection the server closes is not reported as never sent', async t => {
 	const server = await startHttpServer({
 		host: '127.0.0.1',
 		port: 0,
@@ -102,7 +102,7 @@
 		async handler(request) {
 			request.socket.destroy();
 		},
-		onError: ignore,
+		onError: doNothing,
 	});
 	const answer = await sendHttp({
 		address: `http://127.0.0.1:${server.port}`, method: 'POST', path: '/', headers: {}, body: new Uint8Array(), signal: new AbortController().signal, reuseConnection: false,
@@ -111,7 +111,7 @@
 	server.destroy();
 });
 
-test('a problem carries its kind, outcome and time to come back', async t => {
+test('problem details include the kind, outcome and Retry-After time', async t => {
 	const server = await startHttpServer({
 		host: '127.0.0.1',
 		port: 0,
@@ -119,7 +119,7 @@
 		async handler(_request, response) {
 			answerProblem(response, failure('limit-reached', 'Got 11 tokens, wanted at most 10', {retryAfterMilliseconds: 1500}), {requestId: 'r1'});
 		},
-		onError: ignore,
+		onError: doNothing,
 	});
 	const answer = await sendHttp({
 		address: `http://127.0.0.1:${server.port}`, method: 'GET', path: '/', headers: {}, body: new Uint8Array(), signal: new AbortController().signal, reuseConnection: false,
--- a/packages/transport/src/interval-after-input.test.ts
+++ b/packages/transport/src/interval-after-input.test.ts
@@ -1,24 +1,24 @@
 import {setTimeout as delay} from 'node:timers/promises';
 import test from 'ava';
-import {holdUp, openAnswered} from './_test-hold-up.js';
+import {blockEventLoop, connectWithPendingInput} from './_test-event-loop.js';
 import {intervalAfterInput} from './interval-after-input.js';
 
-const everyMilliseconds = 50;
+const intervalMilliseconds = 50;
 
-test('input that arrived while the process was held up is read before the next time, and none follows the end', async t => {
+test('input received while the event loop was blocked is read before the next callback, and no callback runs after the interval is stopped', async t => {
 	const order: string[] = [];
-	const connection = await openAnswered(() => {
+	const connection = await connectWithPendingInput(() => {
 		order.push('input');
 	});
-	const stop = intervalAfterInput(everyMilliseconds, () => {
-		order.push('time');
+	const stop = intervalAfterInput(intervalMilliseconds, () => {
+		order.push('callback');
 	});
-	holdUp(4 * everyMilliseconds);
-	await delay(2 * everyMilliseconds);
-	t.deepEqual(order.slice(0, 2), ['input', 'time']);
+	blockEventLoop(4 * intervalMilliseconds);
+	await delay(2 * intervalMilliseconds);
+	t.deepEqual(order.slice(0, 2), ['input', 'callback']);
 	stop();
 	const {length} = order;
-	await delay(2 * everyMilliseconds);
+	await delay(2 * intervalMilliseconds);
 	t.is(order.length, length);
 	connection.close();
 });
--- a/packages/transport/src/interval-after-input.ts
+++ b/packages/transport/src/interval-after-input.ts
@@ -1,20 +1,20 @@
 /**
-Does something again and again, each time once the input that had arrived is read.
+Like `setInterval`, but runs the callback after pending socket input has been read.
 
-For what judges others by their silence: a process that was held up runs its timers before it reads its sockets, and would take all for silent whose words wait there.
+Use it for failure detection by missing messages. After the process was blocked or suspended, the event loop runs expired timers before it reads sockets, so a plain timer would report peers as silent whose messages are already received but unread.
 
-@param milliseconds From one time to the next.
-@param act What to do.
-@returns Ends it.
+@param milliseconds The interval.
+@param callback The function to call.
+@returns A function that stops the interval.
 @example
 ```ts
-const stop = intervalAfterInput(1000, () => directory.judge());
+const stop = setIntervalAfterPoll(1000, () => detector.check());
 ```
 */
-export function intervalAfterInput(milliseconds: number, act: () => void): () => void {
+export function intervalAfterInput(milliseconds: number, callback: () => void): () => void {
 	let immediate: NodeJS.Immediate | undefined;
 	const timer = setInterval(() => {
-		immediate = setImmediate(act);
+		immediate = setImmediate(callback);
 	}, milliseconds);
 	return () => {
 		clearInterval(timer);
--- a/packages/transport/src/mod.ts
+++ b/packages/transport/src/mod.ts
@@ -1,5 +1,5 @@
 /**
-Links between daemons, and HTTP towards callers, operators and backend servers.
+WebSocket links between daemons, and HTTP for callers, operators and backend servers.
 
 @module
 */
--- a/packages/transport/src/parse-json-body.test.ts
+++ b/packages/transport/src/parse-json-body.test.ts
@@ -8,12 +8,12 @@
 	return parseJsonBody({bytes: new TextEncoder().encode(text), schema}, options).extract();
 }
 
-test('a body that fits is given back', t => {
+test('a body that matches the schema is returned', t => {
 	t.deepEqual(parse('{"cut": ["entry-1"]}'), {cut: ['entry-1']});
 });
 
-test('a body that is not JSON, and one that does not fit, get their kind and message', t => {
-	t.like(parse('{'), {kind: 'malformed-request', message: 'Got a body that is not JSON'});
+test('invalid JSON and schema mismatches fail with the configured kind and message', t => {
+	t.like(parse('{'), {kind: 'malformed-request', message: 'The body is not valid JSON'});
 	t.like(parse('{', {notJson: 'Got no cut'}), {kind: 'malformed-request', message: 'Got no cut'});
 	t.like(parse('{"cut": [1]}'), {kind: 'malformed-request', message: 'cut.0: Invalid input: expected string, received number'});
 	t.like(parse('{}', {misfitKind: 'invalid-configuration', misfit: 'Got no cut'}), {kind: 'invalid-configuration', message: 'Got no cut'});
--- a/packages/transport/src/parse-json-body.ts
+++ b/packages/transport/src/parse-json-body.ts
@@ -2,22 +2,22 @@
 import {type Either, Left, Right} from 'purify-ts';
 import {type z} from 'zod';
 
-/** How a body that is not as wanted is answered. */
+/** Options for `parseJsonBody` that replace its default error messages and kind. */
 export type ParseJsonBodyOptions = {
-	/** The message for a body that is not JSON; `Got a body that is not JSON` unless given. */
+	/** The message for a body that is not JSON; `The body is not valid JSON` by default. */
 	readonly notJson?: string;
-	/** The message for JSON that does not fit; the path and text of the first problem unless given. */
+	/** The message for JSON that does not match the schema; the path and message of the first issue by default. */
 	readonly misfit?: string;
-	/** The kind of error of JSON that does not fit; `malformed-request` unless given. */
+	/** The error kind for JSON that does not match the schema; `malformed-request` by default. */
 	readonly misfitKind?: ErrorKind;
 };
 
 /**
-Parses the JSON body of an operator or a back end against a schema.
+Parses a JSON request body from an operator or a backend server and validates it against a schema.
 
 @param source The bytes of the body and the schema.
-@param options How a body that is not as wanted is answered.
-@returns What the schema gives, or `malformed-request` (`misfitKind` where the JSON does not fit).
+@param options Error messages and kind that differ from the defaults.
+@returns The validated value; a `malformed-request` failure if the body is not JSON; a failure of the kind `schemaMismatchKind` if it does not match the schema.
 @example
 ```ts
 body.chain(bytes => parseJsonBody({bytes, schema: orderRequestSchema}));
@@ -28,7 +28,7 @@
 	try {
 		json = JSON.parse(new TextDecoder().decode(bytes));
 	} catch {
-		return Left(failure('malformed-request', options.notJson ?? 'Got a body that is not JSON'));
+		return Left(failure('malformed-request', options.notJson ?? 'The body is not valid JSON'));
 	}
 
 	const parsed = schema.safeParse(json);
--- a/packages/transport/src/peer-network.test.ts
+++ b/packages/transport/src/peer-network.test.ts
@@ -12,37 +12,37 @@
 type Peer = {
 	readonly network: PeerNetwork<Message>;
 	readonly address: PeerAddress;
-	readonly heard: string[];
+	readonly received: string[];
 };
 
-function ignore(): void {
-	// Nothing to note.
+function doNothing(): void {
+	// The handler is not under test.
 }
 
-async function isAnswered(from: Peer, to: Peer, text: string): Promise<boolean> {
+async function getsReply(from: Peer, to: Peer, text: string): Promise<boolean> {
 	const reply = await from.network.request(to.address, {text}, {timeoutMilliseconds: 500});
 	return reply.isRight();
 }
 
 async function listen(name: string, key = 'a-key-that-all-share'): Promise<Peer> {
-	const heard: string[] = [];
+	const received: string[] = [];
 	const network = await PeerNetwork.listen<Message>({
 		self: toId<InstanceId>(name),
 		key,
 		host: '127.0.0.1',
 		port: 0,
 		onMessage(from, {text}) {
-			heard.push(`${from}: ${text}`);
+			received.push(`${from}: ${text}`);
 		},
 		onRequest: async (from, {text}) => ({echo: text, from}),
 		onFailure(from, error) {
-			heard.push(`${from} failed: ${String(error)}`);
+			received.push(`${from} failed: ${String(error)}`);
 		},
 	});
-	return {network, heard, address: {instance: toId<InstanceId>(name), host: '127.0.0.1', port: network.port}};
+	return {network, received, address: {instance: toId<InstanceId>(name), host: '127.0.0.1', port: network.port}};
 }
 
-test('a request gets its reply and says who asked', async t => {
+test('a request gets its reply and carries the id of the sender', async t => {
 	const left = await listen('left');
 	const right = await listen('right');
 	const replies = await Promise.all(['one', 'two', 'three'].map(async text => left.network.request(right.address, {text})));
@@ -54,31 +54,31 @@
 	await Promise.all([left.network.close(), right.network.close()]);
 });
 
-test('a message that its handler fails on is reported and gets no reply, and the link goes on', async t => {
+test('a handler error is reported, sends no reply and keeps the link usable', async t => {
 	const left = await listen('left');
 	const right = await listen('right');
 	left.network.send(right.address, JSON.parse('null') as Message);
 	const failed = await left.network.request(right.address, JSON.parse('null') as Message, {timeoutMilliseconds: 100});
 	t.true(failed.isLeft());
-	t.true(await isAnswered(left, right, 'next'));
-	t.is(right.heard.filter(line => line.startsWith('left failed: TypeError')).length, 2);
+	t.true(await getsReply(left, right, 'next'));
+	t.is(right.received.filter(line => line.startsWith('left failed: TypeError')).length, 2);
 	await Promise.all([left.network.close(), right.network.close()]);
 });
 
-test('a cut link neither sends nor replies, and works again once it is mended', async t => {
+test('a blocked link neither sends nor replies, and works again once it is unblocked', async t => {
 	const left = await listen('left');
 	const right = await listen('right');
 	left.network.cut(new Set([right.address.instance]));
-	t.false(await isAnswered(left, right, 'lost'));
+	t.false(await getsReply(left, right, 'lost'));
 	left.network.cut(new Set());
 	right.network.cut(new Set([left.address.instance]));
-	t.false(await isAnswered(left, right, 'unheard'));
+	t.false(await getsReply(left, right, 'unheard'));
 	right.network.cut(new Set());
-	t.true(await isAnswered(left, right, 'heard'));
+	t.true(await getsReply(left, right, 'heard'));
 	await Promise.all([left.network.close(), right.network.close()]);
 });
 
-test('a peer with another key is not let in', async t => {
+test('a peer with a different key is refused', async t => {
 	const left = await listen('left', 'another-key-than-the-rest');
 	const right = await listen('right');
 	const reply = await left.network.request(right.address, {text: 'let me in'}, {timeoutMilliseconds: 500});
@@ -86,25 +86,25 @@
 	await Promise.all([left.network.close(), right.network.close()]);
 });
 
-test('a link is opened again after the peer came back on the same address', async t => {
+test('a link reconnects after the peer restarts on the same address', async t => {
 	const left = await listen('left');
 	const right = await listen('right');
-	t.true(await isAnswered(left, right, 'first'));
+	t.true(await getsReply(left, right, 'first'));
 	await right.network.close();
-	t.false(await isAnswered(left, right, 'nobody'));
+	t.false(await getsReply(left, right, 'nobody'));
 	const again = await PeerNetwork.listen<Message>({
-		self: right.address.instance, key: 'a-key-that-all-share', host: '127.0.0.1', port: right.address.port, onMessage: ignore, onRequest: async () => 'back', onFailure: ignore,
+		self: right.address.instance, key: 'a-key-that-all-share', host: '127.0.0.1', port: right.address.port, onMessage: doNothing, onRequest: async () => 'back', onFailure: doNothing,
 	});
-	t.true(await isAnswered(left, right, 'again'));
+	t.true(await getsReply(left, right, 'again'));
 	await Promise.all([left.network.close(), again.close()]);
 });
 
-test('a link whose peer no longer answers is ended and opened again', async t => {
+test('a link whose peer stops answering pings is closed and reopened', async t => {
 	const silent = new WebSocketServer({host: '127.0.0.1', port: 0, autoPong: false});
 	await once(silent, 'listening');
 	const {port} = silent.address() as AddressInfo;
 	const left = await PeerNetwork.listen<Message>({
-		self: toId<InstanceId>('left'), key: 'a-key-that-all-share', host: '127.0.0.1', port: 0, pingMilliseconds: 50, onMessage: ignore, onRequest: async () => undefined, onFailure: ignore,
+		self: toId<InstanceId>('left'), key: 'a-key-that-all-share', host: '127.0.0.1', port: 0, pingMilliseconds: 50, onMessage: doNothing, onRequest: async () => undefined, onFailure: doNothing,
 	});
 	const to = {instance: toId<InstanceId>('silent'), host: '127.0.0.1', port};
 	left.send(to, {text: 'first'});
@@ -121,16 +121,16 @@
 	silent.close();
 });
 
-test('time stamps travel with messages, requests and replies', async t => {
+test('messages, requests and replies carry timestamps', async t => {
 	const seen: string[] = [];
 	const networks = await Promise.all(['left', 'right'].map(async (name, index) => PeerNetwork.listen<Message>({
 		self: toId<InstanceId>(name),
 		key: 'a-key-that-all-share',
 		host: '127.0.0.1',
 		port: 0,
-		onMessage: ignore,
+		onMessage: doNothing,
 		onRequest: async () => true,
-		onFailure: ignore,
+		onFailure: doNothing,
 		stamp: () => ({wall: 1000 + index, counter: 7}),
 		onStamp({wall, counter}) {
 			seen.push(`${name} saw ${wall}.${counter}`);
@@ -146,7 +146,7 @@
 	t.deepEqual(seen, ['right saw 1000.7', 'right saw 1000.7', 'left saw 1001.7']);
 });
 
-test('a request that got no reply says whether it was sent', async t => {
+test('the failure of a request without a reply tells whether the request was sent', async t => {
 	const left = await listen('left');
 	const right = await listen('right');
 	right.network.cut(new Set([left.address.instance]));
@@ -159,26 +159,26 @@
 	await left.network.close();
 });
 
-test('a connection that does not open is given up for another, and what waits for it arrives', async t => {
+test('a connection attempt that times out is retried, and queued frames are delivered', async t => {
 	const right = await listen('right');
 	const stalled: Socket[] = [];
-	// Takes the first connection and says nothing, as where the packet that opens one was lost; passes on the others.
-	const front = createServer(socket => {
-		socket.on('error', ignore);
+	// Accepts the first connection without responding, as if the SYN packet was lost, and forwards later ones.
+	const proxy = createServer(socket => {
+		socket.on('error', doNothing);
 		if (stalled.length === 0) {
 			stalled.push(socket);
 			return;
 		}
 
-		const onward = connect(right.address.port, right.address.host);
-		onward.on('error', ignore);
-		socket.pipe(onward).pipe(socket);
+		const upstream = connect(right.address.port, right.address.host);
+		upstream.on('error', doNothing);
+		socket.pipe(upstream).pipe(socket);
 	});
-	front.listen(0, '127.0.0.1');
-	await once(front, 'listening');
+	proxy.listen(0, '127.0.0.1');
+	await once(proxy, 'listening');
 	const left = await listen('left');
-	const reply = await left.network.request({...right.address, port: (front.address() as AddressInfo).port}, {text: 'waiting'}, {timeoutMilliseconds: 1200});
+	const reply = await left.network.request({...right.address, port: (proxy.address() as AddressInfo).port}, {text: 'waiting'}, {timeoutMilliseconds: 1200});
 	t.deepEqual(reply.extract(), {echo: 'waiting', from: 'left'});
 	await Promise.all([left.network.close(), right.network.close()]);
-	front.close();
+	proxy.close();
 });
--- a/packages/transport/src/peer-network.ts
+++ b/packages/transport/src/peer-network.ts
@@ -3,39 +3,39 @@
 } from '@valehitch/core';
 import {type Either, Left, Right} from 'purify-ts';
 import {WebSocketServer} from 'ws';
-import {type Frame, readFrame, writeFrame} from './_frame.js';
+import {type Frame, decodeFrame, encodeFrame} from './_frame.js';
 import {PeerLink} from './_peer-link.js';
 
-/** Where the peers' port of a daemon is. */
+/** The address of a daemon's peer port. */
 export type PeerAddress = {
 	readonly instance: InstanceId;
 	readonly host: string;
 	readonly port: number;
 };
 
-/** What a network of daemons needs. */
+/** Options for `PeerNetwork.listen`. */
 export type PeerNetworkOptions<Message> = {
 	readonly self: InstanceId;
-	/** The key that all daemons share. */
+	/** The secret that all daemons share. */
 	readonly key: string;
 	readonly host: string;
-	/** The port to listen on; 0 takes a free one. */
+	/** The port to listen on; 0 selects a free one. */
 	readonly port: number;
-	/** Milliseconds between two checks that a peer still answers; 2000 unless given. */
+	/** The interval between heartbeat pings in milliseconds; 2000 by default. */
 	readonly pingMilliseconds?: number;
-	/** Called with each message that wants no reply. */
+	/** Called with each message that expects no reply. */
 	readonly onMessage: (from: InstanceId, message: Message) => unknown;
-	/** Called with each request; what it gives is the reply. */
+	/** Called with each request; its result is sent as the reply. */
 	readonly onRequest: (from: InstanceId, message: Message) => Promise<unknown>;
-	/** Told why a message could not be handled; it gets no reply. */
+	/** Called when a handler fails; the message then gets no reply. */
 	readonly onFailure: (from: InstanceId, error: unknown) => void;
-	/** Gives the time stamp that goes with a frame; frames have none unless given. */
+	/** Returns the timestamp to send with a frame; by default frames have no timestamp. */
 	readonly stamp?: () => HybridTimestamp;
-	/** Called with the time stamp of each frame that came with one, before the frame's message. */
+	/** Called with the timestamp of each received frame that has one, before the frame's message is handled. */
 	readonly onStamp?: (stamp: HybridTimestamp) => void;
 };
 
-/** Counts what went over the links, in bytes and frames. */
+/** Counters of the bytes and frames sent and received on all links. */
 export type PeerTraffic = {
 	bytesSent: number;
 	bytesReceived: number;
@@ -47,7 +47,7 @@
 const defaultTimeoutMilliseconds = 2000;
 
 /**
-The links between daemons: typed messages and requests by msgpackr over ws; a link is opened when it is first used.
+Exchanges typed messages and requests with other daemons, encoded with msgpackr over WebSocket. A link is opened on first use.
 
 @example
 ```ts
@@ -57,11 +57,11 @@
 */
 export class PeerNetwork<Message> {
 	/**
-	Starts to listen.
+	Starts listening for connections from peers.
 
-	@param options Who this daemon is and what it does with messages.
+	@param options The identity, address and message handlers of this daemon.
 	@returns The network.
-	@throws If the port cannot be opened.
+	@throws {Error} If the server cannot listen on the address.
 	*/
 	static async listen<Message>(options: PeerNetworkOptions<Message>): Promise<PeerNetwork<Message>> {
 		const server = new WebSocketServer({
@@ -84,8 +84,8 @@
 
 	readonly #server: WebSocketServer;
 	readonly #options: PeerNetworkOptions<Message>;
-	readonly #links = new Map<InstanceId, PeerLink>();
-	#cut: ReadonlySet<InstanceId> = new Set();
+	readonly #linksByInstance = new Map<InstanceId, PeerLink>();
+	#blockedInstances: ReadonlySet<InstanceId> = new Set();
 
 	private constructor(server: WebSocketServer, options: PeerNetworkOptions<Message>) {
 		this.#server = server;
@@ -94,7 +94,7 @@
 			const from = toId<InstanceId>(String(request.headers['valehitch-instance'] ?? ''));
 			socket.on('message', data => {
 				void this.#receive(from, data as Uint8Array, frame => {
-					socket.send(this.#write(frame));
+					socket.send(this.#encode(frame));
 				});
 			});
 			socket.on('error', () => {
@@ -103,30 +103,30 @@
 		});
 	}
 
-	/** The port that the network listens on. */
+	/** The port the server listens on. */
 	get port(): number {
 		const address = this.#server.address();
 		return typeof address === 'object' && address !== null ? address.port : this.#options.port;
 	}
 
 	/**
-	Cuts the links with some instances; for failure tests.
+	Simulates a network partition, for failure tests.
 
-	@param instances The instances that neither hear from this one nor are heard.
+	@param instances The instances whose messages are dropped in both directions; replaces the previous set.
 	*/
 	cut(instances: ReadonlySet<InstanceId>): void {
-		this.#cut = instances;
+		this.#blockedInstances = instances;
 	}
 
 	/**
-	Sends a message that wants no reply; it may be lost.
+	Sends a message without waiting for a reply. Delivery is not guaranteed.
 
 	@param to The receiver.
 	@param message The message.
 	*/
 	send(to: PeerAddress, message: Message): void {
-		if (!this.#cut.has(to.instance)) {
-			this.#link(to).send(this.#write({type: 'message', body: message}));
+		if (!this.#blockedInstances.has(to.instance)) {
+			this.#linkTo(to).send(this.#encode({type: 'message', body: message}));
 		}
 	}
 
@@ -135,28 +135,28 @@
 
 	@param to The receiver.
 	@param message The request.
-	@param options `timeoutMilliseconds`: how long to wait, 2000 unless given.
-	@returns The reply; a failure `no-quorum` where none came in time, with the outcome `unknown` unless the request was surely not sent.
+	@param options `timeoutMilliseconds`: the time limit for the reply; 2000 by default.
+	@returns The reply, or a `no-quorum` failure if none arrived in time. Its outcome is `unknown` unless the request was certainly not sent.
 	*/
 	async request(to: PeerAddress, message: Message, options: {readonly timeoutMilliseconds?: number} = {}): Promise<Either<Failure, unknown>> {
-		if (this.#cut.has(to.instance)) {
-			return Left(failure('no-quorum', `Got no link to ${to.instance}, wanted a reply`));
+		if (this.#blockedInstances.has(to.instance)) {
+			return Left(failure('no-quorum', `The link to ${to.instance} is blocked`));
 		}
 
 		const timeout = options.timeoutMilliseconds ?? defaultTimeoutMilliseconds;
-		const reply = await this.#link(to).request(id => this.#write({type: 'request', id, body: message}), timeout);
+		const reply = await this.#linkTo(to).request(id => this.#encode({type: 'request', id, body: message}), timeout);
 		if (reply === 'not-sent') {
-			return Left(failure('no-quorum', `Got no link to ${to.instance} in ${timeout} ms, wanted a reply`));
+			return Left(failure('no-quorum', `Cannot connect to ${to.instance} within ${timeout} ms`));
 		}
 
-		return reply === undefined || this.#cut.has(to.instance)
-			? Left(failure('no-quorum', `Got no reply from ${to.instance} in ${timeout} ms`, {outcome: 'unknown'}))
+		return reply === undefined || this.#blockedInstances.has(to.instance)
+			? Left(failure('no-quorum', `${to.instance} did not reply within ${timeout} ms`, {outcome: 'unknown'}))
 			: Right(reply.body);
 	}
 
-	/** Closes all links and the port. */
+	/** Closes all links and stops listening. */
 	async close(): Promise<void> {
-		for (const link of this.#links.values()) {
+		for (const link of this.#linksByInstance.values()) {
 			link.close();
 		}
 
@@ -171,36 +171,36 @@
 		});
 	}
 
-	#link(to: PeerAddress): PeerLink {
-		const known = this.#links.get(to.instance);
-		if (known?.isFor(to)) {
-			return known;
+	#linkTo(to: PeerAddress): PeerLink {
+		const existing = this.#linksByInstance.get(to.instance);
+		if (existing?.hasAddress(to)) {
+			return existing;
 		}
 
-		known?.close();
+		existing?.close();
 		const link = new PeerLink(to, {
 			self: this.#options.self,
 			key: this.#options.key,
 			...(this.#options.pingMilliseconds !== undefined && {pingMilliseconds: this.#options.pingMilliseconds}),
-			onReceived: (bytes, stamp) => {
-				this.#note(bytes, stamp);
+			onReceived: (bytes, timestamp) => {
+				this.#recordReceivedFrame(bytes, timestamp);
 			},
 		});
-		this.#links.set(to.instance, link);
+		this.#linksByInstance.set(to.instance, link);
 		return link;
 	}
 
 	async #receive(from: InstanceId, data: Uint8Array, reply: (frame: Frame) => void): Promise<void> {
-		const frame = readFrame(data);
-		this.#note(data.byteLength, frame?.stamp);
-		if (frame === undefined || this.#cut.has(from)) {
+		const frame = decodeFrame(data);
+		this.#recordReceivedFrame(data.byteLength, frame?.timestamp);
+		if (frame === undefined || this.#blockedInstances.has(from)) {
 			return;
 		}
 
 		try {
 			await this.#handle(from, frame, reply);
 		} catch (error) {
-			// A peer of another version, or a broken one, sends it again: it must not end one process after the other.
+			// A faulty peer, or one of another version, may send the message again; an uncaught error would crash one process after another.
 			this.#options.onFailure(from, error);
 		}
 	}
@@ -217,16 +217,16 @@
 		}
 	}
 
-	#note(bytes: number, stamp: HybridTimestamp | undefined): void {
+	#recordReceivedFrame(bytes: number, timestamp: HybridTimestamp | undefined): void {
 		this.traffic.bytesReceived += bytes;
 		this.traffic.framesReceived++;
-		if (stamp !== undefined) {
-			this.#options.onStamp?.(stamp);
+		if (timestamp !== undefined) {
+			this.#options.onStamp?.(timestamp);
 		}
 	}
 
-	#write(frame: Frame): Uint8Array {
-		const data = writeFrame(frame, this.#options.stamp?.());
+	#encode(frame: Frame): Uint8Array {
+		const data = encodeFrame(frame, this.#options.stamp?.());
 		this.traffic.bytesSent += data.byteLength;
 		this.traffic.framesSent++;
 		return data;
--- a/packages/transport/src/problem.ts
+++ b/packages/transport/src/problem.ts
@@ -3,13 +3,13 @@
 
 const millisecondsPerSecond = 1000;
 
-/** What goes into a problem besides the failure. */
+/** Additional members of problem details. */
 export type ProblemOptions = {
-	/** The id of the request, where one was given out. */
+	/** The id of the request, if one was assigned. */
 	readonly requestId?: string;
 };
 
-/** Problem details (RFC 9457) with the members of valehitch. */
+/** Problem details as defined by RFC 9457, with extension members of valehitch. */
 export type Problem = {
 	readonly type: string;
 	readonly title: string;
@@ -22,14 +22,14 @@
 };
 
 /**
-Turns a failure into problem details.
+Converts a failure to problem details.
 
 @param failed The failure.
 @param options The request's id.
-@returns The problem.
+@returns The problem details.
 @example
 ```ts
-toProblem(failure('no-server', 'Got no server')).status; // 503
+toProblemDetails(failure('no-server', 'No backend server is available')).status; // 503
 ```
 */
 export function toProblem(failed: Failure, options: ProblemOptions = {}): Problem {
@@ -47,14 +47,14 @@
 }
 
 /**
-Answers an HTTP request with a failure, unless an answer has begun.
+Sends a failure as problem details. Destroys the response instead if its headers were already sent.
 
 @param response The response.
 @param failed The failure.
 @param options The request's id.
 @example
 ```ts
-answerProblem(response, failure('not-found', 'Got path /x'));
+sendProblem(response, failure('not-found', 'There is no resource at /x'));
 ```
 */
 export function answerProblem(response: ServerResponse, failed: Failure, options: ProblemOptions = {}): void {
--- a/packages/transport/src/read-body.ts
+++ b/packages/transport/src/read-body.ts
@@ -4,11 +4,11 @@
 import {type Either, Left, Right} from 'purify-ts';
 
 /**
-Reads the body of a request or answer, up to a limit.
+Reads the body of an HTTP request or response, up to a size limit.
 
-@param message The message.
-@param maximumBytes The most bytes that are taken.
-@returns The bytes; `too-large` when there are more; `malformed-request` when the message ended early.
+@param message The request or response.
+@param maximumBytes The maximum size of the body in bytes.
+@returns The body; a `too-large` failure if it exceeds the limit; a `malformed-request` failure if the message is truncated.
 @example
 ```ts
 const body = await readBody(request, 4_194_304);
@@ -18,21 +18,21 @@
 	const chunks: Uint8Array[] = [];
 	let size = 0;
 	try {
-		// The connection stays open after a body that is too large, so that the answer can still be sent.
+		// Keep the connection open if the body is too large, so that the response can still be sent.
 		for await (const chunk of message.iterator({destroyOnReturn: false}) as AsyncIterable<Uint8Array>) {
 			size += chunk.byteLength;
 			if (size > maximumBytes) {
 				message.resume();
-				return Left(failure('too-large', `Got a body of more than ${maximumBytes} bytes`));
+				return Left(failure('too-large', `The body exceeds ${maximumBytes} bytes`));
 			}
 
 			chunks.push(chunk);
 		}
 	} catch {
-		return Left(failure('malformed-request', 'Got a body that ended early'));
+		return Left(failure('malformed-request', 'The body ended prematurely'));
 	}
 
 	return message.complete
 		? Right(Buffer.concat(chunks))
-		: Left(failure('malformed-request', 'Got a body that ended early'));
+		: Left(failure('malformed-request', 'The body ended prematurely'));
 }
--- a/packages/transport/src/send-http.ts
+++ b/packages/transport/src/send-http.ts
@@ -4,66 +4,66 @@
 import {type Either, Left, Right} from 'purify-ts';
 import {timeoutAfterInput} from './timeout-after-input.js';
 
-/** A call to a backend server. */
+/** An HTTP request to a backend server. */
 export type HttpCall = {
-	/** The base address, such as `http://127.0.0.1:9001`. */
+	/** The base URL, such as `http://127.0.0.1:9001`. */
 	readonly address: string;
 	readonly method: string;
-	/** The path with its query. */
+	/** The path and query. */
 	readonly path: string;
 	readonly headers: OutgoingHttpHeaders;
 	readonly body: Uint8Array;
-	/** Ends the call; its socket is destroyed. */
+	/** Aborts the request and destroys its socket. */
 	readonly signal: AbortSignal;
-	/** Whether an idle connection may be used again; false where the call may not be repeated. */
+	/** Whether to reuse an idle connection; false if the request must not be retried. */
 	readonly reuseConnection: boolean;
 };
 
-/** A call that got no answer. */
+/** The failure of a request that received no response. */
 export type HttpCallFailure = {
-	/** Whether no byte of the request can have reached the server. */
+	/** Whether it is certain that no byte of the request reached the server. */
 	readonly neverSent: boolean;
-	/** Whether it went out on a kept connection, which the server may have closed at that moment without a fault. */
+	/** Whether the request used a kept-alive connection, which the server may legitimately close at any time. */
 	readonly onKeptConnection: boolean;
 	readonly message: string;
 };
 
-/** The head of an answer; the body is read from `message`. */
+/** The status and headers of a response; the body is read from `message`. */
 export type HttpAnswer = {
 	readonly status: number;
 	readonly headers: IncomingHttpHeaders;
 	readonly message: IncomingMessage;
 };
 
-const idleSocketsPerServer = 64;
+const maximumIdleSocketsPerServer = 64;
 const connectTimeoutMilliseconds = 1000;
-const keptAlive = new Agent({keepAlive: true, maxFreeSockets: idleSocketsPerServer});
+const keepAliveAgent = new Agent({keepAlive: true, maxFreeSockets: maximumIdleSocketsPerServer});
 
 /**
-Sends a call and waits for the head of the answer.
+Sends an HTTP request and waits for the response headers.
 
-@param call The call.
-@returns The answer's head, or a failure that tells whether the request can have reached the server.
+@param call The request.
+@returns The status and headers of the response, or a failure that tells whether the request may have reached the server.
 @example
 ```ts
-const answer = await sendHttp({address: 'http://127.0.0.1:9001', method: 'GET', path: '/', headers: {}, body, signal, reuseConnection: true});
+const response = await sendHttpRequest({address: 'http://127.0.0.1:9001', method: 'GET', path: '/', headers: {}, body, signal, reuseConnection: true});
 ```
 */
 export async function sendHttp(call: HttpCall): Promise<Either<HttpCallFailure, HttpAnswer>> {
 	return new Promise(resolve => {
 		let connected = false;
-		const outgoing = sendRequest(new URL(call.path, call.address), {
+		const clientRequest = sendRequest(new URL(call.path, call.address), {
 			method: call.method,
 			headers: {...call.headers, 'content-length': call.body.byteLength},
-			agent: call.reuseConnection ? keptAlive : false,
+			agent: call.reuseConnection ? keepAliveAgent : false,
 			signal: call.signal,
 		});
-		const stopConnectTimeout = timeoutAfterInput(connectTimeoutMilliseconds, () => {
+		const cancelConnectTimeout = timeoutAfterInput(connectTimeoutMilliseconds, () => {
 			if (!connected) {
-				outgoing.destroy(new Error(`Got no connection in ${connectTimeoutMilliseconds} ms`));
+				clientRequest.destroy(new Error(`Connecting timed out after ${connectTimeoutMilliseconds} ms`));
 			}
 		});
-		outgoing.on('socket', socket => {
+		clientRequest.on('socket', socket => {
 			if (!socket.connecting) {
 				connected = true;
 				return;
@@ -73,14 +73,14 @@
 				connected = true;
 			});
 		});
-		outgoing.on('response', message => {
-			stopConnectTimeout();
+		clientRequest.on('response', message => {
+			cancelConnectTimeout();
 			resolve(Right({status: message.statusCode ?? 0, headers: message.headers, message}));
 		});
-		outgoing.on('error', error => {
-			stopConnectTimeout();
-			resolve(Left({neverSent: !connected, onKeptConnection: outgoing.reusedSocket, message: error.message}));
+		clientRequest.on('error', error => {
+			cancelConnectTimeout();
+			resolve(Left({neverSent: !connected, onKeptConnection: clientRequest.reusedSocket, message: error.message}));
 		});
-		outgoing.end(call.body);
+		clientRequest.end(call.body);
 	});
 }
--- a/packages/transport/src/timeout-after-input.test.ts
+++ b/packages/transport/src/timeout-after-input.test.ts
@@ -1,30 +1,30 @@
 import {setTimeout as delay} from 'node:timers/promises';
 import test from 'ava';
-import {holdUp, openAnswered} from './_test-hold-up.js';
+import {blockEventLoop, connectWithPendingInput} from './_test-event-loop.js';
 import {timeoutAfterInput} from './timeout-after-input.js';
 
 const timeoutMilliseconds = 50;
 
-test('input that arrived while the process was held up comes before the end of the timeout', async t => {
+test('input received while the event loop was blocked is read before the timeout expires', async t => {
 	const order: string[] = [];
-	const connection = await openAnswered(() => {
+	const connection = await connectWithPendingInput(() => {
 		order.push('input');
 	});
 	timeoutAfterInput(timeoutMilliseconds, () => {
-		order.push('due');
+		order.push('timeout');
 	});
-	holdUp(4 * timeoutMilliseconds);
+	blockEventLoop(4 * timeoutMilliseconds);
 	await delay(2 * timeoutMilliseconds);
-	t.deepEqual(order, ['input', 'due']);
+	t.deepEqual(order, ['input', 'timeout']);
 	connection.close();
 });
 
-test('a timeout that was ended is not due, also between its end and the reading of input', async t => {
-	let isDue = false;
+test('a cancelled timeout does not run its callback, even if its timer has already fired', async t => {
+	let hasExpired = false;
 	const clear = timeoutAfterInput(0, () => {
-		isDue = true;
+		hasExpired = true;
 	});
 	setTimeout(clear, 0);
 	await delay(timeoutMilliseconds);
-	t.false(isDue);
+	t.false(hasExpired);
 });
--- a/packages/transport/src/timeout-after-input.ts
+++ b/packages/transport/src/timeout-after-input.ts
@@ -1,21 +1,21 @@
 /**
-Starts a timeout that is due once the input that had arrived by its end is read.
+Like `setTimeout`, but runs the callback after pending socket input has been read.
 
-A process that was held up, by a busy machine or a suspension, runs its timers before it reads its sockets: an answer that waits there would be taken for silence.
+After the process was blocked by a busy machine or suspended, the event loop runs expired timers before it reads sockets, so a plain timer would report a timeout for a response that is already received but unread.
 
-@param milliseconds How long it lasts.
-@param onDue Called at its end.
-@returns Ends the timeout; `onDue` is not called any more.
+@param milliseconds The timeout.
+@param callback The function to call when the timeout expires.
+@returns A function that cancels the timeout.
 @example
 ```ts
-const clear = timeoutAfterInput(1000, () => socket.destroy());
+const clear = setTimeoutAfterPoll(1000, () => socket.destroy());
 socket.once('data', clear);
 ```
 */
-export function timeoutAfterInput(milliseconds: number, onDue: () => void): () => void {
+export function timeoutAfterInput(milliseconds: number, callback: () => void): () => void {
 	let immediate: NodeJS.Immediate | undefined;
 	const timer = setTimeout(() => {
-		immediate = setImmediate(onDue);
+		immediate = setImmediate(callback);
 	}, milliseconds);
 	return () => {
 		clearTimeout(timer);
