--- a/packages/settings/src/_check-settings.ts
+++ b/packages/settings/src/_check-settings.ts
@@ -1,9 +1,9 @@
 import {type FieldPath, type Finding} from './finding.js';
 import {type Settings} from './settings.js';
 
-const mostControlInstances = 6;
+const maximumControlInstances = 6;
 
-/** Checks what reaches over several fields of the settings. */
+/** Checks constraints that span several fields of the settings. */
 export function checkSettings(settings: Settings): readonly Finding[] {
 	return [
 		...checkControlRole(settings),
@@ -11,9 +11,9 @@
 		...checkControlPorts(settings),
 		...checkPorts(settings),
 		...checkClaimTimes(settings),
-		...repeated(settings.roles, index => ['roles', index]),
-		...repeated(settings.control.map(entry => entry.instance), index => ['control', index, 'instance']),
-		...repeated(settings.keys.sessions.map(session => session.id), index => ['keys', 'sessions', index, 'id']),
+		...findDuplicates(settings.roles, index => ['roles', index]),
+		...findDuplicates(settings.control.map(entry => entry.instance), index => ['control', index, 'instance']),
+		...findDuplicates(settings.keys.sessions.map(session => session.id), index => ['keys', 'sessions', index, 'id']),
 	];
 }
 
@@ -32,8 +32,8 @@
 }
 
 function * checkControlCount({control}: Settings): Iterable<Finding> {
-	if (control.length > mostControlInstances || control.length % 2 === 0) {
-		yield {path: ['control'], got: `a list of ${control.length}`, wanted: `an odd number of instances, at most ${mostControlInstances}`};
+	if (control.length > maximumControlInstances || control.length % 2 === 0) {
+		yield {path: ['control'], got: `a list of ${control.length}`, wanted: `an odd number of instances, at most ${maximumControlInstances}`};
 	}
 }
 
@@ -46,14 +46,14 @@
 }
 
 function * checkPorts({listen}: Settings): Iterable<Finding> {
-	const seen = new Map<number, string>();
+	const namesByPort = new Map<number, string>();
 	for (const [name, {port}] of Object.entries(listen)) {
-		const earlier = seen.get(port);
-		if (earlier !== undefined && port !== 0) {
-			yield {path: ['listen', name, 'port'], got: `${port}, the port of listen.${earlier}`, wanted: 'a port of its own'};
+		const otherName = namesByPort.get(port);
+		if (otherName !== undefined && port !== 0) {
+			yield {path: ['listen', name, 'port'], got: `${port}, the port of listen.${otherName}`, wanted: 'a port that no other address uses'};
 		}
 
-		seen.set(port, name);
+		namesByPort.set(port, name);
 	}
 }
 
@@ -63,10 +63,10 @@
 	}
 }
 
-function * repeated(values: readonly string[], pathOf: (index: number) => FieldPath): Iterable<Finding> {
+function * findDuplicates(values: readonly string[], pathOf: (index: number) => FieldPath): Iterable<Finding> {
 	for (const [index, value] of values.entries()) {
 		if (values.indexOf(value) < index) {
-			yield {path: pathOf(index), got: `${JSON.stringify(value)} once more`, wanted: 'each only once'};
+			yield {path: pathOf(index), got: `the duplicate ${JSON.stringify(value)}`, wanted: 'unique values'};
 		}
 	}
 }
--- a/packages/settings/src/_describe-issue.ts
+++ b/packages/settings/src/_describe-issue.ts
@@ -5,9 +5,9 @@
 
 type Issue = z.core.$ZodIssue;
 
-const wantedMark = 'Wanted ';
+const wantedPrefix = 'Wanted ';
 const typeNames: ReadonlyMap<string, string> = new Map([
-	['string', 'a text'],
+	['string', 'a string'],
 	['number', 'a number'],
 	['int', 'a whole number'],
 	['boolean', 'true or false'],
@@ -16,38 +16,38 @@
 	['record', 'a mapping'],
 ]);
 
-/** Turns one issue of a schema into findings: one for each unknown key, else a single one. */
+/** Converts a schema issue to findings: one for each unrecognized key, or a single one for any other issue. */
 export function describeIssue(issue: Issue): readonly Finding[] {
-	const path = fieldPath(issue.path);
+	const path = toFieldPath(issue.path);
 	return match(issue)
 		.with({code: 'unrecognized_keys'}, ({keys}) => keys.map(key => ({
-			path: [...path, key], got: `the key ${JSON.stringify(key)}`, wanted: 'a key that is known here', atKey: true,
+			path: [...path, key], got: `the key ${JSON.stringify(key)}`, wanted: 'a known key', atKey: true,
 		})))
 		.with({code: 'invalid_key'}, ({issues}) => [{
-			path, got: `the key ${JSON.stringify(String(path.at(-1)))}`, wanted: issues[0] ? wantedOf(issues[0]) : 'another key', atKey: true,
+			path, got: `the key ${JSON.stringify(String(path.at(-1)))}`, wanted: issues[0] ? describeWanted(issues[0]) : 'another key', atKey: true,
 		}])
-		.otherwise(other => [{path, got: describeValue(other.input, path), wanted: wantedOf(other)}]);
+		.otherwise(other => [{path, got: describeValue(other.input, path), wanted: describeWanted(other)}]);
 }
 
-function fieldPath(path: readonly PropertyKey[]): FieldPath {
+function toFieldPath(path: readonly PropertyKey[]): FieldPath {
 	return path.map(step => typeof step === 'symbol' ? String(step) : step);
 }
 
-function wantedOf(issue: Issue): string {
-	if (issue.message.startsWith(wantedMark)) {
-		return issue.message.slice(wantedMark.length);
+function describeWanted(issue: Issue): string {
+	if (issue.message.startsWith(wantedPrefix)) {
+		return issue.message.slice(wantedPrefix.length);
 	}
 
 	return match(issue)
 		.with({code: 'invalid_type'}, ({expected}) => typeNames.get(expected) ?? expected)
 		.with({code: 'invalid_value'}, ({values}) => `one of ${values.map(String).join(', ')}`)
-		.with({code: 'too_small'}, ({minimum, inclusive, origin}) => sizeOf(origin, `${inclusive ? 'at least' : 'more than'} ${minimum}`))
-		.with({code: 'too_big'}, ({maximum, inclusive, origin}) => sizeOf(origin, `${inclusive ? 'at most' : 'less than'} ${maximum}`))
-		.with({code: 'invalid_format', prefix: P.string}, ({prefix}) => `a text that starts with ${JSON.stringify(prefix)}`)
+		.with({code: 'too_small'}, ({minimum, inclusive, origin}) => describeSize(origin, `${inclusive ? 'at least' : 'more than'} ${minimum}`))
+		.with({code: 'too_big'}, ({maximum, inclusive, origin}) => describeSize(origin, `${inclusive ? 'at most' : 'less than'} ${maximum}`))
+		.with({code: 'invalid_format', prefix: P.string}, ({prefix}) => `a string that starts with ${JSON.stringify(prefix)}`)
 		.otherwise(({message}) => message);
 }
 
-function sizeOf(origin: string, bound: string): string {
+function describeSize(origin: string, bound: string): string {
 	return match(origin)
 		.with('string', () => `${bound} characters`)
 		.with('array', () => `${bound} entries`)
--- a/packages/settings/src/_describe-value.ts
+++ b/packages/settings/src/_describe-value.ts
@@ -1,9 +1,9 @@
 import {type FieldPath} from './finding.js';
 
-const longestShownText = 60;
-const secretKey = /^keys?$|^keyDigests$/v;
+const maximumShownCharacters = 60;
+const secretKeyPattern = /^keys?$|^keyDigests$/v;
 
-/** Describes a value of a document for a message; a value under a key that holds secrets is not shown. */
+/** Describes a value of a document for a message. Values under keys that hold secrets are redacted to their length. */
 export function describeValue(value: unknown, path: FieldPath): string {
 	if (value === undefined || value === null) {
 		return 'nothing';
@@ -17,26 +17,26 @@
 		return describeText(value, path);
 	}
 
-	return typeof value === 'number' || typeof value === 'boolean' ? describePlain(value, path) : 'a mapping';
+	return typeof value === 'number' || typeof value === 'boolean' ? describeScalar(value, path) : 'a mapping';
 }
 
-function describePlain(value: number | boolean, path: FieldPath): string {
-	return isSecret(path) ? hidden(String(value)) : String(value);
+function describeScalar(value: number | boolean, path: FieldPath): string {
+	return isSecret(path) ? redact(String(value)) : String(value);
 }
 
 function describeText(text: string, path: FieldPath): string {
 	if (isSecret(path)) {
-		return hidden(text);
+		return redact(text);
 	}
 
-	const more = text.length - longestShownText;
-	return more > 0 ? `${JSON.stringify(text.slice(0, longestShownText))} and ${more} characters more` : JSON.stringify(text);
+	const hiddenCharacters = text.length - maximumShownCharacters;
+	return hiddenCharacters > 0 ? `${JSON.stringify(text.slice(0, maximumShownCharacters))} and ${hiddenCharacters} more characters` : JSON.stringify(text);
 }
 
-function hidden(text: string): string {
+function redact(text: string): string {
 	return `a value of ${text.length} characters`;
 }
 
 function isSecret(path: FieldPath): boolean {
-	return path.some(step => typeof step === 'string' && secretKey.test(step));
+	return path.some(step => typeof step === 'string' && secretKeyPattern.test(step));
 }
--- a/packages/settings/src/check-references.ts
+++ b/packages/settings/src/check-references.ts
@@ -3,25 +3,25 @@
 } from '@valehitch/core';
 import {type FieldPath, type Finding} from './finding.js';
 
-type VersionPlace = {
+type VersionContext = {
 	readonly path: FieldPath;
 	readonly name: string;
 	readonly siblings: ModelConfiguration['versions'];
 };
 
-type WorkspacePlace = {
+type WorkspaceContext = {
 	readonly path: FieldPath;
 	readonly configuration: Configuration;
 };
 
 /**
-Checks that everything an operators' document names exists and fits together.
+Checks that all references in an operators' configuration resolve and are consistent.
 
-@param configuration A document that fits core's `configurationSchema`.
-@returns Every fault found, with the path of its field; none when the document is sound.
+@param configuration A configuration that matches `configurationSchema` of the core package.
+@returns A finding for each invalid reference; empty if the configuration is valid.
 @example
 ```ts
-const faults = checkReferences(configuration);
+const findings = checkReferences(configuration);
 ```
 */
 export function checkReferences(configuration: Configuration): readonly Finding[] {
@@ -33,17 +33,17 @@
 	}
 
 	for (const [name, workspace] of Object.entries<WorkspaceConfiguration>(configuration.workspaces)) {
-		const place = {path: ['workspaces', name], configuration};
-		findings.push(...checkAllowed(workspace, place), ...checkServices(workspace, place), ...checkPolicy(workspace, place));
+		const context = {path: ['workspaces', name], configuration};
+		findings.push(...checkAllowed(workspace, context), ...checkServices(workspace, context), ...checkPolicy(workspace, context));
 	}
 
 	return findings;
 }
 
-function * checkVersion(version: VersionConfiguration, {path, name, siblings}: VersionPlace): Iterable<Finding> {
+function * checkVersion(version: VersionConfiguration, {path, name, siblings}: VersionContext): Iterable<Finding> {
 	const {state, replaces, stages} = version;
 	if (replaces === name) {
-		yield {path: [...path, 'replaces'], got: quote(replaces), wanted: 'another version than itself'};
+		yield {path: [...path, 'replaces'], got: quote(replaces), wanted: 'a different version'};
 	} else if (replaces !== undefined && !Object.hasOwn(siblings, replaces)) {
 		yield {path: [...path, 'replaces'], got: quote(replaces), wanted: 'a version of the same model'};
 	}
@@ -53,17 +53,17 @@
 	}
 
 	if (replaces === undefined) {
-		yield {path: [...path, 'replaces'], got: 'nothing', wanted: 'the version that the roll-out replaces'};
+		yield {path: [...path, 'replaces'], got: 'nothing', wanted: 'the version that the rollout replaces'};
 	}
 
 	if (stages === undefined) {
-		yield {path: [...path, 'stages'], got: 'nothing', wanted: 'the stages of the roll-out'};
+		yield {path: [...path, 'stages'], got: 'nothing', wanted: 'the stages of the rollout'};
 	}
 }
 
-function * checkAllowed({allowed}: WorkspaceConfiguration, {path, configuration}: WorkspacePlace): Iterable<Finding> {
+function * checkAllowed({allowed}: WorkspaceConfiguration, {path, configuration}: WorkspaceContext): Iterable<Finding> {
 	for (const [name, versions] of Object.entries<readonly string[]>(allowed)) {
-		const model = ownValue<ModelConfiguration>(configuration.models, name);
+		const model = getOwnValue<ModelConfiguration>(configuration.models, name);
 		if (model === undefined) {
 			yield {
 				path: [...path, 'allowed', name], got: `the model ${quote(name)}`, wanted: 'a model under models', atKey: true,
@@ -79,7 +79,7 @@
 	}
 }
 
-function * checkServices({services}: WorkspaceConfiguration, {path, configuration}: WorkspacePlace): Iterable<Finding> {
+function * checkServices({services}: WorkspaceConfiguration, {path, configuration}: WorkspaceContext): Iterable<Finding> {
 	for (const [index, service] of services.entries()) {
 		if (!Object.hasOwn(configuration.services, service)) {
 			yield {path: [...path, 'services', index], got: quote(service), wanted: 'a service under services'};
@@ -87,23 +87,23 @@
 	}
 }
 
-function * checkPolicy(workspace: WorkspaceConfiguration, {path, configuration}: WorkspacePlace): Iterable<Finding> {
+function * checkPolicy(workspace: WorkspaceConfiguration, {path, configuration}: WorkspaceContext): Iterable<Finding> {
 	for (const [index, rule] of workspace.policy.entries()) {
 		yield * checkRule(rule, {path: [...path, 'policy', index, 'models'], workspace, configuration});
 	}
 }
 
-function * checkRule({models}: PolicyRule, {path, workspace, configuration}: WorkspacePlace & {workspace: WorkspaceConfiguration}): Iterable<Finding> {
+function * checkRule({models}: PolicyRule, {path, workspace, configuration}: WorkspaceContext & {workspace: WorkspaceConfiguration}): Iterable<Finding> {
 	for (const [index, model] of models.entries()) {
 		if (!Object.hasOwn(configuration.models, model)) {
 			yield {path: [...path, index], got: quote(model), wanted: 'a model under models'};
 		} else if (!Object.hasOwn(workspace.allowed, model)) {
-			yield {path: [...path, index], got: quote(model), wanted: 'a model that the workspace is allowed'};
+			yield {path: [...path, index], got: quote(model), wanted: 'a model under allowed'};
 		}
 	}
 }
 
-function ownValue<Value>(record: Readonly<Record<string, Value>>, key: string): Value | undefined {
+function getOwnValue<Value>(record: Readonly<Record<string, Value>>, key: string): Value | undefined {
 	return Object.hasOwn(record, key) ? record[key] : undefined;
 }
 
--- a/packages/settings/src/document-kind.ts
+++ b/packages/settings/src/document-kind.ts
@@ -1,34 +1,34 @@
 import {Either} from 'purify-ts';
 import {parseDocument as parseYaml, isMap, isScalar} from 'yaml';
 
-/** What a document is: the settings of a daemon, or the operators' configuration. */
+/** The kind of a document: the settings of a daemon or the operators' configuration. */
 export type DocumentKind = 'settings' | 'configuration';
 
 const configurationKeys: ReadonlySet<unknown> = new Set(['models', 'services', 'workspaces']);
 const settingsKeys: ReadonlySet<unknown> = new Set(['instance', 'region', 'zone', 'roles', 'listen', 'control', 'dataFolder', 'keys']);
 
 /**
-Tells the kind of a document by its top keys.
+Detects the kind of a document from its top-level keys.
 
-@param text The text of the document, which may have faults.
-@returns The kind most of whose keys it has, or undefined where that doesn't tell.
+@param text The text of the document, which may be invalid.
+@returns The kind that more of the top-level keys belong to, or undefined if both have equally many.
 @example
 ```ts
-documentKind('models: {}'); // 'configuration'
+detectDocumentKind('models: {}'); // 'configuration'
 ```
 */
 export function documentKind(text: string): DocumentKind | undefined {
-	const keys = topKeys(text);
-	const settings = keys.filter(key => settingsKeys.has(key)).length;
-	const configuration = keys.filter(key => configurationKeys.has(key)).length;
-	if (settings === configuration) {
+	const keys = readTopLevelKeys(text);
+	const settingsKeyCount = keys.filter(key => settingsKeys.has(key)).length;
+	const configurationKeyCount = keys.filter(key => configurationKeys.has(key)).length;
+	if (settingsKeyCount === configurationKeyCount) {
 		return undefined;
 	}
 
-	return settings > configuration ? 'settings' : 'configuration';
+	return settingsKeyCount > configurationKeyCount ? 'settings' : 'configuration';
 }
 
-function topKeys(text: string): readonly unknown[] {
+function readTopLevelKeys(text: string): readonly unknown[] {
 	const {contents} = Either.encase(() => parseYaml(text, {logLevel: 'silent'})).orDefault(parseYaml(''));
 	return isMap(contents) ? contents.items.map(({key}) => isScalar(key) ? key.value : undefined) : [];
 }
--- a/packages/settings/src/document-problem.ts
+++ b/packages/settings/src/document-problem.ts
@@ -1,24 +1,24 @@
-/** One thing that is wrong in a document, and where. */
+/** A problem in a document and its position. */
 export type DocumentProblem = {
-	/** The file as it was named by the caller. */
+	/** The file name passed by the caller. */
 	readonly file: string;
-	/** The field, such as `listen.callers.port`; empty for the document as a whole. */
+	/** The path of the field, such as `listen.callers.port`; empty if the problem concerns the whole document. */
 	readonly path: string;
-	/** The line, from 1. */
+	/** The 1-based line number. */
 	readonly line: number;
-	/** The column, from 1. */
+	/** The 1-based column number. */
 	readonly column: number;
-	/** What the document has there; a secret is named by its length only. */
+	/** A description of the value found; secrets are described only by their length. */
 	readonly got: string;
-	/** What belongs there. */
+	/** A description of the expected value. */
 	readonly wanted: string;
 };
 
 /**
-Writes a problem on one line, in the form that editors can jump to.
+Formats a problem as a single line that starts with `file:line:column`, so that editors can jump to it.
 
 @param problem The problem.
-@returns The line, without an end of line.
+@returns The line, without a line terminator.
 @example
 ```ts
 formatProblem(problem); // 'entry.yaml:7:35 listen.callers.port: got "x", wanted a whole number from 0 to 65535'
--- a/packages/settings/src/finding.ts
+++ b/packages/settings/src/finding.ts
@@ -1,13 +1,13 @@
-/** The steps from the root of a document to a field: keys of mappings and indexes of lists. */
+/** The path from the root of a document to a field: mapping keys and list indexes. */
 export type FieldPath = ReadonlyArray<string | number>;
 
-/** Something wrong at a field of a document, before its line is known. */
+/** A problem at a field of a document whose line is not yet known. */
 export type Finding = {
 	readonly path: FieldPath;
-	/** What the document has there. */
+	/** A description of the value found. */
 	readonly got: string;
-	/** What belongs there. */
+	/** A description of the expected value. */
 	readonly wanted: string;
-	/** Whether the key itself is wrong, and not its value; false by default. */
+	/** Whether the problem is the key rather than its value; false by default. */
 	readonly atKey?: boolean | undefined;
 };
--- a/packages/settings/src/format-path.ts
+++ b/packages/settings/src/format-path.ts
@@ -3,10 +3,10 @@
 const plainKey = /^[\w\-]+$/v;
 
 /**
-Writes the path of a field as text.
+Formats the path of a field as a string.
 
-@param path The steps from the root.
-@returns The text; a key with a dot or another sign in it is quoted.
+@param path The path from the root.
+@returns The formatted path. Keys with characters other than letters, digits, dash and underscore are quoted.
 @example
 ```ts
 formatPath(['models', 'tag-small', 'versions', '1.1', 'stages', 0]); // 'models.tag-small.versions["1.1"].stages[0]'
--- a/packages/settings/src/mod.ts
+++ b/packages/settings/src/mod.ts
@@ -1,5 +1,5 @@
 /**
-Parses and checks the settings of a daemon and the operators' configuration, and names each problem's line; no input or output.
+Parses and validates the settings of a daemon and the operators' configuration, and reports each problem with its line. Performs no I/O.
 
 @module
 */
--- a/packages/settings/src/operations-page.test.ts
+++ b/packages/settings/src/operations-page.test.ts
@@ -9,13 +9,13 @@
 	readonly properties?: Readonly<Record<string, JsonSchema>>;
 };
 
-function * leavesOf(schema: JsonSchema, path = ''): Generator<string> {
+function * listLeafPaths(schema: JsonSchema, path = ''): Generator<string> {
 	for (const [name, field] of Object.entries(schema.properties ?? {})) {
-		const here = path === '' ? name : `${path}.${name}`;
+		const fieldPath = path === '' ? name : `${path}.${name}`;
 		if (field.properties === undefined) {
-			yield here;
+			yield fieldPath;
 		} else {
-			yield * leavesOf(field, here);
+			yield * listLeafPaths(field, fieldPath);
 		}
 	}
 }
@@ -23,15 +23,15 @@
 function isListed(page: string, path: string): boolean {
 	const [block, ...rest] = path.split('.');
 	const last = rest.at(-1);
-	// `listen.callers.host` is covered by the row of `listen.callers`; later names of a row stand as `.name`.
+	// The row `listen.callers` covers `listen.callers.host`. Further names in a row are written as `.name`.
 	const names = [path, `${block}.${rest[0] ?? ''}`, ...(last === undefined ? [] : [`.${last}`]), ...(rest[0] === undefined ? [] : [`.${rest[0]}`])];
 	return names.some(name => page.includes(`\`${name}\``));
 }
 
-test('the page for operators lists every setting', async t => {
+test('OPERATIONS.md lists every setting', async t => {
 	const page = await readFile(pageUrl, 'utf8');
 	const schema = z.toJSONSchema(settingsSchema, {unrepresentable: 'any', io: 'input'}) as JsonSchema;
-	const leaves = [...leavesOf(schema)];
-	t.true(leaves.length > 20, `Got ${leaves.length} settings`);
+	const leaves = [...listLeafPaths(schema)];
+	t.true(leaves.length > 20, `found only ${leaves.length} settings`);
 	t.deepEqual(leaves.filter(path => !isListed(page, path)), []);
 });
--- a/packages/settings/src/parse-configuration.ts
+++ b/packages/settings/src/parse-configuration.ts
@@ -5,22 +5,22 @@
 import {type Finding} from './finding.js';
 import {parseDocument} from './parse-document.js';
 
-/** Checks a CEL condition; the left side says what is wrong with it. */
+/** Validates a CEL condition; returns the reason as a `Left` if it is invalid. */
 export type CheckCondition = (expression: string) => Either<string, unknown>;
 
-/** How an operators' document is parsed. */
+/** Options for `parseConfiguration`. */
 export type ParseConfigurationOptions = {
-	/** Checks the condition of each policy rule; by default conditions are not checked. */
+	/** Validates the condition of each policy rule; by default conditions are not validated. */
 	readonly checkCondition?: CheckCondition | undefined;
 };
 
 /**
-Parses and checks the operators' document.
+Parses and validates the operators' configuration.
 
 @param text The text of the document, in YAML or JSON.
-@param file The file's name for problems.
-@param options How conditions are checked.
-@returns The configuration with its defaults filled in, or every problem found.
+@param file The file name to report in problems.
+@param options How to validate conditions.
+@returns The configuration with defaults applied, or all problems found.
 @example
 ```ts
 parseConfiguration(await readFile('configuration.yaml', 'utf8'), 'configuration.yaml');
--- a/packages/settings/src/parse-settings.ts
+++ b/packages/settings/src/parse-settings.ts
@@ -6,11 +6,11 @@
 import {type Settings} from './settings.js';
 
 /**
-Parses and checks the settings file of a daemon.
+Parses and validates the settings file of a daemon.
 
 @param text The text of the file, in YAML or JSON.
-@param file The file's name for problems.
-@returns The settings with their defaults filled in, or every problem found.
+@param file The file name to report in problems.
+@returns The settings with defaults applied, or all problems found.
 @example
 ```ts
 parseSettings(await readFile('entry.yaml', 'utf8'), 'entry.yaml');
