--- a/packages/storage/src/_frame.ts
+++ b/packages/storage/src/_frame.ts
@@ -4,7 +4,7 @@
 /**
 The result of decoding a frame.
 
-A frame consists of the payload's length, the CRC-32 of the length, the CRC-32 of the payload and the payload. The length has its own checksum so that a flipped bit in it cannot make an intact record look like a torn write.
+Each write to a file appends one frame: the payload's length, the CRC-32 of the length, the CRC-32 of the payload and the payload itself. The length has its own checksum so that a flipped bit in it cannot make an intact record look like a torn write.
 */
 export type FrameReadResult
 	= | {readonly type: 'frame'; readonly body: unknown; readonly end: number}
--- a/packages/transport/src/parse-json-body.ts
+++ b/packages/transport/src/parse-json-body.ts
@@ -4,7 +4,7 @@
 
 /** Options for `parseJsonBody` that replace its default error messages and kind. */
 export type ParseJsonBodyOptions = {
-	/** The message for a body that is not JSON; `The body is not valid JSON` by default. */
+	/** The message for a body that is not JSON; `The body is not JSON` by default. */
 	readonly notJson?: string;
 	/** The message for JSON that does not match the schema; the path and message of the first issue by default. */
 	readonly misfit?: string;
@@ -28,7 +28,7 @@
 	try {
 		json = JSON.parse(new TextDecoder().decode(bytes));
 	} catch {
-		return Left(failure('malformed-request', options.notJson ?? 'The body is not valid JSON'));
+		return Left(failure('malformed-request', options.notJson ?? 'The body is not JSON'));
 	}
 
 	const parsed = schema.safeParse(json);
