--- a/packages/storage/src/_frame.ts
+++ b/packages/storage/src/_frame.ts
@@ -2,25 +2,26 @@
 import {Packr} from 'msgpackr';
 
 /**
-A frame is what one write puts into a file: the payload's length, the CRC-32 of the length, the CRC-32 of the payload, then the payload.
-The length has a checksum of its own, so that a flipped bit in it cannot make a good record look like an unfinished one.
+The result of decoding a frame.
+
+Each write to a file appends one frame: the payload's length, the CRC-32 of the length, the CRC-32 of the payload and the payload itself. The length has its own checksum so that a flipped bit in it cannot make an intact record look like a torn write.
 */
-export type ReadFrame
+export type FrameReadResult
 	= | {readonly type: 'frame'; readonly body: unknown; readonly end: number}
-	/** An unfinished write: nothing behind it was ever synced. */
+	/** An incomplete write; no data after it was ever synced. */
 		| {readonly type: 'torn'}
-	/** Bytes that were synced and have changed since. */
+	/** Data that was synced and has been corrupted since. */
 		| {readonly type: 'damaged'; readonly reason: string};
 
 export const frameHeaderBytes = 12;
 const lengthChecksumOffset = 4;
 const payloadChecksumOffset = 8;
 const sectorBytes = 512;
-const leastZeroBytes = 64;
+const minimumZeroBytes = 64;
 const packr = new Packr({useRecords: false, encodeUndefinedAsNil: false, copyBuffers: true});
 
-/** Writes a frame. */
-export function writeFrame(body: unknown): Uint8Array {
+/** Encodes a value as a frame. */
+export function encodeFrame(body: unknown): Uint8Array {
 	const payload = packr.pack(body);
 	const frame = new Uint8Array(frameHeaderBytes + payload.length);
 	const view = new DataView(frame.buffer);
@@ -31,8 +32,8 @@
 	return frame;
 }
 
-/** Reads the frame at an offset; `offset` is before the end of the data. */
-export function readFrame(data: Uint8Array, offset: number): ReadFrame {
+/** Decodes the frame at an offset, which must be less than the length of the data. */
+export function decodeFrame(data: Uint8Array, offset: number): FrameReadResult {
 	const bytes = data.subarray(offset);
 	if (bytes.length < frameHeaderBytes) {
 		return {type: 'torn'};
@@ -40,7 +41,7 @@
 
 	const view = new DataView(bytes.buffer, bytes.byteOffset);
 	if (crc32(bytes.subarray(0, lengthChecksumOffset)) !== view.getUint32(lengthChecksumOffset, true)) {
-		return isZero(bytes) ? {type: 'torn'} : {type: 'damaged', reason: 'the checksum of the length is wrong'};
+		return isAllZeros(bytes) ? {type: 'torn'} : {type: 'damaged', reason: 'the checksum of the length is wrong'};
 	}
 
 	const length = frameHeaderBytes + view.getUint32(0, true);
@@ -58,11 +59,11 @@
 		: {type: 'damaged', reason: 'the checksum of the payload is wrong'};
 }
 
-/** Whether a sector of the last write never reached the disk and reads as zeros. */
-function hasUnwrittenSector(bytes: Uint8Array, from: number): boolean {
-	for (let start = from; start < bytes.length; start = nextSector(start)) {
-		const sector = bytes.subarray(start, Math.min(nextSector(start), bytes.length));
-		if (sector.length >= leastZeroBytes && isZero(sector)) {
+/** Whether the data contains a sector that was never written to the disk and therefore reads as zeros. */
+function hasUnwrittenSector(data: Uint8Array, offset: number): boolean {
+	for (let start = offset; start < data.length; start = nextSector(start)) {
+		const sector = data.subarray(start, Math.min(nextSector(start), data.length));
+		if (sector.length >= minimumZeroBytes && isAllZeros(sector)) {
 			return true;
 		}
 	}
@@ -74,6 +75,6 @@
 	return (Math.floor(offset / sectorBytes) + 1) * sectorBytes;
 }
 
-function isZero(bytes: Uint8Array): boolean {
+function isAllZeros(bytes: Uint8Array): boolean {
 	return bytes.every(byte => byte === 0);
 }
