--- a/packages/cli/src/commands/losses.ts
+++ b/packages/cli/src/commands/losses.ts
@@ -6,17 +6,17 @@
 
 const lossColumns: readonly string[] = ['cause', 'requests', 'percent', 'meaning', 'routes', 'examples'];
 const modelColumns: readonly string[] = ['route', 'model', 'answered', 'confidence', 'steppedOn'];
-const defaultLateMilliseconds = 2000;
+const defaultLatenessMilliseconds = 2000;
 
-/** Adds up which requests of a gateway were lost or late, and to what, from the logs of its instances. */
+/** Counts the lost and late requests of a gateway by cause, from the logs of its instances. */
 export class Losses extends OperatorCommand {
-	static override readonly summary = 'Add up which requests were lost or late, by cause.';
-	static override readonly description = 'Reads the decision logs of the gateway\'s instances; a second table has the use of models by route. What servers read again is not in the logs.';
+	static override readonly summary = 'Count the lost and late requests by cause.';
+	static override readonly description = 'Reads the decision logs of the gateway\'s instances. A second table shows model use by route. The logs don\'t tell which prompts servers processed again.';
 	static override readonly strict = false;
 	static override readonly args = {file: Args.string({description: 'Log files.', required: true})};
 	static override readonly flags = {
 		late: Flags.integer({
-			summary: 'The time to the answer, or to the first event of a stream, after which a request counts as late, in milliseconds.', default: defaultLateMilliseconds, min: 1,
+			summary: 'The time to the response, or to the first event of a stream, after which a request counts as late, in milliseconds.', default: defaultLatenessMilliseconds, min: 1,
 		}),
 	};
 
@@ -25,14 +25,14 @@
 	/**
 	Reads the logs and prints the tables.
 
-	@returns The sums.
+	@returns The summary.
 	*/
 	async run(): Promise<LossSummary> {
 		const {argv, flags} = await this.parse(Losses);
-		const read = await readDecisionFiles(argv.map(String), (file, lines) => {
+		const decisions = await readDecisionFiles(argv.map(String), (file, lines) => {
 			this.logToStderr(`${file}: ${lines} lines could not be read`);
 		});
-		const summary = sumLosses(this.unwrap(read), flags);
+		const summary = sumLosses(this.unwrap(decisions), flags);
 		this.log(`${summary.requests} requests`);
 		for (const line of [...formatTable(summary.losses, lossColumns), '', ...formatTable(summary.models, modelColumns)]) {
 			this.log(line);
--- a/packages/cli/src/trace/_decision.ts
+++ b/packages/cli/src/trace/_decision.ts
@@ -1,47 +1,47 @@
 import {isMatching, P} from 'ts-pattern';
 
-/** One line of the decision log of an instance. */
+/** One record of the decision log of an instance. */
 export type Decision = {
 	readonly kind: string;
 	readonly instance: string;
-	/** Milliseconds of the instance's wall clock. */
+	/** The time on the wall clock of the instance, in milliseconds. */
 	readonly at: number;
-	/** The level in bunyan's numbers; 40 and above are failures. */
+	/** The bunyan level; 40 and above are failures. */
 	readonly level: number;
 	readonly request: string | undefined;
-	/** What decided, with ages and versions, and the outcome. */
+	/** The inputs of the decision, with their ages and versions, and the outcome. */
 	readonly fields: ReadonlyMap<string, string>;
 };
 
-/** The lines of a log that are decisions, and how many were cut or left out. */
+/** The decisions of a log, and the number of unreadable lines. */
 export type DecisionsRead = {
 	readonly decisions: readonly Decision[];
-	/** Lines that begin like a record and cannot be read, such as the torn last line of a killed process. */
+	/** The number of lines that begin like a record but can't be parsed, such as the truncated last line of a killed process. */
 	readonly unreadable: number;
 };
 
 const isRecord = isMatching({
 	kind: P.string, instance: P.string, time: P.string, level: P.number,
 });
-/** What bunyan puts into every record, and what a decision has fields of its own for. */
-const ownFields: ReadonlySet<string> = new Set(['name', 'hostname', 'pid', 'level', 'msg', 'time', 'v', 'kind', 'instance', 'zone', 'request']);
+/** The fields that bunyan adds to every record, and those that have members of their own in `Decision`. */
+const handledFields: ReadonlySet<string> = new Set(['name', 'hostname', 'pid', 'level', 'msg', 'time', 'v', 'kind', 'instance', 'zone', 'request']);
 
 /**
-Reads the decisions of a log; what stands before a record on its line, such as a collector's own time, is passed over.
+Parses the decisions of a log. Text before a record on its line, such as the timestamp of a log collector, is skipped.
 
-@param text The log.
-@returns The decisions in the order of the file.
+@param text The contents of the log.
+@returns The decisions in the order of the log.
 */
 export function readDecisions(text: string): DecisionsRead {
 	const decisions: Decision[] = [];
 	let unreadable = 0;
 	for (const line of text.split('\n')) {
-		const begin = line.indexOf('{"name":');
-		if (begin === -1) {
+		const start = line.indexOf('{"name":');
+		if (start === -1) {
 			continue;
 		}
 
-		const decision = readLine(line.slice(begin));
+		const decision = parseLine(line.slice(start));
 		if (decision === undefined) {
 			unreadable++;
 		} else {
@@ -52,7 +52,7 @@
 	return {decisions, unreadable};
 }
 
-function readLine(line: string): Decision | undefined {
+function parseLine(line: string): Decision | undefined {
 	try {
 		const record: unknown = JSON.parse(line);
 		return isRecord(record) ? toDecision(record) : undefined;
@@ -71,7 +71,7 @@
 function toDecision(record: RecordFields): Decision {
 	const fields = new Map<string, string>();
 	for (const [name, value] of Object.entries(record)) {
-		if (!ownFields.has(name)) {
+		if (!handledFields.has(name)) {
 			fields.set(name, typeof value === 'string' ? value : JSON.stringify(value));
 		}
 	}
--- a/packages/cli/src/trace/_group-by.ts
+++ b/packages/cli/src/trace/_group-by.ts
@@ -1,9 +1,9 @@
 /**
-Puts items into groups.
+Groups items by key.
 
 @param items The items.
-@param keyOf The group of an item.
-@returns The items by group, in their order; the groups in the order of their first items.
+@param keyOf Returns the key of an item.
+@returns The items by key. Groups are in the order of their first items, and items keep their order within a group.
 */
 export function groupBy<Item, Key>(items: readonly Item[], keyOf: (item: Item) => Key): ReadonlyMap<Key, readonly Item[]> {
 	const groups = new Map<Key, Item[]>();
--- a/packages/cli/src/trace/_loss-cause.ts
+++ b/packages/cli/src/trace/_loss-cause.ts
@@ -1,40 +1,40 @@
 import {type Decision} from './_decision.js';
 
-/** Why a request was not answered well and in time, the first that applies: what happened last is told by `valehitch trace`. */
+/** The causes for which a request was lost or late. Each request counts for the first cause that applies; `valehitch trace` shows what happened last. */
 export const lossCauses = {
 	'instance-ended': 'its instance ended before it answered',
-	'no-end': 'it has no last line: in progress at the end of the log, or left out',
-	'caller-left': 'its caller left before it was answered',
+	'no-end': 'it has no last line: it was in progress at the end of the log, or the line was dropped',
+	'caller-left': 'its caller disconnected before it was answered',
 	'never-tried': 'it was sent to no server',
-	'stream-broken': 'its stream broke off or stalled, and went on elsewhere or not at all',
-	'server-silent': 'a server gave no word and was given up',
-	'server-unreachable': 'no connection to a server opened',
-	'server-turned-away': 'a server did not run it, or its connection was lost',
+	'stream-broken': 'its stream broke off or stalled, and was resumed on another server or not at all',
+	'server-silent': 'a server sent nothing before the timeout',
+	'server-unreachable': 'no connection to a server could be opened',
+	'server-turned-away': 'a server did not run it, or the connection was lost',
 	'server-failed': 'a server answered with a failure',
-	'larger-model': 'a larger model was asked after the first answer',
-	waited: 'it waited in or before the one server that it was sent to',
+	'larger-model': 'it was escalated to a larger model after the first answer',
+	waited: 'it was queued at, or on the way to, the only server that it was sent to',
 } as const;
 
-/** One cause of the closed list. */
+/** The name of a cause. */
 export type LossCause = keyof typeof lossCauses;
 
-/** What is known of one request. */
+/** The log records about one request, and how to classify it. */
 export type LossOptions = {
-	/** The lines about it, in the order of time. */
+	/** The decisions about the request, in chronological order. */
 	readonly own: readonly Decision[];
-	/** When each instance started, in milliseconds of its wall clock. */
+	/** The start times of each instance on its wall clock, in milliseconds. */
 	readonly starts: ReadonlyMap<string, readonly number[]>;
-	/** After this time to the answer, or to the first event of a stream, it counts as late, in milliseconds. */
+	/** The time to the response, or to the first event of a stream, after which the request counts as late, in milliseconds. */
 	readonly late: number;
 };
 
-const firstServerError = 500;
+const minimumServerErrorStatus = 500;
 
 /**
-Tells why a request was lost or late.
+Determines why a request was lost or late.
 
-@param options What is known of it.
-@returns The cause; undefined where it was answered in time.
+@param options The log records about the request.
+@returns The cause; undefined if the request was answered in time.
 */
 export function lossCause({own, starts, late}: LossOptions): LossCause | undefined {
 	const end = own.findLast(({kind}) => kind === 'request-ended');
@@ -47,25 +47,25 @@
 		return outcome;
 	}
 
-	if (outcome === 'answered' && numberOf(end, 'status') >= firstServerError) {
+	if (outcome === 'answered' && numericField(end, 'status') >= minimumServerErrorStatus) {
 		return 'server-failed';
 	}
 
-	const time = end.fields.has('headAfter') ? numberOf(end, 'headAfter') : numberOf(end, 'duration');
-	if (outcome === 'answered' && time <= late) {
+	const latency = end.fields.has('headAfter') ? numericField(end, 'headAfter') : numericField(end, 'duration');
+	if (outcome === 'answered' && latency <= late) {
 		return undefined;
 	}
 
-	return numberOf(end, 'sends') === 0 && outcome !== 'answered' && !own.some(({kind}) => kind === 'request-attempt-ended') ? 'never-tried' : causeOfSends(own);
+	return numericField(end, 'sends') === 0 && outcome !== 'answered' && !own.some(({kind}) => kind === 'request-attempt-ended') ? 'never-tried' : causeOfAttempts(own);
 }
 
 function causeWithoutEnd(last: Decision | undefined, starts: LossOptions['starts']): LossCause {
-	const hasStartedAgain = last !== undefined && (starts.get(last.instance) ?? []).some(at => at > last.at);
-	return hasStartedAgain ? 'instance-ended' : 'no-end';
+	const hasRestarted = last !== undefined && (starts.get(last.instance) ?? []).some(at => at > last.at);
+	return hasRestarted ? 'instance-ended' : 'no-end';
 }
 
-/** The last thing that went wrong with a send, since what came before it was made up for. */
-function causeOfSends(own: readonly Decision[]): LossCause {
+/** Returns the cause of the last failed attempt, resumption or escalation, because the request recovered from those before it. */
+function causeOfAttempts(own: readonly Decision[]): LossCause {
 	for (const {kind, fields} of own.toReversed()) {
 		if (kind === 'request-resumed') {
 			return 'stream-broken';
@@ -91,7 +91,7 @@
 	return result === 'unreachable' ? 'server-unreachable' : 'server-turned-away';
 }
 
-/** A number of a line; 0 where the line has none, as lines of requests without sends have. */
-function numberOf({fields}: Decision, name: string): number {
+/** Returns a numeric field of a record; 0 if the record doesn't have it, such as for a request that was never sent. */
+function numericField({fields}: Decision, name: string): number {
 	return Number(fields.get(name) ?? 0);
 }
--- a/packages/cli/src/trace/_sum-losses.ts
+++ b/packages/cli/src/trace/_sum-losses.ts
@@ -2,91 +2,91 @@
 import {groupBy} from './_group-by.js';
 import {type LossCause, lossCause, lossCauses} from './_loss-cause.js';
 
-/** The requests that were lost or late for one cause. */
+/** The requests that were lost or late for the same cause. */
 export type LossRow = {
 	readonly cause: LossCause;
 	readonly meaning: string;
 	readonly requests: number;
 	/** The share of all requests, in percent with one decimal. */
 	readonly percent: number;
-	/** Requests by route, the most first. */
+	/** The number of requests by route, in descending order. */
 	readonly routes: string;
-	/** Some of them, for `valehitch trace`. */
+	/** The ids of some of the requests, for `valehitch trace`. */
 	readonly examples: string;
 };
 
-/** What the models of a route did. */
+/** The use of one model by one route. */
 export type ModelRow = {
 	readonly route: string;
 	readonly model: string;
-	/** Streams that it answered whole. */
+	/** The number of streams that the model completed. */
 	readonly answered: number;
-	/** Its mean opinion of them, from 0 to 100. */
+	/** The mean confidence that the model reported for them, from 0 to 100. */
 	readonly confidence: number;
-	/** Answers of it that were dropped for a larger model's. */
+	/** The number of its answers that were replaced by a larger model's. */
 	readonly steppedOn: number;
 };
 
-/** The losses of some logs, and what its models did. */
+/** The losses by cause, and the use of models by route. */
 export type LossSummary = {
 	readonly requests: number;
 	readonly losses: readonly LossRow[];
 	readonly models: readonly ModelRow[];
 };
 
-const mostExamples = 3;
-const unknown = '?';
+const maximumExamples = 3;
+const unknownName = '?';
 
 /**
-Adds up the requests that were lost or late by cause, and the use of models by route.
+Counts the lost and late requests by cause, and the use of models by route.
 
 @param decisions The decisions of all instances.
-@param options `late`: the time after which an answer counts as late, in milliseconds.
-@returns The sums, the most frequent cause first.
+@param options `late`: the time after which a response counts as late, in milliseconds.
+@returns The counts, with the most frequent cause first.
 */
 export function sumLosses(decisions: readonly Decision[], {late}: {readonly late: number}): LossSummary {
 	const byRequest = groupBy(decisions.filter(({request}) => request !== undefined), ({request}) => request);
-	const starts = startsOf(decisions);
-	const lost = new Map<LossCause, Decision[]>();
+	const startTimes = startTimesByInstance(decisions);
+	const lastLineByCause = new Map<LossCause, Decision[]>();
 	let requests = 0;
 	for (const lines of byRequest.values()) {
-		const own = lines.toSorted((one, other) => one.at - other.at);
-		if (own.some(({kind}) => kind === 'request-refused')) {
-			// Refused for what it asked, such as a wrong key; nothing was lost.
+		const sortedLines = lines.toSorted((left, right) => left.at - right.at);
+		if (sortedLines.some(({kind}) => kind === 'request-refused')) {
+			// Requests refused as invalid, such as for a wrong key, don't count as lost.
 			continue;
 		}
 
 		requests++;
-		const cause = lossCause({own, starts, late});
+		const cause = lossCause({own: sortedLines, starts: startTimes, late});
 		if (cause !== undefined) {
-			lost.set(cause, [...lost.get(cause) ?? [], own.at(-1)!]);
+			lastLineByCause.set(cause, [...lastLineByCause.get(cause) ?? [], sortedLines.at(-1)!]);
 		}
 	}
 
-	const losses = [...lost].map(([cause, lines]) => toRow(cause, {lines, requests})).toSorted((one, other) => other.requests - one.requests);
+	const losses = [...lastLineByCause].map(([cause, lines]) => toLossRow(cause, {lines, requests})).toSorted((left, right) => right.requests - left.requests);
 	return {requests, losses, models: modelRows(decisions)};
 }
 
-function startsOf(decisions: readonly Decision[]): ReadonlyMap<string, readonly number[]> {
-	const starts = new Map<string, number[]>();
+function startTimesByInstance(decisions: readonly Decision[]): ReadonlyMap<string, readonly number[]> {
+	const startTimes = new Map<string, number[]>();
 	for (const {kind, instance, at} of decisions) {
 		if (kind === 'process-started') {
-			starts.set(instance, [...starts.get(instance) ?? [], at]);
+			startTimes.set(instance, [...startTimes.get(instance) ?? [], at]);
 		}
 	}
 
-	return starts;
+	return startTimes;
 }
 
-function toRow(cause: LossCause, {lines, requests}: {readonly lines: readonly Decision[]; readonly requests: number}): LossRow {
-	const routes = groupBy(lines, ({fields}) => fields.get('route') ?? unknown);
+function toLossRow(cause: LossCause, {lines, requests}: {readonly lines: readonly Decision[]; readonly requests: number}): LossRow {
+	const routes = groupBy(lines, ({fields}) => fields.get('route') ?? unknownName);
 	return {
 		cause,
 		meaning: lossCauses[cause],
 		requests: lines.length,
 		percent: Math.round(1000 * lines.length / requests) / 10,
-		routes: [...routes].toSorted(([, one], [, other]) => other.length - one.length).map(([route, {length}]) => `${route} ${length}`).join(', '),
-		examples: lines.slice(0, mostExamples).map(({request}) => request).join(' '),
+		routes: [...routes].toSorted(([, left], [, right]) => right.length - left.length).map(([route, {length}]) => `${route} ${length}`).join(', '),
+		examples: lines.slice(0, maximumExamples).map(({request}) => request).join(' '),
 	};
 }
 
@@ -95,32 +95,32 @@
 	const routes = new Map<string | undefined, string>();
 	for (const {kind, request, fields} of decisions) {
 		if (kind === 'request-ended') {
-			routes.set(request, fields.get('route') ?? unknown);
+			routes.set(request, fields.get('route') ?? unknownName);
 		}
 	}
 
-	const change = (route: string, {model, add}: {readonly model: string; readonly add: (row: ModelRow) => Partial<ModelRow>}): void => {
+	const updateRow = (route: string, {model, update}: {readonly model: string; readonly update: (row: ModelRow) => Partial<ModelRow>}): void => {
 		const key = `${route} ${model}`;
 		const row = rows.get(key) ?? {
 			route, model, answered: 0, confidence: 0, steppedOn: 0,
 		};
-		rows.set(key, {...row, ...add(row)});
+		rows.set(key, {...row, ...update(row)});
 	};
 
 	for (const {kind, request, fields} of decisions) {
-		const route = routes.get(request) ?? unknown;
+		const route = routes.get(request) ?? unknownName;
 		const confidence = Number(fields.get('confidence') ?? Number.NaN);
 		if (kind === 'request-escalated') {
-			change(route, {model: fields.get('from') ?? unknown, add: ({steppedOn}) => ({steppedOn: steppedOn + 1})});
+			updateRow(route, {model: fields.get('from') ?? unknownName, update: ({steppedOn}) => ({steppedOn: steppedOn + 1})});
 		} else if (kind === 'request-ended' && fields.get('outcome') === 'answered' && !Number.isNaN(confidence)) {
-			change(route, {
-				model: fields.get('model') ?? unknown,
-				add: ({answered, confidence: mean}) => ({answered: answered + 1, confidence: mean + ((confidence - mean) / (answered + 1))}),
+			updateRow(route, {
+				model: fields.get('model') ?? unknownName,
+				update: ({answered, confidence: mean}) => ({answered: answered + 1, confidence: mean + ((confidence - mean) / (answered + 1))}),
 			});
 		}
 	}
 
 	return [...rows.values()]
 		.map(row => ({...row, confidence: Math.round(row.confidence)}))
-		.toSorted((one, other) => one.route.localeCompare(other.route) || other.answered - one.answered);
+		.toSorted((left, right) => left.route.localeCompare(right.route) || right.answered - left.answered);
 }
--- a/packages/cli/src/trace/losses.test.ts
+++ b/packages/cli/src/trace/losses.test.ts
@@ -44,16 +44,16 @@
 	});
 }
 
-test('a request whose instance started again after its last line was lost with it', t => {
+test('a request whose instance restarted after its last record counts as lost with the instance', t => {
 	const {losses} = sumLosses([...linesOf('a1', [{kind: 'request-dispatched', at: 1000}]), ...linesOf(undefined, [{kind: 'process-started', at: 1500}])], {late: 2000});
 	t.like(losses, [{cause: 'instance-ended', requests: 1, percent: 100}]);
 });
 
-test('causes come with the most frequent first, with their routes and some requests, and a refused key counts nowhere', t => {
-	const lost = (request: string, route: string): readonly Decision[] => linesOf(request, [{kind: 'request-ended', fields: {...refused, route, sends: '0'}}]);
+test('causes are sorted by frequency and list routes and example requests; a refused request is not counted', t => {
+	const lostRequest = (request: string, route: string): readonly Decision[] => linesOf(request, [{kind: 'request-ended', fields: {...refused, route, sends: '0'}}]);
 	const late = linesOf('late', [{kind: 'request-ended', fields: {...answered, headAfter: '2500'}}]);
 	const {requests, losses} = sumLosses([
-		...late, ...lost('a1', 'drafts'), ...lost('a2', 'notes'), ...lost('a3', 'notes'), ...lost('a4', 'notes'), ...linesOf('key', [{kind: 'request-refused'}]),
+		...late, ...lostRequest('a1', 'drafts'), ...lostRequest('a2', 'notes'), ...lostRequest('a3', 'notes'), ...lostRequest('a4', 'notes'), ...linesOf('key', [{kind: 'request-refused'}]),
 	], {late: 2000});
 	t.is(requests, 5);
 	t.like(losses, [{
@@ -61,12 +61,12 @@
 	}, {cause: 'waited', requests: 1}]);
 });
 
-test('models are told by route, with the answers that were dropped for a larger one', t => {
-	const end = (model: string, confidence: string): Line => ({kind: 'request-ended', fields: {...answered, model, confidence}});
+test('models are counted by route, with the answers that were replaced by a larger model', t => {
+	const endLine = (model: string, confidence: string): Line => ({kind: 'request-ended', fields: {...answered, model, confidence}});
 	const {models} = sumLosses([
-		...linesOf('a1', [end('small', '80')]),
-		...linesOf('a2', [end('small', '60')]),
-		...linesOf('a3', [{kind: 'request-escalated', fields: {from: 'small', to: 'large', confidence: '20'}}, end('large', '90')]),
+		...linesOf('a1', [endLine('small', '80')]),
+		...linesOf('a2', [endLine('small', '60')]),
+		...linesOf('a3', [{kind: 'request-escalated', fields: {from: 'small', to: 'large', confidence: '20'}}, endLine('large', '90')]),
 	], {late: 5000});
 	t.deepEqual(models, [
 		{
--- a/packages/cli/src/trace/trace.test.ts
+++ b/packages/cli/src/trace/trace.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import {readDecisions} from './_decision.js';
-import {tellRequest} from './_tell-request.js';
+import {tellRequest} from './_trace-request.js';
 
 function line(time: number, fields: Readonly<Record<string, unknown>>): string {
 	return JSON.stringify({
@@ -27,7 +27,7 @@
 	'{"name":"valehitch","kind":"request-en',
 ].join('\n');
 
-test('a story begins with the cause, and has what concerns the request only', t => {
+test('a report starts with the cause, and leaves out other requests and unrelated servers', t => {
 	const {decisions, unreadable} = readDecisions(log);
 	t.is(unreadable, 1);
 	const story = tellRequest('a1', decisions);
@@ -38,7 +38,7 @@
 	t.notRegex(text, /i-9|b2/v);
 });
 
-test('a request that its instance did not survive is told so', t => {
+test('a request whose instance restarted before it answered is reported as such', t => {
 	const {decisions} = readDecisions([
 		line(2000, {
 			kind: 'request-dispatched', request: 'c3', server: 'i-2', send: 1,
@@ -48,6 +48,6 @@
 	t.is(tellRequest('c3', decisions)[0], 'Cause: its instance ended before it answered, and started again 4000 ms after the last line about it');
 });
 
-test('a request that no log has gives no story', t => {
+test('a request that no log has gives an empty report', t => {
 	t.deepEqual(tellRequest('none', readDecisions(log).decisions), []);
 });
