--- a/packages/cli/src/commands/timeline.ts
+++ b/packages/cli/src/commands/timeline.ts
@@ -12,24 +12,24 @@
 
 const columns: readonly string[] = ['time', 'instance', 'zone', 'event', 'subject'];
 
-/** Prints the events of all processes in one order. */
+/** Prints the timeline events of several processes in causal order. */
 export class Timeline extends OperatorCommand {
-	static override readonly summary = 'Print the events of several processes in one order.';
-	static override readonly description = 'Reads log files, or the events that running instances still keep. The order follows cause and effect: no message comes before it was sent.';
+	static override readonly summary = 'Print the events of several processes in causal order.';
+	static override readonly description = 'Reads log files, or the events that running instances still keep. In causal order, no message is received before it was sent.';
 	static override readonly strict = false;
 	static override readonly args = {file: Args.string({description: 'Log files of valehitchd.'})};
 	static override readonly flags = {
-		key: Flags.string({summary: 'An operator\'s key, for --servers; better set VALEHITCH_KEY.', env: 'VALEHITCH_KEY', default: ''}),
-		servers: Flags.string({summary: 'The operators\' addresses of instances, with commas between them.', multiple: true, delimiter: ','}),
-		request: Flags.string({summary: 'Events of this request only.'}),
-		change: Flags.string({summary: 'Events of this change only.'}),
-		version: Flags.string({summary: 'Events of this version only, as VERSION or MODEL@VERSION.'}),
-		server: Flags.string({summary: 'Events of this backend server only.'}),
-		zone: Flags.string({summary: 'Events of instances in this zone only.'}),
+		key: Flags.string({summary: 'An operator key for --servers. Prefer VALEHITCH_KEY.', env: 'VALEHITCH_KEY', default: ''}),
+		servers: Flags.string({summary: 'The operator addresses of instances, separated by commas.', multiple: true, delimiter: ','}),
+		request: Flags.string({summary: 'Only events of this request.'}),
+		change: Flags.string({summary: 'Only events of this change.'}),
+		version: Flags.string({summary: 'Only events of this version, given as VERSION or MODEL@VERSION.'}),
+		server: Flags.string({summary: 'Only events of this backend server.'}),
+		zone: Flags.string({summary: 'Only events of instances in this zone.'}),
 		event: Flags.string({
-			summary: 'Events of these names only.', multiple: true, delimiter: ',', options: [...timelineEventNames],
+			summary: 'Only events with these names.', multiple: true, delimiter: ',', options: [...timelineEventNames],
 		}),
-		html: Flags.string({summary: 'Write one page with a lane for each process to this file.'}),
+		html: Flags.string({summary: 'Write an HTML page with a lane for each process to this file.'}),
 	};
 
 	static override readonly examples = [
@@ -38,7 +38,7 @@
 	];
 
 	/**
-	Reads, merges, filters and prints.
+	Reads, merges and filters the events, and prints them.
 
 	@returns The events.
 	*/
@@ -49,11 +49,11 @@
 			this.fail(failure('malformed-request', 'Got neither log files nor --servers, wanted one of them'));
 		}
 
-		const read = [
+		const eventGroups = [
 			...await Promise.all(argv.map(async file => this.#readFile(String(file)))),
 			...await Promise.all(servers.map(async server => this.#readServer({server, key: flags.key}))),
 		];
-		const events = filterEvents(mergeEvents(read.flat()), flags);
+		const events = filterEvents(mergeEvents(eventGroups.flat()), flags);
 		if (flags.html !== undefined) {
 			await writeFile(flags.html, timelinePage(events));
 			this.logToStderr(`${events.length} events in ${flags.html}`);
@@ -70,7 +70,7 @@
 
 	async #readFile(file: string): Promise<readonly TimelineEvent[]> {
 		const text = await EitherAsync<Error, string>(async () => readFile(file, 'utf8')).run();
-		const {events, unreadable} = readLog(this.unwrap(text.mapLeft(({message}) => failure('not-found', `Got an error (${message}), wanted a log file that can be read`))));
+		const {events, unreadable} = readLog(this.unwrap(text.mapLeft(({message}) => failure('not-found', `Got an error (${message}), wanted a readable log file`))));
 		if (unreadable > 0) {
 			this.logToStderr(`${file}: ${unreadable} events could not be read`);
 		}
--- a/packages/cli/src/timeline/_describe-event.ts
+++ b/packages/cli/src/timeline/_describe-event.ts
@@ -2,7 +2,7 @@
 
 const subjectNames = ['requestId', 'changeId', 'workspace', 'model', 'version', 'server', 'revision', 'term'] as const;
 
-/** Writes what an event is about as NAME=VALUE, the details last. */
+/** Formats the subject of an event as NAME=VALUE pairs, followed by its details. */
 export function describeSubject(event: TimelineEvent): string {
 	const subject = subjectNames.map(name => [name, event[name]] as const);
 	return [...subject, ...Object.entries(event.details ?? {})]
@@ -11,7 +11,7 @@
 		.join(' ');
 }
 
-/** Writes the time of an event: the wall clock in UTC, and the counter where it is above 0. */
+/** Formats the hybrid timestamp of an event: the wall clock in UTC, followed by the counter if it is above 0. */
 export function describeTime({stamp: {wall, counter}}: TimelineEvent): string {
 	return `${new Date(wall).toISOString()}${counter === 0 ? '' : `+${counter}`}`;
 }
--- a/packages/cli/src/timeline/_filter-events.ts
+++ b/packages/cli/src/timeline/_filter-events.ts
@@ -1,27 +1,27 @@
 import {type TimelineEvent} from '@valehitch/core';
 
-/** What an event must be about; a member that is undefined lets all through. */
+/** Conditions on an event; a member that is undefined matches every event. */
 export type EventFilter = {
 	readonly request?: string | undefined;
 	readonly change?: string | undefined;
-	/** A version, or MODEL@VERSION. */
+	/** VERSION or MODEL@VERSION. */
 	readonly version?: string | undefined;
 	readonly server?: string | undefined;
 	readonly zone?: string | undefined;
-	/** Names of events. */
+	/** The names of the events to keep. */
 	readonly event?: readonly string[] | undefined;
 };
 
-/** Keeps the events that pass every given member of the filter. */
+/** Returns the events that match every member of the filter. */
 export function filterEvents(events: readonly TimelineEvent[], filter: EventFilter): readonly TimelineEvent[] {
-	return events.filter(event => passes(filter.request, [event.requestId])
-		&& passes(filter.change, [event.changeId])
-		&& passes(filter.version, [event.version, `${event.model ?? ''}@${event.version ?? ''}`])
-		&& passes(filter.server, [event.server])
-		&& passes(filter.zone, [event.zone])
+	return events.filter(event => matchesAny(filter.request, [event.requestId])
+		&& matchesAny(filter.change, [event.changeId])
+		&& matchesAny(filter.version, [event.version, `${event.model ?? ''}@${event.version ?? ''}`])
+		&& matchesAny(filter.server, [event.server])
+		&& matchesAny(filter.zone, [event.zone])
 		&& (filter.event === undefined || filter.event.includes(event.event)));
 }
 
-function passes(wanted: string | undefined, found: ReadonlyArray<string | undefined>): boolean {
+function matchesAny(wanted: string | undefined, found: ReadonlyArray<string | undefined>): boolean {
 	return wanted === undefined || found.includes(wanted);
 }
--- a/packages/cli/src/timeline/_page-script.ts
+++ b/packages/cli/src/timeline/_page-script.ts
@@ -1,4 +1,4 @@
-/** The script of the time line's page: search, and following the events of one request or change. */
+/** The script of the timeline page: searches events, and highlights the events of one request or change. */
 export const pageScript = `
 const marks = [...document.querySelectorAll('.event')];
 const rows = [...document.querySelectorAll('tbody tr')];
--- a/packages/cli/src/timeline/_page-style.ts
+++ b/packages/cli/src/timeline/_page-style.ts
@@ -1,4 +1,4 @@
-/** The style of the time line's page. */
+/** The style sheet of the timeline page. */
 export const pageStyle = `
 :root { color-scheme: light; font: 14px/1.4 system-ui, sans-serif; }
 body { margin: 0; color: #1c2430; background: #fff; }
--- a/packages/cli/src/timeline/_read-events.ts
+++ b/packages/cli/src/timeline/_read-events.ts
@@ -6,14 +6,14 @@
 });
 const isLogRecord = isMatching({timeline: P.nonNullable});
 
-/** What a log file holds. */
+/** The timeline events of a log. */
 export type ReadLog = {
 	readonly events: readonly TimelineEvent[];
-	/** Lines with an event that can't be read, such as the torn last line of a killed process. */
+	/** The number of lines with an event that can't be parsed, such as the truncated last line of a killed process. */
 	readonly unreadable: number;
 };
 
-/** Reads the events of a log in bunyan's form, one record a line; other records are passed over. */
+/** Parses the timeline events of a bunyan log, with one record per line; other records are skipped. */
 export function readLog(text: string): ReadLog {
 	const events: TimelineEvent[] = [];
 	let unreadable = 0;
@@ -22,7 +22,7 @@
 			continue;
 		}
 
-		const event = readLine(line);
+		const event = parseLine(line);
 		if (event === undefined) {
 			unreadable++;
 			continue;
@@ -34,22 +34,22 @@
 	return {events, unreadable};
 }
 
-/** Gives a value as an event, or undefined where it is none. */
+/** Returns a value as an event, or undefined if it isn't one. */
 export function toEvent(value: unknown): TimelineEvent | undefined {
 	return isEvent(value) ? value as TimelineEvent : undefined;
 }
 
-/** Puts events of several processes in one order: by time stamp, and by instance where two are equal; an event that came twice is kept once. */
+/** Merges the events of several processes in the order of their hybrid timestamps, and of their instances where two timestamps are equal. Duplicates are removed. */
 export function mergeEvents(events: readonly TimelineEvent[]): readonly TimelineEvent[] {
 	const ordered = events.toSorted((left, right) => compareTimestamps(left.stamp, right.stamp) || left.instance.localeCompare(right.instance));
-	return ordered.filter((event, index) => !isSame(event, ordered[index - 1]));
+	return ordered.filter((event, index) => !isDuplicate(event, ordered[index - 1]));
 }
 
-function isSame(left: TimelineEvent, right: TimelineEvent | undefined): boolean {
+function isDuplicate(left: TimelineEvent, right: TimelineEvent | undefined): boolean {
 	return left.instance === right?.instance && compareTimestamps(left.stamp, right.stamp) === 0;
 }
 
-function readLine(line: string): TimelineEvent | undefined {
+function parseLine(line: string): TimelineEvent | undefined {
 	try {
 		const record: unknown = JSON.parse(line);
 		return isLogRecord(record) ? toEvent(record.timeline) : undefined;
--- a/packages/cli/src/timeline/timeline.test.ts
+++ b/packages/cli/src/timeline/timeline.test.ts
@@ -15,17 +15,17 @@
 	};
 }
 
-// Each step is an event on one process, or a message from it to another; wall clocks are as wrong as they like.
+// Each step is a message from one process to another, or to itself, at a wall clock with an arbitrary skew.
 const steps = fc.array(fc.record({from: fc.nat(2), to: fc.nat(2), skew: fc.integer({min: -50, max: 50})}), {maxLength: 60});
 
 testProp('the merged order never shows an event before one that it follows from', [steps], (t, run) => {
-	let skewOfStep = 0;
-	const clock: Clock = {now: () => new Date(1000 + skewOfStep), monotonic: () => 0};
+	let currentSkew = 0;
+	const clock: Clock = {now: () => new Date(1000 + currentSkew), monotonic: () => 0};
 	const clocks = names.map(() => new HybridClock(clock));
 	const events: TimelineEvent[] = [];
 	const causes: Array<readonly [TimelineEvent, TimelineEvent]> = [];
 	for (const {from, to, skew} of run) {
-		skewOfStep = skew;
+		currentSkew = skew;
 		const sent = eventOf(names[from] ?? '', {stamp: clocks[from]?.next() ?? {wall: 0, counter: 0}});
 		clocks[to]?.observe(sent.stamp);
 		const received = eventOf(names[to] ?? '', {stamp: clocks[to]?.next() ?? {wall: 0, counter: 0}});
@@ -40,18 +40,18 @@
 	}
 }, {seed: 8, numRuns: 300});
 
-test('a log gives its events, passes over other records and counts a torn line', t => {
+test('a log is parsed into its events, skipping other records and counting a truncated line', t => {
 	const event = eventOf('left', {stamp: {wall: 1, counter: 0}, requestId: 'r1'});
 	const text = `${JSON.stringify({msg: 'x', timeline: event})}\n${JSON.stringify({msg: 'other'})}\nnot JSON\n{"timeline": {"eve`;
 	t.deepEqual(readLog(text), {events: [event], unreadable: 1});
 });
 
-test('an event that came from a log and from a running instance is kept once', t => {
+test('an event read from both a log and a running instance is kept once', t => {
 	const event = eventOf('left', {stamp: {wall: 1, counter: 0}});
 	t.is(mergeEvents([event, {...event}, eventOf('right', {stamp: event.stamp})]).length, 2);
 });
 
-test('filters narrow down, and a version may be named with its model', t => {
+test('all members of a filter must match, and a version may be given with its model', t => {
 	const stamp = {wall: 1, counter: 0};
 	const first = eventOf('left', {
 		stamp, requestId: 'r1', model: 'small', version: '1.0',
@@ -66,7 +66,7 @@
 	t.deepEqual(filterEvents([first, second], {event: ['server-lost'], zone: 'zone-a'}), [second]);
 });
 
-test('the page runs nothing that an event carries and needs no network', t => {
+test('the page escapes event data and loads nothing from the network', t => {
 	const page = timelinePage([eventOf('left', {stamp: {wall: 1, counter: 0}, requestId: '"><script>alert(1)</script>', details: {message: '</table>'}})]);
 	t.is(page.split('<script>').length, 2);
 	t.false(page.includes('</table></td>'));
