--- a/packages/cli/src/_change-document.ts
+++ b/packages/cli/src/_change-document.ts
@@ -7,17 +7,17 @@
 	type Committed, getConfiguration, putConfiguration, type Target,
 } from './_operator-client.js';
 
-/** How to change the configuration in force. */
+/** Options for a read-modify-write update of the configuration in force. */
 export type DocumentChange = {
-	/** Gives the new document, or why it can't be made. */
+	/** Returns the edited document, or the failure if the edit isn't possible. */
 	readonly edit: (document: Configuration) => Either<Failure, Configuration>;
-	/** How often a change that lost against another is made again on the newer document; 0 by default. */
+	/** How many times to reapply the edit to the newer document after a revision conflict; 0 by default. */
 	readonly retries?: number;
-	/** Told the change id and revision before each send, so that an operator can ask for them later. */
+	/** Called with the change id and revision before each send, so that an operator can look the change up later. */
 	readonly onSend: (change: {readonly id: string; readonly revision: number}) => void;
 };
 
-/** Reads the configuration in force, edits it, and applies it against the revision it was read at. */
+/** Reads the configuration in force, edits it, and submits the result on condition that the revision has not changed since. */
 export async function changeDocument(target: Target, change: DocumentChange): Promise<Either<Failure, Committed>> {
 	const current = await getConfiguration(target);
 	if (current.isLeft()) {
@@ -41,7 +41,7 @@
 	const parsed = configurationSchema.safeParse(document);
 	return parsed.success
 		? Right(parsed.data)
-		: Left(failure('internal', `Got a configuration that this command does not understand (${parsed.error.issues[0]?.message ?? ''}), wanted one of its own version`));
+		: Left(failure('internal', `Got a configuration that this version of the command can't parse (${parsed.error.issues[0]?.message ?? ''}), wanted one from an instance of the same version`));
 }
 
 function isConflict(result: Either<Failure, unknown>): boolean {
--- a/packages/cli/src/_operator-client.ts
+++ b/packages/cli/src/_operator-client.ts
@@ -10,72 +10,72 @@
 } from 'purify-ts';
 import {isMatching, P} from 'ts-pattern';
 
-const answerTimeoutMilliseconds = 15_000;
-const largestAnswerBytes = 33_554_432;
-const sendsAtMost = 3;
-const pauseBetweenSendsMilliseconds = 300;
-const neverConnectedCodes: ReadonlySet<unknown> = new Set(['ECONNREFUSED', 'ENOTFOUND', 'EAI_AGAIN', 'EHOSTUNREACH', 'ENETUNREACH']);
+const responseTimeoutMilliseconds = 15_000;
+const maximumResponseBytes = 33_554_432;
+const maximumSends = 3;
+const resendDelayMilliseconds = 300;
+const connectFailureCodes: ReadonlySet<unknown> = new Set(['ECONNREFUSED', 'ENOTFOUND', 'EAI_AGAIN', 'EHOSTUNREACH', 'ENETUNREACH']);
 
-/** The operators' interface of an instance, and the key for it. */
+/** The operator API of an instance, and the key for it. */
 export type Target = {
-	/** The base address, such as `http://127.0.0.1:8082`. */
+	/** The base URL, such as `http://127.0.0.1:8082`. */
 	readonly server: string;
 	readonly key: string;
 };
 
-/** One change of the configuration. */
+/** A replacement of the configuration, conditional on a revision. */
 export type Change = {
 	readonly id: string;
-	/** The revision that the change was made against. */
+	/** The revision that the change is based on. */
 	readonly revision: number;
 	readonly document: Configuration;
 };
 
-/** What the instance says of a committed change. */
+/** The response of an instance to a committed change. */
 export type Committed = {
 	readonly revision: number;
 	readonly inForce: {readonly complete: boolean; readonly waitingFor: readonly string[]};
 };
 
-/** The configuration in force. */
+/** The configuration in force, with its revision and rollouts. */
 export type CurrentConfiguration = {
 	readonly revision: number;
 	readonly document: unknown;
 	readonly rollouts: unknown;
 };
 
-/** The part of the events that an instance still keeps. */
+/** The timeline events that an instance still keeps in memory. */
 export type LiveEvents = {
 	readonly events: readonly unknown[];
 	readonly next: number;
 	readonly dropped: number;
 };
 
-/** Which bills are asked for. */
+/** Selects bills of the ledger. */
 export type LedgerQuery = {
-	/** Bills of this workspace only. */
+	/** Only bills of this workspace. */
 	readonly workspace?: string | undefined;
-	/** How many bills to pass over. */
+	/** The number of bills to skip. */
 	readonly after: number;
-	/** Whether the bills are wanted that the ledger refused. */
+	/** Whether to list the bills that the ledger refused instead of those it accepted. */
 	readonly refused: boolean;
 };
 
 /** A page of the ledger. */
 export type LedgerPage = {
 	readonly bills: ReadonlyArray<Readonly<Record<string, unknown>>>;
-	/** What comes after this page; absent on the last. */
+	/** The value of `after` for the next page; absent on the last page. */
 	readonly next?: number;
 };
 
-type Call = {
+type ApiRequest = {
 	readonly method: 'GET' | 'PUT' | 'POST';
 	readonly path: string;
 	readonly headers?: Readonly<Record<string, string>>;
 	readonly body?: string;
 };
 
-type Answer = {readonly status: number; readonly text: string};
+type ApiResponse = {readonly status: number; readonly text: string};
 
 const isCommitted = isMatching({revision: P.number, committed: true, inForce: {complete: P.boolean, waitingFor: P.array(P.string)}});
 const isCurrentConfiguration = isMatching({revision: P.number, document: P.nonNullable, rollouts: P.any});
@@ -87,103 +87,103 @@
 const hasDetails = isMatching({details: P.nonNullable});
 const hasOutcome = isMatching({outcome: P.union('notRun', 'ran', 'unknown')});
 
-/** Reads the configuration in force. */
+/** Fetches the configuration in force. */
 export async function getConfiguration(target: Target): Promise<Either<Failure, CurrentConfiguration>> {
-	const answer = await call(target, {method: 'GET', path: '/v1/configuration'});
-	return answer.chain(value => isCurrentConfiguration(value) ? Right(value) : Left(oddAnswer('a configuration with its revision')));
+	const response = await call(target, {method: 'GET', path: '/v1/configuration'});
+	return response.chain(value => isCurrentConfiguration(value) ? Right(value) : Left(unexpectedResponse('a configuration with its revision')));
 }
 
-/** Reads the status of the instance. */
+/** Fetches the status of the instance. */
 export async function getStatus(target: Target): Promise<Either<Failure, Readonly<Record<string, unknown>>>> {
-	const answer = await call(target, {method: 'GET', path: '/v1/status'});
-	return answer.chain(value => isStatus(value) ? Right(value) : Left(oddAnswer('a status with instance and servers')));
+	const response = await call(target, {method: 'GET', path: '/v1/status'});
+	return response.chain(value => isStatus(value) ? Right(value) : Left(unexpectedResponse('a status with instance and servers')));
 }
 
-/** Reads a page of the ledger. */
+/** Fetches a page of the ledger. */
 export async function getLedger(target: Target, {workspace, after, refused}: LedgerQuery): Promise<Either<Failure, LedgerPage>> {
 	const query = new URLSearchParams({...(workspace !== undefined && {workspace}), after: String(after), ...(refused && {refused: 'true'})});
-	const answer = await call(target, {method: 'GET', path: `/v1/ledger?${query.toString()}`});
-	return answer.chain(value => isLedgerPage(value) ? Right(value as LedgerPage) : Left(oddAnswer('a page of the ledger')));
+	const response = await call(target, {method: 'GET', path: `/v1/ledger?${query.toString()}`});
+	return response.chain(value => isLedgerPage(value) ? Right(value as LedgerPage) : Left(unexpectedResponse('a page of the ledger')));
 }
 
-/** Reads the events that an instance keeps. */
+/** Fetches the timeline events that an instance still keeps. */
 export async function getEvents(target: Target, after: number): Promise<Either<Failure, LiveEvents>> {
-	const answer = await call(target, {method: 'GET', path: `/v1/timeline?after=${after}`});
-	return answer.chain(value => isLiveEvents(value) ? Right(value) : Left(oddAnswer('a page of events')));
+	const response = await call(target, {method: 'GET', path: `/v1/timeline?after=${after}`});
+	return response.chain(value => isLiveEvents(value) ? Right(value) : Left(unexpectedResponse('a page of events')));
 }
 
-/** Reads the decisions of a request. */
+/** Fetches the routing decisions for a request. */
 export async function getExplanation(target: Target, requestId: string): Promise<Either<Failure, Readonly<Record<string, unknown>>>> {
-	const answer = await call(target, {method: 'GET', path: `/v1/explain/${encodeURIComponent(requestId)}`});
-	return answer.chain(value => isRecord(value) ? Right({...value}) : Left(oddAnswer('the decisions of a request')));
+	const response = await call(target, {method: 'GET', path: `/v1/explain/${encodeURIComponent(requestId)}`});
+	return response.chain(value => isRecord(value) ? Right({...value}) : Left(unexpectedResponse('the decisions of a request')));
 }
 
-/** Sends a command to a path of the operators' interface. */
+/** Posts a command to a path of the operator API. */
 export async function postCommand(target: Target, {path, body}: {readonly path: string; readonly body: unknown}): Promise<Either<Failure, Readonly<Record<string, unknown>>>> {
-	const answer = await call(target, {
+	const response = await call(target, {
 		method: 'POST', path, headers: {'Content-Type': 'application/json'}, body: JSON.stringify(body),
 	});
-	return answer.chain(value => isRecord(value) ? Right({...value}) : Left(oddAnswer('a JSON object')));
+	return response.chain(value => isRecord(value) ? Right({...value}) : Left(unexpectedResponse('a JSON object')));
 }
 
-/** Sends a change; sends it again with the same id when it is not known whether it was committed. */
+/** Submits a change. Resends it under the same id while it is unknown whether it was committed; the id makes this idempotent. */
 export async function putConfiguration(target: Target, change: Change): Promise<Either<Failure, Committed>> {
-	return putAtMost(sendsAtMost, {target, change});
+	return putWithResends(maximumSends, {target, change});
 }
 
-async function putAtMost(sends: number, sent: {target: Target; change: Change}): Promise<Either<Failure, Committed>> {
-	const result = await putOnce(sent.target, sent.change);
-	if (sends <= 1 || !isUnknown(result)) {
+async function putWithResends(remainingSends: number, options: {target: Target; change: Change}): Promise<Either<Failure, Committed>> {
+	const result = await putOnce(options.target, options.change);
+	if (remainingSends <= 1 || !isOutcomeUnknown(result)) {
 		return result;
 	}
 
-	await sleep(pauseBetweenSendsMilliseconds);
-	return putAtMost(sends - 1, sent);
+	await sleep(resendDelayMilliseconds);
+	return putWithResends(remainingSends - 1, options);
 }
 
-function isUnknown(result: Either<Failure, unknown>): boolean {
+function isOutcomeUnknown(result: Either<Failure, unknown>): boolean {
 	return result.swap().map(failed => outcomeOf(failed) === 'unknown').orDefault(false);
 }
 
 async function putOnce(target: Target, {id, revision, document}: Change): Promise<Either<Failure, Committed>> {
-	const answer = await call(target, {
+	const response = await call(target, {
 		method: 'PUT',
 		path: '/v1/configuration',
 		headers: {'If-Match': `"${revision}"`, 'Valehitch-Change-Id': id, 'Content-Type': 'application/json'},
 		body: JSON.stringify(document),
 	});
-	return answer.chain(value => isCommitted(value) ? Right(value) : Left(oddAnswer('a committed revision')));
+	return response.chain(value => isCommitted(value) ? Right(value) : Left(unexpectedResponse('a committed revision')));
 }
 
-async function call(target: Target, sent: Call): Promise<Either<Failure, unknown>> {
-	const url = parseAddress(target.server, sent.path);
+async function call(target: Target, apiRequest: ApiRequest): Promise<Either<Failure, unknown>> {
+	const url = parseUrl(target.server, apiRequest.path);
 	if (url.isLeft()) {
 		return url;
 	}
 
-	const answer = await send(url.unsafeCoerce(), {...sent, headers: {...sent.headers, authorization: `Bearer ${target.key}`}});
-	return answer.chain(({status, text}) => readAnswer(status, text));
+	const response = await send(url.unsafeCoerce(), {...apiRequest, headers: {...apiRequest.headers, authorization: `Bearer ${target.key}`}});
+	return response.chain(({status, text}) => parseResponse(status, text));
 }
 
-function parseAddress(server: string, path: string): Either<Failure, URL> {
+function parseUrl(server: string, path: string): Either<Failure, URL> {
 	return Either.encase(() => new URL(path, server))
 		.mapLeft(() => server)
 		.chain(url => url.protocol === 'http:' ? Right(url) : Left(server))
-		.mapLeft(got => failure('malformed-request', `Got the server ${JSON.stringify(got)}, wanted an address such as http://127.0.0.1:8082`));
+		.mapLeft(got => failure('malformed-request', `Got the server ${JSON.stringify(got)}, wanted a URL such as http://127.0.0.1:8082`));
 }
 
-function readAnswer(status: number, text: string): Either<Failure, unknown> {
+function parseResponse(status: number, text: string): Either<Failure, unknown> {
 	const body = Either.encase((): unknown => JSON.parse(text));
 	if (status >= 200 && status < 300) {
-		return body.mapLeft(() => oddAnswer('a JSON body'));
+		return body.mapLeft(() => unexpectedResponse('a JSON body'));
 	}
 
-	return Left(body.map(value => readProblem(value, status)).orDefault(unexplained(status)));
+	return Left(body.map(value => parseProblem(value, status)).orDefault(statusFailure(status)));
 }
 
-function readProblem(value: unknown, status: number): Failure {
+function parseProblem(value: unknown, status: number): Failure {
 	if (!isProblem(value) || !isErrorKind(value.kind)) {
-		return unexplained(status);
+		return statusFailure(status);
 	}
 
 	return failure(value.kind, value.detail, {
@@ -196,22 +196,22 @@
 	return Object.hasOwn(errorAnswers, kind);
 }
 
-function unexplained(status: number): Failure {
-	return failure('internal', `Got the HTTP status ${status} without an explanation, wanted 200 or problem details`);
+function statusFailure(status: number): Failure {
+	return failure('internal', `Got HTTP status ${status} without problem details, wanted 200 or problem details`);
 }
 
-function oddAnswer(wanted: string): Failure {
-	return failure('internal', `Got an answer of another shape, wanted ${wanted}`);
+function unexpectedResponse(wanted: string): Failure {
+	return failure('internal', `Got a response of an unexpected shape, wanted ${wanted}`);
 }
 
-async function send(url: URL, sent: Call): Promise<Either<Failure, Answer>> {
-	return EitherAsync<Error, Answer>(async () => exchange(url, sent))
+async function send(url: URL, apiRequest: ApiRequest): Promise<Either<Failure, ApiResponse>> {
+	return EitherAsync<Error, ApiResponse>(async () => sendRequest(url, apiRequest))
 		.mapLeft(error => toFailure(error, url))
 		.run();
 }
 
-async function exchange(url: URL, {method, headers = {}, body}: Call): Promise<Answer> {
-	const outgoing = request(url, {method, headers, signal: AbortSignal.timeout(answerTimeoutMilliseconds)});
+async function sendRequest(url: URL, {method, headers = {}, body}: ApiRequest): Promise<ApiResponse> {
+	const outgoing = request(url, {method, headers, signal: AbortSignal.timeout(responseTimeoutMilliseconds)});
 	const response = once(outgoing, 'response') as Promise<[IncomingMessage]>;
 	outgoing.end(body);
 	const [incoming] = await response;
@@ -223,8 +223,8 @@
 	let bytes = 0;
 	for await (const chunk of incoming as AsyncIterable<Uint8Array>) {
 		bytes += chunk.length;
-		if (bytes > largestAnswerBytes) {
-			throw new RangeError(`Got more than ${largestAnswerBytes} bytes`);
+		if (bytes > maximumResponseBytes) {
+			throw new RangeError(`Got more than ${maximumResponseBytes} bytes`);
 		}
 
 		chunks.push(chunk);
@@ -235,11 +235,11 @@
 
 function toFailure(error: Error & {code?: unknown}, url: URL): Failure {
 	if (error.code === 'ERR_INVALID_CHAR') {
-		return failure('malformed-request', 'Got a key or change id with characters that a header can\'t carry, wanted printable ASCII');
+		return failure('malformed-request', 'Got a key or change id with characters that are not allowed in a header, wanted printable ASCII');
 	}
 
 	const reason = error.message === '' ? String(error.code) : error.message;
-	return neverConnectedCodes.has(error.code)
-		? failure('no-server', `Got no connection to ${url.origin} (${reason}), wanted the operators' address of a running instance`)
-		: failure('outcome-unknown', `Got no answer from ${url.origin} (${reason}), wanted one within ${answerTimeoutMilliseconds} ms`);
+	return connectFailureCodes.has(error.code)
+		? failure('no-server', `Got no connection to ${url.origin} (${reason}), wanted the operator address of a running instance`)
+		: failure('outcome-unknown', `Got no response from ${url.origin} (${reason}), wanted one within ${responseTimeoutMilliseconds} ms`);
 }
--- a/packages/cli/src/_operator-command.ts
+++ b/packages/cli/src/_operator-command.ts
@@ -3,51 +3,51 @@
 import {formatProblem, type DocumentProblem} from '@valehitch/settings';
 import {type Either} from 'purify-ts';
 
-/** The exit code when another change was committed first. */
+/** The exit code for a conflict with another committed change. */
 const conflictExitCode = 2;
 
 const failureExitCode = 1;
 const conflictKinds: ReadonlySet<string> = new Set(['revision-conflict', 'change-id-reused']);
 
-/** The flags of the commands that talk to an instance. */
+/** The flags of the commands that call the operator API of an instance. */
 export const targetFlags = {
 	server: Flags.string({
-		summary: 'The operators\' address of an instance.', env: 'VALEHITCH_SERVER', default: 'http://127.0.0.1:8082',
+		summary: 'The operator address of an instance.', env: 'VALEHITCH_SERVER', default: 'http://127.0.0.1:8082',
 	}),
 	key: Flags.string({
-		summary: 'An operator\'s key; other users of the machine can see it here, so better set VALEHITCH_KEY.', env: 'VALEHITCH_KEY', required: true,
+		summary: 'An operator key. Other users of the machine can see command-line flags, so prefer VALEHITCH_KEY.', env: 'VALEHITCH_KEY', required: true,
 	}),
 };
 
-/** An error of a command that keeps the failure for `--json`. */
+/** A command error that carries the failure for the output of `--json`. */
 class CommandError extends Errors.CLIError {
-	readonly failed: Failure;
-	/** Read by oclif with `--json`; without, it reads the option `exit`. */
+	readonly failure: Failure;
+	/** The exit code, which oclif reads with `--json`; without it, oclif reads the option `exit`. */
 	readonly exitCode: number;
 
-	constructor(failed: Failure) {
-		const exit = conflictKinds.has(failed.kind) ? conflictExitCode : failureExitCode;
-		super(failed.message, {exit});
-		this.failed = failed;
+	constructor(failure: Failure) {
+		const exit = conflictKinds.has(failure.kind) ? conflictExitCode : failureExitCode;
+		super(failure.message, {exit});
+		this.failure = failure;
 		this.exitCode = exit;
 	}
 }
 
-/** What the commands share: `--json` and the way to end with a failure. */
+/** The base class of all commands: supports `--json` and exits with a failure. */
 export abstract class OperatorCommand extends Command {
 	static override enableJsonFlag = true;
 
-	/** Gives the right side, or ends the command with the failure. */
+	/** Returns the right value, or throws the failure as a command error. */
 	protected unwrap<Value>(result: Either<Failure, Value>): Value {
-		return result.ifLeft(failed => this.fail(failed)).unsafeCoerce();
+		return result.ifLeft(failure => this.fail(failure)).unsafeCoerce();
 	}
 
-	/** Ends the command with a failure. */
-	protected fail(failed: Failure): never {
-		throw new CommandError(failed);
+	/** Throws a failure as a command error. */
+	protected fail(failure: Failure): never {
+		throw new CommandError(failure);
 	}
 
-	/** Prints problems of documents on the standard error, one a line. */
+	/** Prints document problems to standard error, one per line. */
 	protected printProblems(problems: readonly DocumentProblem[]): void {
 		for (const problem of problems) {
 			this.logToStderr(formatProblem(problem));
@@ -56,7 +56,7 @@
 
 	protected override toErrorJson(error: unknown): unknown {
 		if (error instanceof CommandError) {
-			return {error: error.failed};
+			return {error: error.failure};
 		}
 
 		return {error: {message: error instanceof Error ? error.message : String(error)}};
--- a/packages/cli/src/commands/diff.ts
+++ b/packages/cli/src/commands/diff.ts
@@ -15,13 +15,13 @@
 /** Compares a file with the configuration in force. */
 export class Diff extends OperatorCommand {
 	static override readonly summary = 'Show what applying a file would change.';
-	static override readonly description = 'Prints one line for each difference: - for what is in force, + for what the file says. Exits with 0 whether or not there are any.';
+	static override readonly description = 'Prints the value in force after - and the value in the file after +, one per line. Exits with 0 whether or not there are differences.';
 	static override readonly args = {file: Args.string({description: 'The configuration in YAML or JSON.', required: true})};
 	static override readonly flags = targetFlags;
 	static override readonly examples = ['<%= config.bin %> diff configuration.yaml'];
 
 	/**
-	Compares and prints.
+	Prints the differences.
 
 	@returns The revision in force and the differences.
 	*/
@@ -30,22 +30,22 @@
 		const read = await readConfiguration(args.file);
 		const document = this.unwrap(read.mapLeft(problems => {
 			this.printProblems(problems);
-			return failure('invalid-configuration', `Got ${problems.length} problems in ${args.file}, wanted a sound configuration`, {details: {problems}});
+			return failure('invalid-configuration', `Got ${problems.length} problems in ${args.file}, wanted a valid configuration`, {details: {problems}});
 		}));
 		const current = this.unwrap(await getConfiguration(flags));
 		const differences = listDifferences({before: current.document, after: document});
 		this.logToStderr(`Against revision ${current.revision}: ${differences.length} differences`);
 		for (const {path, before, after} of differences) {
-			this.#printSide('-', {path, value: before});
-			this.#printSide('+', {path, value: after});
+			this.#printValue('-', {path, value: before});
+			this.#printValue('+', {path, value: after});
 		}
 
 		return {revision: current.revision, differences};
 	}
 
-	#printSide(mark: '-' | '+', {path, value}: {readonly path: string; readonly value: unknown}): void {
+	#printValue(sign: '-' | '+', {path, value}: {readonly path: string; readonly value: unknown}): void {
 		if (value !== undefined) {
-			this.log(`${mark} ${formatCell(path)}: ${formatCell(value)}`);
+			this.log(`${sign} ${formatCell(path)}: ${formatCell(value)}`);
 		}
 	}
 }
--- a/packages/cli/src/commands/drain.ts
+++ b/packages/cli/src/commands/drain.ts
@@ -5,23 +5,23 @@
 
 const path = '/v1/orders';
 
-/** Has an engine drain. */
+/** Orders an engine to drain. */
 export class Drain extends OperatorCommand {
-	static override readonly summary = 'Order an engine to drain: it finishes its work and announces that it takes no more.';
-	static override readonly description = 'The answer comes before the engine obeys. An engine that does not know the role refuses. Use the same --order-id after a lost answer.';
+	static override readonly summary = 'Order an engine to drain: it finishes its requests and announces that it accepts no more.';
+	static override readonly description = 'Returns before the engine has obeyed. An engine that does not know the role refuses. If a response was lost, run again with the same --order-id.';
 	static override readonly args = {server: Args.string({description: 'The engine.', required: true})};
 	static override readonly flags = {
 		...targetFlags,
-		role: Flags.string({summary: 'The role that the engine knows for draining.', default: 'drain'}),
-		'order-id': Flags.string({summary: 'Names the order; random by default.'}),
+		role: Flags.string({summary: 'The name of the engine role that stands for draining.', default: 'drain'}),
+		'order-id': Flags.string({summary: 'The id of the order; random by default.'}),
 	};
 
 	static override readonly examples = ['<%= config.bin %> drain engine-3'];
 
 	/**
-	Sends the order.
+	Submits the order.
 
-	@returns The order as it was committed.
+	@returns The committed order.
 	*/
 	async run(): Promise<unknown> {
 		const {args, flags} = await this.parse(Drain);
--- a/packages/cli/src/commands/withdraw.ts
+++ b/packages/cli/src/commands/withdraw.ts
@@ -7,12 +7,12 @@
 import {type Committed} from '../_operator-client.js';
 import {OperatorCommand, targetFlags} from '../_operator-command.js';
 
-const retriesWithFlag = 5;
+const conflictRetries = 5;
 
-/** Withdraws a version. */
+/** Withdraws a version of a model. */
 export class Withdraw extends OperatorCommand {
-	static override readonly summary = 'Withdraw a version: it gets no new work, and its sessions end.';
-	static override readonly description = 'Exits with 2 when another change was committed in between; with --retry the change is made again on the newer document, up to 5 times.';
+	static override readonly summary = 'Withdraw a version: it gets no new requests, and its sessions end.';
+	static override readonly description = 'Exits with 2 if another change was committed in the meantime; with --retry, reapplies the change to the newer document up to 5 times.';
 	static override readonly args = {
 		model: Args.string({description: 'The model.', required: true}),
 		version: Args.string({description: 'The version.', required: true}),
@@ -26,15 +26,15 @@
 	static override readonly examples = ['<%= config.bin %> withdraw tag-small 1.1 --retry'];
 
 	/**
-	Reads the configuration, withdraws the version in it, and applies it.
+	Fetches the configuration, marks the version as withdrawn, and submits the result.
 
-	@returns The revision and where it is in force.
+	@returns The committed revision, and whether it is in force in every zone.
 	*/
 	async run(): Promise<Committed> {
 		const {args, flags} = await this.parse(Withdraw);
 		const committed = this.unwrap(await changeDocument(flags, {
-			edit: document => withdrawFrom(document, {model: toId<ModelId>(args.model), version: toId<VersionId>(args.version)}),
-			retries: flags.retry ? retriesWithFlag : 0,
+			edit: document => withdrawVersion(document, {model: toId<ModelId>(args.model), version: toId<VersionId>(args.version)}),
+			retries: flags.retry ? conflictRetries : 0,
 			onSend: ({id, revision}) => {
 				this.logToStderr(`Change ${id} against revision ${revision}`);
 			},
@@ -45,7 +45,7 @@
 	}
 }
 
-function withdrawFrom(document: Configuration, {model, version}: {readonly model: ModelId; readonly version: VersionId}): Either<Failure, Configuration> {
+function withdrawVersion(document: Configuration, {model, version}: {readonly model: ModelId; readonly version: VersionId}): Either<Failure, Configuration> {
 	const versions = document.models[model]?.versions;
 	const details = versions?.[version];
 	if (details === undefined) {
