--- a/packages/cli/src/_list-differences.ts
+++ b/packages/cli/src/_list-differences.ts
@@ -1,14 +1,14 @@
-/** One place where two documents differ. */
+/** One difference between two documents. */
 export type Difference = {
-	/** The path, with dots between its parts. */
+	/** The path of the value, separated by dots. */
 	readonly path: string;
-	/** What is there now; undefined for nothing. */
+	/** The value in the first document; undefined if absent. */
 	readonly before: unknown;
-	/** What would be there; undefined for nothing. */
+	/** The value in the second document; undefined if absent. */
 	readonly after: unknown;
 };
 
-/** Lists where two documents of plain values differ member by member; lists are compared as a whole. */
+/** Compares two JSON documents recursively, member by member; arrays are compared as a whole. */
 export function listDifferences({before, after}: {readonly before: unknown; readonly after: unknown}, path = ''): readonly Difference[] {
 	if (!isRecord(before) || !isRecord(after)) {
 		return JSON.stringify(before) === JSON.stringify(after) ? [] : [{path, before, after}];
--- a/packages/cli/src/commands.ts
+++ b/packages/cli/src/commands.ts
@@ -12,7 +12,7 @@
 import {Trace} from './commands/trace.js';
 import {Withdraw} from './commands/withdraw.js';
 
-/** The commands of `valehitch`, by name. */
+/** The commands of `valehitch` by name. */
 export const commands: {
 	readonly apply: typeof Apply;
 	readonly check: typeof Check;
--- a/packages/cli/src/commands/check.ts
+++ b/packages/cli/src/commands/check.ts
@@ -10,18 +10,18 @@
 	readonly problems: readonly DocumentProblem[];
 };
 
-/** Checks settings files and configurations without any instance. */
+/** Validates settings files and configurations offline. */
 export class Check extends OperatorCommand {
-	static override readonly summary = 'Check settings files and configurations.';
-	static override readonly description = 'Tells the two apart by their top keys and prints each problem as FILE:LINE:COLUMN. Exits with 1 when there is one.';
+	static override readonly summary = 'Validate settings files and configurations.';
+	static override readonly description = 'Tells the two apart by their top-level keys and prints each problem as FILE:LINE:COLUMN. Exits with 1 if there are any problems.';
 	static override readonly strict = false;
 	static override readonly args = {file: Args.string({description: 'The files to check.', required: true})};
 	static override readonly examples = ['<%= config.bin %> check entry.yaml configuration.yaml'];
 
 	/**
-	Checks each file.
+	Validates each file and prints the problems.
 
-	@returns All problems; they are printed too.
+	@returns Whether all files are valid, and the problems.
 	*/
 	async run(): Promise<CheckResult> {
 		const {argv} = await this.parse(Check);
--- a/packages/cli/src/commands/explain.ts
+++ b/packages/cli/src/commands/explain.ts
@@ -3,18 +3,18 @@
 import {OperatorCommand, targetFlags} from '../_operator-command.js';
 import {formatCell} from '../_table.js';
 
-/** Prints why a request went where it went. */
+/** Prints the routing decisions for a request. */
 export class Explain extends OperatorCommand {
-	static override readonly summary = 'Print why a request got its model, version and server.';
-	static override readonly description = 'Instances keep the decisions of their latest requests only; the time line in the logs keeps all.';
-	static override readonly args = {request: Args.string({description: 'The Valehitch-Request-Id of the answer.', required: true})};
+	static override readonly summary = 'Print why a request was routed to its model, version and server.';
+	static override readonly description = 'Instances keep the decisions for their most recent requests only; the timeline in the logs has all of them.';
+	static override readonly args = {request: Args.string({description: 'The Valehitch-Request-Id of the response.', required: true})};
 	static override readonly flags = targetFlags;
 	static override readonly examples = ['<%= config.bin %> explain 0b2c7d1e-entry-1'];
 
 	/**
-	Reads and prints the decisions.
+	Fetches and prints the decisions.
 
-	@returns The decisions as the instance gave them.
+	@returns The decisions as returned by the instance.
 	*/
 	async run(): Promise<Readonly<Record<string, unknown>>> {
 		const {args, flags} = await this.parse(Explain);
--- a/packages/cli/src/commands/ledger.ts
+++ b/packages/cli/src/commands/ledger.ts
@@ -9,29 +9,29 @@
 
 type Bill = LedgerPage['bills'][number];
 
-/** Prints the bills. */
+/** Prints the bills of the ledger. */
 export class Ledger extends OperatorCommand {
 	static override readonly summary = 'Print the bills of the ledger.';
-	static override readonly description = 'Totals are in millionths of the unit of account; attempts counts the lines of a bill.';
+	static override readonly description = 'Totals are in millionths of the unit of account; attempts is the number of lines of a bill.';
 	static override readonly flags = {
 		...targetFlags,
-		workspace: Flags.string({summary: 'Bills of this workspace only.'}),
-		after: Flags.integer({summary: 'How many bills to pass over.', min: 0, default: 0}),
+		workspace: Flags.string({summary: 'Only bills of this workspace.'}),
+		after: Flags.integer({summary: 'The number of bills to skip.', min: 0, default: 0}),
 		all: Flags.boolean({summary: 'Read all pages instead of one.', default: false}),
-		refused: Flags.boolean({summary: 'The bills that the ledger refused; they are in no total and must be added by hand.', default: false}),
+		refused: Flags.boolean({summary: 'Print the bills that the ledger refused; they are not part of any total and must be added by hand.', default: false}),
 	};
 
 	static override readonly examples = ['<%= config.bin %> ledger --workspace yard --all'];
 
 	/**
-	Reads and prints the bills.
+	Fetches and prints the bills.
 
-	@returns The bills, and what comes after them.
+	@returns The bills, and the position of the next page if there is one.
 	*/
 	async run(): Promise<LedgerPage> {
 		const {flags} = await this.parse(Ledger);
 		const page = await this.#read(flags, flags);
-		const rows = page.bills.map(bill => ({...bill, attempts: Array.isArray(bill.lines) ? bill.lines.length : undefined, settledAt: timeOf(bill)}));
+		const rows = page.bills.map(bill => ({...bill, attempts: Array.isArray(bill.lines) ? bill.lines.length : undefined, settledAt: formatSettlementTime(bill)}));
 		for (const line of formatTable(rows, columns)) {
 			this.log(line);
 		}
@@ -59,6 +59,6 @@
 	}
 }
 
-function timeOf({settledAt}: Bill): string | undefined {
+function formatSettlementTime({settledAt}: Bill): string | undefined {
 	return typeof settledAt === 'number' ? new Date(settledAt).toISOString() : undefined;
 }
--- a/packages/cli/src/commands/status.ts
+++ b/packages/cli/src/commands/status.ts
@@ -4,16 +4,16 @@
 
 const firstColumns: readonly string[] = ['server', 'zone', 'kind'];
 
-/** Prints how an instance sees the deployment. */
+/** Prints the status of an instance. */
 export class Status extends OperatorCommand {
 	static override readonly summary = 'Print the status of an instance and the backend servers it knows.';
 	static override readonly flags = targetFlags;
 	static override readonly examples = ['<%= config.bin %> status --server http://127.0.0.1:8082'];
 
 	/**
-	Reads and prints the status.
+	Fetches and prints the status.
 
-	@returns The status as the instance gave it.
+	@returns The status as returned by the instance.
 	*/
 	async run(): Promise<Readonly<Record<string, unknown>>> {
 		const {flags} = await this.parse(Status);
--- a/packages/cli/src/examples.test.ts
+++ b/packages/cli/src/examples.test.ts
@@ -7,7 +7,7 @@
 const examples = fileURLToPath(new URL('../../../examples/', import.meta.url));
 
 for (const name of ['coulee-flats', 'glasblik']) {
-	test(`the settings and the configuration of ${name} are sound, at the size of today`, async t => {
+	test(`the settings and the configuration of ${name} are valid and have the expected size`, async t => {
 		const folder = path.join(examples, name);
 		const files = await readdir(folder);
 		t.is(files.length, 8);
--- a/packages/cli/src/mod.ts
+++ b/packages/cli/src/mod.ts
@@ -1,5 +1,5 @@
 /**
-The operators' command line; oclif reads its commands from here.
+The operator command line. oclif loads its commands from this module.
 
 @module
 */
