--- a/packages/soak/src/bin/soak.ts
+++ b/packages/soak/src/bin/soak.ts
@@ -3,7 +3,7 @@
 import {parseArgs} from 'node:util';
 import {runSoak} from '../run-soak.js';
 
-/** Runs soaks one after the other: `npm run soak -- --seed 7 --runs 50`, or `--minutes 5` for as many as fit. */
+/** Runs soaks one after another: `npm run soak -- --seed 7 --runs 50`, or `--minutes 5` for as many as fit in that time. */
 const {values} = parseArgs({
 	options: {
 		seed: {type: 'string', default: '1'},
@@ -17,12 +17,12 @@
 });
 const millisecondsPerSecond = 1000;
 const millisecondsPerMinute = 60_000;
-const first = Number(values.seed);
+const firstSeed = Number(values.seed);
 const runs = values.runs === undefined && values.minutes === undefined ? 1 : Number(values.runs ?? Number.POSITIVE_INFINITY);
-const until = values.minutes === undefined ? Number.POSITIVE_INFINITY : performance.now() + (Number(values.minutes) * millisecondsPerMinute);
-let failed = 0;
-for (let run = 0; run < runs && performance.now() < until; run++) {
-	const seed = first + run;
+const deadline = values.minutes === undefined ? Number.POSITIVE_INFINITY : performance.now() + (Number(values.minutes) * millisecondsPerMinute);
+let failedRuns = 0;
+for (let run = 0; run < runs && performance.now() < deadline; run++) {
+	const seed = firstSeed + run;
 	const {faults, record, broken} = await runSoak({
 		seed,
 		length: Number(values.seconds) * millisecondsPerSecond,
@@ -30,15 +30,15 @@
 		controls: Number(values.controls),
 		entries: Number(values.entries),
 	});
-	const served = record.requests.filter(({status, isWhole}) => status === 200 && isWhole).length;
-	const counts = `${faults.length} faults, ${record.requests.length} requests, ${served} served whole, ${record.configurations.length} configurations`;
+	const servedCount = record.requests.filter(({status, isWhole}) => status === 200 && isWhole).length;
+	const counts = `${faults.length} faults, ${record.requests.length} requests, ${servedCount} served whole, ${record.configurations.length} configurations`;
 	process.stdout.write(`seed ${seed}: ${counts}, ${broken.length} broken\n`);
 	for (const line of broken) {
 		process.stdout.write(`  ${line}\n`);
 	}
 
-	failed += broken.length === 0 ? 0 : 1;
+	failedRuns += broken.length === 0 ? 0 : 1;
 }
 
-process.stdout.write(`${failed === 0 ? 'all promises held' : `${failed} runs broke a promise`}\n`);
-process.exit(failed === 0 ? 0 : 1);
+process.stdout.write(`${failedRuns === 0 ? 'all promises held' : `${failedRuns} runs broke a promise`}\n`);
+process.exit(failedRuns === 0 ? 0 : 1);
--- a/packages/soak/src/inflict-fault.ts
+++ b/packages/soak/src/inflict-fault.ts
@@ -1,5 +1,5 @@
 import {rm, writeFile} from 'node:fs/promises';
-import {setTimeout as elapsed} from 'node:timers/promises';
+import {setTimeout as sleep} from 'node:timers/promises';
 import {catchesSignal, type PlatformDeployment, type PlatformMember} from '@valehitch/testing';
 import {match, P} from 'ts-pattern';
 import {type Fault, type FaultKind} from './plan-faults.js';
@@ -9,7 +9,7 @@
 import {type SoakRecord} from './soak-record.js';
 import {type SoakServers} from './soak-servers.js';
 
-/** What faults strike. */
+/** The targets of faults. */
 export type InflictFaultOptions = {
 	readonly deployment: PlatformDeployment;
 	readonly network: SoakNetwork;
@@ -20,21 +20,21 @@
 	readonly record: SoakRecord;
 };
 
-/** Faults after which a process may know late what the others know. */
-const disturbing: ReadonlySet<FaultKind> = new Set(['kill', 'kill-all-controls', 'stop', 'pause', 'wipe', 'silence', 'silence-one-way', 'delay', 'reset', 'disk-full', 'disk-slow']);
+/** Faults after which a process may learn late what the others know. */
+const disturbingFaults: ReadonlySet<FaultKind> = new Set(['kill', 'kill-all-controls', 'stop', 'pause', 'wipe', 'silence', 'silence-one-way', 'delay', 'reset', 'disk-full', 'disk-slow']);
 
 const controlFaults: ReadonlySet<FaultKind> = new Set(['wipe', 'disk-full', 'disk-slow']);
 const delayMilliseconds = 400;
-/** The time in which a process reads its settings for the first time, with room for a busy machine. */
-const startMilliseconds = 2000;
-/** The time between two looks whether a process listens: short, so that the signal comes early in its start. */
-const listenPollMilliseconds = 2;
+/** The time within which a process has read its settings for the first time, with a margin for a busy machine. */
+const startupMilliseconds = 2000;
+/** How often to check whether a process handles the signal: short, so that the signal arrives early in its startup. */
+const handlerPollMilliseconds = 2;
 
 /**
-Inflicts one fault and heals it after its time.
+Injects one fault and reverts it after its duration.
 
 @param fault The fault.
-@param options What it strikes.
+@param options The possible targets.
 @example
 ```ts
 await inflictFault(fault, {deployment, network, servers, operator, serverHost, record});
@@ -43,117 +43,117 @@
 export async function inflictFault(fault: Fault, options: InflictFaultOptions): Promise<void> {
 	const {kind, duration, pick} = fault;
 	const {deployment, network, servers, operator, serverHost, record} = options;
-	const any = oneOf(deployment.members, pick);
-	const control = oneOf(deployment.controls, pick);
-	const entry = oneOf(deployment.entries, pick);
+	const member = pickItem(deployment.members, pick);
+	const control = pickItem(deployment.controls, pick);
+	const entry = pickItem(deployment.entries, pick);
 	const from = performance.now();
 	await match(kind)
-		.with('kill', async () => down([any], duration))
-		.with('kill-all-controls', async () => down(deployment.controls, duration))
+		.with('kill', async () => killAndRestart([member], duration))
+		.with('kill-all-controls', async () => killAndRestart(deployment.controls, duration))
 		.with('stop', async () => {
-			await any.process.kill('SIGTERM');
-			await startAgain(any);
+			await member.process.kill('SIGTERM');
+			await restart(member);
 		})
 		.with('pause', async () => {
-			any.process.signal('SIGSTOP');
-			await elapsed(duration);
-			any.process.signal('SIGCONT');
+			member.process.signal('SIGSTOP');
+			await sleep(duration);
+			member.process.signal('SIGCONT');
 		})
 		.with('wipe', async () => {
 			await control.process.kill('SIGKILL');
 			await rm(control.folder, {recursive: true, force: true});
-			await elapsed(duration);
-			await startAgain(control);
+			await sleep(duration);
+			await restart(control);
 		})
-		.with('silence', async () => harm(network, {links: [{from: any.ip, to: undefined}, {from: undefined, to: any.ip}], duration}))
-		.with('silence-one-way', async () => harm(network, {links: [{from: any.ip, to: undefined}], duration}))
-		.with('server-silence', async () => harm(network, {links: [{from: serverHost, to: entry.ip}], duration}))
-		.with('delay', async () => harm(network, {links: [{from: undefined, to: any.ip}], duration, delay: delayMilliseconds}))
+		.with('silence', async () => disruptLinks(network, {links: [{from: member.ip, to: undefined}, {from: undefined, to: member.ip}], duration}))
+		.with('silence-one-way', async () => disruptLinks(network, {links: [{from: member.ip, to: undefined}], duration}))
+		.with('server-silence', async () => disruptLinks(network, {links: [{from: serverHost, to: entry.ip}], duration}))
+		.with('delay', async () => disruptLinks(network, {links: [{from: undefined, to: member.ip}], duration, delay: delayMilliseconds}))
 		.with('reset', () => {
-			network.reset(any.ip);
+			network.reset(member.ip);
 		})
-		.with(P.union('disk-full', 'disk-slow'), async () => misbehave(misbehaviourFile(control.folder, 'disk'), {text: kind === 'disk-full' ? 'full' : 'slow', duration}))
-		.with('clock-step', async () => misbehave(misbehaviourFile(any.folder, 'clock'), {text: '', duration}))
+		.with(P.union('disk-full', 'disk-slow'), async () => writeFaultFile(misbehaviourFile(control.folder, 'disk'), {text: kind === 'disk-full' ? 'full' : 'slow', duration}))
+		.with('clock-step', async () => writeFaultFile(misbehaviourFile(member.folder, 'clock'), {text: '', duration}))
 		.with('settings', async () => {
-			await any.writeSettings({isFounding: false, seeds: [control.address]});
-			await reload(any);
-			await elapsed(duration);
-			await any.writeSettings({isFounding: false});
+			await member.writeSettings({isFounding: false, seeds: [control.address]});
+			await reloadSettings(member);
+			await sleep(duration);
+			await member.writeSettings({isFounding: false});
 		})
 		.with('settings-missing', async () => {
-			if (any.process.runtime < startMilliseconds) {
-				// A process cannot start without settings, and the platform sees to it that it has them.
+			if (member.process.runtime < startupMilliseconds) {
+				// A process can't start without settings, and the platform guarantees that they exist at startup.
 				return;
 			}
 
-			await any.removeSettings();
-			await reload(any);
-			await elapsed(duration);
-			await any.writeSettings({isFounding: false});
+			await member.removeSettings();
+			await reloadSettings(member);
+			await sleep(duration);
+			await member.writeSettings({isFounding: false});
 		})
 		.with('server-shutdown', async () => servers.shutDown(pick))
 		.with('server-crash', async () => servers.crash(pick))
 		.with('configuration', async () => operator.change())
 		.with('revoke', async () => operator.revoke())
 		.exhaustive();
-	if (disturbing.has(kind)) {
-		record.disturbances.push(...struckBy(fault, deployment).map(({ip}) => ({ip, from, to: performance.now()})));
+	if (disturbingFaults.has(kind)) {
+		record.disturbances.push(...affectedMembers(fault, deployment).map(({ip}) => ({ip, from, to: performance.now()})));
 	}
 }
 
-/** The processes that a fault strikes. */
-function struckBy({kind, pick}: Fault, {controls, members}: PlatformDeployment): readonly PlatformMember[] {
+/** Returns the processes that a fault affects. */
+function affectedMembers({kind, pick}: Fault, {controls, members}: PlatformDeployment): readonly PlatformMember[] {
 	if (kind === 'kill-all-controls') {
 		return controls;
 	}
 
-	return [oneOf(controlFaults.has(kind) ? controls : members, pick)];
+	return [pickItem(controlFaults.has(kind) ? controls : members, pick)];
 }
 
-async function misbehave(file: string, {text, duration}: {readonly text: string; readonly duration: number}): Promise<void> {
+async function writeFaultFile(file: string, {text, duration}: {readonly text: string; readonly duration: number}): Promise<void> {
 	await writeFile(file, text);
-	await elapsed(duration);
+	await sleep(duration);
 	await rm(file, {force: true});
 }
 
-async function down(members: readonly PlatformMember[], duration: number): Promise<void> {
+async function killAndRestart(members: readonly PlatformMember[], duration: number): Promise<void> {
 	await Promise.all(members.map(async ({process}) => process.kill('SIGKILL')));
-	await elapsed(duration);
-	await Promise.all(members.map(async member => startAgain(member)));
+	await sleep(duration);
+	await Promise.all(members.map(async member => restart(member)));
 }
 
-async function startAgain({process, writeSettings}: PlatformMember): Promise<void> {
+async function restart({process, writeSettings}: PlatformMember): Promise<void> {
 	await writeSettings({isFounding: false});
 	process.start();
 }
 
 /**
-Asks a process to read its settings again, as soon as it listens.
+Sends SIGHUP to a process, so that it reloads its settings, as soon as it has a handler for the signal.
 
-While the runtime itself starts, before any code of the program, no program can listen and the signal ends it; beside a load of 45 on 8 cores that lasted 0.5 to 0.7 s. That the program listens before it loads anything else is a test of its own (start-signals.test.ts).
+While the runtime starts, before any code of the program runs, there is no handler and the signal terminates the process. At a load average of 45 on 8 cores, this lasted 0.5 to 0.7 s. start-signals.test.ts checks that the program installs its handler before it loads anything else.
 */
-async function reload({process}: PlatformMember): Promise<void> {
+async function reloadSettings({process}: PlatformMember): Promise<void> {
 	while (process.pid !== undefined && !(await catchesSignal(process.pid, 'SIGHUP'))) {
-		await elapsed(listenPollMilliseconds);
+		await sleep(handlerPollMilliseconds);
 	}
 
 	process.signal('SIGHUP');
 }
 
-type Harm = {
+type LinkFault = {
 	readonly links: ReadonlyArray<{readonly from: string | undefined; readonly to: string | undefined}>;
 	readonly duration: number;
 	readonly delay?: number;
 };
 
-async function harm(network: SoakNetwork, {links, duration, delay = 0}: Harm): Promise<void> {
-	const heals = links.map(link => network.harm(link, {isSilent: delay === 0, delay}));
-	await elapsed(duration);
-	for (const heal of heals) {
-		heal();
+async function disruptLinks(network: SoakNetwork, {links, duration, delay = 0}: LinkFault): Promise<void> {
+	const removeRules = links.map(link => network.harm(link, {isSilent: delay === 0, delay}));
+	await sleep(duration);
+	for (const removeRule of removeRules) {
+		removeRule();
 	}
 }
 
-function oneOf<Item>(items: readonly Item[], pick: number): Item {
+function pickItem<Item>(items: readonly Item[], pick: number): Item {
 	return items[Math.floor(pick * items.length)]!;
 }
--- a/packages/soak/src/preload/misbehave.ts
+++ b/packages/soak/src/preload/misbehave.ts
@@ -1,5 +1,5 @@
 /**
-Loaded into each process of a soak before its program: sends connections between instances through their proxies, and lets the clock and the disk misbehave.
+Preloaded into each process of a soak: routes connections between instances through their proxies, and injects clock and disk faults.
 
 @module
 */
@@ -7,7 +7,7 @@
 import {open} from 'node:fs/promises';
 import {Socket} from 'node:net';
 import process from 'node:process';
-import {setTimeout as elapsed} from 'node:timers/promises';
+import {setTimeout as sleep} from 'node:timers/promises';
 import {
 	folderVariable, misbehaviourFile, proxyPorts, selfVariable,
 } from '../soak-environment.js';
@@ -19,19 +19,19 @@
 
 type DiskState = 'full' | 'slow' | '';
 
-/** How far the time of day jumps, in milliseconds. */
+/** The size of the step of the wall clock. */
 const clockStepMilliseconds = 3_600_000;
 const slowDiskMilliseconds = 300;
-/** The time between two looks whether the clock misbehaves. */
-const lookMilliseconds = 100;
+/** How often to check whether the clock fault is on. */
+const clockPollMilliseconds = 100;
 
-const {[selfVariable]: self = '127.0.0.1', [folderVariable]: folder = ''} = process.env;
-const diskFile = misbehaviourFile(folder, 'disk');
-const clockFile = misbehaviourFile(folder, 'clock');
+const {[selfVariable]: ownAddress = '127.0.0.1', [folderVariable]: dataFolder = ''} = process.env;
+const diskFile = misbehaviourFile(dataFolder, 'disk');
+const clockFile = misbehaviourFile(dataFolder, 'clock');
 
-/** Proxies tell the instances apart by their addresses, so each connection leaves from its own. */
-function redirect(options: ConnectOptions): void {
-	options.localAddress = self;
+/** Binds a connection to the address of its instance, because proxies identify instances by source address, and replaces the port of a peer with that of its proxy. */
+function routeThroughProxy(options: ConnectOptions): void {
+	options.localAddress = ownAddress;
 	if (Number(options.port) === proxyPorts.peers) {
 		options.port = proxyPorts.proxied;
 	}
@@ -40,32 +40,32 @@
 function redirectConnections(): void {
 	const {connect} = Socket.prototype;
 	Socket.prototype.connect = function (this: Socket, ...parameters: unknown[]) {
-		// The system's own callers pass the parameters as one list.
+		// Node's internal callers pass the parameters as a single array.
 		const [first] = parameters;
 		const options: unknown = Array.isArray(first) ? first[0] : first;
 		if (typeof options === 'object' && options !== null && 'port' in options) {
-			redirect(options as ConnectOptions);
+			routeThroughProxy(options as ConnectOptions);
 		}
 
 		return Reflect.apply(connect, this, parameters) as Socket;
 	};
 }
 
-function stepClock(): void {
+function installClockStep(): void {
 	let offset = 0;
-	let lookedAt = Number.NEGATIVE_INFINITY;
-	const stepped = (plain: number): number => {
-		if (performance.now() - lookedAt >= lookMilliseconds) {
-			lookedAt = performance.now();
+	let checkedAt = Number.NEGATIVE_INFINITY;
+	const withOffset = (original: number): number => {
+		if (performance.now() - checkedAt >= clockPollMilliseconds) {
+			checkedAt = performance.now();
 			offset = existsSync(clockFile) ? clockStepMilliseconds : 0;
 		}
 
-		return plain + offset;
+		return original + offset;
 	};
 
 	globalThis.Date = new Proxy(Date, {
-		construct: (target, parameters: unknown[], asked) => Reflect.construct(target, parameters.length === 0 ? [stepped(target.now())] : parameters, asked) as Date,
-		get: (target, name): unknown => name === 'now' ? () => stepped(target.now()) : Reflect.get(target, name),
+		construct: (target, parameters: unknown[], newTarget) => Reflect.construct(target, parameters.length === 0 ? [withOffset(target.now())] : parameters, newTarget) as Date,
+		get: (target, name): unknown => name === 'now' ? () => withOffset(target.now()) : Reflect.get(target, name),
 	});
 }
 
@@ -73,32 +73,32 @@
 	return existsSync(diskFile) ? readFileSync(diskFile, 'utf8') as DiskState : '';
 }
 
-async function misbehave(): Promise<void> {
+async function applyDiskFault(): Promise<void> {
 	const state = diskState();
 	if (state === 'full') {
 		throw new Error('ENOSPC: no space left on device');
 	}
 
 	if (state === 'slow') {
-		await elapsed(slowDiskMilliseconds);
+		await sleep(slowDiskMilliseconds);
 	}
 }
 
-async function spoilDisk(): Promise<void> {
+async function installDiskFaults(): Promise<void> {
 	const handle = await open('/dev/null');
 	const prototype = Object.getPrototypeOf(handle) as typeof handle;
 	await handle.close();
 	for (const name of ['appendFile', 'datasync', 'sync'] as const) {
-		const plain = prototype[name] as (...parameters: unknown[]) => Promise<void>;
+		const original = prototype[name] as (...parameters: unknown[]) => Promise<void>;
 		Object.defineProperty(prototype, name, {
 			async value(this: unknown, ...parameters: unknown[]) {
-				await misbehave();
-				await Reflect.apply(plain, this, parameters);
+				await applyDiskFault();
+				await Reflect.apply(original, this, parameters);
 			},
 		});
 	}
 }
 
 redirectConnections();
-stepClock();
-await spoilDisk();
+installClockStep();
+await installDiskFaults();
--- a/packages/soak/src/soak-environment.ts
+++ b/packages/soak/src/soak-environment.ts
@@ -1,15 +1,15 @@
-/** The variable with the address of the process that the preloaded module runs in. */
+/** The environment variable with the address of the process that the preloaded module runs in. */
 export const selfVariable = 'SOAK_SELF';
 
-/** The variable with the data folder of the process; files beside it say what misbehaves. */
+/** The environment variable with the data folder of the process. Files next to the folder turn faults on. */
 export const folderVariable = 'SOAK_FOLDER';
 
 /**
-The file that says how something misbehaves; beside the data folder, which a fault may remove.
+Returns the path of the file that turns a fault on. The file is next to the data folder rather than in it, because a fault may remove the folder.
 
 @param folder The data folder.
-@param what What misbehaves.
-@returns The file; nothing misbehaves while there is none.
+@param what The faulty part.
+@returns The path; the fault is on while the file exists.
 @example
 ```ts
 misbehaviourFile('/tmp/soak/core-1', 'disk');
@@ -19,5 +19,5 @@
 	return `${folder}.${what}`;
 }
 
-/** The port on which instances listen for one another, and that of the proxy in front of it. */
+/** The port on which instances listen for their peers, and the port of the proxy in front of it. */
 export const proxyPorts = {peers: 7340, proxied: 7390} as const;
