--- a/packages/soak/src/loopback-proxy.test.ts
+++ b/packages/soak/src/loopback-proxy.test.ts
@@ -3,9 +3,9 @@
 import test from 'ava';
 import {type LinkRule, LoopbackProxy} from './loopback-proxy.js';
 
-const sound: LinkRule = {isSilent: false, delay: 0};
+const noRule: LinkRule = {isSilent: false, delay: 0};
 
-test('a proxy passes on, is silent while the rule says so, and resets', async t => {
+test('a proxy forwards data, holds it back while the link is silent, and resets connections', async t => {
 	const server = createServer(socket => {
 		socket.on('error', () => {
 			socket.destroy();
@@ -14,14 +14,14 @@
 	});
 	server.listen(0, '127.0.0.1');
 	await once(server, 'listening');
-	let rule = sound;
+	let rule = noRule;
 	const proxy = await LoopbackProxy.start({
 		host: '127.0.0.1', port: 0, target: {host: '127.0.0.1', port: (server.address() as AddressInfo).port}, ruleOf: () => rule,
 	});
 	const caller = connect(proxy.port, '127.0.0.1');
-	const heard: string[] = [];
+	const received: string[] = [];
 	caller.setEncoding('utf8').on('data', text => {
-		heard.push(String(text));
+		received.push(String(text));
 	});
 	caller.write('one');
 	await once(caller, 'data');
@@ -30,10 +30,10 @@
 	await new Promise(resolve => {
 		setTimeout(resolve, 200);
 	});
-	t.deepEqual(heard, ['one']);
-	rule = sound;
+	t.deepEqual(received, ['one']);
+	rule = noRule;
 	await once(caller, 'data');
-	t.deepEqual(heard, ['one', 'two']);
+	t.deepEqual(received, ['one', 'two']);
 	const failed = once(caller, 'error');
 	proxy.reset();
 	const [error] = await failed as [NodeJS.ErrnoException];
--- a/packages/soak/src/loopback-proxy.ts
+++ b/packages/soak/src/loopback-proxy.ts
@@ -2,32 +2,32 @@
 import {
 	connect, createServer, type Server, type Socket,
 } from 'node:net';
-import {setTimeout as elapsed} from 'node:timers/promises';
+import {setTimeout as sleep} from 'node:timers/promises';
 
-/** Where a proxy stands. */
+/** Where a proxy listens, and what it forwards to. */
 export type LoopbackProxyOptions = {
 	readonly host: string;
-	/** The port to listen on; 0 takes a free one. */
+	/** The port to listen on; 0 picks a free one. */
 	readonly port: number;
-	/** Where connections are passed on to. */
+	/** The address to which connections are forwarded. */
 	readonly target: {readonly host: string; readonly port: number};
-	/** What happens to the bytes of one direction; asked for each chunk. */
+	/** Returns the rule for one direction; called for each chunk. */
 	readonly ruleOf: (from: string, to: string) => LinkRule;
 };
 
-/** What happens to the bytes that go from one address to another. */
+/** A fault of the link from one address to another. */
 export type LinkRule = {
-	/** Nothing arrives while this holds; it arrives late afterwards, as over TCP. */
+	/** Whether bytes are held back. They are delivered afterwards, as TCP would. */
 	readonly isSilent: boolean;
-	/** Milliseconds by which everything arrives later. */
+	/** The delay of each chunk, in milliseconds. */
 	readonly delay: number;
 };
 
-/** The time between two looks whether a silent link speaks again. */
-const pollMilliseconds = 50;
+/** How often to check whether a silent link has recovered. */
+const rulePollMilliseconds = 50;
 
 /**
-Passes connections on to one process of a soak, and harms them from outside as the rules say.
+Forwards connections to one process of a soak, and injects the link faults that the rules describe.
 
 @example
 ```ts
@@ -37,9 +37,9 @@
 */
 export class LoopbackProxy {
 	/**
-	Starts to listen.
+	Starts a proxy.
 
-	@param options Where the proxy stands.
+	@param options Where the proxy listens, and what it forwards to.
 	@returns The running proxy.
 	*/
 	static async start(options: LoopbackProxyOptions): Promise<LoopbackProxy> {
@@ -56,7 +56,7 @@
 	private constructor(options: LoopbackProxyOptions) {
 		this.#options = options;
 		this.#server = createServer({allowHalfOpen: true}, socket => {
-			this.#passOn(socket);
+			this.#forward(socket);
 		});
 	}
 
@@ -78,18 +78,18 @@
 		this.reset();
 	}
 
-	#passOn(incoming: Socket): void {
+	#forward(incoming: Socket): void {
 		const {target, ruleOf} = this.#options;
 		const from = incoming.remoteAddress ?? '';
 		const outgoing = connect({...target, allowHalfOpen: true});
-		this.#watch(incoming, outgoing);
-		this.#watch(outgoing, incoming);
-		carry(incoming, outgoing, () => ruleOf(from, target.host));
-		carry(outgoing, incoming, () => ruleOf(target.host, from));
+		this.#propagateReset(incoming, outgoing);
+		this.#propagateReset(outgoing, incoming);
+		forwardDirection(incoming, outgoing, () => ruleOf(from, target.host));
+		forwardDirection(outgoing, incoming, () => ruleOf(target.host, from));
 	}
 
-	/** The end of one side by force is the end of the other. */
-	#watch(socket: Socket, other: Socket): void {
+	/** Resets one side of a connection when the other fails. */
+	#propagateReset(socket: Socket, other: Socket): void {
 		this.#sockets.add(socket);
 		socket.on('error', () => {
 			other.resetAndDestroy();
@@ -103,35 +103,35 @@
 	}
 }
 
-/** Carries one direction chunk by chunk, in order. */
-function carry(from: Socket, to: Socket, rule: () => LinkRule): void {
-	let last: Promise<void> = Promise.resolve();
-	const later = (step: () => void): void => {
-		last = pass(last, rule, step);
+/** Forwards one direction of a connection chunk by chunk, in order. */
+function forwardDirection(from: Socket, to: Socket, rule: () => LinkRule): void {
+	let previous: Promise<void> = Promise.resolve();
+	const enqueue = (action: () => void): void => {
+		previous = applyRule(previous, rule, action);
 	};
 
 	from.on('data', chunk => {
-		later(() => {
+		enqueue(() => {
 			to.write(chunk);
 		});
 	});
 	from.on('end', () => {
-		later(() => {
+		enqueue(() => {
 			to.end();
 		});
 	});
 }
 
-async function pass(last: Promise<void>, rule: () => LinkRule, step: () => void): Promise<void> {
-	await last;
+async function applyRule(previous: Promise<void>, rule: () => LinkRule, action: () => void): Promise<void> {
+	await previous;
 	const {delay} = rule();
 	if (delay > 0) {
-		await elapsed(delay);
+		await sleep(delay);
 	}
 
 	while (rule().isSilent) {
-		await elapsed(pollMilliseconds);
+		await sleep(rulePollMilliseconds);
 	}
 
-	step();
+	action();
 }
--- a/packages/soak/src/mod.ts
+++ b/packages/soak/src/mod.ts
@@ -1,5 +1,5 @@
 /**
-A randomized soak: the real programs as separate processes, faults from outside, and judgement by what callers, backend servers and operators see; never shipped.
+A randomized soak test: runs the real programs as separate processes, injects faults from outside, and checks the guarantees against what callers, backend servers and operators observe. Not published.
 
 @module
 */
--- a/packages/soak/src/plan-faults.ts
+++ b/packages/soak/src/plan-faults.ts
@@ -1,6 +1,6 @@
 import {type RandomSource} from '@valehitch/core';
 
-/** A fault or a planned change that is done from outside. */
+/** A fault, or a planned change, made from outside the processes. */
 export type FaultKind
 	= | 'kill' | 'pause' | 'stop' | 'kill-all-controls' | 'wipe'
 		| 'silence' | 'silence-one-way' | 'delay' | 'reset'
@@ -13,22 +13,22 @@
 	readonly kind: FaultKind;
 	/** Milliseconds from the start of the traffic. */
 	readonly at: number;
-	/** How long it lasts, in milliseconds. */
+	/** The duration in milliseconds. */
 	readonly duration: number;
-	/** Picks what it strikes, from 0 up to 1. */
+	/** Selects the target: a number in the range [0, 1). */
 	readonly pick: number;
 };
 
-/** What a plan is drawn from. */
+/** Options for a plan of faults. */
 export type PlanFaultsOptions = {
 	readonly random: RandomSource;
-	/** Milliseconds of traffic with faults. */
+	/** The duration of the traffic with faults, in milliseconds. */
 	readonly length: number;
-	/** Milliseconds between two faults, on average. */
+	/** The mean time between two faults, in milliseconds. */
 	readonly gap: number;
 };
 
-/** How often each kind comes, relative to the others: planned changes most, as in the deployments. */
+/** The relative frequency of each kind. Planned changes are the most frequent, as in real deployments. */
 const weights: Readonly<Record<FaultKind, number>> = {
 	kill: 4,
 	pause: 3,
@@ -51,19 +51,19 @@
 	revoke: 3,
 };
 const kinds = Object.entries(weights) as ReadonlyArray<readonly [kind: FaultKind, weight: number]>;
-/** Cuts last longer than the lease on keys, or they would prove nothing about it. */
-const cuts: ReadonlySet<FaultKind> = new Set(['silence', 'silence-one-way']);
-const cutFactor = 2.5;
-const shortestMilliseconds = 300;
-const longestMilliseconds = 3500;
-/** A wiped instance must hold everything again before the next disk may be lost. */
-const wipeGapMilliseconds = 12_000;
+/** Partitions must outlast the lease on keys, or they wouldn't test it. */
+const partitions: ReadonlySet<FaultKind> = new Set(['silence', 'silence-one-way']);
+const partitionDurationFactor = 2.5;
+const minimumDurationMilliseconds = 300;
+const maximumDurationMilliseconds = 3500;
+/** A wiped instance must have recovered all its data before the next disk may be lost. */
+const minimumWipeIntervalMilliseconds = 12_000;
 
 /**
-Draws the faults of one soak; they overlap, and come in series.
+Draws the faults of one soak at random. Faults may overlap and come in bursts.
 
-@param options The random source and the length.
-@returns The faults in the order of their times.
+@param options The random source, the length and the mean gap.
+@returns The faults in chronological order.
 @example
 ```ts
 planFaults({random: seededRandom(7), length: 15_000, gap: 700});
@@ -74,19 +74,19 @@
 	let at = 0;
 	let wipedAt = Number.NEGATIVE_INFINITY;
 	while (true) {
-		// Twice a number from 0 to 1 keeps the mean, and lets some come close together.
+		// A uniform distribution from 0 to twice the gap has the gap as its mean and lets some faults follow closely.
 		at += 2 * random() * gap;
 		if (at >= length) {
 			return faults;
 		}
 
-		const drawn = drawKind(random);
-		const isTooSoon = drawn === 'wipe' && at - wipedAt < wipeGapMilliseconds;
-		const kind = isTooSoon ? 'kill' : drawn;
+		const drawnKind = drawKind(random);
+		const isTooSoon = drawnKind === 'wipe' && at - wipedAt < minimumWipeIntervalMilliseconds;
+		const kind = isTooSoon ? 'kill' : drawnKind;
 		wipedAt = kind === 'wipe' ? at : wipedAt;
-		const duration = shortestMilliseconds + (random() * (longestMilliseconds - shortestMilliseconds));
+		const duration = minimumDurationMilliseconds + (random() * (maximumDurationMilliseconds - minimumDurationMilliseconds));
 		faults.push({
-			kind, at, duration: cuts.has(kind) ? cutFactor * duration : duration, pick: random(),
+			kind, at, duration: partitions.has(kind) ? partitionDurationFactor * duration : duration, pick: random(),
 		});
 	}
 }
@@ -97,10 +97,10 @@
 		total += weight;
 	}
 
-	let left = random() * total;
+	let remaining = random() * total;
 	for (const [kind, weight] of kinds) {
-		left -= weight;
-		if (left < 0) {
+		remaining -= weight;
+		if (remaining < 0) {
 			return kind;
 		}
 	}
--- a/packages/soak/src/soak-callers.ts
+++ b/packages/soak/src/soak-callers.ts
@@ -1,20 +1,20 @@
 import {Agent} from 'node:http';
-import {setTimeout as elapsed} from 'node:timers/promises';
+import {setTimeout as sleep} from 'node:timers/promises';
 import {type RandomSource} from '@valehitch/core';
 import {ask} from '@valehitch/testing';
 import {callerHost, pathOf} from './soak-configuration.js';
 import {type RequestKind, type SoakRecord} from './soak-record.js';
 
-/** What the callers of a soak need. */
+/** Options for the callers of a soak. */
 export type SoakCallersOptions = {
 	readonly record: SoakRecord;
 	readonly random: RandomSource;
 	readonly now: () => number;
 	/** The addresses of the entry instances. */
 	readonly entries: readonly string[];
-	/** The keys that are in use now, and those that were taken away. */
+	/** Returns the valid keys and the recently revoked ones. */
 	readonly keys: () => readonly string[];
-	/** Names the soak in the ids of requests. */
+	/** The seed of the soak, which prefixes the ids of requests. */
 	readonly seed: number;
 };
 
@@ -25,15 +25,15 @@
 	readonly key: string;
 };
 
-const callersAtOnce = 12;
-const patienceMilliseconds = 3000;
-/** Callers wait longer than they say, so that late answers are seen too. */
-const timeoutMilliseconds = 6000;
-const longestPauseMilliseconds = 60;
-const kinds: readonly RequestKind[] = ['safe', 'unsafe', 'unsafe', 'streaming'];
+const concurrentCallers = 12;
+const deadlineMilliseconds = 3000;
+/** Longer than the deadline that callers send, so that late responses are recorded too. */
+const responseTimeoutMilliseconds = 6000;
+const maximumPauseMilliseconds = 60;
+const requestKinds: readonly RequestKind[] = ['safe', 'unsafe', 'unsafe', 'streaming'];
 
 /**
-The callers of a soak: each sends one request after the other over kept connections, whatever happens to the instances.
+The callers of a soak. Each sends one request after another over keep-alive connections, whatever happens to the instances.
 
 @example
 ```ts
@@ -46,7 +46,7 @@
 	readonly #options: SoakCallersOptions;
 	readonly #agent = new Agent({keepAlive: true});
 	#running: ReadonlyArray<Promise<void>> = [];
-	#sent = 0;
+	#sentCount = 0;
 	#isStopped = false;
 
 	constructor(options: SoakCallersOptions) {
@@ -54,10 +54,10 @@
 	}
 
 	start(): void {
-		this.#running = Array.from({length: callersAtOnce}, async () => this.#call());
+		this.#running = Array.from({length: concurrentCallers}, async () => this.#sendRequests());
 	}
 
-	/** Sends no more, and waits for the answers. */
+	/** Stops sending, and waits for the outstanding responses. */
 	async stop(): Promise<void> {
 		this.#isStopped = true;
 		await Promise.all(this.#running);
@@ -68,25 +68,25 @@
 	}
 
 	/**
-	Sends one request and records what came of it.
+	Sends one request and records its result.
 
 	@param options The request.
-	@returns The status.
+	@returns The status; 0 if the connection ended without one.
 	*/
 	async send({kind, entry, key}: SendOptions): Promise<number> {
 		const {record, now, seed} = this.#options;
-		const id = `${seed}-${++this.#sent}`;
+		const id = `${seed}-${++this.#sentCount}`;
 		const sentAt = now();
 		const {status, text, isWhole} = await ask({
 			method: kind === 'safe' ? 'GET' : 'POST',
 			address: entry,
 			path: pathOf(kind),
 			agent: this.#agent,
-			timeout: timeoutMilliseconds,
+			timeout: responseTimeoutMilliseconds,
 			headers: {
 				Host: callerHost,
 				'Attempt-Id': id,
-				'Deadline-Ms': String(patienceMilliseconds),
+				'Deadline-Ms': String(deadlineMilliseconds),
 				Authorization: `Bearer ${key}`,
 				...(kind === 'streaming' && {Model: '*', 'Token-Usage': '100,20', 'Prompt-Prefix': '1:50,2:50'}),
 			},
@@ -97,15 +97,15 @@
 		return status;
 	}
 
-	async #call(): Promise<void> {
+	async #sendRequests(): Promise<void> {
 		const {random, entries, keys} = this.#options;
 		while (!this.#isStopped) {
-			await this.send({kind: oneOf(kinds, random), entry: oneOf(entries, random), key: oneOf(keys(), random)});
-			await elapsed(random() * longestPauseMilliseconds);
+			await this.send({kind: pickItem(requestKinds, random), entry: pickItem(entries, random), key: pickItem(keys(), random)});
+			await sleep(random() * maximumPauseMilliseconds);
 		}
 	}
 }
 
-function oneOf<Item>(items: readonly Item[], random: RandomSource): Item {
+function pickItem<Item>(items: readonly Item[], random: RandomSource): Item {
 	return items[Math.floor(random() * items.length)]!;
 }
--- a/packages/soak/src/soak-configuration.ts
+++ b/packages/soak/src/soak-configuration.ts
@@ -1,14 +1,14 @@
 import {type RequestKind} from './soak-record.js';
 
-/** The host that callers name. */
+/** The Host header that callers send. */
 export const callerHost = 'desk.example';
 
 const paths: Readonly<Record<RequestKind, string>> = {safe: '/look/', unsafe: '/print/', streaming: '/drafts/'};
 
 /**
-The path of a kind of request.
+Returns the path of a kind of request.
 
-@param kind The kind.
+@param kind The kind of request.
 @returns A path under the prefix of its route.
 @example
 ```ts
@@ -20,11 +20,11 @@
 }
 
 /**
-A configuration as the operator of a soak sends it.
+Creates the configuration that the operator of a soak submits.
 
-@param version The version.
+@param version The version of the configuration.
 @param keys The keys of the only workspace.
-@returns The document.
+@returns The configuration.
 @example
 ```ts
 soakConfiguration(1, ['key-1']);
--- a/packages/soak/src/soak-network.ts
+++ b/packages/soak/src/soak-network.ts
@@ -1,6 +1,6 @@
 import {LoopbackProxy, type LinkRule} from './loopback-proxy.js';
 
-/** One direction between two addresses; undefined stands for any. */
+/** One direction between two addresses; undefined matches any address. */
 export type Link = {
 	readonly from: string | undefined;
 	readonly to: string | undefined;
@@ -9,7 +9,7 @@
 type Rule = Link & LinkRule;
 
 /**
-The proxies before all processes of a soak, and the rules that they follow now.
+The proxies in front of all processes of a soak, and the link faults that they currently apply.
 
 @example
 ```ts
@@ -23,9 +23,9 @@
 	readonly #rules = new Set<Rule>();
 
 	/**
-	Puts a proxy before an address.
+	Starts a proxy in front of an address.
 
-	@param options Where the proxy listens, and the address.
+	@param options Where the proxy listens, and the address to forward to.
 	@returns The proxy.
 	*/
 	async protect(options: {readonly host: string; readonly port: number; readonly target: {readonly host: string; readonly port: number}}): Promise<LoopbackProxy> {
@@ -35,17 +35,17 @@
 	}
 
 	/**
-	Harms a direction.
+	Adds a fault to a link.
 
 	@param link The direction.
-	@param rule What happens to its bytes.
-	@returns Ends the harm.
+	@param rule The fault.
+	@returns A function that removes the fault.
 	*/
 	harm(link: Link, rule: LinkRule): () => void {
-		const added = {...link, ...rule};
-		this.#rules.add(added);
+		const linkRule = {...link, ...rule};
+		this.#rules.add(linkRule);
 		return () => {
-			this.#rules.delete(added);
+			this.#rules.delete(linkRule);
 		};
 	}
 
--- a/packages/soak/src/soak-operator.ts
+++ b/packages/soak/src/soak-operator.ts
@@ -1,9 +1,9 @@
-import {setTimeout as elapsed} from 'node:timers/promises';
+import {setTimeout as sleep} from 'node:timers/promises';
 import {ask, call} from '@valehitch/testing';
 import {soakConfiguration} from './soak-configuration.js';
 import {type SoakRecord} from './soak-record.js';
 
-/** What the operator of a soak needs. */
+/** Options for the operator of a soak. */
 export type SoakOperatorOptions = {
 	readonly record: SoakRecord;
 	readonly now: () => number;
@@ -12,13 +12,13 @@
 };
 
 const callTimeoutMilliseconds = 1500;
-const roundPauseMilliseconds = 100;
-const acknowledged = 200;
-/** Old keys go on being tried by callers, as many as these. */
-const rememberedKeys = 3;
+const retryDelayMilliseconds = 100;
+const acknowledgedStatus = 200;
+/** The number of recently revoked keys that callers keep trying. */
+const retainedRevokedKeys = 3;
 
 /**
-The operator of a soak: sends configurations until they are acknowledged, takes keys away, and reads back.
+The operator of a soak: submits configurations until they are acknowledged, revokes keys, and reads the configuration back.
 
 @example
 ```ts
@@ -31,52 +31,52 @@
 	#version = 0;
 	#keyCount = 1;
 	#keys: readonly string[] = ['key-1'];
-	#oldKeys: readonly string[] = [];
+	#revokedKeys: readonly string[] = [];
 	#isStopped = false;
-	#waiting = 0;
-	#last: Promise<void> = Promise.resolve();
+	#pendingTasks = 0;
+	#lastTask: Promise<void> = Promise.resolve();
 
 	constructor(options: SoakOperatorOptions) {
 		this.#options = options;
 	}
 
-	/** The keys that callers use: those in force, and those that were taken away of late. */
+	/** The keys that callers use: the valid ones and the recently revoked ones. */
 	get keys(): readonly string[] {
-		return [...this.#keys, ...this.#oldKeys];
+		return [...this.#keys, ...this.#revokedKeys];
 	}
 
-	/** The keys in force. */
+	/** The valid keys. */
 	get validKeys(): readonly string[] {
 		return this.#keys;
 	}
 
-	/** Whether all that was sent is acknowledged. */
+	/** Whether all submitted configurations are acknowledged. */
 	get isIdle(): boolean {
-		return this.#waiting === 0;
+		return this.#pendingTasks === 0;
 	}
 
-	/** Sends the next configuration; one that is still on its way goes first. */
+	/** Submits the next configuration, after any that is still unacknowledged. */
 	async change(): Promise<void> {
-		return this.#inTurn(async () => this.#send(this.#keys));
+		return this.#enqueue(async () => this.#submit(this.#keys));
 	}
 
-	/** Sends a configuration with a new key in place of the oldest. */
+	/** Submits a configuration with a new key in place of the oldest, which it revokes. */
 	async revoke(): Promise<void> {
-		return this.#inTurn(async () => {
-			const [taken, ...kept] = [...this.#keys, `key-${++this.#keyCount}`];
-			this.#keys = kept;
-			if (taken !== undefined && await this.#send(kept)) {
-				this.#options.record.revocations.push({key: taken, acknowledgedAt: this.#options.now()});
-				this.#oldKeys = [taken, ...this.#oldKeys].slice(0, rememberedKeys);
+		return this.#enqueue(async () => {
+			const [revokedKey, ...validKeys] = [...this.#keys, `key-${++this.#keyCount}`];
+			this.#keys = validKeys;
+			if (revokedKey !== undefined && await this.#submit(validKeys)) {
+				this.#options.record.revocations.push({key: revokedKey, acknowledgedAt: this.#options.now()});
+				this.#revokedKeys = [revokedKey, ...this.#revokedKeys].slice(0, retainedRevokedKeys);
 			}
 		});
 	}
 
 	/**
-	Reads the configuration of one control instance.
+	Reads the configuration from one control instance, and records its version.
 
-	@param control The instance.
-	@returns The version; undefined where it told none.
+	@param control The address of the instance.
+	@returns The version; undefined if the instance returned none.
 	*/
 	async read(control: string): Promise<number | undefined> {
 		const {record, now} = this.#options;
@@ -84,7 +84,7 @@
 		const {status, text, isWhole} = await ask({
 			method: 'GET', address: control, path: '/-/config', headers: {}, timeout: callTimeoutMilliseconds,
 		});
-		if (status !== acknowledged || !isWhole) {
+		if (status !== acknowledgedStatus || !isWhole) {
 			return undefined;
 		}
 
@@ -93,27 +93,27 @@
 		return version;
 	}
 
-	/** Gives up what was not acknowledged yet. */
+	/** Stops resubmitting unacknowledged configurations. */
 	async stop(): Promise<void> {
 		this.#isStopped = true;
-		await this.#last;
+		await this.#lastTask;
 	}
 
-	async #inTurn(task: () => Promise<unknown>): Promise<void> {
-		const before = this.#last;
+	async #enqueue(task: () => Promise<unknown>): Promise<void> {
+		const previous = this.#lastTask;
 		const run = async (): Promise<void> => {
-			this.#waiting++;
-			await before;
+			this.#pendingTasks++;
+			await previous;
 			await task();
-			this.#waiting--;
+			this.#pendingTasks--;
 		};
 
-		this.#last = run();
-		return this.#last;
+		this.#lastTask = run();
+		return this.#lastTask;
 	}
 
-	/** Sends the same document to one control instance after the other until one acknowledges. */
-	async #send(keys: readonly string[]): Promise<boolean> {
+	/** Sends the same configuration to one control instance after another until one acknowledges it. */
+	async #submit(keys: readonly string[]): Promise<boolean> {
 		const {record, controls, now} = this.#options;
 		const version = ++this.#version;
 		while (!this.#isStopped) {
@@ -121,13 +121,13 @@
 				const status = await call({
 					method: 'PUT', address, path: '/-/config', body: soakConfiguration(version, keys), timeout: callTimeoutMilliseconds,
 				});
-				if (status === acknowledged) {
+				if (status === acknowledgedStatus) {
 					record.configurations.push({version, acknowledgedAt: now()});
 					return true;
 				}
 			}
 
-			await elapsed(roundPauseMilliseconds);
+			await sleep(retryDelayMilliseconds);
 		}
 
 		return false;
--- a/packages/soak/src/soak-record.ts
+++ b/packages/soak/src/soak-record.ts
@@ -1,71 +1,71 @@
-/** What a caller sends. */
+/** The kind of a request, as set by its route. */
 export type RequestKind = 'safe' | 'unsafe' | 'streaming';
 
-/** One request as its caller saw it. */
+/** One request as observed by its caller. */
 export type SeenRequest = {
 	readonly id: string;
 	readonly kind: RequestKind;
 	readonly key: string;
 	readonly entry: string;
-	/** Milliseconds on the clock of the soak. */
+	/** The time on the clock of the soak, in milliseconds. */
 	readonly sentAt: number;
-	/** The status; 0 where the connection ended without one. */
+	/** The status; 0 if the connection ended without one. */
 	readonly status: number;
 	readonly text: string;
-	/** Whether the body came whole. */
+	/** Whether the body was received completely. */
 	readonly isWhole: boolean;
 };
 
-/** One run as a backend server saw it. */
+/** One execution of a request as observed by a backend server. */
 export type SeenRun = {
 	readonly id: string;
 	readonly server: string;
-	/** Milliseconds on the clock of the soak. */
+	/** The time on the clock of the soak, in milliseconds. */
 	readonly at: number;
 };
 
-/** A configuration that an operator sent and that was acknowledged. */
+/** A configuration that an operator submitted and a control instance acknowledged. */
 export type SeenConfiguration = {
 	readonly version: number;
 	readonly acknowledgedAt: number;
 };
 
-/** A configuration as an operator read it. */
+/** One read of the configuration by an operator. */
 export type SeenRead = {
 	readonly version: number;
 	readonly askedAt: number;
 	readonly control: string;
 };
 
-/** A time in which a process could not be reached in full, or did not run. */
+/** An interval in which a process was unreachable, at least in part, or not running. */
 export type Disturbance = {
 	readonly ip: string;
 	readonly from: number;
 	readonly to: number;
 };
 
-/** Everything that was seen from outside during a soak; only that is judged. */
+/** All external observations of a soak; the guarantees are checked against these alone. */
 export type SoakRecord = {
 	readonly requests: SeenRequest[];
 	readonly runs: SeenRun[];
 	readonly configurations: SeenConfiguration[];
 	readonly reads: SeenRead[];
-	/** Keys that were taken away, and when that was acknowledged. */
+	/** The revoked keys, and when each revocation was acknowledged. */
 	readonly revocations: Array<{readonly key: string; readonly acknowledgedAt: number}>;
-	/** Backend servers that said that they shut down, and when that was acknowledged. */
+	/** The backend servers that announced a shutdown, and when each announcement was acknowledged. */
 	readonly shutdowns: Array<{readonly server: string; readonly acknowledgedAt: number; readonly control: string}>;
-	/** The processes that faults struck; bounds in time hold for the others. */
+	/** When faults disturbed which process. The limit on shutdowns holds for undisturbed processes only. */
 	readonly disturbances: Disturbance[];
-	/** The entry instances that did not serve again in time after the last fault. */
+	/** What did not recover in time after the last fault: entry instances that did not serve, or an operator whose change was not acknowledged. */
 	readonly unrecovered: string[];
-	/** Processes that ended by themselves. */
+	/** The processes that should be running at the end of the soak but are not. */
 	readonly ends: string[];
-	/** The configuration that was read at the end; undefined where none was. */
+	/** The version of the configuration read at the end; undefined if no read succeeded. */
 	finalVersion: number | undefined;
 };
 
 /**
-Makes an empty record.
+Creates an empty record.
 
 @returns The record.
 @example
@@ -80,11 +80,11 @@
 }
 
 /**
-The whole answer to a request.
+Returns the complete response to a request.
 
-@param id The request.
-@param kind Its kind.
-@returns The body that a server which runs it writes.
+@param id The id of the request.
+@param kind The kind of the request.
+@returns The body that a backend server writes for it.
 @example
 ```ts
 wholeAnswer('7-1', 'safe');
@@ -95,9 +95,9 @@
 }
 
 /**
-The events of a stream.
+Returns the events of the response to a streaming request.
 
-@param id The request.
+@param id The id of the request.
 @returns The data of each event.
 @example
 ```ts
--- a/packages/soak/src/soak-servers.ts
+++ b/packages/soak/src/soak-servers.ts
@@ -4,36 +4,36 @@
 import {type SoakNetwork} from './soak-network.js';
 import {eventsOf, type SoakRecord, wholeAnswer} from './soak-record.js';
 
-/** What the backend servers of a soak need. */
+/** Options for the backend servers of a soak. */
 export type SoakServersOptions = {
 	readonly network: SoakNetwork;
 	readonly record: SoakRecord;
 	readonly now: () => number;
 	/** The addresses of the control instances. */
 	readonly controls: readonly string[];
-	/** The address at which the servers stand. */
+	/** The address of the servers. */
 	readonly host: string;
 };
 
 type SoakServer = {
 	readonly id: string;
 	readonly service: SoakService;
-	readonly standIn: BackendStandIn;
-	isLeaving: boolean;
+	readonly backend: BackendStandIn;
+	isDraining: boolean;
 };
 
-/** The services of a soak: one of models and one of plain calls. */
+/** The services of a soak: one that serves models and one that serves plain calls. */
 export type SoakService = 'models' | 'labels';
 
-const servicesOfSoak: readonly SoakService[] = ['models', 'labels'];
-const serversOfService = 3;
+const services: readonly SoakService[] = ['models', 'labels'];
+const serversPerService = 3;
 const heartbeatMilliseconds = 300;
-/** A server that shuts down goes on serving for this long after the acknowledgement, as the platform says. */
-const lingerMilliseconds = 6000;
-const eventGapMilliseconds = 40;
+/** The time for which a server that shuts down keeps serving after the acknowledgement, as the platform specifies. */
+const shutdownGraceMilliseconds = 6000;
+const eventIntervalMilliseconds = 40;
 
 /**
-The backend servers of a soak: they announce themselves, shut down, crash and are replaced.
+The backend servers of a soak. They announce themselves, shut down, crash and are replaced.
 
 @example
 ```ts
@@ -44,22 +44,22 @@
 export class SoakServers {
 	readonly #options: SoakServersOptions;
 	readonly #servers = new Set<SoakServer>();
-	#count = 0;
-	#timer: NodeJS.Timeout | undefined;
+	#serverCount = 0;
+	#heartbeatTimer: NodeJS.Timeout | undefined;
 
 	constructor(options: SoakServersOptions) {
 		this.#options = options;
 	}
 
-	/** Starts all servers and their announcements. */
+	/** Starts all servers and their periodic announcements. */
 	async start(): Promise<void> {
-		for (const service of servicesOfSoak) {
-			for (let index = 0; index < serversOfService; index++) {
-				await this.#add(service);
+		for (const service of services) {
+			for (let index = 0; index < serversPerService; index++) {
+				await this.#addServer(service);
 			}
 		}
 
-		this.#timer = setInterval(() => {
+		this.#heartbeatTimer = setInterval(() => {
 			for (const server of this.#servers) {
 				void this.#announce(server, 'ready');
 			}
@@ -67,78 +67,78 @@
 	}
 
 	/**
-	Replaces a server: it says that it shuts down, and serves on for a while.
+	Replaces a server that announces its shutdown and keeps serving for a grace period.
 
-	@param pick Picks the server, from 0 up to 1.
+	@param pick Selects the server: a number in the range [0, 1).
 	*/
 	async shutDown(pick: number): Promise<void> {
-		const server = this.#pick(pick);
-		await this.#add(server.service);
-		server.isLeaving = true;
+		const server = this.#select(pick);
+		await this.#addServer(server.service);
+		server.isDraining = true;
 		const control = await this.#announce(server, 'draining');
 		if (control !== undefined) {
 			this.#options.record.shutdowns.push({server: server.id, acknowledgedAt: this.#options.now(), control});
 		}
 
 		setTimeout(() => {
-			this.#end(server);
-		}, lingerMilliseconds).unref();
+			this.#stop(server);
+		}, shutdownGraceMilliseconds).unref();
 	}
 
 	/**
-	Ends a server without a word, and starts another.
+	Stops a server without an announcement, and starts another.
 
-	@param pick Picks the server, from 0 up to 1.
+	@param pick Selects the server: a number in the range [0, 1).
 	*/
 	async crash(pick: number): Promise<void> {
-		const server = this.#pick(pick);
-		this.#end(server);
-		await this.#add(server.service);
+		const server = this.#select(pick);
+		this.#stop(server);
+		await this.#addServer(server.service);
 	}
 
 	close(): void {
-		clearInterval(this.#timer);
+		clearInterval(this.#heartbeatTimer);
 		for (const server of this.#servers) {
-			server.standIn.close();
+			server.backend.close();
 		}
 	}
 
-	#pick(pick: number): SoakServer {
-		const staying = [...this.#servers].filter(({isLeaving}) => !isLeaving);
-		return staying[Math.floor(pick * staying.length)]!;
+	#select(pick: number): SoakServer {
+		const candidates = [...this.#servers].filter(({isDraining}) => !isDraining);
+		return candidates[Math.floor(pick * candidates.length)]!;
 	}
 
-	async #add(service: SoakService): Promise<void> {
+	async #addServer(service: SoakService): Promise<void> {
 		const {network, host} = this.#options;
-		const id = `i-${++this.#count}`;
+		const id = `i-${++this.#serverCount}`;
 		let announcedPort = 0;
-		const standIn = await BackendStandIn.start({
-			id, service, host, answer: run => this.#run(id, run), announcedPort: () => announcedPort,
+		const backend = await BackendStandIn.start({
+			id, service, host, answer: run => this.#recordRun(id, run), announcedPort: () => announcedPort,
 		});
-		const proxy = await network.protect({host, port: 0, target: {host, port: standIn.port}});
+		const proxy = await network.protect({host, port: 0, target: {host, port: backend.port}});
 		announcedPort = proxy.port;
 		const server = {
-			id, service, standIn, isLeaving: false,
+			id, service, backend, isDraining: false,
 		};
 		this.#servers.add(server);
 		await this.#announce(server, 'ready');
 	}
 
-	#run(id: string, {id: request, model}: StandInRun): StandInAnswer {
+	#recordRun(id: string, {id: request, model}: StandInRun): StandInAnswer {
 		this.#options.record.runs.push({id: request, server: id, at: this.#options.now()});
 		return model === undefined
 			? {events: [wholeAnswer(request, 'safe')]}
-			: {events: eventsOf(request), gap: eventGapMilliseconds, confidence: model === 'small' && request.endsWith('3') ? 20 : 90};
+			: {events: eventsOf(request), gap: eventIntervalMilliseconds, confidence: model === 'small' && request.endsWith('3') ? 20 : 90};
 	}
 
-	/** Tells one control instance after the other until one acknowledges; gives that one. */
+	/** Sends an announcement to one control instance after another until one acknowledges it, and returns that instance. */
 	async #announce(server: SoakServer, state: 'ready' | 'draining'): Promise<string | undefined> {
-		if (server.isLeaving !== (state === 'draining')) {
+		if (server.isDraining !== (state === 'draining')) {
 			return undefined;
 		}
 
 		for (const control of this.#options.controls) {
-			if (await server.standIn.announce(control, state) === 200) {
+			if (await server.backend.announce(control, state) === 200) {
 				return control;
 			}
 		}
@@ -146,8 +146,8 @@
 		return undefined;
 	}
 
-	#end(server: SoakServer): void {
+	#stop(server: SoakServer): void {
 		this.#servers.delete(server);
-		server.standIn.close();
+		server.backend.close();
 	}
 }
