--- a/packages/cli/src/trace/_loss-cause.ts
+++ b/packages/cli/src/trace/_loss-cause.ts
@@ -36,10 +36,10 @@
 @param options The log records about the request.
 @returns The cause; undefined if the request was answered in time.
 */
-export function lossCause({own, starts, late}: LossOptions): LossCause | undefined {
-	const end = own.findLast(({kind}) => kind === 'request-ended');
+export function lossCause({own: sortedDecisions, starts: startTimes, late}: LossOptions): LossCause | undefined {
+	const end = sortedDecisions.findLast(({kind}) => kind === 'request-ended');
 	if (end === undefined) {
-		return causeWithoutEnd(own.at(-1), starts);
+		return causeWithoutEnd(sortedDecisions.at(-1), startTimes);
 	}
 
 	const outcome = end.fields.get('outcome');
@@ -56,7 +56,7 @@
 		return undefined;
 	}
 
-	return numericField(end, 'sends') === 0 && outcome !== 'answered' && !own.some(({kind}) => kind === 'request-attempt-ended') ? 'never-tried' : causeOfAttempts(own);
+	return numericField(end, 'sends') === 0 && outcome !== 'answered' && !sortedDecisions.some(({kind}) => kind === 'request-attempt-ended') ? 'never-tried' : causeOfAttempts(sortedDecisions);
 }
 
 function causeWithoutEnd(last: Decision | undefined, starts: LossOptions['starts']): LossCause {
@@ -65,8 +65,8 @@
 }
 
 /** Returns the cause of the last failed attempt, resumption or escalation, because the request recovered from those before it. */
-function causeOfAttempts(own: readonly Decision[]): LossCause {
-	for (const {kind, fields} of own.toReversed()) {
+function causeOfAttempts(sortedDecisions: readonly Decision[]): LossCause {
+	for (const {kind, fields} of sortedDecisions.toReversed()) {
 		if (kind === 'request-resumed') {
 			return 'stream-broken';
 		}
--- a/packages/cli/src/trace/trace.test.ts
+++ b/packages/cli/src/trace/trace.test.ts
@@ -30,9 +30,9 @@
 test('a report starts with the cause, and leaves out other requests and unrelated servers', t => {
 	const {decisions, unreadable} = readDecisions(log);
 	t.is(unreadable, 1);
-	const story = tellRequest('a1', decisions);
-	t.is(story[0], 'Cause: refused: Got no answer of i-2 (read ECONNRESET)');
-	const text = story.join('\n');
+	const report = tellRequest('a1', decisions);
+	t.is(report[0], 'Cause: refused: Got no answer of i-2 (read ECONNRESET)');
+	const text = report.join('\n');
 	t.regex(text, /0 ms {2}10\.1\.0\.40 {2}request-dispatched {2}server=i-2 send=1/v);
 	t.regex(text, /server-suspected {2}server=i-2/v);
 	t.notRegex(text, /i-9|b2/v);
