--- a/packages/soak/src/bin/soak.ts
+++ b/packages/soak/src/bin/soak.ts
@@ -23,7 +23,7 @@
 let failedRuns = 0;
 for (let run = 0; run < runs && performance.now() < deadline; run++) {
 	const seed = firstSeed + run;
-	const {faults, record, broken} = await runSoak({
+	const {faults, record, broken: foundViolations} = await runSoak({
 		seed,
 		length: Number(values.seconds) * millisecondsPerSecond,
 		gap: Number(values.gap),
@@ -32,12 +32,12 @@
 	});
 	const servedCount = record.requests.filter(({status, isWhole}) => status === 200 && isWhole).length;
 	const counts = `${faults.length} faults, ${record.requests.length} requests, ${servedCount} served whole, ${record.configurations.length} configurations`;
-	process.stdout.write(`seed ${seed}: ${counts}, ${broken.length} broken\n`);
-	for (const line of broken) {
+	process.stdout.write(`seed ${seed}: ${counts}, ${foundViolations.length} broken\n`);
+	for (const line of foundViolations) {
 		process.stdout.write(`  ${line}\n`);
 	}
 
-	failedRuns += broken.length === 0 ? 0 : 1;
+	failedRuns += foundViolations.length === 0 ? 0 : 1;
 }
 
 process.stdout.write(`${failedRuns === 0 ? 'all promises held' : `${failedRuns} runs broke a promise`}\n`);
--- a/packages/soak/src/find-broken-promises.test.ts
+++ b/packages/soak/src/find-broken-promises.test.ts
@@ -4,7 +4,7 @@
 	emptyRecord, type SeenRequest, type SoakRecord, wholeAnswer,
 } from './soak-record.js';
 
-const bounds = {revocation: 2500, shutdown: 2500, configuration: 2000};
+const limits = {revocation: 2500, shutdown: 2500, configuration: 2000};
 const request: SeenRequest = {
 	id: '1-1', kind: 'unsafe', key: 'key-1', entry: 'front-1:1', sentAt: 1000, status: 200, text: wholeAnswer('1-1', 'unsafe'), isWhole: true,
 };
@@ -15,10 +15,10 @@
 };
 
 test('a valid record has no violations', t => {
-	t.deepEqual(findBrokenPromises(validRecord, bounds), []);
-	t.deepEqual(findBrokenPromises({...validRecord, reads: [{version: 1, askedAt: 5000, control: 'core-1'}], shutdowns: [{server: 'i-1', acknowledgedAt: 900, control: 'core-1:1'}]}, bounds), []);
+	t.deepEqual(findBrokenPromises(validRecord, limits), []);
+	t.deepEqual(findBrokenPromises({...validRecord, reads: [{version: 1, askedAt: 5000, control: 'core-1'}], shutdowns: [{server: 'i-1', acknowledgedAt: 900, control: 'core-1:1'}]}, limits), []);
 	const cutOff = {ip: 'front-1', from: -2500, to: 500};
-	t.deepEqual(findBrokenPromises({...validRecord, shutdowns: [shutdown], disturbances: [cutOff]}, bounds), []);
+	t.deepEqual(findBrokenPromises({...validRecord, shutdowns: [shutdown], disturbances: [cutOff]}, limits), []);
 });
 
 const violatingRecords: ReadonlyArray<readonly [what: string, record: SoakRecord]> = [
@@ -37,7 +37,7 @@
 
 for (const [index, [what, record]] of violatingRecords.entries()) {
 	test(`a violation is found: ${what} (${index})`, t => {
-		const violations = findBrokenPromises(record, bounds);
+		const violations = findBrokenPromises(record, limits);
 		t.is(violations.length, 1);
 		t.true(violations[0]?.startsWith(`${what}:`));
 	});
--- a/packages/soak/src/find-broken-promises.ts
+++ b/packages/soak/src/find-broken-promises.ts
@@ -19,20 +19,20 @@
 Checks the guarantees of a deployment against what callers, backend servers and operators observed during a soak.
 
 @param record The observations.
-@param bounds The time limits.
+@param limits The time limits.
 @returns A line for each violation.
 @example
 ```ts
-findBrokenPromises(record, {revocation: 5000, shutdown: 2500, configuration: 2000});
+findViolations(record, {revocation: 5000, shutdown: 2500, configuration: 2000});
 ```
 */
-export function findBrokenPromises(record: SoakRecord, bounds: PromiseBounds): readonly string[] {
+export function findBrokenPromises(record: SoakRecord, limits: PromiseBounds): readonly string[] {
 	return [
 		...findRunViolations(record),
 		...findResponseViolations(record),
-		...findRevocationViolations(record, bounds),
-		...findShutdownViolations(record, bounds),
-		...findConfigurationViolations(record, bounds),
+		...findRevocationViolations(record, limits),
+		...findShutdownViolations(record, limits),
+		...findConfigurationViolations(record, limits),
 		...findRecoveryViolations(record),
 	];
 }
@@ -138,10 +138,10 @@
 	return violations;
 }
 
-function findRecoveryViolations({unrecovered, ends}: SoakRecord): readonly string[] {
+function findRecoveryViolations({unrecovered, ends: exits}: SoakRecord): readonly string[] {
 	return [
 		...unrecovered.map(entry => `recovery: ${entry} did not serve again`),
-		...ends.map(end => `processes: ${end}`),
+		...exits.map(end => `processes: ${end}`),
 	];
 }
 
--- a/packages/soak/src/inflict-fault.ts
+++ b/packages/soak/src/inflict-fault.ts
@@ -37,7 +37,7 @@
 @param options The possible targets.
 @example
 ```ts
-await inflictFault(fault, {deployment, network, servers, operator, serverHost, record});
+await injectFault(fault, {deployment, network, servers, operator, serverHost, record});
 ```
 */
 export async function inflictFault(fault: Fault, options: InflictFaultOptions): Promise<void> {
--- a/packages/soak/src/run-soak.ts
+++ b/packages/soak/src/run-soak.ts
@@ -36,7 +36,7 @@
 
 const revocationMilliseconds = 2500;
 /** The revocation limit has a margin of half a second, because all processes share one machine and an acknowledgement is recorded only when it arrives. */
-const bounds = {revocation: revocationMilliseconds + 500, shutdown: 2500, configuration: 2000};
+const limits = {revocation: revocationMilliseconds + 500, shutdown: 2500, configuration: 2000};
 const pollIntervalMilliseconds = 250;
 const recoveryMilliseconds = 20_000;
 /** The address of all backend servers, which differ by port. */
@@ -53,7 +53,7 @@
 @returns The faults, the observations and the violations.
 @example
 ```ts
-const {broken} = await runSoak({seed: 7});
+const {violations} = await runSoak({seed: 7});
 ```
 */
 export async function runSoak({seed, length = 12_000, gap = 500, controls = 3, entries = 3}: RunSoakOptions): Promise<SoakResult> {
@@ -112,7 +112,7 @@
 		await deployment.stop();
 	}
 
-	return {faults, record, broken: findBrokenPromises(record, bounds)};
+	return {faults, record, broken: findBrokenPromises(record, limits)};
 }
 
 /** Describes the exit of a process that should be running. The signal distinguishes a fault that has not restarted it yet from an exit of its own. */
--- a/packages/soak/src/soak-configuration.ts
+++ b/packages/soak/src/soak-configuration.ts
@@ -12,7 +12,7 @@
 @returns A path under the prefix of its route.
 @example
 ```ts
-pathOf('safe');
+requestPath('safe');
 ```
 */
 export function pathOf(kind: RequestKind): string {
--- a/packages/soak/src/soak-environment.ts
+++ b/packages/soak/src/soak-environment.ts
@@ -12,7 +12,7 @@
 @returns The path; the fault is on while the file exists.
 @example
 ```ts
-misbehaviourFile('/tmp/soak/core-1', 'disk');
+faultFile('/tmp/soak/core-1', 'disk');
 ```
 */
 export function misbehaviourFile(folder: string, what: 'disk' | 'clock'): string {
--- a/packages/soak/src/soak-network.ts
+++ b/packages/soak/src/soak-network.ts
@@ -14,8 +14,8 @@
 @example
 ```ts
 const network = new SoakNetwork();
-await network.protect({host, port, target});
-const heal = network.harm({from: host, to: undefined}, {isSilent: true, delay: 0});
+await network.addProxy({host, port, target});
+const removeFault = network.addLinkFault({from: host, to: undefined}, {isSilent: true, delay: 0});
 ```
 */
 export class SoakNetwork {
--- a/packages/soak/src/soak-operator.ts
+++ b/packages/soak/src/soak-operator.ts
@@ -23,7 +23,7 @@
 @example
 ```ts
 const operator = new SoakOperator(options);
-await operator.change();
+await operator.submitConfiguration();
 ```
 */
 export class SoakOperator {
--- a/packages/soak/src/soak-record.ts
+++ b/packages/soak/src/soak-record.ts
@@ -87,7 +87,7 @@
 @returns The body that a backend server writes for it.
 @example
 ```ts
-wholeAnswer('7-1', 'safe');
+completeResponse('7-1', 'safe');
 ```
 */
 export function wholeAnswer(id: string, kind: RequestKind): string {
@@ -101,7 +101,7 @@
 @returns The data of each event.
 @example
 ```ts
-eventsOf('7-1');
+streamEvents('7-1');
 ```
 */
 export function eventsOf(id: string): readonly string[] {
