--- a/packages/control/src/engine-state.ts
+++ b/packages/control/src/engine-state.ts
@@ -2,23 +2,23 @@
 import {match} from 'ts-pattern';
 import {type FencingNumber, type OrderRecord} from './order.js';
 
-/** What an engine says of itself on `GET /v1/state`. */
+/** An engine's response to `GET /v1/state`. */
 export type EngineState = {
 	readonly models: readonly LoadedVersion[];
 	readonly role?: string | undefined;
-	/** The last order it obeyed, where it keeps that. */
+	/** The last order that the engine executed. Absent if the engine does not track it. */
 	readonly lastOrder?: (FencingNumber & {readonly orderId: string}) | undefined;
 };
 
-/** What an engine's state says of an order: it was obeyed, a newer one was obeyed since, or neither. */
-export type OrderStanding = 'obeyed' | 'superseded' | 'pending';
+/** The status of an order by the state of its engine: executed, superseded by the execution of a newer order, or neither. */
+export type OrderStanding = 'executed' | 'superseded' | 'pending';
 
 /**
 Compares two fencing numbers.
 
-@param left One number.
-@param right The other.
-@returns Below 0 if the left is older, above 0 if it is newer, 0 if they are equal.
+@param left The first number.
+@param right The second number.
+@returns A negative number if `left` is older, a positive number if it is newer, and 0 if they are equal.
 @example
 ```ts
 compareFencing({term: 1, sequence: 9}, {term: 2, sequence: 3}); // below 0
@@ -29,14 +29,14 @@
 }
 
 /**
-Reads from an engine's state how an order stands.
+Determines the status of an order from the state of its engine.
 
 @param record The order.
-@param state What the engine said.
-@returns How the order stands.
+@param state The state of the engine.
+@returns The status of the order.
 @example
 ```ts
-orderStanding(record, {models: []}); // 'pending'
+orderStatus(record, {models: []}); // 'pending'
 ```
 */
 export function orderStanding({order, fencing}: OrderRecord, {models, role, lastOrder}: EngineState): OrderStanding {
@@ -44,14 +44,14 @@
 		return 'superseded';
 	}
 
-	const isObeyed = match(order)
-		.with({type: 'load'}, wanted => includes(models, wanted))
-		.with({type: 'unload'}, wanted => !includes(models, wanted))
+	const isExecuted = match(order)
+		.with({type: 'load'}, wanted => isLoaded(models, wanted))
+		.with({type: 'unload'}, wanted => !isLoaded(models, wanted))
 		.with({type: 'set-role'}, wanted => role === wanted.role)
 		.exhaustive();
-	return isObeyed ? 'obeyed' : 'pending';
+	return isExecuted ? 'executed' : 'pending';
 }
 
-function includes(models: readonly LoadedVersion[], wanted: LoadedVersion): boolean {
+function isLoaded(models: readonly LoadedVersion[], wanted: LoadedVersion): boolean {
 	return models.some(({model, version}) => model === wanted.model && version === wanted.version);
 }
--- a/packages/control/src/order-run.test.ts
+++ b/packages/control/src/order-run.test.ts
@@ -14,23 +14,23 @@
 const timing = {...defaultOrderTiming, resendMilliseconds: 10_000, giveUpMilliseconds: Number.MAX_SAFE_INTEGER};
 const tickMilliseconds = 100;
 const leaseMilliseconds = 1000;
-/** Each delay that this divides goes with a connection that breaks behind the call. */
-const brokenConnection = 3;
+/** The connection of a call breaks after the request was sent if the delay is a multiple of this number. */
+const brokenConnectionDivisor = 3;
 
 type Leader = {
 	run: OrderRun;
-	/** What it has applied: an old leader's view stays as it was. */
+	/** The open orders by the log that this replica has applied. Those of a previous leader are not updated. */
 	open: readonly OrderRecord[];
 	since: number;
 	leaseValidUntil: number;
 	frozenUntil: number;
 };
-type Obeyed = {readonly sequence: number; readonly flight: number};
+type ExecutedOrder = {readonly sequence: number; readonly transitMilliseconds: number};
 
-/** Two control replicas that take turns, one engine, and a network, in virtual time. */
-class World {
+/** Simulates two control replicas that alternate as the leader, one engine and a network in virtual time. */
+class Simulation {
 	now = 0;
-	readonly obeyed: Obeyed[] = [];
+	readonly executed: ExecutedOrder[] = [];
 	#engine: EngineState = {models: []};
 	#open: readonly OrderRecord[] = [];
 	#index = 0;
@@ -66,8 +66,8 @@
 		Object.assign(this.#leaders[index] ?? {}, {since: this.now, frozenUntil: 0});
 	}
 
-	/** Elects the first replica; from now on messages are quick and nothing fails. */
-	calm(): void {
+	/** Elects the first replica, and sets all message delays to one tick. */
+	endFaults(): void {
 		this.elect(0);
 		this.#delays = [tickMilliseconds];
 	}
@@ -137,10 +137,10 @@
 		}
 	}
 
-	/** A call that arrives after one delay and is answered after another; given up after one flight, or at once where the connection breaks behind it. */
+	/** Makes a call that arrives after one delay and returns after another. It fails after the send timeout, or after one tick if the connection breaks. */
 	#call(answer: () => OrderEvent, {index, lost}: {readonly index: number; readonly lost: OrderEvent}): void {
 		const delay = this.#delay();
-		if (delay % brokenConnection === 0) {
+		if (delay % brokenConnectionDivisor === 0) {
 			this.#later(tickMilliseconds, () => {
 				this.#step(index, lost);
 			});
@@ -164,7 +164,7 @@
 			return comparison === 0 ? {type: 'taken'} : {type: 'refused', detail: 'old'};
 		}
 
-		this.obeyed.push({sequence: fencing.sequence, flight: this.now - sentAt});
+		this.executed.push({sequence: fencing.sequence, transitMilliseconds: this.now - sentAt});
 		this.#engine = {models: [], role: order.type === 'set-role' ? order.role : '', ...(this.#checksFencing && {lastOrder: {...fencing, orderId}})};
 		return {type: 'taken'};
 	}
@@ -178,49 +178,49 @@
 	}
 }
 
-const disturbance = fc.oneof(
+const operation = fc.oneof(
 	fc.record({type: fc.constant('issue' as const)}),
 	fc.record({type: fc.constant('pass' as const), milliseconds: fc.integer({min: 100, max: 3000})}),
 	fc.record({type: fc.constant('elect' as const), index: fc.integer({min: 0, max: 1})}),
 	fc.record({type: fc.constant('freeze' as const), milliseconds: fc.integer({min: 100, max: 8000})}),
 );
-// Most messages take less than a flight; a few are held for far longer, as by a frozen process between check and send.
+// Most messages arrive within the send timeout. A few take much longer, like those of a process that is suspended between lease check and send.
 const delay = fc.oneof(
 	{weight: 6, arbitrary: fc.integer({min: 0, max: 100})},
 	{weight: 4, arbitrary: fc.integer({min: 0, max: 1900})},
 	{weight: 1, arbitrary: fc.integer({min: 3000, max: 12_000})},
 );
 const delays = fc.array(delay, {minLength: 7, maxLength: 31});
-const schedule = fc.record({delays, disturbances: fc.array(disturbance, {minLength: 10, maxLength: 60})});
-const calmMilliseconds = 20_000;
+const schedule = fc.record({delays, operations: fc.array(operation, {minLength: 10, maxLength: 60})});
+const settleMilliseconds = 20_000;
 
 type Schedule = typeof schedule extends fc.Arbitrary<infer Value> ? Value : never;
 
-function runSchedule({delays: given, disturbances}: Schedule, checksFencing: boolean): World {
-	const world = new World(checksFencing, given);
-	for (const found of disturbances) {
-		if (found.type === 'issue') {
-			world.issue();
-		} else if (found.type === 'elect') {
-			world.elect(found.index);
+function runSchedule({delays: messageDelays, operations}: Schedule, checksFencing: boolean): Simulation {
+	const simulation = new Simulation(checksFencing, messageDelays);
+	for (const step of operations) {
+		if (step.type === 'issue') {
+			simulation.issue();
+		} else if (step.type === 'elect') {
+			simulation.elect(step.index);
 		} else {
-			world[found.type](found.milliseconds);
+			simulation[step.type](step.milliseconds);
 		}
 	}
 
-	world.calm();
-	while (world.open.length > 0 && world.now < calmMilliseconds * 1000) {
-		world.pass(calmMilliseconds);
+	simulation.endFaults();
+	while (simulation.open.length > 0 && simulation.now < settleMilliseconds * 1000) {
+		simulation.pass(settleMilliseconds);
 	}
 
-	return world;
+	return simulation;
 }
 
-test(`an engine that checks never obeys an older order after a newer one, nor one twice, and each is carried out (seed ${seed}, ${runs} cases)`, t => {
-	const property = fc.property(schedule, found => {
-		const {obeyed, open} = runSchedule(found, true);
-		const sequences = obeyed.map(({sequence}) => sequence);
-		const issued = found.disturbances.filter(({type}) => type === 'issue').length;
+test(`an engine that checks fencing numbers executes all orders once and in order (seed ${seed}, ${runs} cases)`, t => {
+	const property = fc.property(schedule, generated => {
+		const {executed, open} = runSchedule(generated, true);
+		const sequences = executed.map(({sequence}) => sequence);
+		const issued = generated.operations.filter(({type}) => type === 'issue').length;
 		return open.length === 0 && sequences.length === issued && sequences.every((sequence, index) => sequence === index + 1);
 	});
 	t.notThrows(() => {
@@ -228,13 +228,13 @@
 	});
 });
 
-test(`an engine that ignores fencing obeys an older order after a newer one only when it was on its way for longer than a flight (seed ${seed}, ${runs} cases)`, t => {
+test(`an engine that does not check fencing numbers executes an older order after a newer one only if its transit exceeded the send timeout (seed ${seed}, ${runs} cases)`, t => {
 	let reversals = 0;
-	const property = fc.property(schedule, found => {
-		const {obeyed, open} = runSchedule(found, false);
+	const property = fc.property(schedule, generated => {
+		const {executed, open} = runSchedule(generated, false);
 		let newest = 0;
-		for (const {sequence, flight} of obeyed) {
-			if (sequence < newest && flight <= timing.flightMilliseconds) {
+		for (const {sequence, transitMilliseconds} of executed) {
+			if (sequence < newest && transitMilliseconds <= timing.flightMilliseconds) {
 				return false;
 			}
 
@@ -247,10 +247,10 @@
 	t.notThrows(() => {
 		fc.assert(property, {seed, numRuns: runs});
 	});
-	t.log(`${reversals} orders outside the window`);
+	t.log(`${reversals} orders executed out of order after a transit longer than the send timeout`);
 });
 
-test('a taken order is read back before it is completed, and a lost send holds an engine that ignores fencing for one flight', t => {
+test('the engine state is read again before an accepted order is completed, and a failed send to an engine without fencing delays the next step by one send timeout', t => {
 	const order: OrderRecord = {
 		orderId: toId<OrderId>('o1'), server: toId<ServerId>('s'), order: {type: 'set-role', role: 'decode'}, fencing: {term: 1, sequence: 1}, issuedAt: 0, outcome: 'open',
 	};
--- a/packages/control/src/order-run.ts
+++ b/packages/control/src/order-run.ts
@@ -3,184 +3,184 @@
 import {type EngineState, orderStanding} from './engine-state.js';
 import {type OrderOutcome, type OrderRecord} from './order.js';
 
-/** The times by which orders are sent, in milliseconds. */
+/** The timing of order delivery, in milliseconds. */
 export type OrderTiming = {
-	/** How long a former leader's lease can outlast the start of a new one. */
+	/** The maximum time for which a previous leader's lease can remain valid after a new leader starts. */
 	readonly leaseMilliseconds: number;
-	/** How long an order can be on its way, from the check of the lease until the engine has it; sends are given up then. */
+	/** The maximum time from the lease check until the engine receives the order; sends are aborted after it. */
 	readonly flightMilliseconds: number;
-	/** The pause before a failed step is tried again, and between two looks at an engine at work. */
+	/** The delay before a failed step is retried, and between polls of an engine that is executing an order. */
 	readonly retryMilliseconds: number;
-	/** How long an engine that took an order may work on it before the same order is sent again. */
+	/** How long an engine may work on an order that it accepted before the order is sent again. */
 	readonly resendMilliseconds: number;
-	/** How long an order is tried before it is given up. */
+	/** The time after issue at which an order that was not executed fails. */
 	readonly giveUpMilliseconds: number;
 };
 
-/** The times unless the host says otherwise. */
+/** The default timing. */
 export const defaultOrderTiming: OrderTiming = {
 	leaseMilliseconds: 2000, flightMilliseconds: 2000, retryMilliseconds: 500, resendMilliseconds: 60_000, giveUpMilliseconds: 600_000,
 };
 
-/** What a run is stepped with; times are monotonic milliseconds. */
+/** The inputs of a step besides the event. Times are monotonic milliseconds unless stated otherwise. */
 export type OrderContext = {
 	readonly now: number;
-	/** The same moment in milliseconds since 1970. */
+	/** The current time in milliseconds since 1970. */
 	readonly wallClock: number;
-	/** This replica's leadership; undefined while it does not lead. */
+	/** The leadership of this replica; undefined if it is not the leader. */
 	readonly leadership: {readonly since: number; readonly leaseValidUntil: number} | undefined;
 	/** The oldest open order of the engine. */
 	readonly order: OrderRecord | undefined;
-	/** The engine; undefined while it is not announced. */
+	/** The engine; undefined if it is not announced. */
 	readonly engine: {readonly checksFencing: boolean} | undefined;
 	readonly timing: OrderTiming;
 };
 
-/** How far one leader is with one engine's oldest open order. */
+/** The state of a leader's delivery of the oldest open order to one engine. */
 export type OrderRun = {
-	/** Numbers the steps in progress; an answer to an earlier one is passed over. */
+	/** The number of the step in progress. Events of earlier steps are ignored. */
 	readonly step: number;
 	readonly order: OrderRecord | undefined;
-	/** The start of the leadership under which it began; another leadership begins anew. */
+	/** The start of the leadership in which the delivery started. A new leadership restarts it. */
 	readonly leadingSince: number;
 	readonly phase: 'due' | 'reading' | 'sending' | 'completing';
-	/** When the run goes on. */
+	/** When the delivery continues. */
 	readonly dueAt: number;
-	/** When the engine took the order, so that it is only watched for a while; undefined before. */
+	/** When the engine accepted the order; undefined before. For a while after it the engine is only polled. */
 	readonly takenAt: number | undefined;
 };
 
-/** What an engine answered to an order: it took it, it refused an old number, or nobody knows. */
+/** The outcome of a send: the engine accepted the order, refused it for a stale fencing number, or the result is unknown. */
 export type SendOutcome = {readonly type: 'taken'} | {readonly type: 'refused'; readonly detail: string} | {readonly type: 'failed'; readonly detail: string};
 
-/** What can happen to a run; `step` repeats that of the action. */
+/** An event of a delivery. `step` is that of the action that led to it. */
 export type OrderEvent
 	= | {readonly type: 'tick'}
 		| {readonly type: 'state-read'; readonly step: number; readonly state: EngineState | undefined}
 		| {readonly type: 'sent'; readonly step: number; readonly outcome: SendOutcome}
-	/** The command was answered by the replicated log, or not. */
+	/** The proposal of the command has ended, successfully or not. */
 		| {readonly type: 'completed'; readonly step: number};
 
-/** What the host must do; it checks the lease again right before `send`. */
+/** An action for the host, which must check the lease again immediately before `send`. */
 export type OrderAction
 	= | {readonly type: 'read-state'; readonly step: number}
 		| {readonly type: 'send'; readonly step: number; readonly order: OrderRecord}
 		| {readonly type: 'complete'; readonly step: number; readonly command: CompleteOrderCommand};
 
-/** A run after a step, and what the host must do. */
+/** A delivery after a step, and the action for the host. */
 export type OrderStep = {readonly run: OrderRun; readonly action?: OrderAction};
 
-/** A run that has not begun. */
+/** A delivery that has not started. */
 export const idleOrderRun: OrderRun = {
 	step: 0, order: undefined, leadingSince: 0, phase: 'due', dueAt: 0, takenAt: undefined,
 };
 
 /**
-Takes one step with an engine's oldest open order: reads the engine's state, sends the order unless it was obeyed, reads back, and completes it.
+Performs one step of the delivery of an engine's oldest open order: reads the engine's state, sends the order unless it was executed, reads the state again to verify it, and completes the order.
 
-An engine that ignores fencing numbers gets nothing until a former leader's lease and anything it sent under it must be over, and nothing for one flight after a send whose outcome is not known.
+An engine that does not check fencing numbers gets no order before a previous leader's lease has expired and its last sends have timed out, and none for one send timeout after a send with an unknown outcome.
 
-@param run The run.
-@param event What happened.
+@param delivery The delivery.
+@param event The event.
 @param context The leadership, the order, the engine and the time.
-@returns The run and the action.
+@returns The delivery after the step, and the action.
 @example
 ```ts
-const {run, action} = stepOrder(idleOrderRun, {event: {type: 'tick'}, context});
+const {delivery, action} = stepOrderDelivery(idleOrderDelivery, {event: {type: 'tick'}, context});
 ```
 */
-export function stepOrder(run: OrderRun, {event, context}: {readonly event: OrderEvent; readonly context: OrderContext}): OrderStep {
+export function stepOrder(delivery: OrderRun, {event, context}: {readonly event: OrderEvent; readonly context: OrderContext}): OrderStep {
 	if (context.leadership === undefined || context.leadership.leaseValidUntil <= context.now || context.order === undefined) {
-		return {run: {...idleOrderRun, step: run.step + 1}};
+		return {run: {...idleOrderRun, step: delivery.step + 1}};
 	}
 
-	if (run.order?.orderId !== context.order.orderId || run.leadingSince !== context.leadership.since) {
-		return begin(run, {...context, order: context.order, since: context.leadership.since});
+	if (delivery.order?.orderId !== context.order.orderId || delivery.leadingSince !== context.leadership.since) {
+		return startDelivery(delivery, {...context, order: context.order, since: context.leadership.since});
 	}
 
-	if (event.type !== 'tick' && event.step !== run.step) {
-		return {run};
+	if (event.type !== 'tick' && event.step !== delivery.step) {
+		return {run: delivery};
 	}
 
-	const stepped: Stepped = {run, context, order: run.order};
+	const input: StepInput = {delivery, context, order: delivery.order};
 	return match(event)
-		.with({type: 'tick'}, () => tick(stepped))
-		.with({type: 'state-read'}, ({state}) => onState(stepped, state))
-		.with({type: 'sent'}, ({outcome}) => onSent(stepped, outcome))
-		.with({type: 'completed'}, () => ({run: pause(stepped, context.timing.retryMilliseconds)}))
+		.with({type: 'tick'}, () => tick(input))
+		.with({type: 'state-read'}, ({state}) => handleState(input, state))
+		.with({type: 'sent'}, ({outcome}) => handleSendOutcome(input, outcome))
+		.with({type: 'completed'}, () => ({run: scheduleRetry(input, context.timing.retryMilliseconds)}))
 		.exhaustive();
 }
 
-type Stepped = {readonly run: OrderRun; readonly context: OrderContext; readonly order: OrderRecord};
+type StepInput = {readonly delivery: OrderRun; readonly context: OrderContext; readonly order: OrderRecord};
 
-function begin(run: OrderRun, {order, since, engine, now, timing}: OrderContext & {readonly order: OrderRecord; readonly since: number}): OrderStep {
-	const quietUntil = engine?.checksFencing === true ? now : since + timing.leaseMilliseconds + timing.flightMilliseconds;
+function startDelivery(delivery: OrderRun, {order, since, engine, now, timing}: OrderContext & {readonly order: OrderRecord; readonly since: number}): OrderStep {
+	const earliestSendAt = engine?.checksFencing === true ? now : since + timing.leaseMilliseconds + timing.flightMilliseconds;
 	return {
 		run: {
-			step: run.step + 1, order, leadingSince: since, phase: 'due', dueAt: Math.max(now, quietUntil), takenAt: undefined,
+			step: delivery.step + 1, order, leadingSince: since, phase: 'due', dueAt: Math.max(now, earliestSendAt), takenAt: undefined,
 		},
 	};
 }
 
-function tick(stepped: Stepped): OrderStep {
-	const {run, context: {now, wallClock, engine, timing}, order} = stepped;
-	if (run.phase !== 'due' || now < run.dueAt) {
-		return {run};
+function tick(input: StepInput): OrderStep {
+	const {delivery, context: {now, wallClock, engine, timing}, order} = input;
+	if (delivery.phase !== 'due' || now < delivery.dueAt) {
+		return {run: delivery};
 	}
 
 	if (wallClock - order.issuedAt > timing.giveUpMilliseconds) {
-		return complete(stepped, {outcome: 'failed', detail: `Not obeyed in ${timing.giveUpMilliseconds} ms`});
+		return complete(input, {outcome: 'failed', detail: `Not executed within ${timing.giveUpMilliseconds} ms`});
 	}
 
 	if (engine === undefined) {
-		return {run: pause(stepped, timing.retryMilliseconds)};
+		return {run: scheduleRetry(input, timing.retryMilliseconds)};
 	}
 
-	const step = run.step + 1;
-	return {run: {...run, step, phase: 'reading'}, action: {type: 'read-state', step}};
+	const step = delivery.step + 1;
+	return {run: {...delivery, step, phase: 'reading'}, action: {type: 'read-state', step}};
 }
 
-function onState(stepped: Stepped, state: EngineState | undefined): OrderStep {
-	const {run, context: {now, timing}, order} = stepped;
-	const standing = state === undefined ? undefined : orderStanding(order, state);
-	if (standing === 'obeyed') {
-		return complete(stepped, {outcome: 'done'});
+function handleState(input: StepInput, state: EngineState | undefined): OrderStep {
+	const {delivery, context: {now, timing}, order} = input;
+	const status = state === undefined ? undefined : orderStanding(order, state);
+	if (status === 'executed') {
+		return complete(input, {outcome: 'done'});
 	}
 
-	if (standing === 'superseded') {
-		return complete(stepped, {outcome: 'refused', detail: 'The engine obeyed a newer order'});
+	if (status === 'superseded') {
+		return complete(input, {outcome: 'refused', detail: 'The engine has executed a newer order'});
 	}
 
-	const isAtWork = run.takenAt !== undefined && now - run.takenAt < timing.resendMilliseconds;
-	if (standing === undefined || isAtWork) {
-		return {run: pause(stepped, timing.retryMilliseconds)};
+	const isInProgress = delivery.takenAt !== undefined && now - delivery.takenAt < timing.resendMilliseconds;
+	if (status === undefined || isInProgress) {
+		return {run: scheduleRetry(input, timing.retryMilliseconds)};
 	}
 
-	const step = run.step + 1;
-	return {run: {...run, step, phase: 'sending'}, action: {type: 'send', step, order}};
+	const step = delivery.step + 1;
+	return {run: {...delivery, step, phase: 'sending'}, action: {type: 'send', step, order}};
 }
 
-function onSent(stepped: Stepped, outcome: SendOutcome): OrderStep {
-	const {run, context: {now, engine, timing}} = stepped;
+function handleSendOutcome(input: StepInput, outcome: SendOutcome): OrderStep {
+	const {delivery, context: {now, engine, timing}} = input;
 	return match(outcome)
-		.with({type: 'taken'}, () => ({run: {...pause(stepped, 0), takenAt: now}}))
-		.with({type: 'refused'}, ({detail}) => complete(stepped, {outcome: 'refused', detail}))
+		.with({type: 'taken'}, () => ({run: {...scheduleRetry(input, 0), takenAt: now}}))
+		.with({type: 'refused'}, ({detail}) => complete(input, {outcome: 'refused', detail}))
 		.with({type: 'failed'}, () => ({
-			run: {...run, ...pause(stepped, engine?.checksFencing === true ? timing.retryMilliseconds : timing.flightMilliseconds)},
+			run: {...delivery, ...scheduleRetry(input, engine?.checksFencing === true ? timing.retryMilliseconds : timing.flightMilliseconds)},
 		}))
 		.exhaustive();
 }
 
-function pause({run, context: {now}}: Stepped, milliseconds: number): OrderRun {
+function scheduleRetry({delivery, context: {now}}: StepInput, milliseconds: number): OrderRun {
 	return {
-		...run, step: run.step + 1, phase: 'due', dueAt: now + milliseconds,
+		...delivery, step: delivery.step + 1, phase: 'due', dueAt: now + milliseconds,
 	};
 }
 
-function complete({run, context: {wallClock}, order: {orderId, fencing}}: Stepped, {outcome, detail}: {readonly outcome: OrderOutcome; readonly detail?: string}): OrderStep {
-	const step = run.step + 1;
+function complete({delivery, context: {wallClock}, order: {orderId, fencing}}: StepInput, {outcome, detail}: {readonly outcome: OrderOutcome; readonly detail?: string}): OrderStep {
+	const step = delivery.step + 1;
 	const command: CompleteOrderCommand = {
 		type: 'complete-order', orderId, fencing, outcome, detail, at: wallClock,
 	};
-	return {run: {...run, step, phase: 'completing'}, action: {type: 'complete', step, command}};
+	return {run: {...delivery, step, phase: 'completing'}, action: {type: 'complete', step, command}};
 }
--- a/packages/control/src/order.ts
+++ b/packages/control/src/order.ts
@@ -3,21 +3,21 @@
 } from '@valehitch/core';
 import {type OrderId} from './ids.js';
 
-/** What an engine is told to do. */
+/** An order to an engine. */
 export type EngineOrder
 	= | {readonly type: 'load'; readonly model: ModelId; readonly version: VersionId}
 		| {readonly type: 'unload'; readonly model: ModelId; readonly version: VersionId}
-	/** Such as `prefill`, `decode` or `both`; the engine says which it knows. */
+	/** `role` is one that the engine supports, such as `prefill`, `decode` or `both`. */
 		| {readonly type: 'set-role'; readonly role: string};
 
-/** The fencing number of an order: its place in the replicated log. Higher terms are newer, then higher sequences. */
+/** The fencing number of an order: its position in the replicated log, ordered by term and then by sequence. */
 export type FencingNumber = {
 	readonly term: number;
 	/** The log index of the command that issued the order. */
 	readonly sequence: number;
 };
 
-/** How an order ended: the engine obeyed, it refused, or the order was given up. */
+/** The outcome of an order: executed by the engine, refused by the engine, or abandoned. */
 export type OrderOutcome = 'done' | 'refused' | 'failed';
 
 /** An order in the replicated state. */
@@ -29,7 +29,7 @@
 	/** Milliseconds since 1970. */
 	readonly issuedAt: number;
 	readonly outcome: OrderOutcome | 'open';
-	/** What the engine said. */
+	/** The engine's message. */
 	readonly detail?: string;
 	/** Milliseconds since 1970. */
 	readonly completedAt?: number;
