--- a/packages/control/src/rollout-step.test.ts
+++ b/packages/control/src/rollout-step.test.ts
@@ -19,12 +19,12 @@
 	};
 }
 
-test('a stage ends after its seconds and its ratings, and not before', t => {
+test('a stage advances only after its minimum time and number of ratings', t => {
 	const step = (now: number, ratings: number) => nextRolloutStep({
 		progress, stages, evidence: {ratings}, now,
 	});
-	t.deepEqual(step(60_999, 500), {type: 'wait', lacks: '1 seconds'});
-	t.deepEqual(step(61_000, 19), {type: 'wait', lacks: '1 ratings'});
+	t.deepEqual(step(60_999, 500), {type: 'wait', unmetCondition: '1 seconds'});
+	t.deepEqual(step(61_000, 19), {type: 'wait', unmetCondition: '1 ratings'});
 	t.deepEqual(step(61_000, 20), {
 		type: 'advance-rollout', model, version: second, fromStage: 0, at: 61_000,
 	});
@@ -33,7 +33,7 @@
 	}).type, 'wait');
 });
 
-test('a bad version in roll-out is stopped at once, a settled one only while another is settled', t => {
+test('a bad version in rollout is stopped at once, a settled one only if another version is settled', t => {
 	const evidence = () => ({ratings: 0, alarm});
 	const rolling = effectiveOf({[second]: {...settled, state: 'rolling-out', stages}}, progress);
 	t.deepEqual(rolloutCommands(rolling, {evidence, now: 5}), [{
--- a/packages/control/src/rollout-step.ts
+++ b/packages/control/src/rollout-step.ts
@@ -4,15 +4,15 @@
 import {versionDetails} from './_version-details.js';
 import {type AdvanceRolloutCommand, type StopVersionCommand} from './command.js';
 
-/** What is known of a version over all instances, as far as roll-outs ask. */
+/** The evidence on a version from all instances that rollout decisions depend on. */
 export type RolloutEvidence = {
-	/** Ratings since the stage began, or since this leader first saw the stage. */
+	/** The number of ratings since the stage started, or since this leader first saw the stage. */
 	readonly ratings: number;
-	/** Set once the version was found bad. */
+	/** Set once the version was detected as bad. */
 	readonly alarm?: {readonly reason: string} | undefined;
 };
 
-/** What a roll-out step is decided from. */
+/** The inputs of a rollout step. */
 export type RolloutStepOptions = {
 	readonly progress: RolloutProgress;
 	readonly stages: readonly RolloutStage[];
@@ -21,19 +21,19 @@
 	readonly now: number;
 };
 
-/** The next step of a roll-out: a command, or what it waits for. */
+/** The next step of a rollout: a command to propose, or the unmet condition of the stage. */
 export type RolloutStep = AdvanceRolloutCommand | StopVersionCommand | {
 	readonly type: 'wait';
-	/** What the stage still lacks, in words. */
-	readonly lacks: string;
+	/** A description of the unmet condition. */
+	readonly unmetCondition: string;
 };
 
-/** A version in the configuration. */
+/** A version of a model in the configuration. */
 export type RolloutTarget = {readonly model: ModelId; readonly version: VersionId};
 
-/** What the commands of all roll-outs are decided from. */
+/** The inputs of `rolloutCommands`. */
 export type RolloutCommandsOptions = {
-	/** The evidence on a version; the ratings count from when the stage began. */
+	/** Returns the evidence on a version, with the ratings counted from the start of the stage. */
 	readonly evidence: (target: RolloutTarget, progress: RolloutProgress | undefined) => RolloutEvidence;
 	/** Milliseconds since 1970. */
 	readonly now: number;
@@ -42,10 +42,10 @@
 const millisecondsPerSecond = 1000;
 
 /**
-Decides the next step of one running roll-out; depends on replicated progress only, so that any new leader goes on where the last one stopped.
+Decides the next step of a rollout. The progress is read from the replicated state only, so that a new leader continues where the previous one stopped.
 
 @param options The progress, the stages, the evidence and the time.
-@returns A command to propose, or what the stage waits for.
+@returns A command to propose, or the unmet condition of the stage.
 @example
 ```ts
 nextRolloutStep({progress, stages, evidence: {ratings: 40}, now: 0}).type; // 'advance-rollout'
@@ -61,17 +61,17 @@
 
 	const stage = stages[fromStage];
 	if (progress.status !== 'running') {
-		return {type: 'wait', lacks: `the roll-out is ${progress.status}`};
+		return {type: 'wait', unmetCondition: `the rollout is ${progress.status}`};
 	}
 
 	const secondsLeft = (stage?.minimumSeconds ?? 0) - ((now - progress.stageStartedAt) / millisecondsPerSecond);
 	if (secondsLeft > 0) {
-		return {type: 'wait', lacks: `${Math.ceil(secondsLeft)} seconds`};
+		return {type: 'wait', unmetCondition: `${Math.ceil(secondsLeft)} seconds`};
 	}
 
 	const ratingsLeft = (stage?.minimumRatings ?? 0) - evidence.ratings;
 	if (ratingsLeft > 0) {
-		return {type: 'wait', lacks: `${ratingsLeft} ratings`};
+		return {type: 'wait', unmetCondition: `${ratingsLeft} ratings`};
 	}
 
 	return {
@@ -80,9 +80,9 @@
 }
 
 /**
-Decides the commands for all versions that take work.
+Decides the commands for all listed versions that are not stopped.
 
-A version in roll-out is stopped when it is found bad. A settled one is stopped only while another version of its model is settled, so that a false alarm cannot take the last one out.
+A version in rollout is stopped when it is detected as bad. A settled version is stopped only if another version of its model is settled, so that a false alarm cannot stop the last one.
 
 @param effective The committed configuration.
 @param options The evidence and the time.
@@ -94,25 +94,25 @@
 */
 export function rolloutCommands(effective: EffectiveConfiguration, {evidence, now}: RolloutCommandsOptions): ReadonlyArray<AdvanceRolloutCommand | StopVersionCommand> {
 	const commands: Array<AdvanceRolloutCommand | StopVersionCommand> = [];
-	for (const target of targetsOf(effective)) {
+	for (const target of listVersions(effective)) {
 		const {model, version} = target;
 		const progress = effective.rollouts[versionKey(model, version)];
 		if (progress?.status === 'stopped') {
 			continue;
 		}
 
-		const found = evidence(target, progress);
+		const versionEvidence = evidence(target, progress);
 		if (progress?.status === 'running') {
 			const stages = versionDetails(effective.document, target)?.stages ?? [];
 			const step = nextRolloutStep({
-				progress, stages, evidence: found, now,
+				progress, stages, evidence: versionEvidence, now,
 			});
 			if (step.type !== 'wait') {
 				commands.push(step);
 			}
-		} else if (found.alarm !== undefined && isSettled(effective, target) && hasOther(effective, target)) {
+		} else if (versionEvidence.alarm !== undefined && isSettled(effective, target) && hasOtherSettledVersion(effective, target)) {
 			commands.push({
-				type: 'stop-version', model, version, reason: found.alarm.reason, at: now,
+				type: 'stop-version', model, version, reason: versionEvidence.alarm.reason, at: now,
 			});
 		}
 	}
@@ -120,7 +120,7 @@
 	return commands;
 }
 
-function targetsOf({document}: EffectiveConfiguration): RolloutTarget[] {
+function listVersions({document}: EffectiveConfiguration): RolloutTarget[] {
 	const targets: RolloutTarget[] = [];
 	for (const [model, {versions}] of Object.entries(document.models)) {
 		for (const version of Object.keys(versions)) {
@@ -135,6 +135,6 @@
 	return versionDetails(document, target)?.state === 'settled' && rollouts[versionKey(target.model, target.version)]?.status !== 'stopped';
 }
 
-function hasOther(effective: EffectiveConfiguration, {model, version}: RolloutTarget): boolean {
-	return targetsOf(effective).some(other => other.model === model && other.version !== version && isSettled(effective, other));
+function hasOtherSettledVersion(effective: EffectiveConfiguration, {model, version}: RolloutTarget): boolean {
+	return listVersions(effective).some(other => other.model === model && other.version !== version && isSettled(effective, other));
 }
