--- a/packages/control/src/claim.ts
+++ b/packages/control/src/claim.ts
@@ -1,23 +1,29 @@
 import {type RequestId} from '@valehitch/core';
 
-/** The answer of a keyed request, as the claim keeps it. */
+/** The stored response to a request with an idempotency key. */
 export type KeptAnswer = {
 	/** The HTTP status code. */
 	readonly status: number;
-	/** Headers to send again, such as `content-type`. */
+	/** The headers to replay, such as `content-type`. */
 	readonly headers: Readonly<Record<string, string>>;
-	/** SHA-256 of the whole body in hexadecimal. */
+	/** The SHA-256 digest of the whole body in hexadecimal. */
 	readonly digest: string;
-	/** Bytes of the whole body. */
+	/** The size of the whole body in bytes. */
 	readonly bytes: number;
-	/** The whole body; absent where it is larger than `ControlLimits.keptAnswerBytes`, or was dropped to make room. */
+	/** The whole body. Absent if it is larger than `ControlLimits.keptAnswerBytes` or was dropped to stay within `ControlLimits.keptAnswerBytesPerWorkspace`. */
 	readonly body?: Uint8Array;
 };
 
 /**
-Where a claim stands.
+The status of a claim.
 
-`taken`: the asking request owns it and may run. `in-progress`: another request owns it. `done`: the owner ran and was answered. `unknown`: the owner may have run; it must never be tried again. `released`: the owner provably did not run. `key-reused`: the key came with another request digest. `expired`: there is no such claim, or no longer.
+- `taken`: the calling request owns the claim and may run.
+- `in-progress`: another request owns the claim.
+- `done`: the owner ran and got a response.
+- `unknown`: the owner may have run and must never be retried.
+- `released`: the owner provably did not run.
+- `key-reused`: the key was already used with a different request digest.
+- `expired`: the claim does not exist or is no longer kept.
 */
 export type ClaimOutcome
 	= | {readonly type: 'taken'; readonly request: RequestId}
@@ -31,6 +37,6 @@
 /** How the owner settles its claim. */
 export type ClaimSettlement
 	= | {readonly type: 'done'; readonly answer: KeptAnswer}
-	/** The request provably did not run; the next one may take the claim. */
+	/** The request provably did not run, so the next one may take the claim. */
 		| {readonly type: 'released'}
 		| {readonly type: 'unknown'};
--- a/packages/control/src/clock-reading.ts
+++ b/packages/control/src/clock-reading.ts
@@ -1,2 +1,2 @@
-/** How often a leader has its clock read into the log, in milliseconds; ages in the replicated state are told no finer. */
+/** The interval at which a leader records a reading of its clock in the log, in milliseconds. It is the resolution of ages in the replicated state. */
 export const clockReadingMilliseconds = 10_000;
--- a/packages/control/src/command-answer.ts
+++ b/packages/control/src/command-answer.ts
@@ -4,37 +4,37 @@
 import {type Command} from './command.js';
 import {type OrderRecord} from './order.js';
 
-/** The answer of a command that says nothing but the revision. */
+/** The response to a command that reports only the revision. */
 export type RevisionAnswer = {
 	/** The revision after the command. */
 	readonly revision: number;
 };
 
-/** The answer of `take-claim` and `settle-claim`. */
+/** The response to `take-claim` and `settle-claim`. */
 export type ClaimAnswer = RevisionAnswer & {
-	/** Where the claim stands after the command. */
+	/** The status of the claim after the command. */
 	readonly claim: ClaimOutcome;
 };
 
-/** The answer of `record-bills`. */
+/** The response to `record-bills`. */
 export type BillsAnswer = RevisionAnswer & {
-	/** Bills that are new in the ledger. */
+	/** The number of bills that were new in the ledger. */
 	readonly recorded: number;
-	/** Bills that were refused, since the ledger no longer remembers whether it has them; never recorded twice. */
+	/** The requests of refused bills. The ledger can no longer tell whether it has recorded these, and must not record a bill twice. */
 	readonly expired: readonly RequestId[];
 };
 
-/** The answer of `advance-rollout` and `stop-version`. */
+/** The response to `advance-rollout` and `stop-version`. */
 export type RolloutAnswer = RevisionAnswer & {
 	readonly rollout: RolloutProgress;
 };
 
-/** The answer of `issue-order` and `complete-order`. */
+/** The response to `issue-order` and `complete-order`. */
 export type OrderAnswer = RevisionAnswer & {
 	readonly order: OrderRecord;
 };
 
-/** Each command's answer. */
+/** The response types by command type. */
 export type CommandAnswers = {
 	'apply-configuration': RevisionAnswer;
 	'record-bills': BillsAnswer;
@@ -49,16 +49,16 @@
 	'set-limits': RevisionAnswer;
 };
 
-/** The answer of a kind of command. */
+/** The response to a command of a given type. */
 export type AnswerOf<Kind extends Command> = CommandAnswers[Kind['type']];
 
-/** The answer of any command that was carried out. */
+/** The response to any successful command. */
 export type CommandAnswer = CommandAnswers[Command['type']];
 
-/** What a command gave. */
+/** The response to a command, or its failure. */
 export type CommandResult<Kind extends Command = Command> = Either<Failure, AnswerOf<Kind>>;
 
-/** Where a command stands in the replicated log. */
+/** The position of a command in the replicated log. */
 export type LogPosition = {
 	readonly term: number;
 	readonly index: number;
--- a/packages/control/src/command.ts
+++ b/packages/control/src/command.ts
@@ -6,50 +6,50 @@
 import {type IdempotencyKey, type OrderId} from './ids.js';
 import {type EngineOrder, type FencingNumber, type OrderOutcome} from './order.js';
 
-/** Replaces the operators' document if the revision is still the wanted one. */
+/** Replaces the operators' document if the revision is still the expected one. */
 export type ApplyConfigurationCommand = {
 	readonly type: 'apply-configuration';
 	readonly changeId: ChangeId;
-	/** The digest of the document, so that a resend can be told from another change. */
+	/** The digest of the document, to distinguish a resend from a different change with the same id. */
 	readonly digest: string;
 	readonly expectedRevision: Revision;
 	readonly document: Configuration;
-	/** Who made the change: the name of the operator's key. */
+	/** The name of the API key of the operator who made the change. */
 	readonly operator?: string | undefined;
 	/** Milliseconds since 1970. */
 	readonly at: number;
 };
 
-/** One run of an instance, from its start to its end. */
+/** One run of an instance, from start to exit. */
 export type InstanceRun = {
 	readonly instance: InstanceId;
-	/** When it began, by the clock of the instance, in milliseconds since 1970; it tells runs apart. */
+	/** The start time by the clock of the instance, in milliseconds since 1970. Distinguishes the runs of an instance. */
 	readonly startedAt: number;
 };
 
-/** Puts settled bills into the ledger; one that is there already is passed over. */
+/** Adds settled bills to the ledger and ignores duplicates. */
 export type RecordBillsCommand = {
 	readonly type: 'record-bills';
 	readonly bills: readonly Bill[];
-	/** The run that sends them; the ledger remembers it from here on, also where it has no bills. */
+	/** The run that sends the bills. Marks the run as active, even if `bills` is empty. */
 	readonly running?: InstanceRun | undefined;
 };
 
-/** Takes the claim of an idempotency key for one request; the first request wins. Safe to send again. */
+/** Claims an idempotency key for a request. The first request wins. Idempotent. */
 export type TakeClaimCommand = {
 	readonly type: 'take-claim';
 	readonly workspace: WorkspaceId;
 	readonly key: IdempotencyKey;
-	/** Digest of method, path and body, to tell a resend from another request under the same key. */
+	/** The digest of method, path and body, to distinguish a resend from a different request with the same key. */
 	readonly requestDigest: string;
 	readonly request: RequestId;
-	/** The instance that serves the request. */
+	/** The instance that handles the request. */
 	readonly instance: InstanceId;
 	/** Milliseconds since 1970. */
 	readonly at: number;
 };
 
-/** Settles a claim; only the owner's word counts. Safe to send again. */
+/** Settles a claim. Has no effect unless sent for the request that owns the claim. Idempotent. */
 export type SettleClaimCommand = {
 	readonly type: 'settle-claim';
 	readonly workspace: WorkspaceId;
@@ -60,7 +60,7 @@
 	readonly at: number;
 };
 
-/** Says that an instance is gone: its open claims turn to unknown, since they may have run. */
+/** Reports the loss of an instance. Its open claims are settled as unknown because their requests may have run. */
 export type InstanceLostCommand = {
 	readonly type: 'instance-lost';
 	readonly instance: InstanceId;
@@ -68,7 +68,7 @@
 	readonly at: number;
 };
 
-/** Raises a roll-out by one stage if it is still at the given one; after the last stage it is completed and the version is settled. */
+/** Advances a rollout by one stage if it is still at the given stage. After the last stage the rollout is completed and the version settled. */
 export type AdvanceRolloutCommand = {
 	readonly type: 'advance-rollout';
 	readonly model: ModelId;
@@ -78,7 +78,7 @@
 	readonly at: number;
 };
 
-/** Stops a version for all: it gets no new work until an operator withdraws it and lists it anew. */
+/** Stops a version on all instances. It gets no new requests until an operator withdraws it and lists it again. */
 export type StopVersionCommand = {
 	readonly type: 'stop-version';
 	readonly model: ModelId;
@@ -88,7 +88,7 @@
 	readonly at: number;
 };
 
-/** Issues an order to an engine; its place in the log is its fencing number. Safe to send again under the same id. */
+/** Issues an order to an engine. The position in the log is the fencing number of the order. Idempotent for the same order id. */
 export type IssueOrderCommand = {
 	readonly type: 'issue-order';
 	readonly orderId: OrderId;
@@ -98,32 +98,32 @@
 	readonly at: number;
 };
 
-/** Says how an order ended. Safe to send again. */
+/** Records the outcome of an order. Idempotent. */
 export type CompleteOrderCommand = {
 	readonly type: 'complete-order';
 	readonly orderId: OrderId;
 	readonly fencing: FencingNumber;
 	readonly outcome: OrderOutcome;
-	/** What the engine said. */
+	/** The engine's message. */
 	readonly detail?: string | undefined;
 	/** Milliseconds since 1970. */
 	readonly at: number;
 };
 
-/** Reads the leader's clock into the log, and drops what is older than its bound; sent every few seconds. */
+/** Records a reading of the leader's clock and deletes expired records. Sent by the leader at every clock reading interval. */
 export type ExpireCommand = {
 	readonly type: 'expire';
-	/** What the leader's clock says, in milliseconds since 1970. */
+	/** The reading of the leader's clock, in milliseconds since 1970. */
 	readonly at: number;
 };
 
-/** Replaces the bounds of what the state keeps; a leader sends it when its settings differ. */
+/** Replaces the limits of the replicated state. Sent by a leader whose settings differ from them. */
 export type SetLimitsCommand = {
 	readonly type: 'set-limits';
 	readonly limits: ControlLimits;
 };
 
-/** The closed list of commands on the replicated state. */
+/** A command on the replicated state. */
 export type Command
 	= | ApplyConfigurationCommand
 		| RecordBillsCommand
--- a/packages/control/src/control-limits.ts
+++ b/packages/control/src/control-limits.ts
@@ -1,37 +1,37 @@
-/** The bounds of what the replicated state keeps; part of the state, so that every replica drops the same. */
+/** The limits of the replicated state. They are part of the state, so that all replicas delete the same records. */
 export type ControlLimits = {
-	/** Change ids that are remembered; 4096 by default, 1 to 1000000. */
+	/** The number of change ids kept to detect resends. Default 4096, range 1 to 1000000. */
 	readonly changeIds: number;
-	/** Milliseconds for which a change id is remembered; 7 days by default, 1000 to 31622400000 (366 days). */
+	/** How long a change id is kept, in milliseconds. Default 7 days, range 1000 to 31622400000 (366 days). */
 	readonly changeIdMilliseconds: number;
-	/** Claims kept for one workspace; 2500 by default, 1 to 1000000, 781 bytes each. */
+	/** The number of claims kept per workspace, 781 bytes each. Default 2500, range 1 to 1000000. */
 	readonly claimsPerWorkspace: number;
-	/** Milliseconds for which a settled claim is kept, where the count allows it; 1 day by default, 1000 to 31622400000. */
+	/** How long a settled claim is kept if `claimsPerWorkspace` allows it, in milliseconds. Default 1 day, range 1000 to 31622400000. */
 	readonly claimMilliseconds: number;
-	/** Milliseconds for which a settled claim is kept in any case; a full workspace is refused rather than forgotten earlier; 10 minutes by default, 1000 to 31622400000 and at most claimMilliseconds. */
+	/** How long a settled claim is always kept, in milliseconds: new claims of a full workspace are refused rather than claims deleted earlier. Default 10 minutes, range 1000 to 31622400000, at most `claimMilliseconds`. */
 	readonly claimMinimumMilliseconds: number;
-	/** Milliseconds after which a claim that its owner never settled turns to unknown; 65 minutes by default, 1000 to 31622400000. */
+	/** The time after which an open claim is settled as unknown, in milliseconds. Default 65 minutes, range 1000 to 31622400000. */
 	readonly claimOpenMilliseconds: number;
-	/** The largest body of an answer that is kept, in bytes; 16384 by default, 0 to 1048576. */
+	/** The maximum size of a stored response body, in bytes. Default 16384, range 0 to 1048576. */
 	readonly keptAnswerBytes: number;
-	/** Bytes of kept bodies for one workspace; the oldest are dropped first, their digests stay; 524288 by default, 0 to 1073741824. */
+	/** The maximum total size of the stored response bodies of a workspace, in bytes. The oldest bodies are dropped first; their digests are kept. Default 524288, range 0 to 1073741824. */
 	readonly keptAnswerBytesPerWorkspace: number;
-	/** Bills that are kept for reading before they go to the archive; 5000 by default, 1 to 1000000, 671 bytes each. */
+	/** The number of bills kept in memory for reading before they are archived, 671 bytes each. Default 5000, range 1 to 1000000. */
 	readonly recentBills: number;
-	/** Bills without an origin that are remembered, to pass over a second copy; 20000 by default, 1 to 10000000. */
+	/** The number of bills without an origin that are tracked to detect duplicates. Default 20000, range 1 to 10000000. */
 	readonly billWindow: number;
-	/** Milliseconds after its last bill for which an origin of bills is remembered; 30 days by default, 60000 to 31622400000. */
+	/** How long an origin of bills is kept after it was last active, in milliseconds. Default 30 days, range 60000 to 31622400000. */
 	readonly originMilliseconds: number;
-	/** Open orders for one server; 64 by default, 1 to 10000. */
+	/** The maximum number of open orders per server. Default 64, range 1 to 10000. */
 	readonly openOrdersPerServer: number;
-	/** Completed orders that are kept; 1000 by default, 1 to 1000000. */
+	/** The number of completed orders kept. Default 1000, range 1 to 1000000. */
 	readonly completedOrders: number;
 };
 
 const minute = 60_000;
 const day = 1440 * minute;
 
-/** The bounds until a `set-limits` command replaces them. */
+/** The limits in effect until a `set-limits` command replaces them. */
 export const defaultControlLimits: ControlLimits = {
 	changeIds: 4096,
 	changeIdMilliseconds: 7 * day,
--- a/packages/control/src/ledger-page.ts
+++ b/packages/control/src/ledger-page.ts
@@ -1,36 +1,36 @@
 import {type Bill} from '@valehitch/core';
 
-/** Asks for a page of the bills that are not archived yet. */
+/** A query for a page of the bills that are not archived, or for the refused bills. */
 export type LedgerQuestion = {
-	/** Bills of this workspace only. */
+	/** Limits the result to one workspace. */
 	readonly workspace?: string | undefined;
-	/** The position after which to read; positions count from 1. */
+	/** The position after which the page starts. Positions start at 1. */
 	readonly after: number;
-	/** The most bills of a page. */
+	/** The maximum number of bills on a page. */
 	readonly limit: number;
-	/** Whether the bills are asked for that were refused, all on one page; false by default. */
+	/** Whether to return the refused bills instead, all on one page. Default false. */
 	readonly isRefused?: boolean | undefined;
 };
 
 /** A page of the ledger. */
 export type LedgerPage = {
 	readonly bills: readonly Bill[];
-	/** The position of the last bill in the archive; pages up to there are read from the archive. */
+	/** The position of the last archived bill. Bills up to this position are read from the archive. */
 	readonly archivedUpTo: number;
-	/** What to pass as `after` for the next page; undefined on the last. */
+	/** The value of `after` for the next page; absent on the last page. */
 	readonly next?: number;
 };
 
-/** What a workspace was billed in all; kept for good. */
+/** The total billed to a workspace; never deleted. */
 export type WorkspaceTotal = {
 	readonly bills: number;
 	/** Millionths of the unit of account. */
 	readonly micros: number;
 };
 
-/** The oldest bills, for the host to write to its archive. */
+/** The oldest bills in memory, for the host to write to its archive. */
 export type ArchivableBills = {
-	/** The position of the first of them; positions count from 1. */
+	/** The position of the first of the bills. Positions start at 1. */
 	readonly firstPosition: number;
 	readonly bills: readonly Bill[];
 };
--- a/packages/control/src/mod.ts
+++ b/packages/control/src/mod.ts
@@ -1,5 +1,5 @@
 /**
-The replicated state and the commands that change it.
+The replicated state of the control instances and the commands that change it.
 
 @module
 */
