--- a/packages/control/src/_bill-origins.ts
+++ b/packages/control/src/_bill-origins.ts
@@ -1,24 +1,24 @@
 import {type InstanceId, toId} from '@valehitch/core';
 import {type InstanceRun} from './command.js';
-import {type Addition, SequenceRanges, type SequenceRangesData} from './_sequence-ranges.js';
+import {type InsertResult, SequenceRanges, type SequenceRangesData} from './_sequence-ranges.js';
 
-/** One bill of one run of an instance. */
+/** Identifies a bill by the run of the instance that settled it and a sequence number. */
 export type BillIdentity = InstanceRun & {
-	/** The number of the bill in that run. */
+	/** The sequence number of the bill within that run. */
 	readonly sequence: number;
 };
 
-type Origin = InstanceRun & {
-	/** The time of the log at which the ledger heard of it last, in milliseconds. */
+type OriginRecord = InstanceRun & {
+	/** When the run was last mentioned in the log, in milliseconds of the replicated clock. */
 	heardAt: number;
 	readonly ranges: SequenceRanges;
 };
 
-/** The origins in a snapshot. */
+/** The snapshot form of `BillOrigins`. */
 export type BillOriginsData = {
 	readonly origins: ReadonlyArray<readonly [string, {readonly startedAt: number; readonly lastAt: number; readonly ranges: SequenceRangesData}]>;
 	readonly forgottenOriginsBefore: number;
-	/** This and the next are missing in snapshots of versions that had one floor for all instances. */
+	/** This member and the next are absent from snapshots of versions that had one floor for all instances. */
 	readonly originFloors?: ReadonlyArray<readonly [InstanceId, number]>;
 	readonly forgottenOrigins?: ReadonlyArray<readonly [string, InstanceRun]>;
 };
@@ -27,28 +27,28 @@
 	origins: [], forgottenOriginsBefore: 0, originFloors: [], forgottenOrigins: [],
 };
 
-/** Bounds the memory for runs that are over, some hundred bytes each. */
-const mostForgotten = 10_000;
-/** Bounds the memory for names that never come back. */
-const mostFloors = 10_000;
+/** Limits the memory for evicted runs, about 100 bytes each. */
+const maximumEvictedRuns = 10_000;
+/** Limits the memory for instance names that are never used again. */
+const maximumFloors = 10_000;
 
 /**
-The bills that were recorded, by the runs of the instances that settled them.
+Tracks the sequence numbers of the recorded bills for each run of an instance, to detect duplicates.
 
-A run is forgotten by when the ledger last heard of it in the time of the log: the dates of its bills are those of another machine's clock, and one that is behind would have a running instance forgotten, and its next bills refused.
+Idle runs are evicted by the replicated clock and not by the dates of their bills. Those dates come from the clock of the instance: if that clock is behind, a running instance would be evicted and its next bills refused.
 */
 export class BillOrigins {
-	readonly #origins = new Map<string, Origin>();
-	/** The runs that were forgotten last. Each is known by itself: below a floor there may also be a run that goes on, of an instance whose clock was behind as it started. */
-	readonly #forgotten: Map<string, InstanceRun>;
-	/** For each instance, the start before which runs are refused, once more than the last ones were forgotten. */
+	readonly #origins = new Map<string, OriginRecord>();
+	/** The most recently evicted runs. They are stored individually because a floor would also exclude an active run whose instance started with its clock behind. */
+	readonly #evicted: Map<string, InstanceRun>;
+	/** For each instance, the start time below which unknown runs are refused. Set when an entry of `#evicted` is dropped. */
 	readonly #floors: Map<InstanceId, number>;
-	/** The floor of the instances whose own one was given up. */
-	#commonFloor: number;
+	/** The minimum floor of all instances; raised when an entry of `#floors` is dropped. */
+	#defaultFloor: number;
 
 	constructor({origins, forgottenOriginsBefore, originFloors, forgottenOrigins}: BillOriginsData) {
-		this.#forgotten = new Map(forgottenOrigins);
-		this.#commonFloor = forgottenOriginsBefore;
+		this.#evicted = new Map(forgottenOrigins);
+		this.#defaultFloor = forgottenOriginsBefore;
 		this.#floors = new Map(originFloors);
 		for (const [key, {startedAt, lastAt, ranges}] of origins) {
 			this.#origins.set(key, {
@@ -57,26 +57,26 @@
 		}
 	}
 
-	add({sequence, ...run}: BillIdentity, time: number): Addition {
-		const origin = this.heardOf(run, time);
+	add({sequence, ...run}: BillIdentity, time: number): InsertResult {
+		const origin = this.touch(run, time);
 		return origin === undefined ? 'below-floor' : origin.ranges.add(sequence);
 	}
 
-	/** Forgets the runs that the ledger heard of last before a time of the log. */
-	forgetIdle(oldest: number): void {
+	/** Evicts the runs last mentioned before a time of the replicated clock. */
+	evictIdle(cutoff: number): void {
 		for (const [key, {instance, startedAt, heardAt}] of this.#origins) {
-			if (heardAt < oldest) {
+			if (heardAt < cutoff) {
 				this.#origins.delete(key);
-				this.#forgotten.set(key, {instance, startedAt});
+				this.#evicted.set(key, {instance, startedAt});
 			}
 		}
 
-		for (const [key, run] of this.#forgotten) {
-			if (this.#forgotten.size <= mostForgotten) {
+		for (const [key, run] of this.#evicted) {
+			if (this.#evicted.size <= maximumEvictedRuns) {
 				return;
 			}
 
-			this.#forgotten.delete(key);
+			this.#evicted.delete(key);
 			this.#raiseFloor(run);
 		}
 	}
@@ -84,21 +84,21 @@
 	toData(): BillOriginsData {
 		const origins = [...this.#origins].map(([key, {startedAt, heardAt, ranges}]) => [key, {startedAt, lastAt: heardAt, ranges: ranges.toData()}] as const);
 		return {
-			origins, forgottenOriginsBefore: this.#commonFloor, originFloors: [...this.#floors], forgottenOrigins: [...this.#forgotten],
+			origins, forgottenOriginsBefore: this.#defaultFloor, originFloors: [...this.#floors], forgottenOrigins: [...this.#evicted],
 		};
 	}
 
-	/** The run, which counts as heard of now; undefined where it may be one that was forgotten. */
-	heardOf({instance, startedAt}: InstanceRun, time: number): Origin | undefined {
+	/** Returns the record of a run, marked as active now, or undefined if the run may have been evicted. */
+	touch({instance, startedAt}: InstanceRun, time: number): OriginRecord | undefined {
 		const key = `${instance}/${startedAt}`;
-		const known = this.#origins.get(key);
-		if (known !== undefined) {
-			known.heardAt = Math.max(known.heardAt, time);
-			return known;
+		const existing = this.#origins.get(key);
+		if (existing !== undefined) {
+			existing.heardAt = Math.max(existing.heardAt, time);
+			return existing;
 		}
 
-		const floor = Math.max(this.#commonFloor, this.#floors.get(instance) ?? 0);
-		if (this.#forgotten.has(key) || startedAt < floor) {
+		const floor = Math.max(this.#defaultFloor, this.#floors.get(instance) ?? 0);
+		if (this.#evicted.has(key) || startedAt < floor) {
 			return undefined;
 		}
 
@@ -111,13 +111,13 @@
 
 	#raiseFloor({instance, startedAt}: InstanceRun): void {
 		this.#floors.set(instance, Math.max(startedAt + 1, this.#floors.get(instance) ?? 0));
-		for (const [oldest, given] of this.#floors) {
-			if (this.#floors.size <= mostFloors) {
+		for (const [oldestInstance, floor] of this.#floors) {
+			if (this.#floors.size <= maximumFloors) {
 				return;
 			}
 
-			this.#floors.delete(oldest);
-			this.#commonFloor = Math.max(this.#commonFloor, given);
+			this.#floors.delete(oldestInstance);
+			this.#defaultFloor = Math.max(this.#defaultFloor, floor);
 		}
 	}
 }
--- a/packages/control/src/_changed-paths.ts
+++ b/packages/control/src/_changed-paths.ts
@@ -1,19 +1,19 @@
 import {type Configuration} from '@valehitch/core';
 
-const mostPaths = 20;
+const maximumPaths = 20;
 
-/** Names the entries of models, services and workspaces in which two documents differ. */
+/** Lists the models, services and workspaces that differ between two documents, as paths such as `models.tag-small`. */
 export function changedPaths(before: Configuration, after: Configuration): readonly string[] {
 	const paths: string[] = [];
 	for (const section of ['models', 'services', 'workspaces'] as const) {
-		const old: Readonly<Record<string, unknown>> = before[section];
+		const previous: Readonly<Record<string, unknown>> = before[section];
 		const current: Readonly<Record<string, unknown>> = after[section];
-		for (const name of new Set([...Object.keys(old), ...Object.keys(current)])) {
-			if (JSON.stringify(old[name]) !== JSON.stringify(current[name])) {
+		for (const name of new Set([...Object.keys(previous), ...Object.keys(current)])) {
+			if (JSON.stringify(previous[name]) !== JSON.stringify(current[name])) {
 				paths.push(`${section}.${name}`);
 			}
 		}
 	}
 
-	return paths.slice(0, mostPaths);
+	return paths.slice(0, maximumPaths);
 }
--- a/packages/control/src/_command-context.ts
+++ b/packages/control/src/_command-context.ts
@@ -1,9 +1,9 @@
 import {type ControlLimits} from './control-limits.js';
-import {type LogTime} from './_log-time.js';
+import {type ReplicatedClock} from './_replicated-clock.js';
 
-/** What carrying out a command depends on besides the command and its part of the state. */
+/** The state shared by all commands. */
 export type CommandContext = {
 	readonly limits: ControlLimits;
-	/** Dates of commands are other machines' clocks: one leader's wrong date must not let a call run twice. */
-	readonly time: LogTime;
+	/** Decides about expiry in place of the dates in commands. Those come from the clocks of other machines, and one leader with a wrong date must not cause a request to run twice. */
+	readonly clock: ReplicatedClock;
 };
--- a/packages/control/src/_configuration-changes.ts
+++ b/packages/control/src/_configuration-changes.ts
@@ -4,43 +4,43 @@
 import {type Either, Left, Right} from 'purify-ts';
 import {changedPaths} from './_changed-paths.js';
 import {versionDetails} from './_version-details.js';
-import {advance, type Reconciled, reconcileRollouts} from './_rollouts.js';
+import {advanceStage, type ConfigurationContent, reconcileRollouts} from './_rollouts.js';
 import {type AdvanceRolloutCommand, type ApplyConfigurationCommand, type StopVersionCommand} from './command.js';
 import {type ChangeCause, type ConfigurationChange} from './configuration-change.js';
 import {type CommandContext} from './_command-context.js';
 import {type ControlLimits} from './control-limits.js';
 
-/** The first answer to a change id. */
-type Remembered = {
+/** The result of the first command with a change id, returned again for a resend. */
+type RecordedResult = {
 	readonly digest: string;
-	/** The time of the log, in milliseconds. */
+	/** Milliseconds of the replicated clock. */
 	readonly at: number;
 	readonly revision: number;
-	/** The failure, where the change was refused. */
+	/** The failure if the change was refused. */
 	readonly failed?: Failure;
 };
 
-/** The configuration in a snapshot. */
+/** The snapshot form of `ConfigurationChanges`. */
 export type ConfigurationData = {
 	readonly effective: EffectiveConfiguration;
-	readonly remembered: ReadonlyArray<readonly [ChangeId, Remembered]>;
+	readonly remembered: ReadonlyArray<readonly [ChangeId, RecordedResult]>;
 	readonly history: readonly ConfigurationChange[];
 };
 
-const historyLength = 32;
+const maximumHistoryEntries = 32;
 const emptyData: ConfigurationData = {
 	effective: {revision: toRevision(0), document: emptyConfiguration, rollouts: {}}, remembered: [], history: [],
 };
 
-/** The configuration, its revision, and the changes that led to it. */
+/** The configuration with its revision and recent changes. */
 export class ConfigurationChanges {
 	#effective: EffectiveConfiguration;
-	readonly #remembered: Map<ChangeId, Remembered>;
+	readonly #results: Map<ChangeId, RecordedResult>;
 	#history: readonly ConfigurationChange[];
 
 	constructor({effective, remembered, history}: ConfigurationData = emptyData) {
 		this.#effective = effective;
-		this.#remembered = new Map(remembered);
+		this.#results = new Map(remembered);
 		this.#history = history;
 	}
 
@@ -52,18 +52,18 @@
 		return this.#history;
 	}
 
-	apply(command: ApplyConfigurationCommand, {limits, time}: CommandContext): Either<Failure, number> {
+	apply(command: ApplyConfigurationCommand, {limits, clock}: CommandContext): Either<Failure, number> {
 		const {changeId, digest} = command;
-		const earlier = this.#remembered.get(changeId);
+		const earlier = this.#results.get(changeId);
 		if (earlier !== undefined) {
 			return earlier.digest === digest
-				? firstAnswer(earlier)
-				: Left(failure('change-id-reused', `Got change id ${changeId} with another document, wanted a new change id`));
+				? replayResult(earlier)
+				: Left(failure('change-id-reused', `Change id ${changeId} was already used with a different document`));
 		}
 
 		const result = this.#compareAndSet(command);
-		this.#remember(changeId, {
-			digest, at: time.latest, revision: this.#effective.revision, ...(result.isLeft() && {failed: result.extract()}),
+		this.#recordResult(changeId, {
+			digest, at: clock.upperBound, revision: this.#effective.revision, ...(result.isLeft() && {failed: result.extract()}),
 		}, limits);
 		return result;
 	}
@@ -71,86 +71,87 @@
 	advance({model, version, fromStage, at}: AdvanceRolloutCommand): Either<Failure, RolloutProgress> {
 		const progress = this.#effective.rollouts[versionKey(model, version)];
 		if (progress === undefined) {
-			return Left(failure('not-found', `Got no roll-out of ${model} ${version}, wanted one that is running`));
+			return Left(failure('not-found', `No rollout of ${model} ${version} exists`));
 		}
 
 		if (progress.status !== 'running' || progress.stage !== fromStage) {
-			return Left(failure('revision-conflict', `Got stage ${fromStage} of ${model} ${version}, wanted stage ${progress.stage}, which is ${progress.status}`, {details: {rollout: progress}}));
+			const message = `Cannot advance the rollout of ${model} ${version} from stage ${fromStage}: it is at stage ${progress.stage} with status ${progress.status}`;
+			return Left(failure('revision-conflict', message, {details: {rollout: progress}}));
 		}
 
-		this.#commit(advance(this.#effective, {progress, at}), {cause: {type: 'rollout-advanced', model, version}, at});
-		return Right(this.#progress(model, version) ?? progress);
+		this.#commit(advanceStage(this.#effective, {progress, at}), {cause: {type: 'rollout-advanced', model, version}, at});
+		return Right(this.#rolloutOf(model, version) ?? progress);
 	}
 
 	stop({model, version, reason, at}: StopVersionCommand): Either<Failure, RolloutProgress> {
 		const {document, rollouts} = this.#effective;
 		const details = versionDetails(document, {model, version});
 		if (details === undefined || details.state === 'withdrawn') {
-			return Left(failure('not-found', `Got ${model} ${version}, which is not listed or withdrawn, wanted a version that takes work`));
+			return Left(failure('not-found', `Cannot stop ${model} ${version}: the version is not listed or is withdrawn`));
 		}
 
-		const known = this.#progress(model, version);
-		if (known?.status === 'stopped') {
-			return Right(known);
+		const existing = this.#rolloutOf(model, version);
+		if (existing?.status === 'stopped') {
+			return Right(existing);
 		}
 
 		const stopped: RolloutProgress = {
-			model, version, stage: known?.stage ?? 0, status: 'stopped', stageStartedAt: at, reason,
+			model, version, stage: existing?.stage ?? 0, status: 'stopped', stageStartedAt: at, reason,
 		};
 		this.#commit({document, rollouts: {...rollouts, [versionKey(model, version)]: stopped}}, {cause: {type: 'version-stopped', model, version}, at});
 		return Right(stopped);
 	}
 
-	expire({limits: {changeIdMilliseconds}, time}: CommandContext): void {
-		for (const [changeId, earlier] of this.#remembered) {
-			if (earlier.at + changeIdMilliseconds > time.elapsed) {
+	expire({limits: {changeIdMilliseconds}, clock}: CommandContext): void {
+		for (const [changeId, earlier] of this.#results) {
+			if (earlier.at + changeIdMilliseconds > clock.elapsed) {
 				break;
 			}
 
-			this.#remembered.delete(changeId);
+			this.#results.delete(changeId);
 		}
 	}
 
 	toData(): ConfigurationData {
-		return {effective: this.#effective, remembered: [...this.#remembered], history: this.#history};
+		return {effective: this.#effective, remembered: [...this.#results], history: this.#history};
 	}
 
 	#compareAndSet({expectedRevision, document, changeId, operator, at}: ApplyConfigurationCommand): Either<Failure, number> {
 		const {revision, rollouts} = this.#effective;
 		if (expectedRevision !== revision) {
 			const changes = this.#history.filter(change => change.revision > expectedRevision);
-			return Left(failure('revision-conflict', `Got revision ${expectedRevision}, wanted the current revision ${revision}`, {details: {currentRevision: revision, changes}}));
+			return Left(failure('revision-conflict', `Expected revision ${expectedRevision} does not match the current revision ${revision}`, {details: {currentRevision: revision, changes}}));
 		}
 
 		this.#commit(reconcileRollouts(document, {rollouts, at}), {cause: {type: 'operator', operator, changeId}, at});
 		return Right(this.#effective.revision);
 	}
 
-	#commit({document, rollouts}: Reconciled, {cause, at}: {readonly cause: ChangeCause; readonly at: number}): void {
+	#commit({document, rollouts}: ConfigurationContent, {cause, at}: {readonly cause: ChangeCause; readonly at: number}): void {
 		const revision = toRevision(this.#effective.revision + 1);
 		const paths = cause.type === 'operator' ? changedPaths(this.#effective.document, document) : [`models.${cause.model}`];
 		this.#effective = {revision, document, rollouts};
 		this.#history = [...this.#history, {
 			revision, cause, at, paths,
-		}].slice(-historyLength);
+		}].slice(-maximumHistoryEntries);
 	}
 
-	#remember(changeId: ChangeId, answer: Remembered, {changeIds}: ControlLimits): void {
-		this.#remembered.set(changeId, answer);
-		for (const oldest of this.#remembered.keys()) {
-			if (this.#remembered.size <= changeIds) {
+	#recordResult(changeId: ChangeId, result: RecordedResult, {changeIds}: ControlLimits): void {
+		this.#results.set(changeId, result);
+		for (const oldest of this.#results.keys()) {
+			if (this.#results.size <= changeIds) {
 				return;
 			}
 
-			this.#remembered.delete(oldest);
+			this.#results.delete(oldest);
 		}
 	}
 
-	#progress(model: ModelId, version: VersionId): RolloutProgress | undefined {
+	#rolloutOf(model: ModelId, version: VersionId): RolloutProgress | undefined {
 		return this.#effective.rollouts[versionKey(model, version)];
 	}
 }
 
-function firstAnswer({revision, failed}: Remembered): Either<Failure, number> {
+function replayResult({revision, failed}: RecordedResult): Either<Failure, number> {
 	return failed === undefined ? Right(revision) : Left(failed);
 }
--- a/packages/control/src/_ledger.ts
+++ b/packages/control/src/_ledger.ts
@@ -5,16 +5,16 @@
 import {type ControlLimits} from './control-limits.js';
 import {type LedgerPage, type LedgerQuestion, type WorkspaceTotal} from './ledger-page.js';
 import {RefusedBills} from './_refused-bills.js';
-import {type Addition} from './_sequence-ranges.js';
+import {type InsertResult} from './_sequence-ranges.js';
 
-/** The ledger in a snapshot. */
+/** The snapshot form of `Ledger`. */
 export type LedgerData = BillOriginsData & {
 	readonly first: number;
 	readonly bills: readonly Bill[];
 	readonly totals: ReadonlyArray<readonly [WorkspaceId, WorkspaceTotal]>;
 	readonly window: ReadonlyArray<readonly [string, number]>;
 	readonly windowForgotten: number;
-	/** Missing in snapshots of versions that kept no refused bills. */
+	/** Absent from snapshots of versions that did not keep refused bills. */
 	readonly refused?: readonly Bill[];
 };
 
@@ -22,18 +22,18 @@
 	...emptyBillOrigins, first: 1, bills: [], totals: [], window: [], windowForgotten: 0,
 };
 
-/** The set of bills: each is recorded once, and what would be doubtful is refused. */
+/** The recorded bills. Each is recorded once; a bill that may be a duplicate is refused. */
 export class Ledger {
-	/** The position of the first bill that is still here; positions count from 1. */
+	/** The position of the first bill that is not archived. Positions start at 1. */
 	#first: number;
 	#bills: Bill[];
 	readonly #totals: Map<WorkspaceId, WorkspaceTotal>;
 	readonly #origins: BillOrigins;
 	readonly #refused: RefusedBills;
-	/** When each bill without an origin was settled, in the order in which they came. */
-	readonly #window: Map<string, number>;
-	/** The latest `settledAt` of a bill that left the window. */
-	#windowForgotten: number;
+	/** The settlement times of the latest bills without an origin, in the order of recording, to detect duplicates. */
+	readonly #deduplicationWindow: Map<string, number>;
+	/** The latest `settledAt` of a bill removed from the window. An unknown bill settled no later may be a duplicate. */
+	#windowFloor: number;
 
 	constructor(data: LedgerData = emptyLedger) {
 		this.#first = data.first;
@@ -41,8 +41,8 @@
 		this.#totals = new Map(data.totals);
 		this.#origins = new BillOrigins(data);
 		this.#refused = new RefusedBills(data.refused);
-		this.#window = new Map(data.window);
-		this.#windowForgotten = data.windowForgotten;
+		this.#deduplicationWindow = new Map(data.window);
+		this.#windowFloor = data.windowForgotten;
 	}
 
 	get bills(): readonly Bill[] {
@@ -57,21 +57,21 @@
 		return {first: this.#first, last: this.#first + this.#bills.length - 1};
 	}
 
-	record({bills, running}: RecordBillsCommand, {limits, time}: CommandContext): {readonly recorded: number; readonly expired: readonly RequestId[]} {
+	record({bills, running}: RecordBillsCommand, {limits, clock}: CommandContext): {readonly recorded: number; readonly expired: readonly RequestId[]} {
 		if (running !== undefined) {
-			this.#origins.heardOf(running, time.elapsed);
+			this.#origins.touch(running, clock.elapsed);
 		}
 
 		const expired: RequestId[] = [];
 		let recorded = 0;
 		for (const bill of bills) {
-			const addition = bill.origin === undefined ? this.#addToWindow(bill, limits) : this.#origins.add({instance: bill.instance, ...bill.origin}, time.elapsed);
-			if (addition === 'below-floor') {
+			const result = bill.origin === undefined ? this.#addToDeduplicationWindow(bill, limits) : this.#origins.add({instance: bill.instance, ...bill.origin}, clock.elapsed);
+			if (result === 'below-floor') {
 				expired.push(bill.request);
 				this.#refused.add(bill);
 			}
 
-			if (addition === 'added') {
+			if (result === 'added') {
 				this.#append(bill);
 				recorded++;
 			}
@@ -109,14 +109,14 @@
 		return {firstPosition: this.#first, bills: this.#bills.slice(0, Math.max(0, this.#bills.length - recentBills))};
 	}
 
-	dropArchived(lastPosition: number): void {
-		const dropped = Math.min(Math.max(0, lastPosition - this.#first + 1), this.#bills.length);
-		this.#bills = this.#bills.slice(dropped);
-		this.#first += dropped;
+	deleteArchived(lastPosition: number): void {
+		const count = Math.min(Math.max(0, lastPosition - this.#first + 1), this.#bills.length);
+		this.#bills = this.#bills.slice(count);
+		this.#first += count;
 	}
 
-	expire({limits: {originMilliseconds}, time}: CommandContext): void {
-		this.#origins.forgetIdle(time.elapsed - originMilliseconds);
+	expire({limits: {originMilliseconds}, clock}: CommandContext): void {
+		this.#origins.evictIdle(clock.elapsed - originMilliseconds);
 	}
 
 	toData(): LedgerData {
@@ -125,8 +125,8 @@
 			first: this.#first,
 			bills: this.#bills,
 			totals: [...this.#totals],
-			window: [...this.#window],
-			windowForgotten: this.#windowForgotten,
+			window: [...this.#deduplicationWindow],
+			windowForgotten: this.#windowFloor,
 			refused: this.#refused.bills,
 		};
 	}
@@ -137,24 +137,24 @@
 		this.#totals.set(bill.workspace, {bills: bills + 1, micros: micros + bill.total});
 	}
 
-	#addToWindow(bill: Bill, {billWindow}: ControlLimits): Addition {
+	#addToDeduplicationWindow(bill: Bill, {billWindow}: ControlLimits): InsertResult {
 		const key = `${bill.workspace}/${bill.request}`;
-		if (this.#window.has(key)) {
+		if (this.#deduplicationWindow.has(key)) {
 			return 'present';
 		}
 
-		if (bill.settledAt <= this.#windowForgotten) {
+		if (bill.settledAt <= this.#windowFloor) {
 			return 'below-floor';
 		}
 
-		this.#window.set(key, bill.settledAt);
-		for (const [oldest, settledAt] of this.#window) {
-			if (this.#window.size <= billWindow) {
+		this.#deduplicationWindow.set(key, bill.settledAt);
+		for (const [oldest, settledAt] of this.#deduplicationWindow) {
+			if (this.#deduplicationWindow.size <= billWindow) {
 				break;
 			}
 
-			this.#window.delete(oldest);
-			this.#windowForgotten = Math.max(this.#windowForgotten, settledAt);
+			this.#deduplicationWindow.delete(oldest);
+			this.#windowFloor = Math.max(this.#windowFloor, settledAt);
 		}
 
 		return 'added';
--- a/packages/control/src/_orders.ts
+++ b/packages/control/src/_orders.ts
@@ -6,40 +6,40 @@
 import {type OrderId} from './ids.js';
 import {type EngineOrder, type OrderRecord} from './order.js';
 
-const mostOpenOrders = 4096;
+const maximumOpenOrders = 4096;
 
-/** The orders to engines: open ones until they are completed, and the completed ones of late. */
+/** The orders to engines: all open ones and the most recently completed ones. */
 export class Orders {
 	readonly #open = new Map<OrderId, OrderRecord>();
 	readonly #completed = new Map<OrderId, OrderRecord>();
 
 	constructor(data: readonly OrderRecord[] = []) {
 		for (const record of data) {
-			const kept = record.outcome === 'open' ? this.#open : this.#completed;
-			kept.set(record.orderId, record);
+			const target = record.outcome === 'open' ? this.#open : this.#completed;
+			target.set(record.orderId, record);
 		}
 	}
 
-	/** The open orders in the order of the log, or those of one server. */
+	/** Returns the open orders, of one server if given, in the order of the log. */
 	open(server?: ServerId): readonly OrderRecord[] {
 		return [...this.#open.values()].filter(record => server === undefined || record.server === server);
 	}
 
-	/** The completed orders that are kept, the oldest first. */
+	/** The retained completed orders, oldest first. */
 	get completed(): readonly OrderRecord[] {
 		return [...this.#completed.values()];
 	}
 
 	issue({orderId, server, order, at}: IssueOrderCommand, {position, limits}: {readonly position: LogPosition; readonly limits: ControlLimits}): Either<Failure, OrderRecord> {
-		const known = this.#find(orderId);
-		if (known !== undefined) {
-			return known.server === server && isSame(known.order, order)
-				? Right(known)
-				: Left(failure('change-id-reused', `Got order id ${orderId} with another order, wanted a new order id`));
+		const existing = this.#find(orderId);
+		if (existing !== undefined) {
+			return existing.server === server && isSameOrder(existing.order, order)
+				? Right(existing)
+				: Left(failure('change-id-reused', `Order id ${orderId} was already used for a different order`));
 		}
 
-		if (this.open(server).length >= limits.openOrdersPerServer || this.#open.size >= mostOpenOrders) {
-			return Left(failure('limit-reached', `Got ${this.open(server).length} open orders for ${server} and ${this.#open.size} in all, wanted fewer`));
+		if (this.open(server).length >= limits.openOrdersPerServer || this.#open.size >= maximumOpenOrders) {
+			return Left(failure('limit-reached', `Too many open orders: ${this.open(server).length} for server ${server}, ${this.#open.size} in total`));
 		}
 
 		const record: OrderRecord = {
@@ -50,21 +50,21 @@
 	}
 
 	complete({orderId, fencing, outcome, detail, at}: CompleteOrderCommand, limits: ControlLimits): Either<Failure, OrderRecord> {
-		const known = this.#find(orderId);
-		if (known?.fencing.term !== fencing.term || known.fencing.sequence !== fencing.sequence) {
-			return Left(failure('not-found', `Got order ${orderId} with term ${fencing.term} and sequence ${fencing.sequence}, wanted one that was issued so`));
+		const existing = this.#find(orderId);
+		if (existing?.fencing.term !== fencing.term || existing.fencing.sequence !== fencing.sequence) {
+			return Left(failure('not-found', `No order ${orderId} with term ${fencing.term} and sequence ${fencing.sequence} was issued`));
 		}
 
-		if (known.outcome !== 'open') {
-			return Right(known);
+		if (existing.outcome !== 'open') {
+			return Right(existing);
 		}
 
 		const record: OrderRecord = {
-			...known, outcome, ...(detail !== undefined && {detail}), completedAt: at,
+			...existing, outcome, ...(detail !== undefined && {detail}), completedAt: at,
 		};
 		this.#open.delete(orderId);
 		this.#completed.set(orderId, record);
-		this.#dropOldest(limits);
+		this.#evictOldestCompleted(limits);
 		return Right(record);
 	}
 
@@ -76,7 +76,7 @@
 		return this.#open.get(orderId) ?? this.#completed.get(orderId);
 	}
 
-	#dropOldest({completedOrders}: ControlLimits): void {
+	#evictOldestCompleted({completedOrders}: ControlLimits): void {
 		for (const oldest of this.#completed.keys()) {
 			if (this.#completed.size <= completedOrders) {
 				return;
@@ -87,7 +87,7 @@
 	}
 }
 
-function isSame(left: EngineOrder, right: EngineOrder): boolean {
+function isSameOrder(left: EngineOrder, right: EngineOrder): boolean {
 	if (left.type === 'set-role' || right.type === 'set-role') {
 		return left.type === 'set-role' && right.type === 'set-role' && left.role === right.role;
 	}
--- a/packages/control/src/_refused-bills.ts
+++ b/packages/control/src/_refused-bills.ts
@@ -1,9 +1,9 @@
 import {type Bill} from '@valehitch/core';
 
-/** Bounds the memory: a refused bill is as large as a recorded one, some 700 bytes. */
-const mostRefused = 1000;
+/** Limits the memory: a refused bill is as large as a recorded one, about 700 bytes. */
+const maximumRefusedBills = 1000;
 
-/** The bills that the ledger refused, each once, the latest ones: their owners keep no copy. */
+/** The most recently refused bills without duplicates. They are kept here because the instances that settled them keep no copy. */
 export class RefusedBills {
 	readonly #bills: Map<string, Bill>;
 
@@ -18,7 +18,7 @@
 	add(bill: Bill): void {
 		this.#bills.set(keyOf(bill), bill);
 		for (const oldest of this.#bills.keys()) {
-			if (this.#bills.size <= mostRefused) {
+			if (this.#bills.size <= maximumRefusedBills) {
 				return;
 			}
 
--- a/packages/control/src/_undate-snapshot.ts
+++ b/packages/control/src/_reset-snapshot-times.ts
@@ -2,19 +2,19 @@
 import {type ClaimsData} from './_claims.js';
 import {type ConfigurationData} from './_configuration-changes.js';
 
-/** The parts of a snapshot whose times are those of the log. */
-export type TimedData = {
+/** The parts of a snapshot with times of the replicated clock. */
+export type TimestampedData = {
 	readonly configuration: ConfigurationData;
 	readonly claims: ClaimsData;
 	readonly ledger: BillOriginsData;
 };
 
-/** Has everything in a snapshot that holds dates in place of times of the log count as new: kept longer than it must be, and nothing forgotten too early. */
-export function undateSnapshot<Data extends TimedData>(data: Data): Data {
+/** Converts a snapshot that has dates instead of times of the replicated clock. All its records count as new, so they are kept longer than necessary but never expire too early. */
+export function resetSnapshotTimes<Data extends TimestampedData>(data: Data): Data {
 	const {configuration, claims, ledger} = data;
 	return {
 		...data,
-		configuration: {...configuration, remembered: configuration.remembered.map(([id, earlier]) => [id, {...earlier, at: 0}] as const)},
+		configuration: {...configuration, remembered: configuration.remembered.map(([id, result]) => [id, {...result, at: 0}] as const)},
 		claims: claims.map(([workspace, {open, settled}]) => [workspace, {
 			open: open.map(([key, claim]) => [key, {...claim, takenAt: 0}] as const),
 			settled: settled.map(([key, claim]) => [key, {...claim, settledAt: 0}] as const),
--- a/packages/control/src/_rollouts.ts
+++ b/packages/control/src/_rollouts.ts
@@ -3,41 +3,41 @@
 } from '@valehitch/core';
 import {versionDetails} from './_version-details.js';
 
-/** The document and the progress of its roll-outs, without a revision. */
-export type Reconciled = Pick<EffectiveConfiguration, 'document' | 'rollouts'>;
+/** A document and the progress of its rollouts, without a revision. */
+export type ConfigurationContent = Pick<EffectiveConfiguration, 'document' | 'rollouts'>;
 
-type Version = {
+type ListedVersion = {
 	readonly model: ModelId;
 	readonly version: VersionId;
 	readonly details: VersionConfiguration;
 };
 
 /**
-Brings the roll-outs in line with a new document.
+Updates the rollouts to match a new document.
 
-A version newly `rolling-out` begins at stage 0. A stopped version stays stopped and a completed one settled, whatever an older file says, until a document withdraws it or leaves it out.
+A version that is newly `rolling-out` starts at stage 0. A stopped version stays stopped and a completed one settled, even if the document says otherwise, because it may be an older file. Only a document that withdraws or omits the version resets it.
 */
-export function reconcileRollouts(document: Configuration, {rollouts, at}: {readonly rollouts: EffectiveConfiguration['rollouts']; readonly at: number}): Reconciled {
+export function reconcileRollouts(document: Configuration, {rollouts, at}: {readonly rollouts: EffectiveConfiguration['rollouts']; readonly at: number}): ConfigurationContent {
 	const next: Record<string, RolloutProgress> = {};
 	let settledDocument = document;
-	for (const {model, version, details} of versionsOf(document)) {
+	for (const {model, version, details} of listVersions(document)) {
 		const key = versionKey(model, version);
-		const progress = progressOf({model, version, details}, {known: rollouts[key], at});
+		const progress = nextProgress({model, version, details}, {existing: rollouts[key], at});
 		if (progress === undefined) {
 			continue;
 		}
 
 		next[key] = progress;
 		if (progress.status === 'completed' && details.state === 'rolling-out') {
-			settledDocument = withVersion(settledDocument, {model, version, details: {...details, state: 'settled'}});
+			settledDocument = replaceVersion(settledDocument, {model, version, details: {...details, state: 'settled'}});
 		}
 	}
 
 	return {document: settledDocument, rollouts: next};
 }
 
-/** Raises a roll-out by one stage; after the last one it is completed and its version settled. */
-export function advance({document, rollouts}: Reconciled, {progress, at}: {readonly progress: RolloutProgress; readonly at: number}): Reconciled {
+/** Advances a rollout by one stage. After the last stage the rollout is completed and its version settled. */
+export function advanceStage({document, rollouts}: ConfigurationContent, {progress, at}: {readonly progress: RolloutProgress; readonly at: number}): ConfigurationContent {
 	const {model, version, stage} = progress;
 	const details = versionDetails(document, progress);
 	const key = versionKey(model, version);
@@ -47,12 +47,12 @@
 	}
 
 	return {
-		document: details === undefined ? document : withVersion(document, {model, version, details: {...details, state: 'settled'}}),
+		document: details === undefined ? document : replaceVersion(document, {model, version, details: {...details, state: 'settled'}}),
 		rollouts: {...rollouts, [key]: {...progress, status: 'completed', stageStartedAt: at}},
 	};
 }
 
-function * versionsOf({models}: Configuration): Generator<Version> {
+function * listVersions({models}: Configuration): Generator<ListedVersion> {
 	for (const [model, {versions}] of Object.entries(models)) {
 		for (const [version, details] of Object.entries(versions)) {
 			yield {model: model as ModelId, version: version as VersionId, details};
@@ -60,25 +60,25 @@
 	}
 }
 
-function progressOf({model, version, details}: Version, {known, at}: {readonly known: RolloutProgress | undefined; readonly at: number}): RolloutProgress | undefined {
+function nextProgress({model, version, details}: ListedVersion, {existing, at}: {readonly existing: RolloutProgress | undefined; readonly at: number}): RolloutProgress | undefined {
 	if (details.state === 'withdrawn') {
 		return undefined;
 	}
 
-	if (known !== undefined && known.status !== 'running') {
-		return known;
+	if (existing !== undefined && existing.status !== 'running') {
+		return existing;
 	}
 
 	if (details.state === 'settled') {
-		return known && {...known, status: 'completed', stageStartedAt: at};
+		return existing && {...existing, status: 'completed', stageStartedAt: at};
 	}
 
-	return known ?? {
+	return existing ?? {
 		model, version, stage: 0, status: 'running', stageStartedAt: at,
 	};
 }
 
-function withVersion(document: Configuration, {model, version, details}: Version): Configuration {
+function replaceVersion(document: Configuration, {model, version, details}: ListedVersion): Configuration {
 	const versions = {...document.models[model]?.versions, [version]: details};
 	return {...document, models: {...document.models, [model]: {...document.models[model], versions}}};
 }
--- a/packages/control/src/_sequence-ranges.ts
+++ b/packages/control/src/_sequence-ranges.ts
@@ -1,18 +1,18 @@
-const mostRanges = 4096;
+const maximumRanges = 4096;
 
-/** What adding a number gave: it is new, it was there, or it is below the floor, where nobody can tell. */
-export type Addition = 'added' | 'present' | 'below-floor';
+/** The result of adding a number: it was new, it was already present, or it is not above the floor, where membership is unknown. */
+export type InsertResult = 'added' | 'present' | 'below-floor';
 
-/** The set in a snapshot. */
+/** The snapshot form of `SequenceRanges`. */
 export type SequenceRangesData = {
 	readonly bounds: readonly number[];
-	/** Numbers up to this one are no longer told apart. */
+	/** The highest number for which membership is no longer known. */
 	readonly floor: number;
 };
 
-/** A set of whole numbers that mostly come without gaps, kept as sorted ranges. */
+/** A set of integers stored as sorted ranges, compact if the integers have few gaps. */
 export class SequenceRanges {
-	/** First and last number of each range, in rising order. */
+	/** The first and last number of each range, in ascending order. */
 	readonly #bounds: number[];
 	#floor: number;
 
@@ -21,24 +21,24 @@
 		this.#floor = data?.floor ?? 0;
 	}
 
-	/** How many ranges there are. */
-	get size(): number {
+	/** The number of ranges. */
+	get rangeCount(): number {
 		return this.#bounds.length / 2;
 	}
 
-	add(number: number): Addition {
+	add(number: number): InsertResult {
 		if (number <= this.#floor) {
 			return 'below-floor';
 		}
 
-		const at = this.#firstAfter(number);
+		const at = this.#boundIndexAfter(number);
 		const [previousLast, nextFirst] = [this.#bounds[at - 1], this.#bounds[at]];
 		if (previousLast !== undefined && previousLast >= number) {
 			return 'present';
 		}
 
 		this.#insert({
-			number, at, joinsPrevious: previousLast === number - 1, joinsNext: nextFirst === number + 1,
+			number, at, extendsPrevious: previousLast === number - 1, extendsNext: nextFirst === number + 1,
 		});
 		this.#raiseFloor();
 		return 'added';
@@ -48,10 +48,10 @@
 		return {bounds: this.#bounds, floor: this.#floor};
 	}
 
-	/** The place in the bounds of the first range that begins after the number. */
-	#firstAfter(number: number): number {
+	/** Returns the index in `#bounds` of the first range that starts after the number. */
+	#boundIndexAfter(number: number): number {
 		let low = 0;
-		let high = this.size;
+		let high = this.rangeCount;
 		while (low < high) {
 			const middle = Math.floor((low + high) / 2);
 			if ((this.#bounds[middle * 2] ?? 0) > number) {
@@ -64,12 +64,12 @@
 		return low * 2;
 	}
 
-	#insert({number, at, joinsPrevious, joinsNext}: {readonly number: number; readonly at: number; readonly joinsPrevious: boolean; readonly joinsNext: boolean}): void {
-		if (joinsPrevious && joinsNext) {
+	#insert({number, at, extendsPrevious, extendsNext}: {readonly number: number; readonly at: number; readonly extendsPrevious: boolean; readonly extendsNext: boolean}): void {
+		if (extendsPrevious && extendsNext) {
 			this.#bounds.splice(at - 1, 2);
-		} else if (joinsPrevious) {
+		} else if (extendsPrevious) {
 			this.#bounds[at - 1] = number;
-		} else if (joinsNext) {
+		} else if (extendsNext) {
 			this.#bounds[at] = number;
 		} else {
 			this.#bounds.splice(at, 0, number, number);
@@ -77,7 +77,7 @@
 	}
 
 	#raiseFloor(): void {
-		if (this.size <= mostRanges) {
+		if (this.rangeCount <= maximumRanges) {
 			return;
 		}
 
--- a/packages/control/src/control-state.test.ts
+++ b/packages/control/src/control-state.test.ts
@@ -11,7 +11,7 @@
 
 const minute = 60_000;
 const day = 1440 * minute;
-const workspace = toId<WorkspaceId>('yard');
+const workspace = toId<WorkspaceId>('team-a');
 const position = {term: 1, index: 1};
 
 function billOf(sequence: number, startedAt: number): Bill {
@@ -30,14 +30,14 @@
 	return state.readLedger({after: 0, limit: 10, isRefused: true}).bills;
 }
 
-/** Has the clock of a leader read while some time passes, as rarely as it counts in full, with the clock ahead by an error. */
+/** Records readings of a leader's clock at the longest interval that advances the replicated clock in full. `error` is added to each reading. */
 function passTime(state: ControlState, {from, to, error = 0}: {readonly from: number; readonly to: number; readonly error?: number}): void {
 	for (let at = from; at <= to; at += 2 * clockReadingMilliseconds) {
 		state.apply({type: 'expire', at: at + error}, position);
 	}
 }
 
-test('bills of an instance that was silent for a month are refused as expired and never recorded twice', t => {
+test('bills of a run that was inactive for a month are refused as expired and never recorded twice', t => {
 	const state = new ControlState();
 	t.deepEqual(record(state, billOf(1, 1000)), {recorded: 1, expired: 0});
 	passTime(state, {from: 0, to: 29 * day});
@@ -49,10 +49,10 @@
 });
 
 /*
-What an operator saw: an instance served on, and from some minute on the ledger had none of its bills.
-The instance's clock was behind by more than a month. The leader compared its own clock with the dates of the bills, took the running instance for one that was silent for a month, and refused its next bills as expired.
+Guards against refusing all bills of a running instance.
+This happened if the clock of the instance was behind by more than a month: the leader compared its own clock with the dates of the bills, considered the run inactive for a month, and refused its next bills as expired.
 */
-test('a running instance whose clock is behind by years is not forgotten', t => {
+test('a run whose instance has a clock that is behind by years is not evicted', t => {
 	const state = new ControlState();
 	passTime(state, {from: 10_000 * day, to: (10_000 * day) + (5 * minute)});
 	t.deepEqual(record(state, billOf(1, 1000)), {recorded: 1, expired: 0});
@@ -61,10 +61,10 @@
 });
 
 /*
-What an operator would see: the first bills of an instance that ran on without work for over a month are in no ledger.
-Only bills told the ledger that a run goes on.
+Guards against losing the first bills of an instance that was idle for more than a month.
+This happens if only bills mark a run as active.
 */
-test('an instance that is idle for longer than runs are remembered stays known by its word, and one that was never heard of begins anew', t => {
+test('an idle run that keeps sending empty commands is not evicted, and one that sends nothing is', t => {
 	const state = new ControlState();
 	state.apply({type: 'set-limits', limits: {...defaultControlLimits, originMilliseconds: 10 * minute}}, position);
 	const running = {instance: toId<InstanceId>('entry-1'), startedAt: 1000};
@@ -80,7 +80,7 @@
 	t.deepEqual(record(state, billOf(2, 1000)), {recorded: 0, expired: 1});
 });
 
-test('a leader whose clock is wrong by a year for a while makes no running instance a year old', t => {
+test('a leader whose clock is temporarily wrong by a year does not cause running instances to be evicted', t => {
 	const state = new ControlState();
 	passTime(state, {from: 10_000 * day, to: 10_001 * day});
 	t.deepEqual(record(state, billOf(1, 1000)), {recorded: 1, expired: 0});
@@ -90,7 +90,7 @@
 	t.deepEqual(record(state, billOf(1, 1000), billOf(2, 1000)), {recorded: 1, expired: 0});
 });
 
-test('the first bill of an instance that started before another that was forgotten is recorded', t => {
+test('the first bill of a run that started before an evicted run of another instance is recorded', t => {
 	const state = new ControlState();
 	state.apply({type: 'set-limits', limits: {...defaultControlLimits, originMilliseconds: 10 * minute}}, position);
 	const first = {...billOf(1, 1000), instance: toId<InstanceId>('entry-2')};
@@ -101,7 +101,7 @@
 	t.deepEqual(record(ControlState.fromSnapshot(state.toSnapshot()), first, billOf(2, 2000)), {recorded: 0, expired: 1});
 });
 
-test('an instance that starts again with a clock behind a run of its own that was forgotten is billed', t => {
+test('bills of a run that starts with an earlier clock than an evicted run of the same instance are recorded', t => {
 	const state = new ControlState();
 	state.apply({type: 'set-limits', limits: {...defaultControlLimits, originMilliseconds: 10 * minute}}, position);
 	t.deepEqual(record(state, billOf(1, 10_000 * day)), {recorded: 1, expired: 0});
@@ -110,7 +110,7 @@
 	t.deepEqual(record(restored, billOf(1, 1000), billOf(2, 1000), billOf(1, 10_000 * day)), {recorded: 2, expired: 1});
 });
 
-test('a snapshot of a version that went by dates keeps what it knows of the bills', t => {
+test('a snapshot of a version that expired records by date keeps its record of bills', t => {
 	const packr = new Packr({useRecords: true, structuredClone: false});
 	const state = new ControlState();
 	state.apply({type: 'set-limits', limits: {...defaultControlLimits, originMilliseconds: 10 * minute}}, position);
@@ -126,18 +126,18 @@
 	t.deepEqual(record(restored, billOf(3, 1000)), {recorded: 0, expired: 1});
 });
 
-test('of thousands of names that never come back none is billed twice', t => {
+test('no bill is recorded twice after thousands of instance names were used once', t => {
 	const state = new ControlState();
 	state.apply({type: 'set-limits', limits: {...defaultControlLimits, originMilliseconds: 10 * minute}}, position);
-	// More than the runs and more than the names of which each is known by itself.
-	const names = 20_001;
-	const billsOfNames = Array.from({length: names}, (_, index) => ({...billOf(1, 1000 + index), instance: toId<InstanceId>(`entry-${index}`)}));
-	t.deepEqual(record(state, ...billsOfNames), {recorded: names, expired: 0});
+	// More than the limits of evicted runs and of floors per instance together.
+	const instances = 20_001;
+	const billsOfInstances = Array.from({length: instances}, (_, index) => ({...billOf(1, 1000 + index), instance: toId<InstanceId>(`entry-${index}`)}));
+	t.deepEqual(record(state, ...billsOfInstances), {recorded: instances, expired: 0});
 	passTime(state, {from: 0, to: 12 * minute});
-	t.deepEqual(record(state, ...billsOfNames), {recorded: 0, expired: names});
+	t.deepEqual(record(state, ...billsOfInstances), {recorded: 0, expired: instances});
 });
 
-test('an origin with thousands of holes closes the lowest, and tells that it did', t => {
+test('an origin with thousands of sequence gaps drops its lowest ranges and refuses bills from them', t => {
 	const state = new ControlState();
 	for (let sequence = 1; sequence <= 10_000; sequence += 2) {
 		state.apply({type: 'record-bills', bills: [billOf(sequence, 1000)]}, position);
@@ -147,7 +147,7 @@
 	t.deepEqual(record(state, billOf(9999, 1000), billOf(9998, 1000)), {recorded: 1, expired: 0});
 });
 
-test('a conflict tells who changed what since', t => {
+test('a revision conflict lists the changes since the expected revision with operator and paths', t => {
 	const state = new ControlState();
 	const change = (id: string, expectedRevision: number): Command => ({
 		type: 'apply-configuration',
@@ -168,16 +168,16 @@
 	});
 });
 
-test('limits are part of the snapshot, and another format is refused', t => {
+test('a snapshot includes the limits, and an unsupported format is rejected', t => {
 	const state = new ControlState();
 	state.apply({type: 'set-limits', limits: {...defaultControlLimits, changeIds: 7}}, position);
 	t.is(ControlState.fromSnapshot(state.toSnapshot()).limits.changeIds, 7);
-	t.throws(() => ControlState.fromSnapshot(new Packr({useRecords: true}).pack({format: 9})), {message: 'Got a snapshot of format 9, wanted format 1'});
+	t.throws(() => ControlState.fromSnapshot(new Packr({useRecords: true}).pack({format: 9})), {message: 'Unsupported snapshot format 9: expected 1'});
 });
 
-test('kept bodies count against their bound after a snapshot, and the oldest is dropped', t => {
+test('stored bodies count towards their limit after a restore, and the oldest is dropped', t => {
 	const request = toId<RequestId>('r1');
-	const keep = (state: ControlState, key: string) => {
+	const storeBody = (state: ControlState, key: string) => {
 		const claim = {workspace, key: toId<IdempotencyKey>(key), request};
 		state.apply({
 			type: 'take-claim', ...claim, requestDigest: 'd', instance: toId<InstanceId>('entry-1'), at: 1,
@@ -196,17 +196,17 @@
 
 	const state = new ControlState();
 	state.apply({type: 'set-limits', limits: {...defaultControlLimits, keptAnswerBytesPerWorkspace: 12}}, position);
-	t.true(keep(state, 'k1'));
+	t.true(storeBody(state, 'k1'));
 	const restored = ControlState.fromSnapshot(state.toSnapshot());
-	t.true(keep(restored, 'k2'));
-	t.false(keep(restored, 'k1'));
+	t.true(storeBody(restored, 'k2'));
+	t.false(storeBody(restored, 'k1'));
 });
 
 /*
-What callers would see: a call that may run at most once runs a second time under the key under which it ran before.
-The leader compared its own time of day with the dates that other machines gave to the claims, so that one whose clock was ahead by a day forgot every settled claim at once, and turned every open one to unknown.
+Guards against a second run of a request with an idempotency key.
+This happened because the leader compared its own wall clock with the dates that other machines gave to the claims: a leader whose clock was ahead by a day deleted all settled claims and settled all open ones as unknown.
 */
-test('a leader whose clock is wrong by a year for a while forgets no key, and opens none', t => {
+test('a leader whose clock is temporarily wrong by a year deletes no settled claim and settles no open one', t => {
 	const state = new ControlState();
 	const claim = {workspace, request: toId<RequestId>('r1'), at: 10_000 * day};
 	const take = (key: string, request = 'r2') => state.apply({
@@ -229,7 +229,7 @@
 	t.deepEqual([take('settled'), take('open')], ['taken', 'unknown']);
 });
 
-test('a claim of an instance whose clock is a year ahead is forgotten in its time', t => {
+test('a claim of an instance whose clock is ahead by a year expires on time', t => {
 	const state = new ControlState();
 	state.apply({type: 'set-limits', limits: {...defaultControlLimits, claimsPerWorkspace: 1, claimMinimumMilliseconds: minute}}, position);
 	const claim = {workspace, request: toId<RequestId>('r1'), at: 366 * day};
@@ -246,7 +246,7 @@
 	t.is(take('k2'), 'taken');
 });
 
-test('a refused bill is listed once, on every replica and after a restart, and the latest thousand are kept', t => {
+test('a refused bill is listed once, also after a restore, and the latest 1,000 are kept', t => {
 	const state = new ControlState();
 	record(state, billOf(1, 1000));
 	passTime(state, {from: 0, to: 60 * day});
@@ -255,7 +255,7 @@
 	const restored = ControlState.fromSnapshot(state.toSnapshot());
 	t.deepEqual(refused(restored), [billOf(2, 1000), billOf(3, 1000)]);
 	t.deepEqual(restored.readLedger({
-		after: 0, limit: 10, isRefused: true, workspace: 'mill',
+		after: 0, limit: 10, isRefused: true, workspace: 'team-b',
 	}).bills, []);
 	record(restored, ...Array.from({length: 1000}, (_, index) => billOf(index + 4, 1000)));
 	t.is(refused(restored).length, 1000);
--- a/packages/control/src/control-state.ts
+++ b/packages/control/src/control-state.ts
@@ -7,7 +7,7 @@
 import {Claims, type ClaimsData} from './_claims.js';
 import {ConfigurationChanges, type ConfigurationData} from './_configuration-changes.js';
 import {Ledger, type LedgerData} from './_ledger.js';
-import {LogTime, type LogTimeData} from './_log-time.js';
+import {ReplicatedClock, type ReplicatedClockData} from './_replicated-clock.js';
 import {Orders} from './_orders.js';
 import {
 	type Command, type ExpireCommand, type InstanceLostCommand, type SetLimitsCommand,
@@ -15,7 +15,7 @@
 import {
 	type CommandAnswer, type CommandResult, type LogPosition, type RevisionAnswer,
 } from './command-answer.js';
-import {undateSnapshot} from './_undate-snapshot.js';
+import {resetSnapshotTimes} from './_reset-snapshot-times.js';
 import {type ConfigurationChange} from './configuration-change.js';
 import {type ControlLimits, defaultControlLimits} from './control-limits.js';
 import {
@@ -23,7 +23,7 @@
 } from './ledger-page.js';
 import {type OrderRecord} from './order.js';
 
-const format = 1;
+const snapshotFormat = 1;
 const packr = new Packr({useRecords: true, structuredClone: false});
 
 type SnapshotData = {
@@ -33,12 +33,12 @@
 	readonly claims: ClaimsData;
 	readonly ledger: LedgerData;
 	readonly orders: readonly OrderRecord[];
-	/** Missing in snapshots of versions that went by dates. */
-	readonly time?: LogTimeData;
+	/** Absent from snapshots of versions that expired records by their dates. */
+	readonly time?: ReplicatedClockData;
 };
 
 /**
-The replicated state: configuration, claims, ledger, roll-outs and orders; a function of the commands in their order, without time or chance.
+The replicated state: configuration, rollouts, claims, ledger and orders. It is a deterministic function of the sequence of commands and does not depend on local clocks or randomness.
 
 @example
 ```ts
@@ -48,11 +48,11 @@
 */
 export class ControlState {
 	/**
-	Reads a snapshot.
+	Restores the state from a snapshot.
 
-	@param bytes What `toSnapshot` gave.
+	@param bytes The result of `toSnapshot`.
 	@returns The state.
-	@throws If the snapshot is of another format.
+	@throws {RangeError} If the snapshot has another format.
 	@example
 	```ts
 	const copy = ControlState.fromSnapshot(state.toSnapshot());
@@ -60,11 +60,11 @@
 	*/
 	static fromSnapshot(bytes: Uint8Array): ControlState {
 		const data = packr.unpack(bytes) as SnapshotData;
-		if (data.format !== format) {
-			throw new RangeError(`Got a snapshot of format ${data.format}, wanted format ${format}`);
+		if (data.format !== snapshotFormat) {
+			throw new RangeError(`Unsupported snapshot format ${data.format}: expected ${snapshotFormat}`);
 		}
 
-		return new ControlState(data.time === undefined ? undateSnapshot(data) : data);
+		return new ControlState(data.time === undefined ? resetSnapshotTimes(data) : data);
 	}
 
 	#limits: ControlLimits;
@@ -72,10 +72,10 @@
 	readonly #claims: Claims;
 	readonly #ledger: Ledger;
 	readonly #orders: Orders;
-	readonly #time: LogTime;
+	readonly #clock: ReplicatedClock;
 
 	constructor(data?: SnapshotData) {
-		this.#time = new LogTime(data?.time);
+		this.#clock = new ReplicatedClock(data?.time);
 		this.#limits = data?.limits ?? defaultControlLimits;
 		this.#configuration = new ConfigurationChanges(data?.configuration);
 		this.#claims = new Claims(data?.claims);
@@ -83,40 +83,40 @@
 		this.#orders = new Orders(data?.orders);
 	}
 
-	/** The configuration that was committed last. */
+	/** The last committed configuration. */
 	get effective(): EffectiveConfiguration {
 		return this.#configuration.effective;
 	}
 
-	/** The last changes of the configuration, the oldest first; at most 32. */
+	/** The most recent configuration changes, oldest first; at most 32. */
 	get history(): readonly ConfigurationChange[] {
 		return this.#configuration.history;
 	}
 
-	/** The bounds of what is kept. */
+	/** The limits of the state. */
 	get limits(): ControlLimits {
 		return this.#limits;
 	}
 
-	/** The bills that are not archived yet, in the order in which they came. */
+	/** The bills that are not archived, in the order of recording. */
 	get bills(): Iterable<Bill> {
 		return this.#ledger.bills;
 	}
 
-	/** The positions of the bills that are not archived yet; where there are none, `last` is one below `first`. */
+	/** The positions of the bills that are not archived. If there are none, `last` is `first - 1`. */
 	get billPositions(): {readonly first: number; readonly last: number} {
 		return this.#ledger.positions;
 	}
 
-	/** The completed orders that are kept, the oldest first. */
+	/** The retained completed orders, oldest first. */
 	get completedOrders(): readonly OrderRecord[] {
 		return this.#orders.completed;
 	}
 
 	/**
-	The open orders in the order in which they were issued.
+	Returns the open orders in the order of issue.
 
-	@param server The server; all by default.
+	@param server Limits the result to one server.
 	@returns The orders.
 	*/
 	openOrders(server?: ServerId): readonly OrderRecord[] {
@@ -124,17 +124,17 @@
 	}
 
 	/**
-	Reads a page of the bills that are not archived yet, or the latest 1,000 that were refused.
+	Reads a page of the bills that are not archived, or the latest 1,000 refused bills.
 
-	@param question The workspace, where to go on, and the size of the page.
+	@param query The workspace, the starting position and the page size.
 	@returns The page.
 	*/
-	readLedger(question: LedgerQuestion): LedgerPage {
-		return this.#ledger.read(question);
+	readLedger(query: LedgerQuestion): LedgerPage {
+		return this.#ledger.read(query);
 	}
 
 	/**
-	What a workspace was billed in all.
+	Returns the total billed to a workspace.
 
 	@param workspace The workspace.
 	@returns The number of its bills and their sum.
@@ -144,90 +144,90 @@
 	}
 
 	/**
-	The oldest bills, beyond the number that is kept for reading; they stay until `dropArchived`.
+	Returns the oldest bills, beyond the number kept in memory. They are kept until `deleteArchivedBills` is called.
 
-	@returns The bills, for the host to write to its archive.
+	@returns The bills for the host to write to its archive.
 	*/
 	archivableBills(): ArchivableBills {
 		return this.#ledger.archivable(this.#limits);
 	}
 
 	/**
-	Drops bills that the host has synced to its archive.
+	Deletes bills that the host has synced to its archive.
 
-	@param lastPosition The position of the last of them.
+	@param lastPosition The position of the last archived bill.
 	*/
 	dropArchived(lastPosition: number): void {
-		this.#ledger.dropArchived(lastPosition);
+		this.#ledger.deleteArchived(lastPosition);
 	}
 
 	/**
-	Carries out one command.
+	Applies a command.
 
 	@param command The next command of the log.
-	@param position Where the command stands in the log.
-	@returns The answer or the failure; both are the same on every replica.
+	@param position The position of the command in the log.
+	@returns The response or the failure, the same on every replica.
 	*/
 	apply<Kind extends Command>(command: Kind, position: LogPosition): CommandResult<Kind> {
-		return this.#carryOut(command, position) as CommandResult<Kind>;
+		return this.#execute(command, position) as CommandResult<Kind>;
 	}
 
 	/**
-	Writes the whole state.
+	Serializes the state.
 
 	@returns The state in MessagePack.
 	*/
 	toSnapshot(): Uint8Array {
 		const data: SnapshotData = {
-			format,
+			format: snapshotFormat,
 			limits: this.#limits,
 			configuration: this.#configuration.toData(),
 			claims: this.#claims.toData(),
 			ledger: this.#ledger.toData(),
 			orders: this.#orders.toData(),
-			time: this.#time.toData(),
+			time: this.#clock.toData(),
 		};
 		return new Uint8Array(packr.pack(data));
 	}
 
-	#carryOut(command: Command, position: LogPosition): Either<Failure, CommandAnswer> {
+	#execute(command: Command, position: LogPosition): Either<Failure, CommandAnswer> {
 		const limits = this.#limits;
-		const context = {limits, time: this.#time};
+		const context = {limits, clock: this.#clock};
 		return match(command)
-			.with({type: 'apply-configuration'}, found => this.#configuration.apply(found, context).map(revision => ({revision})))
-			.with({type: 'advance-rollout'}, found => this.#configuration.advance(found).map(rollout => this.#answer({rollout})))
-			.with({type: 'stop-version'}, found => this.#configuration.stop(found).map(rollout => this.#answer({rollout})))
-			.with({type: 'record-bills'}, found => Right(this.#answer(this.#ledger.record(found, context))))
-			.with({type: 'take-claim'}, found => this.#claims.take(found, context).map(claim => this.#answer({claim})))
-			.with({type: 'settle-claim'}, found => Right(this.#answer({claim: this.#claims.settle(found, context)})))
-			.with({type: 'instance-lost'}, found => Right(this.#loseInstance(found)))
-			.with({type: 'issue-order'}, found => this.#orders.issue(found, {position, limits}).map(order => this.#answer({order})))
-			.with({type: 'complete-order'}, found => this.#orders.complete(found, limits).map(order => this.#answer({order})))
-			.with({type: 'expire'}, found => Right(this.#expire(found)))
-			.with({type: 'set-limits'}, found => Right(this.#setLimits(found)))
+			.with({type: 'apply-configuration'}, received => this.#configuration.apply(received, context).map(revision => ({revision})))
+			.with({type: 'advance-rollout'}, received => this.#configuration.advance(received).map(rollout => this.#withRevision({rollout})))
+			.with({type: 'stop-version'}, received => this.#configuration.stop(received).map(rollout => this.#withRevision({rollout})))
+			.with({type: 'record-bills'}, received => Right(this.#withRevision(this.#ledger.record(received, context))))
+			.with({type: 'take-claim'}, received => this.#claims.take(received, context).map(claim => this.#withRevision({claim})))
+			.with({type: 'settle-claim'}, received => Right(this.#withRevision({claim: this.#claims.settle(received, context)})))
+			.with({type: 'instance-lost'}, received => Right(this.#handleInstanceLost(received)))
+			.with({type: 'issue-order'}, received => this.#orders.issue(received, {position, limits}).map(order => this.#withRevision({order})))
+			.with({type: 'complete-order'}, received => this.#orders.complete(received, limits).map(order => this.#withRevision({order})))
+			.with({type: 'expire'}, received => Right(this.#expire(received)))
+			.with({type: 'set-limits'}, received => Right(this.#setLimits(received)))
 			.exhaustive();
 	}
 
-	#loseInstance({instance}: InstanceLostCommand): RevisionAnswer {
-		this.#claims.instanceLost(instance, this.#time);
-		return this.#answer({});
+	#handleInstanceLost({instance}: InstanceLostCommand): RevisionAnswer {
+		this.#claims.handleInstanceLost(instance, this.#clock);
+		return this.#withRevision({});
 	}
 
 	#expire({at}: ExpireCommand): RevisionAnswer {
-		this.#time.advance(at);
-		const context = {limits: this.#limits, time: this.#time};
+		this.#clock.advance(at);
+		const context = {limits: this.#limits, clock: this.#clock};
 		this.#configuration.expire(context);
 		this.#claims.expire(context);
 		this.#ledger.expire(context);
-		return this.#answer({});
+		return this.#withRevision({});
 	}
 
 	#setLimits({limits}: SetLimitsCommand): RevisionAnswer {
 		this.#limits = limits;
-		return this.#answer({});
+		return this.#withRevision({});
 	}
 
-	#answer<Members extends Record<string, unknown>>(members: Members): Members & RevisionAnswer {
+	#withRevision<Members extends Record<string, unknown>>(members: Members): Members & RevisionAnswer {
 		return {...members, revision: this.effective.revision};
 	}
 }
