--- a/packages/consensus/src/fuzz/_group.ts
+++ b/packages/consensus/src/fuzz/_cluster.ts
@@ -4,27 +4,27 @@
 import {type Node} from './_node.js';
 import {type Oracle} from './_oracle.js';
 
-/** The replica set that each group begins with. */
-export const firstReplicas: ReplicaSet = {voters: ['i0', 'i1', 'i2'].map(instance => toReplicaId(instance, '0')), learners: []};
+/** The initial replica set of each simulation. */
+export const initialReplicas: ReplicaSet = {voters: ['i0', 'i1', 'i2'].map(instance => toReplicaId(instance, '0')), learners: []};
 
-/** The replica set committed last, or the first one. */
-export function committedReplicas({chosen}: Oracle): ReplicaSet {
-	for (const {payload} of chosen.toReversed()) {
+/** Returns the last committed replica set, or the initial one. */
+export function committedReplicas({committed}: Oracle): ReplicaSet {
+	for (const {payload} of committed.toReversed()) {
 		if (payload.type === 'replica-set') {
 			return payload.replicas;
 		}
 	}
 
-	return firstReplicas;
+	return initialReplicas;
 }
 
-/** The host whose lease is valid. */
+/** Returns the node with a valid lease. */
 export function leaseHolder(nodes: readonly Node[]): Node | undefined {
 	return nodes.find(({state, hasLease}) => state && isLeader(state) && hasLease);
 }
 
-/** Whether a leader has committed its whole log, all repairs are finished, and every voter has applied everything. */
-export function isSettled(nodes: readonly Node[], oracle: Oracle): boolean {
+/** Returns whether a leader has committed its whole log, no replacement is in progress, and all voters have applied all entries. */
+export function hasConverged(nodes: readonly Node[], oracle: Oracle): boolean {
 	const state = leaseHolder(nodes)?.state;
 	const {voters, learners} = committedReplicas(oracle);
 	const holders = nodes.filter(({id}) => voters.includes(id));
@@ -36,14 +36,14 @@
 	return isCommitted && holders.every(({appliedIndex}) => appliedIndex === oracle.lastIndex);
 }
 
-/** Whether a disk may be lost: all voters are present, and no change is in progress, committed or not. */
-export function mayLose(node: Node, {nodes, oracle}: {readonly nodes: readonly Node[]; readonly oracle: Oracle}): boolean {
+/** Returns whether the disk of a node may be wiped: all voters exist, and no change of the replica set is in progress, committed or not. */
+export function canWipe(node: Node, {nodes, oracle}: {readonly nodes: readonly Node[]; readonly oracle: Oracle}): boolean {
 	const {voters, learners} = committedReplicas(oracle);
 	if (!voters.includes(node.id) && !learners.includes(node.id)) {
 		return true;
 	}
 
-	const committed = oracle.chosen.findLastIndex(({payload}) => payload.type === 'replica-set') + 1;
+	const committed = oracle.committed.findLastIndex(({payload}) => payload.type === 'replica-set') + 1;
 	const isChanging = nodes.some(({state, disk}) => [...state?.log.entries ?? [], ...disk.entries]
 		.some(({index, payload}) => payload.type === 'replica-set' && index > committed));
 	return !isChanging && learners.length === 0 && voters.every(voter => nodes.some(({id}) => id === voter));
--- a/packages/consensus/src/fuzz/_node.ts
+++ b/packages/consensus/src/fuzz/_node.ts
@@ -13,11 +13,11 @@
 import {step} from '../replica.js';
 import {commandsOf, type Oracle} from './_oracle.js';
 
-/** Times in units; the drift margin covers the clock rates below. */
+/** Times are units of virtual time. The drift margin covers the clock rates below. */
 export const options: ReplicaOptions = {
 	minimumElectionTimeout: 100, maximumElectionTimeout: 150, heartbeatInterval: 20, driftMargin: 10, maximumAppendBytes: 40, maximumInFlight: 2, tailEntries: 3,
 };
-const rates = [0.956, 1, 1.044, 0.97, 1.03];
+const clockRates = [0.956, 1, 1.044, 0.97, 1.03];
 
 type Disk = {
 	identity: number;
@@ -26,7 +26,7 @@
 	entries: readonly LogEntry[];
 };
 
-/** How a node reaches the others. */
+/** The options of a node. */
 export type NodeOptions = {
 	readonly position: number;
 	readonly replicas: ReplicaSet | undefined;
@@ -34,14 +34,14 @@
 	readonly onMessage: (from: ReplicaId, sent: ReplicaActions['messages'][number]) => void;
 };
 
-/** One host: a replica, its disk, and the actions that are not carried out yet. */
+/** A simulated host with a replica, its disk and its pending actions. */
 export class Node {
 	state: ReplicaState | undefined;
 	frozenUntil = 0;
 	restartAt = 0;
 	syncDelay = 0;
-	/** Added to the way of each message that the host sends. */
-	lag = 0;
+	/** The additional delay of all messages that this node sends. */
+	sendDelay = 0;
 	readonly disk: Disk = {
 		identity: 0, hardState: undefined, snapshot: undefined, entries: [],
 	};
@@ -50,7 +50,7 @@
 	#time = 0;
 	#pending: Array<{readonly due: number; readonly actions: ReplicaActions}> = [];
 	#applied = 0;
-	/** On the own clock; a host that never ran acknowledged nothing, but its clock starts at zero. */
+	/** When the node crashed last, by its own clock. Zero before the first run, which is safe because a node that never ran acknowledged nothing. */
 	#crashedAt = 0;
 	#commands: string[] = [];
 
@@ -67,7 +67,7 @@
 	}
 
 	get clock(): number {
-		return (this.#time * (rates[this.#options.position] ?? 1)) + (this.#options.position * 1000);
+		return (this.#time * (clockRates[this.#options.position] ?? 1)) + (this.#options.position * 1000);
 	}
 
 	get isAwake(): boolean {
@@ -79,7 +79,7 @@
 		return until !== undefined && this.clock < until;
 	}
 
-	/** Goes on to a time: starts when due, and carries out what is synced. */
+	/** Advances to a time: starts the replica if its restart is due, and executes the actions whose sync has completed. */
 	advance(time: number): void {
 		this.#time = time;
 		if (!this.state && time >= this.restartAt) {
@@ -87,11 +87,11 @@
 		}
 
 		while (this.isAwake && (this.#pending[0]?.due ?? Number.POSITIVE_INFINITY) <= time) {
-			this.#carryOut(this.#pending.shift()!.actions);
+			this.#execute(this.#pending.shift()!.actions);
 		}
 	}
 
-	take(event: ReplicaEvent): ReplicaActions | undefined {
+	handle(event: ReplicaEvent): ReplicaActions | undefined {
 		if (!this.state || !this.isAwake) {
 			return undefined;
 		}
@@ -99,7 +99,7 @@
 		const {state, actions} = step(this.state, event, this.clock);
 		this.state = state;
 		if (state.role.type === 'leader') {
-			this.#options.oracle.lead(state.hardState.term, state.id);
+			this.#options.oracle.recordLeader(state.hardState.term, state.id);
 		}
 
 		this.#pending.push({due: this.#time + this.syncDelay, actions});
@@ -107,12 +107,12 @@
 		return actions;
 	}
 
-	/** A valid lease must let nobody read less than what was acknowledged. */
+	/** Checks that a read under a valid lease includes all acknowledged entries. */
 	checkRead(): void {
 		const index = this.state && readIndex(this.state, this.clock);
 		const {lastIndex} = this.#options.oracle;
 		if (index !== undefined && index < lastIndex) {
-			throw new Error(`Got a read at index ${index} from ${this.id}, wanted at least ${lastIndex}`);
+			throw new Error(`Stale read from ${this.id} at index ${index}: index ${lastIndex} is acknowledged`);
 		}
 	}
 
@@ -134,7 +134,7 @@
 
 	takeSnapshot(): void {
 		if (this.#applied > 0) {
-			this.take({type: 'snapshot-taken', lastIndex: this.#applied, data: Buffer.from(JSON.stringify(this.#commands))});
+			this.handle({type: 'snapshot-taken', lastIndex: this.#applied, data: Buffer.from(JSON.stringify(this.#commands))});
 		}
 	}
 
@@ -150,10 +150,10 @@
 	#restore(snapshot: Snapshot | undefined): void {
 		this.#applied = snapshot?.lastIndex ?? 0;
 		this.#commands = snapshot ? JSON.parse(Buffer.from(snapshot.data).toString()) as string[] : [];
-		this.#options.oracle.restore(this.#commands, this.#applied);
+		this.#options.oracle.checkRestore(this.#commands, this.#applied);
 	}
 
-	#carryOut({persist, messages, committed, restore}: ReplicaActions): void {
+	#execute({persist, messages, committed, restore}: ReplicaActions): void {
 		if (persist) {
 			this.#write(persist);
 		}
@@ -164,17 +164,17 @@
 
 		for (const entry of committed) {
 			if (entry.index !== this.#applied + 1) {
-				throw new Error(`Got entry ${entry.index} to apply on ${this.id}, wanted ${this.#applied + 1}`);
+				throw new Error(`${this.id} applies entry ${entry.index} out of order: expected ${this.#applied + 1}`);
 			}
 
-			this.#options.oracle.commit(entry, this.id);
+			this.#options.oracle.recordCommit(entry, this.id);
 			this.#applied = entry.index;
 			this.#commands.push(...commandsOf([entry]));
 		}
 
 		for (const sent of messages) {
 			if (!this.state) {
-				// A trap crashed the host between two messages.
+				// The node was crashed on sending the previous message.
 				return;
 			}
 
--- a/packages/consensus/src/fuzz/_oracle.ts
+++ b/packages/consensus/src/fuzz/_oracle.ts
@@ -2,52 +2,52 @@
 import {type LogEntry} from '../log-entry.js';
 import {type ReplicaId} from '../replica-id.js';
 
-/** What must hold, judged with one list: the entry that was committed at each index. */
+/** Checks the safety properties against a single list of the entry committed at each index. */
 export class Oracle {
-	readonly chosen: LogEntry[] = [];
+	readonly committed: LogEntry[] = [];
 	readonly #leaders = new Map<number, ReplicaId>();
 
-	/** The last index that was acknowledged. */
+	/** The last acknowledged index. */
 	get lastIndex(): number {
-		return this.chosen.length;
+		return this.committed.length;
 	}
 
-	/** Two entries must never be committed at one index, nor an index be left out. */
-	commit(entry: LogEntry, by: ReplicaId): void {
-		const known = this.chosen[entry.index - 1];
-		if (!known) {
-			if (entry.index !== this.chosen.length + 1) {
-				throw new Error(`Got entry ${entry.index} committed by ${by}, wanted ${this.chosen.length + 1}`);
+	/** Records a committed entry. Throws if a different entry was committed at its index, or if an index is skipped. */
+	recordCommit(entry: LogEntry, by: ReplicaId): void {
+		const existing = this.committed[entry.index - 1];
+		if (!existing) {
+			if (entry.index !== this.committed.length + 1) {
+				throw new Error(`${by} committed entry ${entry.index} out of order: expected ${this.committed.length + 1}`);
 			}
 
-			this.chosen.push(entry);
+			this.committed.push(entry);
 			return;
 		}
 
-		if (textOf(known) !== textOf(entry)) {
-			throw new Error(`Got ${textOf(entry)} committed by ${by}, wanted ${textOf(known)}`);
+		if (textOf(existing) !== textOf(entry)) {
+			throw new Error(`${by} committed ${textOf(entry)}, but ${textOf(existing)} is already committed`);
 		}
 	}
 
-	/** One term must have one leader. */
-	lead(term: number, id: ReplicaId): void {
-		const known = this.#leaders.get(term) ?? id;
-		this.#leaders.set(term, known);
-		if (known !== id) {
-			throw new Error(`Got ${id} as the leader of term ${term}, wanted ${known} alone`);
+	/** Records the leader of a term. Throws if the term has another leader. */
+	recordLeader(term: number, id: ReplicaId): void {
+		const existing = this.#leaders.get(term) ?? id;
+		this.#leaders.set(term, existing);
+		if (existing !== id) {
+			throw new Error(`Term ${term} has two leaders: ${existing} and ${id}`);
 		}
 	}
 
-	/** A state machine restored from a snapshot must hold a prefix of the list. */
-	restore(commands: readonly string[], lastIndex: number): void {
-		const wanted = commandsOf(this.chosen.slice(0, lastIndex)).join(' ');
-		if (lastIndex > this.lastIndex || commands.join(' ') !== wanted) {
-			throw new Error(`Got a snapshot at ${lastIndex} with ${commands.join(' ')}, wanted ${wanted}`);
+	/** Throws if the commands of a restored state machine are not a prefix of the committed ones. */
+	checkRestore(commands: readonly string[], lastIndex: number): void {
+		const expected = commandsOf(this.committed.slice(0, lastIndex)).join(' ');
+		if (lastIndex > this.lastIndex || commands.join(' ') !== expected) {
+			throw new Error(`Snapshot at index ${lastIndex} contains ${commands.join(' ')}, expected ${expected}`);
 		}
 	}
 }
 
-/** The commands among entries. */
+/** Returns the commands among entries. */
 export function commandsOf(entries: readonly LogEntry[]): readonly string[] {
 	return entries.flatMap(({payload}) => payload.type === 'command' ? [Buffer.from(payload.data).toString()] : []);
 }
