--- a/packages/consensus/src/plan-membership.test.ts
+++ b/packages/consensus/src/plan-membership.test.ts
@@ -10,21 +10,21 @@
 const four = toReplicaId('four', 'a');
 const now = 20_000;
 
-type Given = {
+type LeaderOptions = {
 	readonly voters?: readonly ReplicaId[];
 	readonly learners?: readonly ReplicaId[];
-	readonly silent?: readonly ReplicaId[];
-	readonly behind?: readonly ReplicaId[];
+	readonly unresponsive?: readonly ReplicaId[];
+	readonly lagging?: readonly ReplicaId[];
 };
 
-/** A leader that has committed entry 9, and what it knows of the others. */
-function leader({voters = [one, two, three], learners = [], silent = [], behind = []}: Given): ReplicaState {
+/** Creates a leader with commit index 9 and the given progress of the other replicas. */
+function leader({voters = [one, two, three], learners = [], unresponsive = [], lagging = []}: LeaderOptions): ReplicaState {
 	const replicas = {voters, learners};
 	const base = createReplica({id: one, replicas, seed: 1}, 0);
 	const progress = new Map<ReplicaId, FollowerProgress>();
 	for (const replica of [...voters, ...learners]) {
 		progress.set(replica, {
-			matchIndex: behind.includes(replica) ? 3 : 9, nextIndex: 10, inFlight: 0, ackedAt: silent.includes(replica) ? 1000 : now - 50, isActive: true, snapshotSentAt: undefined,
+			matchIndex: lagging.includes(replica) ? 3 : 9, nextIndex: 10, inFlight: 0, ackedAt: unresponsive.includes(replica) ? 1000 : now - 50, isActive: true, snapshotSentAt: undefined,
 		});
 	}
 
@@ -41,36 +41,36 @@
 	}];
 }
 
-test('a newcomer learns first', t => {
+test('a new replica is added as a learner first', t => {
 	t.deepEqual(planMembership(leader({}), {joining: joining(four), now}), {type: 'add-learner', replica: four});
-	t.is(planMembership(leader({learners: [four], behind: [four]}), {joining: joining(four, {isFounding: true}), now}), undefined);
+	t.is(planMembership(leader({learners: [four], lagging: [four]}), {joining: joining(four, {isFounding: true}), now}), undefined);
 });
 
-test('a member of the first start votes as soon as it holds everything; a successor waits for a place', t => {
+test('an initial member is promoted once it has caught up, and a later replica only after waiting', t => {
 	t.deepEqual(planMembership(leader({learners: [four]}), {joining: joining(four, {isFounding: true}), now}), {type: 'promote', replica: four});
 	t.is(planMembership(leader({learners: [four]}), {joining: joining(four), now}), undefined);
 	t.deepEqual(planMembership(leader({learners: [four]}), {joining: joining(four, {waiting: 10_000}), now}), {type: 'promote', replica: four});
 });
 
-test('a silent voter gives its place to a successor that is ready, and not before', t => {
-	const silent = [three];
-	t.is(planMembership(leader({learners: [four], silent, behind: [four]}), {joining: joining(four), now}), undefined);
-	t.deepEqual(planMembership(leader({learners: [four], silent}), {joining: joining(four), now}), {type: 'remove', replica: three});
+test('an unresponsive voter is removed only when a replacement has caught up', t => {
+	const unresponsive = [three];
+	t.is(planMembership(leader({learners: [four], unresponsive, lagging: [four]}), {joining: joining(four), now}), undefined);
+	t.deepEqual(planMembership(leader({learners: [four], unresponsive}), {joining: joining(four), now}), {type: 'remove', replica: three});
 	t.deepEqual(planMembership(leader({voters: [one, two], learners: [four]}), {joining: joining(four), now}), {type: 'promote', replica: four});
 });
 
-test('without a successor three voters stay three, and a fourth that fell silent goes', t => {
-	t.is(planMembership(leader({silent: [three]}), {joining: [], now}), undefined);
-	t.deepEqual(planMembership(leader({voters: [one, two, three, four], silent: [three]}), {joining: [], now}), {type: 'remove', replica: three});
+test('without a replacement an unresponsive voter is removed from four voters but not from three', t => {
+	t.is(planMembership(leader({unresponsive: [three]}), {joining: [], now}), undefined);
+	t.deepEqual(planMembership(leader({voters: [one, two, three, four], unresponsive: [three]}), {joining: [], now}), {type: 'remove', replica: three});
 });
 
-test('an instance that lost its disk is replaced by its new identity', t => {
+test('a replica whose instance lost its disk is replaced by the new identity', t => {
 	const renewed = toReplicaId('three', 'b');
-	t.deepEqual(planMembership(leader({silent: [three]}), {joining: joining(renewed), now}), {type: 'add-learner', replica: renewed});
-	t.deepEqual(planMembership(leader({learners: [renewed], silent: [three]}), {joining: joining(renewed), now}), {type: 'remove', replica: three});
+	t.deepEqual(planMembership(leader({unresponsive: [three]}), {joining: joining(renewed), now}), {type: 'add-learner', replica: renewed});
+	t.deepEqual(planMembership(leader({learners: [renewed], unresponsive: [three]}), {joining: joining(renewed), now}), {type: 'remove', replica: three});
 	t.deepEqual(planMembership(leader({voters: [one, two], learners: [renewed]}), {joining: joining(renewed), now}), {type: 'promote', replica: renewed});
 });
 
-test('a replica that does not lead plans nothing', t => {
+test('a replica that is not the leader plans no change', t => {
 	t.is(planMembership({...leader({}), role: {type: 'follower'}}, {joining: joining(four), now}), undefined);
 });
--- a/packages/consensus/src/replica.test.ts
+++ b/packages/consensus/src/replica.test.ts
@@ -15,14 +15,14 @@
 const replicas = {voters: [first, second, third], learners: []};
 const campaignTime = 5000;
 
-function started(entries: readonly LogEntry[] = [], id: ReplicaId = first): ReplicaState {
+function createFollower(entries: readonly LogEntry[] = [], id: ReplicaId = first): ReplicaState {
 	return createReplica({
 		id, replicas, hardState: {term: 2}, entries, options: {maximumAppendBytes: 1}, seed: 1,
 	}, 0);
 }
 
-function elected(entries: readonly LogEntry[] = []): ReplicaState {
-	let {state} = step(started(entries), {type: 'tick'}, campaignTime);
+function electLeader(entries: readonly LogEntry[] = []): ReplicaState {
+	let {state} = step(createFollower(entries), {type: 'tick'}, campaignTime);
 	for (const isPreVote of [true, false]) {
 		state = step(state, {
 			type: 'message', from: second, message: {
@@ -34,7 +34,7 @@
 	return state;
 }
 
-function acknowledged(state: ReplicaState, matchIndex: number, now: number): ReturnType<typeof step> {
+function acknowledge(state: ReplicaState, matchIndex: number, now: number): ReturnType<typeof step> {
 	return step(state, {
 		type: 'message', from: second, message: {
 			type: 'append-reply', term: 3, success: true, matchIndex, round: 1,
@@ -42,57 +42,57 @@
 	}, now);
 }
 
-test('a leader does not commit an entry of an older term by count', t => {
+test('a leader does not commit an entry of an older term by counting replicas', t => {
 	const old: LogEntry = {index: 1, term: 2, payload: {type: 'command', data: new Uint8Array([1])}};
-	const {state, actions} = acknowledged(elected([old]), 1, campaignTime);
+	const {state, actions} = acknowledge(electLeader([old]), 1, campaignTime);
 	t.deepEqual(actions.committed, []);
-	t.deepEqual(acknowledged(state, 2, campaignTime).actions.committed.map(({index}) => index), [1, 2]);
+	t.deepEqual(acknowledge(state, 2, campaignTime).actions.committed.map(({index}) => index), [1, 2]);
 });
 
-test('a change is refused before an entry of the leader\'s own term is committed, and while one is in progress', t => {
+test('a change of the replica set is rejected before an entry of the leader\'s term is committed, and while another change is in progress', t => {
 	const change = {type: 'change-replicas', change: {type: 'add-learner', replica: toReplicaId('d', '0')}, proposalId: 'p'} as const;
-	t.deepEqual(step(elected(), change, campaignTime).actions.rejected, ['p']);
-	const ready = acknowledged(elected(), 1, campaignTime).state;
+	t.deepEqual(step(electLeader(), change, campaignTime).actions.rejected, ['p']);
+	const ready = acknowledge(electLeader(), 1, campaignTime).state;
 	const {state, actions} = step(ready, change, campaignTime);
 	t.deepEqual(actions.accepted, [{proposalId: 'p', index: 2, term: 3}]);
 	t.deepEqual(step(state, {...change, change: {type: 'remove', replica: third}}, campaignTime).actions.rejected, ['p']);
 });
 
-test('the lease runs from when the answered round was sent, less the margin', t => {
-	const later = step(elected(), {type: 'tick'}, campaignTime + 400).state;
-	const {state} = acknowledged(later, 1, campaignTime + 500);
+test('the lease starts when the acknowledged round was sent and is shortened by the drift margin', t => {
+	const later = step(electLeader(), {type: 'tick'}, campaignTime + 400).state;
+	const {state} = acknowledge(later, 1, campaignTime + 500);
 	t.is(leaseValidUntil(state), campaignTime + 900);
 	t.is(readIndex(state, campaignTime + 899), 1);
 	t.is(readIndex(state, campaignTime + 900), undefined);
 });
 
-test('a leader that wakes after a long time steps down before it says anything', t => {
-	const {state} = acknowledged(elected(), 1, campaignTime);
-	const woken = step(state, {type: 'propose', proposals: [{proposalId: 'p', data: new Uint8Array()}]}, campaignTime + 60_000);
-	t.false(isLeader(woken.state));
-	t.deepEqual(woken.actions.rejected, ['p']);
-	t.deepEqual(woken.actions.messages, []);
+test('a leader that resumes after a long suspension steps down before it sends a message', t => {
+	const {state} = acknowledge(electLeader(), 1, campaignTime);
+	const resumed = step(state, {type: 'propose', proposals: [{proposalId: 'p', data: new Uint8Array()}]}, campaignTime + 60_000);
+	t.false(isLeader(resumed.state));
+	t.deepEqual(resumed.actions.rejected, ['p']);
+	t.deepEqual(resumed.actions.messages, []);
 });
 
-test('a replica refuses votes for a minimum election timeout after it starts', t => {
+test('a replica refuses votes for one minimum election timeout after its start', t => {
 	const request = {
 		type: 'message', from: second, message: {
 			type: 'vote-request', term: 3, isPreVote: false, lastIndex: 0, lastTerm: 0,
 		},
 	} as const;
-	const granted = [999, 1000].map(now => step(started(), request, now).actions.messages[0]?.message);
+	const granted = [999, 1000].map(now => step(createFollower(), request, now).actions.messages[0]?.message);
 	t.like(granted[0], {type: 'vote-reply', term: 2, granted: false});
 	t.like(granted[1], {type: 'vote-reply', term: 3, granted: true});
 });
 
-test('the only voter leads at its first tick', t => {
+test('the only voter becomes the leader at its first tick', t => {
 	const alone = createReplica({id: first, replicas: {voters: [first], learners: []}, seed: 1}, 0);
 	const {state, actions} = step(alone, {type: 'tick'}, 0);
 	t.is(readIndex(state, 1), 1);
 	t.deepEqual(actions.persist?.hardState, {term: 1, votedFor: first});
 });
 
-test('a replica that starts again is bound by what a former run can have acknowledged, and no longer', t => {
+test('a restarted replica withholds its vote only while a lease that its previous run may have acknowledged is valid', t => {
 	const {minimumElectionTimeout, maximumElectionTimeout} = defaultReplicaOptions;
 	const startedAt = 10_000;
 	const restarted = createReplica({
@@ -109,7 +109,7 @@
 	t.true(restarted.electionDeadline <= startedAt + 1 + maximumElectionTimeout - minimumElectionTimeout);
 });
 
-test('replicas that start together campaign one after the other, each once an election before is over', t => {
+test('replicas that start together campaign in sequence with time for an election between them', t => {
 	const deadlines = [first, second, third].map(id => createReplica({id, replicas, seed: 1}, 0).electionDeadline);
 	const [one = 0, two = 0, three = 0] = deadlines;
 	const {minimumElectionTimeout, maximumElectionTimeout} = defaultReplicaOptions;
@@ -118,10 +118,10 @@
 	t.true(three <= maximumElectionTimeout);
 });
 
-test('a founder that a leader reached before it knew its group keeps the entries, and votes once it knows', t => {
+test('an initial member that gets entries before the initial replica set keeps them, and can vote afterwards', t => {
 	const entry: LogEntry = {index: 1, term: 1, payload: {type: 'command', data: new Uint8Array([1])}};
-	const fresh = createReplica({id: first, seed: 1}, 0);
-	const {state: told} = step(fresh, {
+	const uninitialized = createReplica({id: first, seed: 1}, 0);
+	const {state: withEntry} = step(uninitialized, {
 		type: 'message', from: second, message: {
 			type: 'append-request', term: 1, previousIndex: 0, previousTerm: 0, entries: [entry], commitIndex: 1, round: 1,
 		},
@@ -129,7 +129,7 @@
 	const initial = {
 		lastIndex: 0, lastTerm: 0, replicas, data: new Uint8Array(),
 	};
-	const {state, actions} = step(told, {type: 'begin-group', initial}, 1010);
+	const {state, actions} = step(withEntry, {type: 'begin-group', initial}, 1010);
 	t.deepEqual(actions.persist?.snapshot, initial);
 	t.deepEqual(actions.committed, []);
 	t.is(state.commitIndex, 1);
@@ -145,51 +145,51 @@
 
 const {maximumElectionTimeout} = defaultReplicaOptions;
 
-/** A replica that has the pre-votes of a quorum, and asks for votes. */
-function candidate(state: ReplicaState, now: number): ReplicaState {
-	const asked = step(state, {type: 'tick'}, now).state;
-	return step(asked, {
+/** Lets a replica win the pre-vote, so that it becomes a candidate. */
+function becomeCandidate(state: ReplicaState, now: number): ReplicaState {
+	const preCandidate = step(state, {type: 'tick'}, now).state;
+	return step(preCandidate, {
 		type: 'message', from: second, message: {
 			type: 'vote-reply', term: state.hardState.term + 1, isPreVote: true, granted: true,
 		},
 	}, now).state;
 }
 
-test('a candidate whose disk is slow waits for as long as an election takes there', t => {
-	const asking = candidate(started(), campaignTime);
-	const slow = step(asking, {type: 'tick', persistMilliseconds: maximumElectionTimeout}, campaignTime + maximumElectionTimeout).state;
+test('a candidate with a slow disk waits longer for votes', t => {
+	const candidate = becomeCandidate(createFollower(), campaignTime);
+	const slow = step(candidate, {type: 'tick', persistMilliseconds: maximumElectionTimeout}, campaignTime + maximumElectionTimeout).state;
 	t.is(slow.role.type, 'candidate');
-	t.is(step(asking, {type: 'tick'}, campaignTime + maximumElectionTimeout).state.role.type, 'pre-candidate');
+	t.is(step(candidate, {type: 'tick'}, campaignTime + maximumElectionTimeout).state.role.type, 'pre-candidate');
 });
 
-test('a candidate whose voters are slow waits longer with each election in vain', t => {
-	let state = candidate(started(), campaignTime);
-	const waits = [state.electionDeadline - campaignTime];
+test('the timeout of a candidate doubles with each failed election', t => {
+	let state = becomeCandidate(createFollower(), campaignTime);
+	const timeouts = [state.electionDeadline - campaignTime];
 	for (let election = 0; election < 3; election++) {
 		const now = state.electionDeadline;
-		state = candidate(state, now);
-		waits.push(state.electionDeadline - now);
+		state = becomeCandidate(state, now);
+		timeouts.push(state.electionDeadline - now);
 	}
 
 	t.is(state.hardState.term, 6);
-	t.true(waits[3]! >= 8 * defaultReplicaOptions.minimumElectionTimeout, `Waited ${waits.join(' ')}`);
+	t.true(timeouts[3]! >= 8 * defaultReplicaOptions.minimumElectionTimeout, `Timeouts: ${timeouts.join(', ')} ms`);
 });
 
-test('a leader whose followers keep its entries late does not step down before they can have answered', t => {
-	const asking = candidate(started(), campaignTime);
+test('a leader with slow followers does not step down before they can have replied', t => {
+	const candidate = becomeCandidate(createFollower(), campaignTime);
 	const electedAt = campaignTime + 600;
-	const {state} = step(asking, {
+	const {state} = step(candidate, {
 		type: 'message', from: second, message: {
 			type: 'vote-reply', term: 3, isPreVote: false, granted: true,
 		},
 	}, electedAt);
 	t.true(isLeader(state));
 	t.true(isLeader(step(state, {type: 'tick'}, electedAt + maximumElectionTimeout).state));
-	t.false(isLeader(step(elected(), {type: 'tick'}, campaignTime + maximumElectionTimeout).state));
+	t.false(isLeader(step(electLeader(), {type: 'tick'}, campaignTime + maximumElectionTimeout).state));
 });
 
-test('a single long pause of the disk does not make the next election late by as much', t => {
-	const state = started();
+test('a single long disk pause does not delay the next election by the same time', t => {
+	const state = createFollower();
 	const paused = step(state, {type: 'tick', persistMilliseconds: 60_000}, 0).state;
 	t.true(paused.electionDeadline - state.electionDeadline <= maximumElectionTimeout);
 });
