--- a/packages/consensus/src/_begin-group.ts
+++ b/packages/consensus/src/_bootstrap.ts
@@ -2,11 +2,11 @@
 import {type Snapshot} from './log-entry.js';
 
 /**
-Takes the replicas that the group begins with, where this replica knows none.
+Installs the initial snapshot, with the initial replica set, on a replica that has none.
 
-A leader may have been faster: its first entries do not name the initial replicas, so those entries are kept, and what is committed stays so.
+A leader may have sent entries before. These do not contain the initial replica set, so they are kept, as is the commit index.
 */
-export function beginGroup(draft: Draft, initial: Snapshot): void {
+export function bootstrap(draft: Draft, initial: Snapshot): void {
 	const {state, now} = draft;
 	if (state.replicas !== undefined || state.log.snapshot !== undefined || state.log.baseIndex > 0) {
 		return;
--- a/packages/consensus/src/_commit.ts
+++ b/packages/consensus/src/_commit.ts
@@ -2,7 +2,7 @@
 import {entriesBetween, lastIndexOf, termAt} from './_log.js';
 import {isVoter, quorumValue} from './_quorum.js';
 
-/** Commits up to an index and hands the entries out to be applied. */
+/** Advances the commit index and emits the newly committed entries for application. */
 export function commitUpTo({state, committed}: Draft, index: number): void {
 	if (index <= state.commitIndex) {
 		return;
@@ -15,8 +15,8 @@
 	state.commitIndex = index;
 }
 
-/** Commits what a quorum holds, if the last of it is of the leader's own term (Ongaro and Ousterhout, 2014, section 5.4.2). */
-export function commitByQuorum(draft: Draft): void {
+/** Commits the entries that a quorum holds, if the last of them is of the leader's current term (Ongaro and Ousterhout, 2014, section 5.4.2). */
+export function commitReplicatedEntries(draft: Draft): void {
 	const {state} = draft;
 	const {role} = state;
 	if (role.type !== 'leader') {
--- a/packages/consensus/src/_draft.ts
+++ b/packages/consensus/src/_draft.ts
@@ -1,4 +1,4 @@
-import {diskPatienceOf} from './_disk-patience.js';
+import {electionPersistDelay} from './_persist-delay.js';
 import {type LogEntry, type Snapshot} from './log-entry.js';
 import {lastIndexOf, replicaSetAt, withEntries} from './_log.js';
 import {nextRandom} from './_random.js';
@@ -7,12 +7,12 @@
 import {type ReplicaMessage} from './replica-message.js';
 import {type ReplicaState} from './replica-state.js';
 
-/** A state whose members may be replaced; what they point to is never changed. */
+/** A replica state with replaceable members. The member values themselves are immutable. */
 export type MutableState = {-readonly [Key in keyof ReplicaState]: ReplicaState[Key]};
 
-/** One step in the making: the new state and the actions so far. */
+/** The working data of a step: the new state and the actions so far. */
 export type Draft = {
-	readonly before: ReplicaState;
+	readonly previousState: ReplicaState;
 	readonly state: MutableState;
 	readonly now: number;
 	readonly messages: Array<ReplicaActions['messages'][number]>;
@@ -24,16 +24,16 @@
 	restore: Snapshot | undefined;
 };
 
-/** The state after a step, and what the host must do. */
+/** The state after a step, and the actions for the host. */
 export type StepResult = {
 	readonly state: ReplicaState;
 	readonly actions: ReplicaActions;
 };
 
-/** Opens a step. */
+/** Creates the draft of a step. */
 export function beginStep(state: ReplicaState, now: number): Draft {
 	return {
-		before: state,
+		previousState: state,
 		state: {...state},
 		now,
 		messages: [],
@@ -46,23 +46,23 @@
 	};
 }
 
-/** Closes a step. */
+/** Creates the result of a step from its draft. */
 export function finishStep(draft: Draft): StepResult {
 	const {messages, committed, accepted, rejected, restore} = draft;
 	return {
 		state: draft.state,
 		actions: {
-			persist: persistOf(draft), messages, committed, restore, accepted, rejected,
+			persist: persistAction(draft), messages, committed, restore, accepted, rejected,
 		},
 	};
 }
 
-/** Adds a message to the step. */
+/** Queues a message. */
 export function send(draft: Draft, to: ReplicaId, message: ReplicaMessage): void {
 	draft.messages.push({to, message});
 }
 
-/** Appends entries to the log, cutting it where they conflict, and takes a replica set among them into force. */
+/** Appends entries to the log after truncating it at the index of the first one, and updates the replica set in effect. */
 export function appendToLog(draft: Draft, added: readonly LogEntry[]): void {
 	const {state} = draft;
 	const [first] = added;
@@ -70,31 +70,31 @@
 		return;
 	}
 
-	const isCut = first.index <= state.replicasIndex;
+	const truncatesReplicaSet = first.index <= state.replicasIndex;
 	state.log = withEntries(state.log, added);
 	draft.persistedEntries = added;
-	if (isCut || added.some(({payload}) => payload.type === 'replica-set')) {
+	if (truncatesReplicaSet || added.some(({payload}) => payload.type === 'replica-set')) {
 		refreshReplicas(draft);
 	}
 }
 
-/** Reads the replica set in force from the log. */
+/** Sets the replica set in effect from the log. */
 export function refreshReplicas({state}: Draft): void {
-	const placed = replicaSetAt(state.log, lastIndexOf(state.log));
-	state.replicas = placed.replicas;
-	state.replicasIndex = placed.index;
+	const current = replicaSetAt(state.log, lastIndexOf(state.log));
+	state.replicas = current.replicas;
+	state.replicasIndex = current.index;
 }
 
-/** Sets the next election at a random time from now; the time is doubled as often as asked. */
+/** Sets the election deadline to a random timeout from now, doubled `doublings` times. */
 export function resetElectionDeadline({state, now}: Draft, {doublings = 0}: {readonly doublings?: number} = {}): void {
 	const {minimumElectionTimeout, maximumElectionTimeout} = state.options;
 	const random = nextRandom(state.randomState);
 	state.randomState = random.state;
-	const timeout = minimumElectionTimeout + (random.value * (maximumElectionTimeout - minimumElectionTimeout)) + diskPatienceOf(state);
+	const timeout = minimumElectionTimeout + (random.value * (maximumElectionTimeout - minimumElectionTimeout)) + electionPersistDelay(state);
 	state.electionDeadline = now + (timeout * (2 ** doublings));
 }
 
-/** Makes the replica a follower; a higher term is taken over and has no vote yet. */
+/** Makes the replica a follower. If the term is higher, adopts it without a vote. */
 export function becomeFollower(draft: Draft, term: number, leader?: ReplicaId): void {
 	const {state} = draft;
 	if (term > state.hardState.term) {
@@ -109,8 +109,8 @@
 	state.leader = leader;
 }
 
-function persistOf({state, before, persistedEntries, persistedSnapshot, restore}: Draft): ReplicaActions['persist'] {
-	const hardState = state.hardState === before.hardState ? undefined : state.hardState;
+function persistAction({state, previousState, persistedEntries, persistedSnapshot, restore}: Draft): ReplicaActions['persist'] {
+	const hardState = state.hardState === previousState.hardState ? undefined : state.hardState;
 	if (!hardState && persistedEntries.length === 0 && !persistedSnapshot) {
 		return undefined;
 	}
--- a/packages/consensus/src/_election.ts
+++ b/packages/consensus/src/_election.ts
@@ -1,22 +1,22 @@
 import {
 	appendToLog, becomeFollower, type Draft, resetElectionDeadline, send,
 } from './_draft.js';
-import {commitByQuorum} from './_commit.js';
+import {commitReplicatedEntries} from './_commit.js';
 import {isBoundByLease} from './_lease.js';
 import {lastIndexOf, lastTermOf} from './_log.js';
 import {isQuorum, isVoter, votersOf} from './_quorum.js';
-import {newProgress, sendRound} from './_replication.js';
+import {createProgress, sendRound} from './_replication.js';
 import {type ReplicaId} from './replica-id.js';
 import {type VoteReply, type VoteRequest} from './replica-message.js';
 import {type ReplicaRole} from './replica-state.js';
 
 type CandidateRole = Extract<ReplicaRole, {readonly type: 'candidate'}>;
 
-/** How often the time that a candidate waits for votes is doubled. */
+/** The maximum number of times the timeout of a candidate is doubled. */
 const maximumDoublings = 5;
 
-/** Begins a pre-vote once the election timeout has passed (Ongaro, 2014, section 9.6). */
-export function campaignWhenDue(draft: Draft): void {
+/** Starts a pre-vote if the election deadline has passed (Ongaro, 2014, section 9.6). */
+export function campaignIfDue(draft: Draft): void {
 	const {state, now} = draft;
 	if (state.role.type === 'leader' || now < state.electionDeadline || !isVoter(state)) {
 		return;
@@ -29,7 +29,7 @@
 	countVotes(draft);
 }
 
-/** Answers a request for a vote or a pre-vote. */
+/** Handles a request for a vote or a pre-vote. */
 export function handleVoteRequest(draft: Draft, from: ReplicaId, request: VoteRequest): void {
 	const {state} = draft;
 	const {isPreVote} = request;
@@ -56,7 +56,7 @@
 	send(draft, from, voteReply(draft, {isPreVote, granted}));
 }
 
-/** Counts an answer to a request for votes. */
+/** Handles a reply to a request for a vote or a pre-vote. */
 export function handleVoteReply(draft: Draft, from: ReplicaId, reply: VoteReply): void {
 	const {state} = draft;
 	const {term} = state.hardState;
@@ -67,9 +67,9 @@
 	}
 
 	const {role} = state;
-	const wanted = reply.isPreVote ? 'pre-candidate' : 'candidate';
-	const wantedTerm = reply.isPreVote ? term + 1 : term;
-	if (!reply.granted || reply.term !== wantedTerm || role.type !== wanted) {
+	const expectedRole = reply.isPreVote ? 'pre-candidate' : 'candidate';
+	const expectedTerm = reply.isPreVote ? term + 1 : term;
+	if (!reply.granted || reply.term !== expectedTerm || role.type !== expectedRole) {
 		return;
 	}
 
@@ -95,7 +95,7 @@
 	const {state, now} = draft;
 	state.hardState = {term: state.hardState.term + 1, votedFor: state.id};
 	state.role = {type: 'candidate', votes: new Set([state.id]), since: now};
-	// Voters whose disks are slow answer late: each election in vain is waited for twice as long as the one before.
+	// Voters with slow disks reply late, so the timeout doubles with each failed election.
 	resetElectionDeadline(draft, {doublings: Math.min(state.failedElections, maximumDoublings)});
 	state.failedElections++;
 	requestVotes(draft, {isPreVote: false});
@@ -110,7 +110,7 @@
 		since: now,
 		electedIn: now - since,
 		termStartIndex: nextIndex,
-		progress: newProgress(state, new Map()),
+		progress: createProgress(state, new Map()),
 		rounds: [{round: 0, sentAt: now}],
 		roundCommitIndex: state.commitIndex,
 	};
@@ -118,7 +118,7 @@
 	state.failedElections = 0;
 	appendToLog(draft, [{index: nextIndex, term: state.hardState.term, payload: {type: 'empty'}}]);
 	sendRound(draft);
-	commitByQuorum(draft);
+	commitReplicatedEntries(draft);
 }
 
 function requestVotes(draft: Draft, {isPreVote}: {readonly isPreVote: boolean}): void {
@@ -140,8 +140,8 @@
 function castVote(draft: Draft, candidate: ReplicaId, request: VoteRequest): boolean {
 	const {state} = draft;
 	const {term, votedFor} = state.hardState;
-	const isFree = votedFor === undefined || votedFor === candidate;
-	if (request.term !== term || !isFree || state.role.type === 'leader' || !isUpToDate(draft, request)) {
+	const canVote = votedFor === undefined || votedFor === candidate;
+	if (request.term !== term || !canVote || state.role.type === 'leader' || !isUpToDate(draft, request)) {
 		return false;
 	}
 
--- a/packages/consensus/src/_follow.ts
+++ b/packages/consensus/src/_follow.ts
@@ -7,7 +7,7 @@
 import {type ReplicaId} from './replica-id.js';
 import {type AppendReply, type AppendRequest} from './replica-message.js';
 
-/** Takes a leader's entries into the log, or says where they do not join. */
+/** Handles an append request: appends its entries, or replies with a hint if the previous entry does not match. */
 export function handleAppendRequest(draft: Draft, from: ReplicaId, request: AppendRequest): void {
 	if (!followLeader(draft, from, request)) {
 		return;
@@ -15,20 +15,20 @@
 
 	const {state} = draft;
 	const {previousIndex, previousTerm, entries} = request;
-	// What lies before the base is committed, so the leader holds the same.
-	const isJoined = previousIndex < state.log.baseIndex || termAt(state.log, previousIndex) === previousTerm;
-	if (!isJoined) {
-		send(draft, from, appendReply(draft, {success: false, matchIndex: conflictHint(draft, previousIndex), round: request.round}));
+	// Entries before the base are committed, so they match those of the leader.
+	const matchesPrevious = previousIndex < state.log.baseIndex || termAt(state.log, previousIndex) === previousTerm;
+	if (!matchesPrevious) {
+		send(draft, from, appendReply(draft, {success: false, matchIndex: conflictIndex(draft, previousIndex), round: request.round}));
 		return;
 	}
 
-	appendToLog(draft, newEntries(draft, entries));
+	appendToLog(draft, entriesToAppend(draft, entries));
 	const matchIndex = previousIndex + entries.length;
 	commitUpTo(draft, Math.min(request.commitIndex, matchIndex));
 	send(draft, from, appendReply(draft, {success: true, matchIndex, round: request.round}));
 }
 
-/** Takes the sender for the leader of its term; false, with an answer that says the newer term, where the term is over. */
+/** Recognizes the sender as the leader of its term. If the term is stale, sends a reply with the current term and returns false. */
 export function followLeader(draft: Draft, from: ReplicaId, {term, round}: {readonly term: number; readonly round: number}): boolean {
 	const {state, now} = draft;
 	if (term < state.hardState.term) {
@@ -43,24 +43,24 @@
 	return true;
 }
 
-/** An answer to an append or a snapshot request in the current term. */
+/** Creates a reply to an append or snapshot request in the current term. */
 export function appendReply({state}: Draft, answer: Pick<AppendReply, 'success' | 'matchIndex' | 'round'>): AppendReply {
 	return {type: 'append-reply', term: state.hardState.term, ...answer};
 }
 
-function newEntries({state}: Draft, entries: readonly LogEntry[]): readonly LogEntry[] {
+function entriesToAppend({state}: Draft, entries: readonly LogEntry[]): readonly LogEntry[] {
 	const start = entries.findIndex(({index, term}) => index > state.log.baseIndex && termAt(state.log, index) !== term);
 	const added = start === -1 ? [] : entries.slice(start);
 	const [first] = added;
 	if (first && first.index <= state.commitIndex) {
-		throw new Error(`Got another entry of term ${first.term} at index ${first.index}, wanted none up to the commit index ${state.commitIndex}`);
+		throw new Error(`Leader sent a conflicting entry of term ${first.term} at index ${first.index}, which is already committed (commit index ${state.commitIndex})`);
 	}
 
 	return added;
 }
 
-/** The last index before the term that conflicts, so that one answer skips a whole term. */
-function conflictHint({state}: Draft, previousIndex: number): number {
+/** Returns the last index before the conflicting term, so that one reply skips all entries of the term. */
+function conflictIndex({state}: Draft, previousIndex: number): number {
 	const lastIndex = lastIndexOf(state.log);
 	if (previousIndex > lastIndex) {
 		return lastIndex;
--- a/packages/consensus/src/_log.ts
+++ b/packages/consensus/src/_log.ts
@@ -1,65 +1,65 @@
 import {type LogEntry, type ReplicaSet, type Snapshot} from './log-entry.js';
 import {type ReplicaLog} from './replica-state.js';
 
-/** What a log is built from when a replica starts. */
-export type LogParts = {
+/** The stored parts of a log at the start of a replica. */
+export type StoredLog = {
 	readonly snapshot: Snapshot | undefined;
 	readonly entries: readonly LogEntry[];
 	readonly replicas: ReplicaSet | undefined;
 };
 
 /** A replica set with the index of its entry. */
-export type PlacedReplicaSet = {
+export type IndexedReplicaSet = {
 	readonly replicas: ReplicaSet | undefined;
 	readonly index: number;
 };
 
-/** Builds the log from what was on disk; entries that do not join the snapshot are left out. */
-export function openLog({snapshot, entries, replicas}: LogParts): ReplicaLog {
+/** Builds the log from its stored parts. Entries that are not contiguous with the snapshot are left out. */
+export function buildLog({snapshot, entries, replicas}: StoredLog): ReplicaLog {
 	if (!snapshot) {
 		return {
 			baseIndex: 0, baseTerm: 0, baseReplicas: replicas, entries, snapshot,
 		};
 	}
 
-	const tail = tailBefore(snapshot, entries);
+	const tail = matchingTail(snapshot, entries);
 	const base = tail[0] ?? {index: snapshot.lastIndex, term: snapshot.lastTerm};
-	const after = entriesAfter(snapshot, entries);
+	const following = followingEntries(snapshot, entries);
 	return {
 		baseIndex: base.index,
 		baseTerm: base.term,
 		baseReplicas: snapshot.replicas,
-		entries: [...tail.slice(1), ...after],
+		entries: [...tail.slice(1), ...following],
 		snapshot,
 	};
 }
 
-/** The last index of the log. */
+/** Returns the last index of the log. */
 export function lastIndexOf(log: ReplicaLog): number {
 	return log.baseIndex + log.entries.length;
 }
 
-/** The term of the last entry. */
+/** Returns the term of the last entry. */
 export function lastTermOf(log: ReplicaLog): number {
 	return log.entries.at(-1)?.term ?? log.baseTerm;
 }
 
-/** The term at an index, or undefined where the log does not hold it. */
+/** Returns the term at an index, or undefined if the log does not contain it. */
 export function termAt(log: ReplicaLog, index: number): number | undefined {
 	return index === log.baseIndex ? log.baseTerm : entryAt(log, index)?.term;
 }
 
-/** The entry at an index, or undefined where the log does not hold it. */
+/** Returns the entry at an index, or undefined if the log does not contain it. */
 export function entryAt(log: ReplicaLog, index: number): LogEntry | undefined {
 	return index > log.baseIndex ? log.entries[index - log.baseIndex - 1] : undefined;
 }
 
-/** The entries from one index to another, both included. */
+/** Returns the entries from `first` to `last`, inclusive. */
 export function entriesBetween(log: ReplicaLog, first: number, last: number): readonly LogEntry[] {
 	return log.entries.slice(first - log.baseIndex - 1, last - log.baseIndex);
 }
 
-/** The log with entries added; what stood from the first one's index on is cut. */
+/** Returns the log with entries appended, after truncating it at the index of the first one. */
 export function withEntries(log: ReplicaLog, added: readonly LogEntry[]): ReplicaLog {
 	const [first] = added;
 	if (!first) {
@@ -70,8 +70,8 @@
 	return {...log, entries: [...kept, ...added]};
 }
 
-/** The newest replica set up to an index. */
-export function replicaSetAt(log: ReplicaLog, index: number): PlacedReplicaSet {
+/** Returns the newest replica set up to an index. */
+export function replicaSetAt(log: ReplicaLog, index: number): IndexedReplicaSet {
 	for (let position = index; position > log.baseIndex; position--) {
 		const payload = entryAt(log, position)?.payload;
 		if (payload?.type === 'replica-set') {
@@ -82,13 +82,13 @@
 	return {replicas: log.baseReplicas, index: log.baseIndex};
 }
 
-function tailBefore(snapshot: Snapshot, entries: readonly LogEntry[]): readonly LogEntry[] {
+function matchingTail(snapshot: Snapshot, entries: readonly LogEntry[]): readonly LogEntry[] {
 	const tail = entries.filter(({index}) => index <= snapshot.lastIndex);
 	const last = tail.at(-1);
 	return last?.index === snapshot.lastIndex && last.term === snapshot.lastTerm ? tail : [];
 }
 
-function entriesAfter(snapshot: Snapshot, entries: readonly LogEntry[]): readonly LogEntry[] {
-	const after = entries.filter(({index}) => index > snapshot.lastIndex);
-	return after[0]?.index === snapshot.lastIndex + 1 ? after : [];
+function followingEntries(snapshot: Snapshot, entries: readonly LogEntry[]): readonly LogEntry[] {
+	const following = entries.filter(({index}) => index > snapshot.lastIndex);
+	return following[0]?.index === snapshot.lastIndex + 1 ? following : [];
 }
--- a/packages/consensus/src/_propose.ts
+++ b/packages/consensus/src/_propose.ts
@@ -1,4 +1,4 @@
-import {commitByQuorum} from './_commit.js';
+import {commitReplicatedEntries} from './_commit.js';
 import {appendToLog, type Draft} from './_draft.js';
 import {lastIndexOf} from './_log.js';
 import {sendEntries} from './_replication.js';
@@ -7,7 +7,7 @@
 
 type Proposals = Extract<ReplicaEvent, {type: 'propose'}>['proposals'];
 
-/** Takes commands into the log of a leader; any other replica rejects them. */
+/** Appends commands to the log of a leader. Other replicas reject them. */
 export function propose(draft: Draft, proposals: Proposals): void {
 	const {state} = draft;
 	if (state.role.type !== 'leader') {
@@ -26,5 +26,5 @@
 
 	appendToLog(draft, added);
 	sendEntries(draft);
-	commitByQuorum(draft);
+	commitReplicatedEntries(draft);
 }
--- a/packages/consensus/src/_replication.ts
+++ b/packages/consensus/src/_replication.ts
@@ -1,7 +1,7 @@
-import {commitByQuorum} from './_commit.js';
-import {leaderTimeoutOf} from './_disk-patience.js';
+import {commitReplicatedEntries} from './_commit.js';
+import {quorumTimeout} from './_persist-delay.js';
 import {becomeFollower, type Draft, send} from './_draft.js';
-import {currentRound, openRound} from './_lease.js';
+import {currentRound, startRound} from './_lease.js';
 import {entryAt, lastIndexOf, termAt} from './_log.js';
 import {peersOf} from './_quorum.js';
 import {type LogEntry} from './log-entry.js';
@@ -11,11 +11,11 @@
 	type FollowerProgress, type LeaderRole, type ReplicaLog, type ReplicaState,
 } from './replica-state.js';
 
-/** What an entry weighs beside its data, in bytes. */
+/** The size of an entry in addition to its data, in bytes. */
 const entryOverheadBytes = 32;
 
-/** The progress of the replicas in force; what is known of those that stay is kept. */
-export function newProgress(state: ReplicaState, known: LeaderRole['progress']): LeaderRole['progress'] {
+/** Creates the progress of all replicas in effect, with the existing progress where there is one. */
+export function createProgress(state: ReplicaState, existing: LeaderRole['progress']): LeaderRole['progress'] {
 	const fresh: FollowerProgress = {
 		matchIndex: 0,
 		nextIndex: lastIndexOf(state.log) + 1,
@@ -24,11 +24,11 @@
 		isActive: false,
 		snapshotSentAt: undefined,
 	};
-	return new Map(peersOf(state).map(peer => [peer, known.get(peer) ?? fresh]));
+	return new Map(peersOf(state).map(peer => [peer, existing.get(peer) ?? fresh]));
 }
 
-/** Begins a heartbeat round when one is due. */
-export function heartbeatWhenDue(draft: Draft): void {
+/** Starts a heartbeat round if one is due. */
+export function heartbeatIfDue(draft: Draft): void {
 	const {state, now} = draft;
 	const {role} = state;
 	if (role.type === 'leader' && now >= currentRound(role).sentAt + state.options.heartbeatInterval) {
@@ -36,22 +36,22 @@
 	}
 }
 
-/** Sends a heartbeat round to every other replica, with entries where some are missing. */
+/** Starts a heartbeat round: sends every other replica an append request, with entries if it lacks some. */
 export function sendRound(draft: Draft): void {
 	const {role} = draft.state;
 	if (role.type !== 'leader') {
 		return;
 	}
 
-	draft.state.role = openRound(draft, role);
-	const timeout = leaderTimeoutOf(draft.state, role);
+	draft.state.role = startRound(draft, role);
+	const timeout = quorumTimeout(draft.state, role);
 	for (const [peer, progress] of role.progress) {
-		goBackWhenSilent(draft, peer, {progress, timeout});
+		rewindIfUnresponsive(draft, peer, {progress, timeout});
 		sendAppend(draft, peer);
 	}
 }
 
-/** Sends each other replica the entries it lacks, as far as requests may be unanswered. */
+/** Sends every other replica the entries it lacks, up to the limit of requests in flight. */
 export function sendEntries(draft: Draft): void {
 	const {role} = draft.state;
 	if (role.type !== 'leader') {
@@ -63,7 +63,7 @@
 	}
 }
 
-/** Takes a follower's answer in. */
+/** Handles a reply to an append or snapshot request. */
 export function handleAppendReply(draft: Draft, from: ReplicaId, reply: AppendReply): void {
 	const {state} = draft;
 	if (reply.term > state.hardState.term) {
@@ -77,29 +77,29 @@
 		return;
 	}
 
-	const ackedAt = latest(progress.ackedAt, role.rounds.find(({round}) => round === reply.round)?.sentAt);
-	const heard = {...progress, ackedAt, inFlight: Math.max(0, progress.inFlight - 1)};
-	setProgress(draft, from, reply.success ? advance(heard, reply) : goBack(heard, reply));
+	const ackedAt = maximumDefined(progress.ackedAt, role.rounds.find(({round}) => round === reply.round)?.sentAt);
+	const updated = {...progress, ackedAt, inFlight: Math.max(0, progress.inFlight - 1)};
+	setProgress(draft, from, reply.success ? advanceProgress(updated, reply) : rewindProgress(updated, reply));
 	if (reply.success) {
-		commitByQuorum(draft);
+		commitReplicatedEntries(draft);
 	}
 
 	sendEntriesTo(draft, from);
 }
 
-function advance(progress: FollowerProgress, {matchIndex}: AppendReply): FollowerProgress {
-	const reached = Math.max(progress.matchIndex, matchIndex);
-	const isSnapshotHeld = reached >= progress.nextIndex - 1;
+function advanceProgress(progress: FollowerProgress, {matchIndex}: AppendReply): FollowerProgress {
+	const newMatchIndex = Math.max(progress.matchIndex, matchIndex);
+	const hasSnapshot = newMatchIndex >= progress.nextIndex - 1;
 	return {
 		...progress,
-		matchIndex: reached,
-		nextIndex: Math.max(progress.nextIndex, reached + 1),
-		isActive: progress.isActive || reached > progress.matchIndex,
-		snapshotSentAt: isSnapshotHeld ? undefined : progress.snapshotSentAt,
+		matchIndex: newMatchIndex,
+		nextIndex: Math.max(progress.nextIndex, newMatchIndex + 1),
+		isActive: progress.isActive || newMatchIndex > progress.matchIndex,
+		snapshotSentAt: hasSnapshot ? undefined : progress.snapshotSentAt,
 	};
 }
 
-function goBack(progress: FollowerProgress, {matchIndex}: AppendReply): FollowerProgress {
+function rewindProgress(progress: FollowerProgress, {matchIndex}: AppendReply): FollowerProgress {
 	if (progress.snapshotSentAt !== undefined || matchIndex + 1 >= progress.nextIndex) {
 		return progress;
 	}
@@ -107,20 +107,20 @@
 	return {...progress, nextIndex: Math.max(progress.matchIndex, matchIndex) + 1, inFlight: 0};
 }
 
-/** Sends from the last known match again where nothing was answered for a round; a snapshot gets longer. */
-function goBackWhenSilent(draft: Draft, peer: ReplicaId, {progress, timeout}: {readonly progress: FollowerProgress; readonly timeout: number}): void {
+/** Resets a follower to its last known match if it acknowledged nothing for a round, or for the quorum timeout after a snapshot. */
+function rewindIfUnresponsive(draft: Draft, peer: ReplicaId, {progress, timeout}: {readonly progress: FollowerProgress; readonly timeout: number}): void {
 	const {snapshotSentAt, isActive, matchIndex, nextIndex} = progress;
 	if (snapshotSentAt !== undefined && draft.now < snapshotSentAt + timeout) {
 		return;
 	}
 
-	const isSilent = !isActive || snapshotSentAt !== undefined;
+	const isUnresponsive = !isActive || snapshotSentAt !== undefined;
 	setProgress(draft, peer, {
 		...progress,
 		isActive: false,
 		snapshotSentAt: undefined,
-		inFlight: isSilent ? 0 : progress.inFlight,
-		nextIndex: isSilent && matchIndex > 0 ? matchIndex + 1 : nextIndex,
+		inFlight: isUnresponsive ? 0 : progress.inFlight,
+		nextIndex: isUnresponsive && matchIndex > 0 ? matchIndex + 1 : nextIndex,
 	});
 }
 
@@ -128,8 +128,8 @@
 	const {state} = draft;
 	while (state.role.type === 'leader') {
 		const progress = state.role.progress.get(peer);
-		const isIdle = !progress || progress.nextIndex > lastIndexOf(state.log) || progress.snapshotSentAt !== undefined;
-		if (isIdle || progress.inFlight >= state.options.maximumInFlight) {
+		const hasNothingToSend = !progress || progress.nextIndex > lastIndexOf(state.log) || progress.snapshotSentAt !== undefined;
+		if (hasNothingToSend || progress.inFlight >= state.options.maximumInFlight) {
 			return;
 		}
 
@@ -148,7 +148,7 @@
 	const {round} = currentRound(role);
 	const {term} = state.hardState;
 	if (progress.snapshotSentAt !== undefined) {
-		// The answer counts as contact only: every log matches at index 0.
+		// Every log matches at index 0, so the reply only confirms contact.
 		send(draft, peer, {
 			type: 'append-request', term, previousIndex: 0, previousTerm: 0, entries: [], commitIndex: 0, round,
 		});
@@ -196,7 +196,7 @@
 			return batch;
 		}
 
-		bytes += bytesOf(entry);
+		bytes += entryBytes(entry);
 		if (batch.length > 0 && bytes > maximumBytes) {
 			return batch;
 		}
@@ -205,7 +205,7 @@
 	}
 }
 
-function bytesOf({payload}: LogEntry): number {
+function entryBytes({payload}: LogEntry): number {
 	return entryOverheadBytes + (payload.type === 'command' ? payload.data.length : 0);
 }
 
@@ -215,6 +215,6 @@
 	}
 }
 
-function latest(left: number | undefined, right: number | undefined): number | undefined {
+function maximumDefined(left: number | undefined, right: number | undefined): number | undefined {
 	return left === undefined || right === undefined ? left ?? right : Math.max(left, right);
 }
--- a/packages/consensus/src/_snapshot.ts
+++ b/packages/consensus/src/_snapshot.ts
@@ -8,7 +8,7 @@
 import {type ReplicaId} from './replica-id.js';
 import {type SnapshotRequest} from './replica-message.js';
 
-/** Takes a leader's snapshot in, unless the log holds all of it. */
+/** Handles a snapshot request: installs the snapshot unless the log already contains its entries. */
 export function handleSnapshotRequest(draft: Draft, from: ReplicaId, request: SnapshotRequest): void {
 	if (!followLeader(draft, from, request)) {
 		return;
@@ -19,19 +19,19 @@
 	if (termAt(state.log, snapshot.lastIndex) === snapshot.lastTerm) {
 		commitUpTo(draft, snapshot.lastIndex);
 	} else if (snapshot.lastIndex > state.commitIndex) {
-		install(draft, snapshot);
+		installSnapshot(draft, snapshot);
 	}
 
 	send(draft, from, appendReply(draft, {success: true, matchIndex: snapshot.lastIndex, round}));
 }
 
-/** Keeps the host's snapshot, and cuts the log but for a tail. */
-export function keepSnapshot(draft: Draft, lastIndex: number, data: Uint8Array): void {
+/** Stores a snapshot taken by the host, and compacts the log except for the trailing entries. */
+export function saveSnapshot(draft: Draft, lastIndex: number, data: Uint8Array): void {
 	const {state} = draft;
 	const lastTerm = termAt(state.log, lastIndex);
 	const {replicas} = replicaSetAt(state.log, lastIndex);
 	if (lastIndex > state.commitIndex) {
-		throw new RangeError(`Got a snapshot at index ${lastIndex}, wanted one up to the commit index ${state.commitIndex}`);
+		throw new RangeError(`Snapshot index ${lastIndex} exceeds the commit index ${state.commitIndex}`);
 	}
 
 	if (lastTerm === undefined || !replicas || lastIndex <= (state.log.snapshot?.lastIndex ?? 0)) {
@@ -52,7 +52,7 @@
 	};
 }
 
-function install(draft: Draft, snapshot: Snapshot): void {
+function installSnapshot(draft: Draft, snapshot: Snapshot): void {
 	const {state} = draft;
 	state.log = {
 		baseIndex: snapshot.lastIndex,
--- a/packages/consensus/src/create-replica.ts
+++ b/packages/consensus/src/create-replica.ts
@@ -1,4 +1,4 @@
-import {lastIndexOf, openLog, replicaSetAt} from './_log.js';
+import {lastIndexOf, buildLog, replicaSetAt} from './_log.js';
 import {seedRandom} from './_random.js';
 import {
 	type HardState, type LogEntry, type ReplicaSet, type Snapshot,
@@ -7,39 +7,39 @@
 import {defaultReplicaOptions, type ReplicaOptions} from './replica-options.js';
 import {type ReplicaState} from './replica-state.js';
 
-/** What a replica starts from: its settings and what its data folder holds. */
+/** The settings of a replica and the contents of its data folder. */
 export type CreateReplicaOptions = {
 	readonly id: ReplicaId;
-	/** The initial replica set of the group; give the same at each start. A snapshot goes before it. Default none: the replica only listens until a leader takes it in. */
+	/** The initial replica set; must be the same at each start. A snapshot takes precedence. Default none: the replica is passive until a leader adds it. */
 	readonly replicas?: ReplicaSet | undefined;
-	/** The vote on disk. Default term 0 without a vote. */
+	/** The stored term and vote. Default term 0 without a vote. */
 	readonly hardState?: HardState | undefined;
-	/** The newest snapshot on disk; the host restores the state machine from it. Default none. */
+	/** The newest stored snapshot, from which the host restores the state machine. Default none. */
 	readonly snapshot?: Snapshot | undefined;
-	/** The entries on disk, in order; those before the snapshot's index are kept as a tail. Default none. */
+	/** The stored entries in order. Those up to the snapshot's index are kept as trailing entries. Default none. */
 	readonly entries?: readonly LogEntry[] | undefined;
-	/** The last time at which a former run of the replica can have acknowledged a lease, in milliseconds on the monotonic clock: no later than the start of this process. Default the time of the call. */
+	/** The latest time at which a previous run of the replica may have acknowledged a lease, in milliseconds of the monotonic clock; at most the start time of this process. Default the time of the call. */
 	readonly lastAcknowledgedAt?: number | undefined;
-	/** Where settings differ from the defaults. */
+	/** The options that differ from the defaults. */
 	readonly options?: ReplicaOptions | undefined;
-	/** The seed of the election timeouts; should differ between replicas. */
+	/** The seed of the random election timeouts; should differ between replicas. */
 	readonly seed: number;
 };
 
-/** The time between the first campaigns of two replicas, in milliseconds: two round trips within a region, and a sync of the disk for the vote. */
-const firstCampaignStep = 75;
-/** The part of a step that the first replica waits, since the others may have started a moment later. */
-const firstCampaignShare = 0.25;
+/** The time between the first campaigns of two replicas, in milliseconds: two round trips within a region, and a disk sync for the vote. */
+const campaignStaggerMilliseconds = 75;
+/** The delay of the first replica as a fraction of the stagger, since the others may have started slightly later. */
+const initialStaggerFraction = 0.25;
 
 /**
-Builds a replica from what is on disk.
+Creates a replica from its stored state.
 
-It refuses votes for one minimum election timeout from when it can last have acknowledged a lease, and campaigns after that in the order of the replica set. A replica that is the only voter campaigns at its first tick.
+The replica refuses votes for one minimum election timeout after the time at which it may have acknowledged a lease, and then campaigns in the order of the replica set. A replica that is the only voter campaigns at its first tick.
 
-@param parts The settings and what the data folder holds.
-@param now Milliseconds on the monotonic clock.
+@param parts The settings and the stored state.
+@param now Milliseconds of the monotonic clock.
 @returns The state before the first step.
-@throws {RangeError} Where the drift margin is not below the minimum election timeout, or that is above the maximum.
+@throws {RangeError} If the drift margin is not below the minimum election timeout, or the latter is above the maximum.
 @example
 ```ts
 const only = toReplicaId('entry-1', '6f1c');
@@ -50,23 +50,23 @@
 	const {
 		id, replicas, hardState = {term: 0}, snapshot, entries = [], seed, lastAcknowledgedAt = now,
 	} = parts;
-	const options = checked({...defaultReplicaOptions, ...parts.options});
-	const log = openLog({snapshot, entries, replicas});
-	const placed = replicaSetAt(log, lastIndexOf(log));
-	const boundUntil = Math.max(now, lastAcknowledgedAt + options.minimumElectionTimeout);
-	const isAlone = placed.replicas?.voters.length === 1 && placed.replicas.voters[0] === id;
+	const options = validateOptions({...defaultReplicaOptions, ...parts.options});
+	const log = buildLog({snapshot, entries, replicas});
+	const current = replicaSetAt(log, lastIndexOf(log));
+	const votesWithheldUntil = Math.max(now, lastAcknowledgedAt + options.minimumElectionTimeout);
+	const isOnlyVoter = current.replicas?.voters.length === 1 && current.replicas.voters[0] === id;
 	return {
 		id,
 		options,
 		hardState,
 		log,
 		commitIndex: snapshot?.lastIndex ?? 0,
-		replicas: placed.replicas,
-		replicasIndex: placed.index,
+		replicas: current.replicas,
+		replicasIndex: current.index,
 		role: {type: 'follower'},
 		leader: undefined,
 		lastContact: lastAcknowledgedAt,
-		electionDeadline: isAlone ? now : boundUntil + firstCampaignDelay(id, {...options, voters: placed.replicas?.voters ?? []}),
+		electionDeadline: isOnlyVoter ? now : votesWithheldUntil + firstCampaignDelay(id, {...options, voters: current.replicas?.voters ?? []}),
 		failedElections: 0,
 		persistMilliseconds: 0,
 		randomState: seedRandom(seed),
@@ -77,21 +77,21 @@
 	readonly voters: readonly ReplicaId[];
 };
 
-/** Replicas that start together campaign in the order of the replica set, each far enough after the one before that a calm election is over; only later timeouts are random. */
+/** Returns the delay of the first campaign. Replicas that start together campaign in the order of the replica set, each after the previous one had time to win an election without faults. Only later timeouts are random. */
 function firstCampaignDelay(id: ReplicaId, {voters, minimumElectionTimeout, maximumElectionTimeout}: FirstCampaignOptions): number {
-	const longest = maximumElectionTimeout - minimumElectionTimeout;
+	const maximumDelay = maximumElectionTimeout - minimumElectionTimeout;
 	const position = voters.indexOf(id);
-	return position === -1 ? longest : Math.min(longest, (position + firstCampaignShare) * firstCampaignStep);
+	return position === -1 ? maximumDelay : Math.min(maximumDelay, (position + initialStaggerFraction) * campaignStaggerMilliseconds);
 }
 
-function checked(options: Required<ReplicaOptions>): Required<ReplicaOptions> {
+function validateOptions(options: Required<ReplicaOptions>): Required<ReplicaOptions> {
 	const {minimumElectionTimeout, maximumElectionTimeout, driftMargin} = options;
 	if (driftMargin >= minimumElectionTimeout) {
-		throw new RangeError(`Got a drift margin of ${driftMargin} ms, wanted less than the minimum election timeout of ${minimumElectionTimeout} ms`);
+		throw new RangeError(`Drift margin (${driftMargin} ms) must be less than the minimum election timeout (${minimumElectionTimeout} ms)`);
 	}
 
 	if (minimumElectionTimeout > maximumElectionTimeout) {
-		throw new RangeError(`Got a minimum election timeout of ${minimumElectionTimeout} ms, wanted at most the maximum of ${maximumElectionTimeout} ms`);
+		throw new RangeError(`Minimum election timeout (${minimumElectionTimeout} ms) must not exceed the maximum (${maximumElectionTimeout} ms)`);
 	}
 
 	return options;
--- a/packages/consensus/src/is-leader.ts
+++ b/packages/consensus/src/is-leader.ts
@@ -1,10 +1,10 @@
 import {type ReplicaState} from './replica-state.js';
 
 /**
-Tells whether a replica takes itself for the leader; only a valid lease says that no other one is.
+Returns whether a replica is the leader of its term. Another replica may lead a newer term unless this one holds a valid lease.
 
 @param state The replica.
-@returns Whether it leads its term.
+@returns Whether the replica is the leader.
 @example
 ```ts
 isLeader(state);
--- a/packages/consensus/src/known-leader.ts
+++ b/packages/consensus/src/known-leader.ts
@@ -2,10 +2,10 @@
 import {type ReplicaState} from './replica-state.js';
 
 /**
-The leader that a replica knows of, to which proposals go.
+Returns the leader known to a replica, to which proposals should be sent.
 
 @param state The replica.
-@returns The leader of the replica's term, or undefined where it heard from none.
+@returns The leader of the replica's term, or undefined if none is known.
 @example
 ```ts
 knownLeader(state);
--- a/packages/consensus/src/lease-valid-until.ts
+++ b/packages/consensus/src/lease-valid-until.ts
@@ -1,20 +1,20 @@
-import {leaseBeginOf, leaseEndOf} from './_lease.js';
+import {leaseStart, leaseEnd} from './_lease.js';
 import {type ReplicaState} from './replica-state.js';
 
-/** Which rounds a lease may rest on. */
+/** Options for the validity of a lease. */
 export type LeaseOptions = {
-	/** Milliseconds on the monotonic clock: rounds sent before do not count, as after a suspension, during which that clock stood still; minus infinity by default. */
+	/** Rounds sent before this time do not count, in milliseconds of the monotonic clock. Needed after a suspension, during which that clock does not advance. Default minus infinity. */
 	readonly validSince?: number;
 };
 
 /**
-When the lease of a leader ends; before that no other replica can lead.
+Returns when the lease of a leader ends. No other replica can become the leader before.
 
-It runs from when the newest heartbeat round was sent that a quorum has answered, for the minimum election timeout less the drift margin (after Gray and Cheriton, 1989). Compare it with the clock right before each act that relies on it.
+The lease starts when the newest heartbeat round acknowledged by a quorum was sent, and lasts for the minimum election timeout minus the drift margin (after Gray and Cheriton, 1989). Compare its end with the clock immediately before each operation that relies on the lease.
 
 @param state The replica.
-@param options Which rounds it may rest on.
-@returns Milliseconds on the monotonic clock, exclusive, or undefined for a replica that holds no lease.
+@param options The rounds that count.
+@returns Milliseconds of the monotonic clock, exclusive, or undefined if the replica holds no lease.
 @example
 ```ts
 const until = leaseValidUntil(state);
@@ -23,10 +23,10 @@
 */
 export function leaseValidUntil(state: ReplicaState, {validSince = Number.NEGATIVE_INFINITY}: LeaseOptions = {}): number | undefined {
 	const {role} = state;
-	if (role.type !== 'leader' || leaseBeginOf(state, role) < validSince) {
+	if (role.type !== 'leader' || leaseStart(state, role) < validSince) {
 		return undefined;
 	}
 
-	const end = leaseEndOf(state, role);
+	const end = leaseEnd(state, role);
 	return Number.isFinite(end) ? end : undefined;
 }
--- a/packages/consensus/src/log-entry.ts
+++ b/packages/consensus/src/log-entry.ts
@@ -1,33 +1,33 @@
 import {type ReplicaId} from './replica-id.js';
 
-/** The replicas that vote, and those that only learn. */
+/** The voting replicas, and the learners, which replicate the log without voting. */
 export type ReplicaSet = {
 	readonly voters: readonly ReplicaId[];
 	readonly learners: readonly ReplicaId[];
 };
 
-/** What an entry of the log holds: a command of the state machine, a change of the replica set, or nothing (a new leader's first entry). */
+/** The payload of a log entry: a command of the state machine, a new replica set, or nothing (the first entry of a new leader). */
 export type EntryPayload
 	= | {readonly type: 'command'; readonly data: Uint8Array}
 		| {readonly type: 'replica-set'; readonly replicas: ReplicaSet}
 		| {readonly type: 'empty'};
 
-/** One entry of the replicated log. */
+/** An entry of the replicated log. */
 export type LogEntry = {
-	/** Counts from 1 without gaps. */
+	/** Starts at 1 and has no gaps. */
 	readonly index: number;
 	readonly term: number;
 	readonly payload: EntryPayload;
 };
 
-/** What must be on disk before a vote or an acknowledgement leaves the replica. */
+/** The state that must be on disk before the replica sends a vote or an acknowledgement. */
 export type HardState = {
 	readonly term: number;
-	/** Whom the replica voted for in the term. */
+	/** The candidate that the replica voted for in the term. */
 	readonly votedFor?: ReplicaId | undefined;
 };
 
-/** The state machine at one index, and what the log needs to go on from there. */
+/** A snapshot of the state machine at an index, and the data needed to continue the log from there. */
 export type Snapshot = {
 	readonly lastIndex: number;
 	readonly lastTerm: number;
--- a/packages/consensus/src/mod.ts
+++ b/packages/consensus/src/mod.ts
@@ -1,5 +1,5 @@
 /**
-A replicated log without input or output: a step is a function of state, event and time, and gives what the host must do.
+A replicated log without I/O: a step is a function of state, event and time, and returns the actions for the host.
 
 @module
 */
--- a/packages/consensus/src/plan-membership.ts
+++ b/packages/consensus/src/plan-membership.ts
@@ -1,42 +1,42 @@
-import {isCaughtUp, mayChangeReplicas} from './_membership.js';
+import {isCaughtUp, canChangeReplicas} from './_membership.js';
 import {planReplacement} from './plan-replacement.js';
 import {type ReplicaChange} from './replica-event.js';
 import {instanceOf, type ReplicaId} from './replica-id.js';
 import {type ReplicaState} from './replica-state.js';
 
-/** A replica without a vote that asks to be taken in. */
+/** A replica that requests to join and is not a voter. */
 export type JoiningReplica = {
 	readonly replica: ReplicaId;
-	/** Whether it started together with the group for the first time, so that it is a member to be and not a successor. */
+	/** Whether the replica started together with the initial replica set, so that it is an initial member and not a replacement. */
 	readonly isFounding: boolean;
-	/** Milliseconds since it first asked. */
+	/** Milliseconds since its first join request. */
 	readonly waiting: number;
 };
 
-/** What is known of the replicas. */
+/** The inputs of `planMembership`. */
 export type PlanMembershipOptions = {
 	readonly joining: readonly JoiningReplica[];
-	/** Milliseconds on the monotonic clock. */
+	/** Milliseconds of the monotonic clock. */
 	readonly now: number;
-	/** The silence after which a voter may give its place to a successor, in milliseconds; 6,000 by default. */
+	/** The time without contact after which a voter may be replaced, in milliseconds. Default 6,000. */
 	readonly silentMilliseconds?: number;
-	/** The time after which a successor gets a vote though no voter is silent, in milliseconds; 10,000 by default. */
+	/** The waiting time after which a joining replica becomes a voter although no voter is unresponsive, in milliseconds. Default 10,000. */
 	readonly patienceMilliseconds?: number;
 };
 
-const defaultSilentMilliseconds = 6000;
-const defaultPatienceMilliseconds = 10_000;
-/** Fewer voters cannot bear the loss of one. */
-const leastVoters = 3;
+const defaultUnresponsiveMilliseconds = 6000;
+const defaultPromotionDelayMilliseconds = 10_000;
+/** With fewer voters the loss of one cannot be tolerated. */
+const minimumVoters = 3;
 
 /**
-The next change of the replica set where no list names the control instances: new identities of known instances first, then successors at new addresses.
+Returns the next change of the replica set for deployments without a fixed list of control instances. New identities of existing instances come first, then replicas of new instances.
 
-A successor learns, and votes once it holds everything; a silent voter is removed only when its successor is ready, or while enough others remain.
+A joining replica is a learner until it has caught up. An unresponsive voter is removed only if a replacement is ready or at least three other voters remain.
 
-@param state The replica; only a leader plans.
-@param options What is known of the replicas.
-@returns The change to propose, or undefined where none is needed or the next one must wait.
+@param state The replica; only a leader plans changes.
+@param options The joining replicas, the time and the timeouts.
+@returns The change to propose, or undefined if none is needed or the next one must wait.
 @example
 ```ts
 const change = planMembership(state, {joining, now: clock.monotonic()});
@@ -44,36 +44,37 @@
 */
 export function planMembership(state: ReplicaState, options: PlanMembershipOptions): ReplicaChange | undefined {
 	const {replicas} = state;
-	if (replicas === undefined || !mayChangeReplicas(state)) {
+	if (replicas === undefined || !canChangeReplicas(state)) {
 		return undefined;
 	}
 
 	const members = [...replicas.voters, ...replicas.learners];
-	const isReturning = (replica: ReplicaId): boolean => members.some(member => member !== replica && instanceOf(member) === instanceOf(replica));
-	const returning = options.joining.map(({replica}) => replica).filter(replica => isReturning(replica));
-	const replacement = planReplacement(state, {present: returning});
-	if (replacement !== undefined) {
-		return replacement;
+	const isReplacement = (replica: ReplicaId): boolean => members.some(member => member !== replica && instanceOf(member) === instanceOf(replica));
+	const replacements = options.joining.map(({replica}) => replica).filter(replica => isReplacement(replica));
+	const replacementChange = planReplacement(state, {present: replacements});
+	if (replacementChange !== undefined) {
+		return replacementChange;
 	}
 
-	const silent = silentVoter(state, options);
+	const unresponsive = unresponsiveVoter(state, options);
+	const {patienceMilliseconds = defaultPromotionDelayMilliseconds} = options;
 	for (const joining of options.joining) {
-		const change = isReturning(joining.replica) ? undefined : planNewcomer(state, {joining, silent, patienceMilliseconds: options.patienceMilliseconds ?? defaultPatienceMilliseconds});
+		const change = isReplacement(joining.replica) ? undefined : planJoining(state, {joining, unresponsive, patienceMilliseconds});
 		if (change !== undefined) {
 			return change;
 		}
 	}
 
-	return silent !== undefined && replicas.voters.length > leastVoters ? {type: 'remove', replica: silent} : undefined;
+	return unresponsive !== undefined && replicas.voters.length > minimumVoters ? {type: 'remove', replica: unresponsive} : undefined;
 }
 
-type NewcomerOptions = {
+type PlanJoiningOptions = {
 	readonly joining: JoiningReplica;
 	readonly patienceMilliseconds: number;
-	readonly silent: ReplicaId | undefined;
+	readonly unresponsive: ReplicaId | undefined;
 };
 
-function planNewcomer(state: ReplicaState, {joining, silent, patienceMilliseconds}: NewcomerOptions): ReplicaChange | undefined {
+function planJoining(state: ReplicaState, {joining, unresponsive, patienceMilliseconds}: PlanJoiningOptions): ReplicaChange | undefined {
 	const {voters, learners} = state.replicas!;
 	const {replica, isFounding, waiting} = joining;
 	if (voters.includes(replica)) {
@@ -88,23 +89,23 @@
 		return undefined;
 	}
 
-	if (silent !== undefined) {
-		return {type: 'remove', replica: silent};
+	if (unresponsive !== undefined) {
+		return {type: 'remove', replica: unresponsive};
 	}
 
-	const mayVote = isFounding || voters.length < leastVoters || waiting >= patienceMilliseconds;
-	return mayVote ? {type: 'promote', replica} : undefined;
+	const canPromote = isFounding || voters.length < minimumVoters || waiting >= patienceMilliseconds;
+	return canPromote ? {type: 'promote', replica} : undefined;
 }
 
-/** A voter that has answered no round for long. */
-function silentVoter({id, role, replicas}: ReplicaState, {now, silentMilliseconds = defaultSilentMilliseconds}: PlanMembershipOptions): ReplicaId | undefined {
+/** Returns a voter without contact for `unresponsiveMilliseconds`. */
+function unresponsiveVoter({id, role, replicas}: ReplicaState, {now, silentMilliseconds = defaultUnresponsiveMilliseconds}: PlanMembershipOptions): ReplicaId | undefined {
 	if (role.type !== 'leader') {
 		return undefined;
 	}
 
 	for (const voter of replicas!.voters) {
-		const lastHeard = role.progress.get(voter)?.ackedAt ?? role.since;
-		if (voter !== id && now - Math.max(lastHeard, role.since) >= silentMilliseconds) {
+		const lastContact = role.progress.get(voter)?.ackedAt ?? role.since;
+		if (voter !== id && now - Math.max(lastContact, role.since) >= silentMilliseconds) {
 			return voter;
 		}
 	}
--- a/packages/consensus/src/plan-replacement.ts
+++ b/packages/consensus/src/plan-replacement.ts
@@ -1,31 +1,31 @@
-import {isCaughtUp, mayChangeReplicas} from './_membership.js';
+import {isCaughtUp, canChangeReplicas} from './_membership.js';
 import {type ReplicaSet} from './log-entry.js';
 import {type ReplicaChange} from './replica-event.js';
 import {instanceOf, type ReplicaId} from './replica-id.js';
 import {type ReplicaState} from './replica-state.js';
 
-/** What is known of the instances that should hold replicas. */
+/** The inputs of `planReplacement`. */
 export type PlanReplacementOptions = {
-	/** The replica that each instance runs now, by the identity of its data folder; an instance that is not reached is left out. */
+	/** The current replica of each reachable instance, by the identity of its data folder. */
 	readonly present: readonly ReplicaId[];
 };
 
 /**
-The next change that replaces a replica by a new identity of the same instance.
+Returns the next change that replaces a replica with a new identity of the same instance.
 
-The order is: add the new one as a learner, wait until it is caught up, remove the old one, promote the new one. The old identity is gone for good, so that its removal never raises the number of replicas that must answer. While a learner is in the set, the repair is not finished.
+The order is: add the new replica as a learner, wait until it has caught up, remove the old one, promote the new one. The old identity cannot return, so its removal does not increase the number of replicas that must respond. The replacement is complete when the replica set has no learners.
 
-@param state The replica; only a leader plans.
-@param options What is known of the instances.
-@returns The change to propose, or undefined where none is needed or the next one must wait.
+@param state The replica; only a leader plans changes.
+@param options The current replicas.
+@returns The change to propose, or undefined if none is needed or the next one must wait.
 @example
 ```ts
-const change = planReplacement(state, {present});
+const change = planReplacement(state, {active});
 ```
 */
 export function planReplacement(state: ReplicaState, {present}: PlanReplacementOptions): ReplicaChange | undefined {
 	const {replicas} = state;
-	if (!replicas || !mayChangeReplicas(state)) {
+	if (!replicas || !canChangeReplicas(state)) {
 		return undefined;
 	}
 
--- a/packages/consensus/src/read-index.ts
+++ b/packages/consensus/src/read-index.ts
@@ -2,12 +2,12 @@
 import {type ReplicaState} from './replica-state.js';
 
 /**
-The index that a state machine must have applied before it answers a linearizable read.
+Returns the index that a state machine must have applied before it serves a linearizable read.
 
 @param state The replica.
-@param now Milliseconds on the monotonic clock, read after the request to read arrived.
-@param options Which rounds the lease may rest on.
-@returns The commit index, or undefined where the replica holds no valid lease or has not committed the first entry of its term.
+@param now Milliseconds of the monotonic clock, read after the read request arrived.
+@param options The rounds that count for the lease.
+@returns The commit index, or undefined if the replica holds no valid lease or has not committed the first entry of its term.
 @example
 ```ts
 readIndex(state, clock.monotonic());
--- a/packages/consensus/src/replica-action.ts
+++ b/packages/consensus/src/replica-action.ts
@@ -3,28 +3,28 @@
 import {type ReplicaMessage} from './replica-message.js';
 
 /**
-What the host must do after a step, in this order: all of `persist` is synced before any of `messages` is sent or any of `committed` is acknowledged.
+The actions for the host after a step, in this order: all of `persist` must be synced before any of `messages` is sent or any of `committed` is acknowledged.
 */
 export type ReplicaActions = {
 	readonly persist: PersistAction | undefined;
 	readonly messages: ReadonlyArray<{readonly to: ReplicaId; readonly message: ReplicaMessage}>;
-	/** Entries to apply to the state machine, in order. */
+	/** The entries to apply to the state machine, in order. */
 	readonly committed: readonly LogEntry[];
-	/** Replaces the state machine's state, before `committed` is applied. */
+	/** The snapshot to replace the state machine's state with, before `committed` is applied. */
 	readonly restore: Snapshot | undefined;
-	/** Proposals that were taken into the log, with their index; they are done when that index is applied with the same term. */
+	/** The proposals appended to the log. A proposal has succeeded when its index is applied with the same term. */
 	readonly accepted: ReadonlyArray<{readonly proposalId: string; readonly index: number; readonly term: number}>;
-	/** Proposals that this replica cannot take, since it does not lead, and changes of the replica set that cannot be made now. */
+	/** The proposals rejected because this replica is not the leader, and the changes of the replica set that are not allowed now. */
 	readonly rejected: readonly string[];
 };
 
-/** What must be on disk. */
+/** The data to write to disk. */
 export type PersistAction = {
 	readonly hardState: HardState | undefined;
-	/** Entries to append; where the first one's index is in the log already, the log is cut there first. */
+	/** The entries to append. If the log already contains the index of the first one, it must be truncated there first. */
 	readonly entries: readonly LogEntry[];
-	/** A snapshot that replaces the log up to its index; entries before it may be kept as a tail. */
+	/** A snapshot that replaces the log up to its index. Trailing entries before it may be kept. */
 	readonly snapshot: Snapshot | undefined;
-	/** Whether the snapshot came from a leader: the whole log on disk is then discarded, also the entries after the snapshot's index. */
+	/** Whether the snapshot came from a leader, so that the whole stored log must be discarded, including the entries after the snapshot's index. */
 	readonly discardsLog: boolean;
 };
--- a/packages/consensus/src/replica-id.ts
+++ b/packages/consensus/src/replica-id.ts
@@ -1,15 +1,15 @@
 import {type Brand} from '@valehitch/core';
 
-/** Names one replica: an instance together with the identity of its data folder; a wiped folder is another replica. */
+/** The id of a replica: an instance and the identity of its data folder. An instance with a wiped data folder is a new replica. */
 export type ReplicaId = Brand<string, 'ReplicaId'>;
 
 const separator = '/';
 
 /**
-Makes the id of a replica.
+Creates the id of a replica.
 
 @param instance The instance.
-@param identity The identity that the data folder holds, made anew for an empty folder.
+@param identity The identity stored in the data folder, newly generated for an empty folder.
 @returns The id.
 @example
 ```ts
@@ -21,9 +21,9 @@
 }
 
 /**
-The instance of a replica.
+Returns the instance of a replica.
 
-@param id The replica.
+@param id The id of the replica.
 @returns The instance's name.
 @example
 ```ts
--- a/packages/consensus/src/replica-message.ts
+++ b/packages/consensus/src/replica-message.ts
@@ -1,6 +1,6 @@
 import {type LogEntry, type Snapshot} from './log-entry.js';
 
-/** Asks whether an election could be won, without raising the term (pre-vote), or asks for the vote. */
+/** Requests a vote, or asks whether the vote would be granted without incrementing the term (pre-vote). */
 export type VoteRequest = {
 	readonly type: 'vote-request';
 	readonly term: number;
@@ -9,7 +9,7 @@
 	readonly lastTerm: number;
 };
 
-/** Answers a vote request. */
+/** Replies to a vote request. */
 export type VoteReply = {
 	readonly type: 'vote-reply';
 	readonly term: number;
@@ -17,7 +17,7 @@
 	readonly granted: boolean;
 };
 
-/** Hands entries to a follower; without entries it is a heartbeat. */
+/** Sends entries to a follower. Without entries it is a heartbeat. */
 export type AppendRequest = {
 	readonly type: 'append-request';
 	readonly term: number;
@@ -25,21 +25,21 @@
 	readonly previousTerm: number;
 	readonly entries: readonly LogEntry[];
 	readonly commitIndex: number;
-	/** Numbers the leader's heartbeat rounds; the reply repeats it, and the leader's lease runs from when the round was sent. */
+	/** The number of the leader's heartbeat round, which the reply echoes. The leader's lease starts when the round was sent. */
 	readonly round: number;
 };
 
-/** Answers an append request. */
+/** Replies to an append or snapshot request. */
 export type AppendReply = {
 	readonly type: 'append-reply';
 	readonly term: number;
 	readonly success: boolean;
-	/** On success the last index known to match; else a hint where to go on. */
+	/** On success the last index known to match, otherwise a hint for the index to continue from. */
 	readonly matchIndex: number;
 	readonly round: number;
 };
 
-/** Hands a snapshot to a follower whose entries are no longer in the log. */
+/** Sends a snapshot to a follower whose next entries are no longer in the log. */
 export type SnapshotRequest = {
 	readonly type: 'snapshot-request';
 	readonly term: number;
@@ -47,5 +47,5 @@
 	readonly round: number;
 };
 
-/** The closed list of messages between replicas. */
+/** A message between replicas. */
 export type ReplicaMessage = VoteRequest | VoteReply | AppendRequest | AppendReply | SnapshotRequest;
--- a/packages/consensus/src/replica-options.ts
+++ b/packages/consensus/src/replica-options.ts
@@ -1,22 +1,22 @@
-/** The settings of a replica; all times are milliseconds on the monotonic clock. */
+/** The options of a replica. All times are milliseconds of the monotonic clock. */
 export type ReplicaOptions = {
-	/** The shortest time without a leader after which a follower asks for votes; votes are refused for as long after hearing from a leader. Default 1,000 ms. */
+	/** The minimum election timeout of a follower. Votes are refused for the same time after contact with a leader. Default 1,000 ms. */
 	readonly minimumElectionTimeout?: number;
-	/** The longest such time; a leader that reached no quorum for as long steps down. Default 2,000 ms. */
+	/** The maximum election timeout. A leader without contact to a quorum for this time steps down. Default 2,000 ms. */
 	readonly maximumElectionTimeout?: number;
-	/** The time between two heartbeat rounds. Default 200 ms. */
+	/** The interval between heartbeat rounds. Default 200 ms. */
 	readonly heartbeatInterval?: number;
-	/** How far two clocks may drift apart within the minimum election timeout; the lease ends earlier by it. Default 100 ms. */
+	/** The maximum drift between two clocks within the minimum election timeout, by which leases are shortened. Default 100 ms. */
 	readonly driftMargin?: number;
-	/** The payload bytes of one append request; an entry that is larger goes alone. Default 65,536 bytes. */
+	/** The maximum payload size of an append request. A larger entry is sent alone. Default 65,536 bytes. */
 	readonly maximumAppendBytes?: number;
-	/** The append requests that may be unanswered for each follower. Default 4. */
+	/** The maximum number of append requests in flight per follower. Default 4. */
 	readonly maximumInFlight?: number;
-	/** The entries kept in the log before a snapshot's last index, for followers that are a little behind. Default 1,000. */
+	/** The number of entries kept in the log up to a snapshot's last index, for followers that are slightly behind. Default 1,000. */
 	readonly tailEntries?: number;
 };
 
-/** The settings that hold where none is given. */
+/** The default options of a replica. */
 export const defaultReplicaOptions: Required<ReplicaOptions> = {
 	minimumElectionTimeout: 1000,
 	maximumElectionTimeout: 2000,
--- a/packages/consensus/src/replica-state.ts
+++ b/packages/consensus/src/replica-state.ts
@@ -6,83 +6,83 @@
 
 /** The part of the log that is in memory: the entries after the base, and the newest snapshot. */
 export type ReplicaLog = {
-	/** The index before the first entry; 0 for a log that was never cut. */
+	/** The index before the first entry; 0 for a log that was never compacted. */
 	readonly baseIndex: number;
 	readonly baseTerm: number;
-	/** The replica set in force at the base, or undefined where it is not known. */
+	/** The replica set in effect at the base, or undefined if unknown. */
 	readonly baseReplicas: ReplicaSet | undefined;
 	readonly entries: readonly LogEntry[];
 	readonly snapshot: Snapshot | undefined;
 };
 
-/** What a leader knows of one other replica. */
+/** The replication progress of another replica, tracked by a leader. */
 export type FollowerProgress = {
 	/** The last index known to be on the follower's disk. */
 	readonly matchIndex: number;
 	/** The index of the next entry to send. */
 	readonly nextIndex: number;
-	/** Append requests that are not answered. */
+	/** The number of append requests without a reply. */
 	readonly inFlight: number;
-	/** When the newest round that the follower answered was sent, in milliseconds on the leader's clock. */
+	/** When the newest round that the follower acknowledged was sent, in milliseconds of the leader's clock. */
 	readonly ackedAt: number | undefined;
-	/** Whether an append was answered since the last round began. */
+	/** Whether the match index advanced since the last round started. */
 	readonly isActive: boolean;
-	/** When a snapshot was sent that is not answered. */
+	/** When the unacknowledged snapshot was sent; undefined if there is none. */
 	readonly snapshotSentAt: number | undefined;
 };
 
-/** One heartbeat round. */
+/** A heartbeat round. */
 export type HeartbeatRound = {
 	readonly round: number;
-	/** When the round was sent, in milliseconds on the leader's clock. */
+	/** When the round was sent, in milliseconds of the leader's clock. */
 	readonly sentAt: number;
 };
 
-/** What only a leader holds. */
+/** The state of a leader. */
 export type LeaderRole = {
 	readonly type: 'leader';
 	/** When the replica became the leader, in milliseconds. */
 	readonly since: number;
-	/** How long its election waited for votes, in milliseconds: its followers take as long to keep entries. */
+	/** How long the candidate waited for votes, in milliseconds. Followers may need as long to persist entries. */
 	readonly electedIn: number;
-	/** The index of the empty entry that opened the term. */
+	/** The index of the empty entry that started the term. */
 	readonly termStartIndex: number;
 	readonly progress: ReadonlyMap<ReplicaId, FollowerProgress>;
-	/** The rounds that still count, oldest first; the last one is current. */
+	/** The rounds within the quorum timeout, oldest first. The last one is the current round. */
 	readonly rounds: readonly HeartbeatRound[];
-	/** The commit index when the current round began. */
+	/** The commit index at the start of the current round. */
 	readonly roundCommitIndex: number;
 };
 
-/** What a replica is at the moment. */
+/** The role of a replica. */
 export type ReplicaRole
 	= | {readonly type: 'follower'}
 		| {readonly type: 'pre-candidate'; readonly votes: ReadonlySet<ReplicaId>}
 		| {readonly type: 'candidate'; readonly votes: ReadonlySet<ReplicaId>; readonly since: number}
 		| LeaderRole;
 
-/** The whole state of a replica; a step never changes it but gives a new one. */
+/** The state of a replica. It is immutable; a step returns a new one. */
 export type ReplicaState = {
 	readonly id: ReplicaId;
 	readonly options: Required<ReplicaOptions>;
 	readonly hardState: HardState;
 	readonly log: ReplicaLog;
-	/** The last index known to be committed; all up to it was handed out to be applied. */
+	/** The last index known to be committed. All entries up to it were emitted for application. */
 	readonly commitIndex: number;
-	/** The newest replica set in the log, committed or not; undefined on a fresh replica. */
+	/** The newest replica set in the log, committed or not; undefined on a new replica. */
 	readonly replicas: ReplicaSet | undefined;
-	/** The index of the entry with the replica set in force; 0 for the initial set. */
+	/** The index of the entry with the replica set in effect, or the base index if the log has no such entry. */
 	readonly replicasIndex: number;
 	readonly role: ReplicaRole;
 	readonly leader: ReplicaId | undefined;
-	/** When the replica last heard from a leader, or a former run of it can have, in milliseconds. */
+	/** The last contact with a leader, possibly by a previous run of the replica, in milliseconds. */
 	readonly lastContact: number;
-	/** When the replica asks for votes unless it hears from a leader before, in milliseconds. */
+	/** When the replica starts an election unless it has contact with a leader before, in milliseconds. */
 	readonly electionDeadline: number;
-	/** How often the replica asked for votes in vain since it last heard from a leader. */
+	/** The number of failed elections since the last contact with a leader. */
 	readonly failedElections: number;
-	/** How long the disk of the replica took of late to keep what a step asked for, in milliseconds. */
+	/** The recent time the replica's disk needs to persist a step, in milliseconds. */
 	readonly persistMilliseconds: number;
-	/** The state of the random source for election timeouts. */
+	/** The state of the random number generator for election timeouts. */
 	readonly randomState: number;
 };
--- a/packages/consensus/src/replica.ts
+++ b/packages/consensus/src/replica.ts
@@ -2,30 +2,30 @@
 import {
 	beginStep, type Draft, finishStep, type StepResult,
 } from './_draft.js';
-import {beginGroup} from './_begin-group.js';
-import {notePersistTime} from './_disk-patience.js';
-import {campaignWhenDue, handleVoteReply, handleVoteRequest} from './_election.js';
+import {bootstrap} from './_bootstrap.js';
+import {recordPersistTime} from './_persist-delay.js';
+import {campaignIfDue, handleVoteReply, handleVoteRequest} from './_election.js';
 import {handleAppendRequest} from './_follow.js';
 import {stepDownWithoutQuorum} from './_lease.js';
 import {changeReplicas} from './_membership.js';
 import {propose} from './_propose.js';
-import {handleAppendReply, heartbeatWhenDue} from './_replication.js';
-import {handleSnapshotRequest, keepSnapshot} from './_snapshot.js';
+import {handleAppendReply, heartbeatIfDue} from './_replication.js';
+import {handleSnapshotRequest, saveSnapshot} from './_snapshot.js';
 import {type ReplicaEvent} from './replica-event.js';
 import {type ReplicaId} from './replica-id.js';
 import {type ReplicaMessage} from './replica-message.js';
 import {type ReplicaState} from './replica-state.js';
 
 /**
-Takes one event and gives the new state and what the host must do.
+Processes an event and returns the new state and the actions for the host.
 
-The actions of all steps are carried out in the order of the steps, each as `ReplicaActions` says. The replicated log follows Raft (Ongaro and Ousterhout, 2014); pre-vote and the leader's lease follow Ongaro (2014, sections 9.6 and 6.4.1).
+The host must execute the actions of all steps in the order of the steps, each as specified by `ReplicaActions`. The replicated log implements Raft (Ongaro and Ousterhout, 2014), with pre-vote and leader leases as in Ongaro (2014, sections 9.6 and 6.4.1).
 
-@param state The state before; it is not changed.
-@param event What happened.
-@param now Milliseconds on the monotonic clock; never less than in the step before.
+@param state The current state; it is not modified.
+@param event The event.
+@param now Milliseconds of the monotonic clock; must not decrease between steps.
 @returns The new state and the actions.
-@throws {Error} Where another leader's entry differs from a committed one, or a snapshot lies after the commit index: the process must stop.
+@throws {Error} If a leader's entry differs from a committed one, or a snapshot is after the commit index. The process must stop.
 @example
 ```ts
 const {state: next, actions} = step(state, {type: 'tick'}, clock.monotonic());
@@ -36,9 +36,9 @@
 	stepDownWithoutQuorum(draft);
 	match(event)
 		.with({type: 'tick'}, ({persistMilliseconds = 0}) => {
-			notePersistTime(draft, persistMilliseconds);
-			heartbeatWhenDue(draft);
-			campaignWhenDue(draft);
+			recordPersistTime(draft, persistMilliseconds);
+			heartbeatIfDue(draft);
+			campaignIfDue(draft);
 		})
 		.with({type: 'message'}, ({from, message}) => {
 			handleMessage(draft, from, message);
@@ -50,10 +50,10 @@
 			changeReplicas(draft, change, proposalId);
 		})
 		.with({type: 'begin-group'}, ({initial}) => {
-			beginGroup(draft, initial);
+			bootstrap(draft, initial);
 		})
 		.with({type: 'snapshot-taken'}, ({lastIndex, data}) => {
-			keepSnapshot(draft, lastIndex, data);
+			saveSnapshot(draft, lastIndex, data);
 		})
 		.exhaustive();
 	return finishStep(draft);
