--- a/packages/consensus/src/_persist-delay.ts
+++ b/packages/consensus/src/_persist-delay.ts
@@ -12,8 +12,8 @@
 }
 
 /** Returns the time without contact to a quorum after which a leader steps down, in milliseconds. It includes the duration of the leader's election, since the followers' disks may be slower than its own. */
-export function quorumTimeout({persistMilliseconds, options}: Pick<ReplicaState, 'persistMilliseconds' | 'options'>, {electedIn}: Pick<LeaderRole, 'electedIn'>): number {
-	return options.maximumElectionTimeout + electionPersistDelay({persistMilliseconds: Math.max(persistMilliseconds, electedIn)});
+export function quorumTimeout({persistMilliseconds, options}: Pick<ReplicaState, 'persistMilliseconds' | 'options'>, {electedIn: electionMilliseconds}: LeaderRole): number {
+	return options.maximumElectionTimeout + electionPersistDelay({persistMilliseconds: Math.max(persistMilliseconds, electionMilliseconds)});
 }
 
 /** Records the persist time of the disk, and extends the current election deadline if the time increased. */
--- a/packages/consensus/src/fuzz/_simulation.ts
+++ b/packages/consensus/src/fuzz/_simulation.ts
@@ -201,8 +201,8 @@
 
 	#proposeReplacement(): void {
 		const {leader} = this;
-		const present = this.nodes.filter(({state}) => state).map(({id}) => id);
-		const change = leader?.state && planReplacement(leader.state, {present});
+		const active = this.nodes.filter(({state}) => state).map(({id}) => id);
+		const change = leader?.state && planReplacement(leader.state, {present: active});
 		if (change) {
 			leader.handle({type: 'change-replicas', change});
 		}
--- a/packages/consensus/src/plan-membership.ts
+++ b/packages/consensus/src/plan-membership.ts
@@ -57,9 +57,9 @@
 	}
 
 	const unresponsive = unresponsiveVoter(state, options);
-	const {patienceMilliseconds = defaultPromotionDelayMilliseconds} = options;
+	const {patienceMilliseconds: promotionDelayMilliseconds = defaultPromotionDelayMilliseconds} = options;
 	for (const joining of options.joining) {
-		const change = isReplacement(joining.replica) ? undefined : planJoining(state, {joining, unresponsive, patienceMilliseconds});
+		const change = isReplacement(joining.replica) ? undefined : planJoining(state, {joining, unresponsive, promotionDelayMilliseconds});
 		if (change !== undefined) {
 			return change;
 		}
@@ -70,11 +70,11 @@
 
 type PlanJoiningOptions = {
 	readonly joining: JoiningReplica;
-	readonly patienceMilliseconds: number;
+	readonly promotionDelayMilliseconds: number;
 	readonly unresponsive: ReplicaId | undefined;
 };
 
-function planJoining(state: ReplicaState, {joining, unresponsive, patienceMilliseconds}: PlanJoiningOptions): ReplicaChange | undefined {
+function planJoining(state: ReplicaState, {joining, unresponsive, promotionDelayMilliseconds}: PlanJoiningOptions): ReplicaChange | undefined {
 	const {voters, learners} = state.replicas!;
 	const {replica, isFounding, waiting} = joining;
 	if (voters.includes(replica)) {
@@ -93,19 +93,19 @@
 		return {type: 'remove', replica: unresponsive};
 	}
 
-	const canPromote = isFounding || voters.length < minimumVoters || waiting >= patienceMilliseconds;
+	const canPromote = isFounding || voters.length < minimumVoters || waiting >= promotionDelayMilliseconds;
 	return canPromote ? {type: 'promote', replica} : undefined;
 }
 
 /** Returns a voter without contact for `unresponsiveMilliseconds`. */
-function unresponsiveVoter({id, role, replicas}: ReplicaState, {now, silentMilliseconds = defaultUnresponsiveMilliseconds}: PlanMembershipOptions): ReplicaId | undefined {
+function unresponsiveVoter({id, role, replicas}: ReplicaState, {now, silentMilliseconds: unresponsiveMilliseconds = defaultUnresponsiveMilliseconds}: PlanMembershipOptions): ReplicaId | undefined {
 	if (role.type !== 'leader') {
 		return undefined;
 	}
 
 	for (const voter of replicas!.voters) {
 		const lastContact = role.progress.get(voter)?.ackedAt ?? role.since;
-		if (voter !== id && now - Math.max(lastContact, role.since) >= silentMilliseconds) {
+		if (voter !== id && now - Math.max(lastContact, role.since) >= unresponsiveMilliseconds) {
 			return voter;
 		}
 	}
--- a/packages/consensus/src/plan-replacement.ts
+++ b/packages/consensus/src/plan-replacement.ts
@@ -23,13 +23,13 @@
 const change = planReplacement(state, {active});
 ```
 */
-export function planReplacement(state: ReplicaState, {present}: PlanReplacementOptions): ReplicaChange | undefined {
+export function planReplacement(state: ReplicaState, {present: active}: PlanReplacementOptions): ReplicaChange | undefined {
 	const {replicas} = state;
 	if (!replicas || !canChangeReplicas(state)) {
 		return undefined;
 	}
 
-	for (const replica of present) {
+	for (const replica of active) {
 		const change = nextChange(state, replicas, replica);
 		if (change) {
 			return change;
--- a/packages/control/src/control-state.ts
+++ b/packages/control/src/control-state.ts
@@ -144,7 +144,7 @@
 	}
 
 	/**
-	Returns the oldest bills, beyond the number kept in memory. They are kept until `deleteArchivedBills` is called.
+	Returns the oldest bills, beyond the number kept in memory. They are kept until `dropArchived` is called.
 
 	@returns The bills for the host to write to its archive.
 	*/
--- a/packages/control/src/order-run.test.ts
+++ b/packages/control/src/order-run.test.ts
@@ -18,7 +18,7 @@
 const brokenConnectionDivisor = 3;
 
 type Leader = {
-	run: OrderRun;
+	delivery: OrderRun;
 	/** The open orders by the log that this replica has applied. Those of a previous leader are not updated. */
 	open: readonly OrderRecord[];
 	since: number;
@@ -37,7 +37,7 @@
 	#leading = 0;
 	#pending: Array<{readonly at: number; readonly act: () => void}> = [];
 	readonly #leaders: readonly Leader[] = [0, 1].map(() => ({
-		run: idleOrderRun, open: [], since: 0, leaseValidUntil: 0, frozenUntil: 0,
+		delivery: idleOrderRun, open: [], since: 0, leaseValidUntil: 0, frozenUntil: 0,
 	}));
 
 	readonly #checksFencing: boolean;
@@ -113,13 +113,13 @@
 			return;
 		}
 
-		const {run, action} = stepOrder(leader.run, {
+		const {run: delivery, action} = stepOrder(leader.delivery, {
 			event,
 			context: {
 				now: this.now, wallClock: 0, leadership: {since: leader.since, leaseValidUntil: leader.leaseValidUntil}, order: leader.open[0], engine: {checksFencing: this.#checksFencing}, timing,
 			},
 		});
-		leader.run = run;
+		leader.delivery = delivery;
 		if (action !== undefined) {
 			this.#carryOut(index, action);
 		}
@@ -254,7 +254,7 @@
 	const order: OrderRecord = {
 		orderId: toId<OrderId>('o1'), server: toId<ServerId>('s'), order: {type: 'set-role', role: 'decode'}, fencing: {term: 1, sequence: 1}, issuedAt: 0, outcome: 'open',
 	};
-	const step = (run: OrderRun, event: OrderEvent, now: number) => stepOrder(run, {
+	const step = (delivery: OrderRun, event: OrderEvent, now: number) => stepOrder(delivery, {
 		event,
 		context: {
 			now, wallClock: 0, leadership: {since: 0, leaseValidUntil: 1_000_000}, order, engine: {checksFencing: false}, timing,
--- a/packages/control/src/order-run.ts
+++ b/packages/control/src/order-run.ts
@@ -107,7 +107,7 @@
 		.with({type: 'tick'}, () => tick(input))
 		.with({type: 'state-read'}, ({state}) => handleState(input, state))
 		.with({type: 'sent'}, ({outcome}) => handleSendOutcome(input, outcome))
-		.with({type: 'completed'}, () => ({run: scheduleRetry(input, context.timing.retryMilliseconds)}))
+		.with({type: 'completed'}, (): OrderStep => ({run: scheduleRetry(input, context.timing.retryMilliseconds)}))
 		.exhaustive();
 }
 
@@ -163,9 +163,9 @@
 function handleSendOutcome(input: StepInput, outcome: SendOutcome): OrderStep {
 	const {delivery, context: {now, engine, timing}} = input;
 	return match(outcome)
-		.with({type: 'taken'}, () => ({run: {...scheduleRetry(input, 0), takenAt: now}}))
+		.with({type: 'taken'}, (): OrderStep => ({run: {...scheduleRetry(input, 0), takenAt: now}}))
 		.with({type: 'refused'}, ({detail}) => complete(input, {outcome: 'refused', detail}))
-		.with({type: 'failed'}, () => ({
+		.with({type: 'failed'}, (): OrderStep => ({
 			run: {...delivery, ...scheduleRetry(input, engine?.checksFencing === true ? timing.retryMilliseconds : timing.flightMilliseconds)},
 		}))
 		.exhaustive();
