--- a/packages/control/src/_bill-origins.ts
+++ b/packages/control/src/_bill-origins.ts
@@ -44,11 +44,11 @@
 	/** For each instance, the start time below which unknown runs are refused. Set when an entry of `#evicted` is dropped. */
 	readonly #floors: Map<InstanceId, number>;
 	/** The minimum floor of all instances; raised when an entry of `#floors` is dropped. */
-	#defaultFloor: number;
+	#globalFloor: number;
 
 	constructor({origins, forgottenOriginsBefore, originFloors, forgottenOrigins}: BillOriginsData) {
 		this.#evicted = new Map(forgottenOrigins);
-		this.#defaultFloor = forgottenOriginsBefore;
+		this.#globalFloor = forgottenOriginsBefore;
 		this.#floors = new Map(originFloors);
 		for (const [key, {startedAt, lastAt, ranges}] of origins) {
 			this.#origins.set(key, {
@@ -84,7 +84,7 @@
 	toData(): BillOriginsData {
 		const origins = [...this.#origins].map(([key, {startedAt, heardAt, ranges}]) => [key, {startedAt, lastAt: heardAt, ranges: ranges.toData()}] as const);
 		return {
-			origins, forgottenOriginsBefore: this.#defaultFloor, originFloors: [...this.#floors], forgottenOrigins: [...this.#evicted],
+			origins, forgottenOriginsBefore: this.#globalFloor, originFloors: [...this.#floors], forgottenOrigins: [...this.#evicted],
 		};
 	}
 
@@ -97,7 +97,7 @@
 			return existing;
 		}
 
-		const floor = Math.max(this.#defaultFloor, this.#floors.get(instance) ?? 0);
+		const floor = Math.max(this.#globalFloor, this.#floors.get(instance) ?? 0);
 		if (this.#evicted.has(key) || startedAt < floor) {
 			return undefined;
 		}
@@ -117,7 +117,7 @@
 			}
 
 			this.#floors.delete(oldestInstance);
-			this.#defaultFloor = Math.max(this.#defaultFloor, floor);
+			this.#globalFloor = Math.max(this.#globalFloor, floor);
 		}
 	}
 }
--- a/packages/control/src/_refused-bills.ts
+++ b/packages/control/src/_refused-bills.ts
@@ -3,7 +3,7 @@
 /** Limits the memory: a refused bill is as large as a recorded one, about 700 bytes. */
 const maximumRefusedBills = 1000;
 
-/** The most recently refused bills without duplicates. They are kept here because the instances that settled them keep no copy. */
+/** The latest refused bills, each once, in the order of their first refusal. They are kept here because the instances that settled them keep no copy. */
 export class RefusedBills {
 	readonly #bills: Map<string, Bill>;
 
--- a/packages/control/src/engine-state.ts
+++ b/packages/control/src/engine-state.ts
@@ -45,13 +45,13 @@
 	}
 
 	const isExecuted = match(order)
-		.with({type: 'load'}, wanted => isLoaded(models, wanted))
-		.with({type: 'unload'}, wanted => !isLoaded(models, wanted))
-		.with({type: 'set-role'}, wanted => role === wanted.role)
+		.with({type: 'load'}, target => isLoaded(models, target))
+		.with({type: 'unload'}, target => !isLoaded(models, target))
+		.with({type: 'set-role'}, target => role === target.role)
 		.exhaustive();
 	return isExecuted ? 'executed' : 'pending';
 }
 
-function isLoaded(models: readonly LoadedVersion[], wanted: LoadedVersion): boolean {
-	return models.some(({model, version}) => model === wanted.model && version === wanted.version);
+function isLoaded(models: readonly LoadedVersion[], target: LoadedVersion): boolean {
+	return models.some(({model, version}) => model === target.model && version === target.version);
 }
