--- a/packages/testing/src/announcer.ts
+++ b/packages/testing/src/announcer.ts
@@ -5,43 +5,43 @@
 import * as z from 'zod';
 import {sendRequest} from './send-request.js';
 
-/** What an announcer says, and to whom. */
+/** Options for `startAnnouncer`. */
 export type AnnouncerOptions = {
-	/** Addresses of daemons' `listen.backends`, tried in turn. */
+	/** Addresses of the daemons' `listen.backends` endpoints, tried in order. */
 	readonly daemons: readonly string[];
-	/** The back ends' key. */
+	/** The key that backend servers authenticate with. */
 	readonly key: string;
 	readonly server: string;
 	readonly zone: string;
-	/** The server's own address. */
+	/** The address at which the server accepts requests. */
 	readonly address: string;
-	/** For an engine: its versions, such as `tag-small@1.0`, or what gives them at each announcement; none by default. */
+	/** For an engine: its loaded versions, such as `tag-small@1.0`, or a function called for each announcement; none by default. */
 	readonly models?: readonly string[] | (() => readonly string[]);
-	/** Whether it refuses orders that are older than the last; false by default. */
+	/** Whether it refuses orders older than the last one it executed; false by default. */
 	readonly checksFencing?: boolean;
-	/** For a plain service: its name; an engine by default. */
+	/** For a plain service: its name. Without it, an engine is announced. */
 	readonly service?: string | undefined;
 	readonly capacity: number;
-	/** Gives the requests in progress. */
+	/** Returns the number of requests in progress. */
 	readonly active: () => number;
 };
 
 /** A running announcer. */
 export type Announcer = {
-	/** Announces that the server shuts down, and keeps renewing that; resolves after one try over all daemons. */
+	/** Announces the shutdown and keeps renewing that state; resolves after each daemon was tried at most once. */
 	readonly announceShutdown: () => Promise<void>;
-	/** Ends the announcements without a word, as a crash would. */
+	/** Stops announcing without notice, as a crash would. */
 	readonly stop: () => Promise<void>;
 };
 
 const retryMilliseconds = 200;
-const answerTimeoutMilliseconds = 2000;
-const answerSchema = z.object({renewAfterMilliseconds: z.number().positive()});
+const responseTimeoutMilliseconds = 2000;
+const responseSchema = z.object({renewAfterMilliseconds: z.number().positive()});
 
 /**
-Announces a server to one of the daemons, and renews as the daemon says.
+Announces a server to one of the daemons and renews the announcement at the interval that the daemon requests.
 
-@param options What to say, and to whom.
+@param options The server to announce and the daemons to announce it to.
 @returns The running announcer.
 @example
 ```ts
@@ -51,12 +51,12 @@
 */
 export function startAnnouncer(options: AnnouncerOptions): Announcer {
 	const stopped = new AbortController();
-	const round = new Announcing(options, stopped.signal);
-	const ended = renewUntilStopped(round, stopped.signal);
+	const sender = new AnnouncementSender(options, stopped.signal);
+	const ended = renewUntilStopped(sender, stopped.signal);
 	return {
 		async announceShutdown() {
-			round.shuttingDown = true;
-			await round.announce();
+			sender.shuttingDown = true;
+			await sender.announce();
 		},
 		async stop() {
 			stopped.abort();
@@ -65,24 +65,24 @@
 	};
 }
 
-class Announcing {
+class AnnouncementSender {
 	shuttingDown = false;
 	readonly #options: AnnouncerOptions;
 	readonly #signal: AbortSignal;
 	readonly #startedAt = Date.now();
 	#sequence = 0;
-	/** The index of the daemon that is tried first. */
-	#current = 0;
+	/** Index of the daemon to try first. */
+	#currentDaemon = 0;
 
 	constructor(options: AnnouncerOptions, signal: AbortSignal) {
 		this.#options = options;
 		this.#signal = signal;
 	}
 
-	/** Tries the daemons in turn; gives the milliseconds to the next renewal, or undefined when all failed. */
-	async announce(tries: number = this.#options.daemons.length): Promise<number | undefined> {
-		const daemon = this.#options.daemons[this.#current];
-		if (tries === 0 || daemon === undefined || this.#signal.aborted) {
+	/** Tries the daemons in order; returns the milliseconds until the next renewal, or undefined if all failed. */
+	async announce(remainingTries: number = this.#options.daemons.length): Promise<number | undefined> {
+		const daemon = this.#options.daemons[this.#currentDaemon];
+		if (remainingTries === 0 || daemon === undefined || this.#signal.aborted) {
 			return undefined;
 		}
 
@@ -91,8 +91,8 @@
 			return renewAfter;
 		}
 
-		this.#current = (this.#current + 1) % this.#options.daemons.length;
-		return this.announce(tries - 1);
+		this.#currentDaemon = (this.#currentDaemon + 1) % this.#options.daemons.length;
+		return this.announce(remainingTries - 1);
 	}
 
 	async #post(daemon: string): Promise<number | undefined> {
@@ -100,17 +100,17 @@
 			const {status, body} = await sendRequest(`${daemon}/v1/announcements`, {
 				method: 'POST',
 				headers: {authorization: `Bearer ${this.#options.key}`},
-				body: JSON.stringify(this.#next()),
+				body: JSON.stringify(this.#nextAnnouncement()),
 				signal: this.#signal,
-				timeoutMilliseconds: answerTimeoutMilliseconds,
+				timeoutMilliseconds: responseTimeoutMilliseconds,
 			});
-			return status === 200 ? answerSchema.parse(JSON.parse(body)).renewAfterMilliseconds : undefined;
+			return status === 200 ? responseSchema.parse(JSON.parse(body)).renewAfterMilliseconds : undefined;
 		} catch {
 			return undefined;
 		}
 	}
 
-	#next(): Announcement {
+	#nextAnnouncement(): Announcement {
 		const {server, zone, service, address, models = [], capacity, active, checksFencing = false} = this.#options;
 		return {
 			server: toId<ServerId>(server),
@@ -132,22 +132,22 @@
 	}
 }
 
-async function renewUntilStopped(round: Announcing, signal: AbortSignal): Promise<void> {
-	for await (const renewAfter of renewals(round, signal)) {
-		await pause(renewAfter, signal);
+async function renewUntilStopped(sender: AnnouncementSender, signal: AbortSignal): Promise<void> {
+	for await (const renewAfter of renewals(sender, signal)) {
+		await sleep(renewAfter, signal);
 	}
 }
 
-async function * renewals(round: Announcing, signal: AbortSignal): AsyncGenerator<number> {
+async function * renewals(sender: AnnouncementSender, signal: AbortSignal): AsyncGenerator<number> {
 	while (!signal.aborted) {
-		yield round.announce().then(renewAfter => renewAfter ?? retryMilliseconds);
+		yield sender.announce().then(renewAfter => renewAfter ?? retryMilliseconds);
 	}
 }
 
-async function pause(milliseconds: number, signal: AbortSignal): Promise<void> {
+async function sleep(milliseconds: number, signal: AbortSignal): Promise<void> {
 	try {
 		await delay(milliseconds, undefined, {signal});
 	} catch {
-		// Stopped while waiting; the loop looks at the signal.
+		// Stopped while waiting; the loop checks the signal.
 	}
 }
--- a/packages/testing/src/behaviour.ts
+++ b/packages/testing/src/behaviour.ts
@@ -1,28 +1,28 @@
 import * as z from 'zod';
 
-/** How a fake behaves; every member may be changed while it runs. */
+/** The behaviour of a fake backend server; every member may be changed while it runs. */
 export type Behaviour = {
-	/** Milliseconds before the first token, or before a whole answer. */
+	/** Milliseconds before the first token, or before an unstreamed response. */
 	firstTokenMilliseconds: number;
 	/** Milliseconds before each further token. */
 	tokenMilliseconds: number;
-	/** The status of a failure that is reported after the work ran; undefined for none. */
+	/** The HTTP status of a failure reported after the request ran; undefined for none. */
 	failStatus: number | undefined;
 	/** Whether requests are refused with the outcome `notRun`. */
 	refuseNotRun: boolean;
-	/** After how many tokens the connection is cut; undefined for never. A service cuts instead of answering. */
+	/** The number of tokens after which the connection is closed; undefined for never. A service closes it instead of responding. */
 	cutAfterTokens: number | undefined;
-	/** Whether requests are accepted and never answered. */
+	/** Whether requests are accepted and never get a response. */
 	stall: boolean;
-	/** Whether a request on a connection that has carried one before finds it closed, as where it idled for too long. */
+	/** Whether the connection is closed on its second request, as if its idle timeout had expired. */
 	closesKeptConnections: boolean;
-	/** Tokens in an answer, where `max_tokens` does not ask for fewer. */
+	/** Tokens in a response, unless `max_tokens` asks for fewer. */
 	answerTokens: number;
-	/** Requests that an engine works on at full speed; with more, all delays of a new one grow in proportion. Undefined for no bound. */
+	/** Number of concurrent requests that an engine serves at full speed; beyond it, the delays of a new request grow in proportion. Undefined for no limit. */
 	fullSpeedRequests: number | undefined;
 };
 
-/** The behaviour of a fake that nobody has changed: sound and without delays. */
+/** The default behaviour: no failures and no delays. */
 export const defaultBehaviour: Readonly<Behaviour> = {
 	firstTokenMilliseconds: 0,
 	tokenMilliseconds: 0,
@@ -35,7 +35,7 @@
 	fullSpeedRequests: undefined,
 };
 
-/** The schema of `POST /test/behaviour`; members that are left out go back to their defaults. */
+/** The body schema of `POST /test/behaviour`; omitted members are reset to their defaults. */
 export const behaviourSchema = z.strictObject({
 	firstTokenMilliseconds: z.number().min(0),
 	tokenMilliseconds: z.number().min(0),
--- a/packages/testing/src/catches-signal.ts
+++ b/packages/testing/src/catches-signal.ts
@@ -2,11 +2,11 @@
 import {constants} from 'node:os';
 
 /**
-Tells whether a process has a listener for a signal, by the mask of caught signals that Linux shows in `/proc/PID/status`.
+Determines whether a process has a handler for a signal, from the mask of caught signals (`SigCgt`) in Linux's `/proc/PID/status`.
 
-@param pid The process.
+@param pid The process id.
 @param signal The signal.
-@returns Whether it is caught; false too where the process has ended.
+@returns Whether the signal is caught; false if the process has exited.
 @example
 ```ts
 await catchesSignal(child.pid, 'SIGHUP');
@@ -15,8 +15,8 @@
 export async function catchesSignal(pid: number, signal: NodeJS.Signals): Promise<boolean> {
 	const status = await readStatus(pid);
 	const mask = /^SigCgt:\s*(?<mask>[\da-f]+)$/mv.exec(status)?.groups?.mask ?? '0';
-	const caught = BigInt(`0x${mask}`) / (2n ** BigInt(constants.signals[signal] - 1));
-	return caught % 2n === 1n;
+	const shiftedMask = BigInt(`0x${mask}`) / (2n ** BigInt(constants.signals[signal] - 1));
+	return shiftedMask % 2n === 1n;
 }
 
 async function readStatus(pid: number): Promise<string> {
--- a/packages/testing/src/deployment-plan.ts
+++ b/packages/testing/src/deployment-plan.ts
@@ -12,46 +12,46 @@
 export type BackendPlan = {
 	readonly server: string;
 	readonly zone: string;
-	/** For an engine: its versions, such as `tag-small@1.0`. */
+	/** For an engine: its loaded versions, such as `tag-small@1.0`. */
 	readonly models?: readonly string[];
-	/** For an engine: whether it refuses orders that are older than the last; true by default. */
+	/** For an engine: whether it refuses orders older than the last one it executed; true by default. */
 	readonly checksFencing?: boolean;
 	/** For a plain service: its name. */
 	readonly service?: string;
-	/** 8 by default. */
+	/** Number of concurrent requests; 8 by default. */
 	readonly capacity?: number;
 };
 
-/** What to start. */
+/** Options for `startDeployment`. */
 export type DeploymentOptions = {
 	readonly daemons: readonly DaemonPlan[];
 	readonly backends: readonly BackendPlan[];
-	/** The operators' document, as in examples/configuration.yaml. */
+	/** The operators' configuration document, as in examples/configuration.yaml. */
 	readonly configuration: unknown;
-	/** For settings, data and logs; a new one under the system's temporary folder by default. */
+	/** Folder for settings, data and logs; a new one in the system's temporary folder by default. */
 	readonly folder?: string;
 	/** Top-level members of the settings that replace the generated ones. */
 	readonly settings?: Readonly<Record<string, unknown>>;
-	/** The daemon's script; the workspace's own by default. */
+	/** The daemon's script; the one built in this repository by default. */
 	readonly daemonScript?: string;
-	/** How long each step of the start may take; 20 000 by default. */
+	/** Timeout of each startup step, in milliseconds; 20 000 by default. */
 	readonly startMilliseconds?: number;
 };
 
-/** A daemon that was started. */
+/** A daemon of a running deployment. */
 export type RunningDaemon = DaemonPlan & {
 	readonly ports: DaemonPorts;
-	/** The address for callers. */
+	/** The address of the callers' endpoint. */
 	readonly callers: string;
-	/** The address for operators. */
+	/** The address of the operators' endpoint. */
 	readonly operators: string;
-	/** Stop, kill and start it here. */
+	/** Controls the daemon's process. */
 	readonly process: ManagedProcess;
 };
 
-/** A fake that was started. */
+/** A fake backend server of a running deployment. */
 export type RunningBackend = BackendPlan & {
 	readonly address: string;
-	/** Stop, kill and start it here. */
+	/** Controls the server's process. */
 	readonly process: ManagedProcess;
 };
--- a/packages/testing/src/deployment.ts
+++ b/packages/testing/src/deployment.ts
@@ -13,13 +13,13 @@
 
 export type * from './deployment-plan.js';
 
-/** How much of a log an error tells. */
-const toldLogCharacters = 2000;
+/** Length of the log excerpt in an error message. */
+const logExcerptCharacters = 2000;
 
-/** A line of the ledger, as far as tests ask about it. */
+/** A bill of the ledger, with the members that tests read. */
 export type LedgerBill = z.infer<typeof billSchema>;
 
-/** A daemon's answer to `GET /v1/status`, as far as tests ask about it. */
+/** A daemon's response to `GET /v1/status`, with the members that tests read. */
 export type DaemonStatus = z.infer<typeof statusSchema>;
 
 const billSchema = z.looseObject({
@@ -37,11 +37,11 @@
 const committedSchema = z.object({revision: z.number()});
 
 /**
-Starts daemons and fakes as processes, applies a configuration, and waits until every daemon knows it, all servers and all daemons.
+Starts daemons and fake backend servers as processes, applies a configuration, and waits until every daemon reports that configuration, all servers and all daemons.
 
-@param options What to start.
-@returns The running deployment; the caller stops it.
-@throws When a step takes too long; everything is stopped before.
+@param options The processes to start and the configuration to apply.
+@returns The running deployment; the caller must stop it.
+@throws If a step times out; all processes are stopped first.
 @example
 ```ts
 const deployment = await startDeployment({daemons, backends, configuration});
@@ -68,9 +68,9 @@
 	return deployment;
 }
 
-/** Daemons and fakes that run as processes; made by `startDeployment`. */
+/** Daemons and fake backend servers that run as processes; created by `startDeployment`. */
 export class Deployment {
-	/** Holds the settings files, the data and a log `NAME.log` of each process. */
+	/** Contains the settings files, the data, and the log `NAME.log` of each process. */
 	readonly folder: string;
 	readonly daemons: readonly RunningDaemon[];
 	readonly backends: readonly RunningBackend[];
@@ -88,15 +88,15 @@
 		this.#timeoutMilliseconds = parts.startMilliseconds;
 	}
 
-	/** All processes, the daemons first. */
+	/** All processes, daemons first. */
 	get processes(): readonly ManagedProcess[] {
 		return [...this.daemons, ...this.backends].map(part => part.process);
 	}
 
 	/**
-	Starts all processes and waits until requests can be sent.
+	Starts all processes and waits until requests can be served.
 
-	@param configuration The operators' document.
+	@param configuration The operators' configuration document.
 	*/
 	async start(configuration: unknown): Promise<void> {
 		for (const part of this.processes) {
@@ -110,31 +110,31 @@
 	}
 
 	/**
-	Applies a configuration, sending it again under the same change id until a daemon commits it.
+	Applies a configuration, retrying with the same change id until a daemon commits it.
 
-	@param configuration The operators' document.
-	@param options The revision it replaces, 0 by default, and the daemon asked, the first that runs by default.
+	@param configuration The operators' configuration document.
+	@param options The revision it replaces, 0 by default, and the daemon to call, by default the first one running.
 	@returns The new revision.
 	*/
 	async apply(configuration: unknown, options: {readonly replaces?: number; readonly by?: RunningDaemon} = {}): Promise<number> {
 		const changeId = randomUUID();
 		return waitUntil(async () => {
-			const daemon = options.by ?? this.#anyDaemon();
+			const daemon = options.by ?? this.#firstRunningDaemon();
 			const {status, body} = await callOperator(`${daemon.operators}/v1/configuration`, {
 				key: deploymentKeys.operators,
 				headers: {'If-Match': `"${options.replaces ?? 0}"`, 'Valehitch-Change-Id': changeId},
 				document: configuration,
 			});
 			if (status !== 200) {
-				throw new Error(`Got ${status} ${JSON.stringify(body)}, wanted 200`);
+				throw new Error(`Expected status 200, got ${status} ${JSON.stringify(body)}`);
 			}
 
 			return committedSchema.parse(body).revision;
-		}, this.#wait('a committed configuration'));
+		}, this.#waitOptions('a committed configuration'));
 	}
 
 	/**
-	Waits until a daemon takes requests.
+	Waits until a daemon passes its health check.
 
 	@param daemon The daemon.
 	*/
@@ -143,40 +143,40 @@
 		try {
 			await waitUntil(async () => {
 				if (!process.isRunning) {
-					throw new Error(`${instance} ended`);
+					throw new Error(`The process of ${instance} has exited`);
 				}
 
 				const {status} = await sendRequest(`${callers}/healthz`, {timeoutMilliseconds: 1000});
 				return status === 200 || undefined;
-			}, this.#wait(`${instance} to be healthy`));
+			}, this.#waitOptions(`${instance} to be healthy`));
 		} catch (error) {
-			// The log goes with the deployment, so that a failure that shows once could not be traced without its last lines.
+			// The log is deleted with the deployment; without its last lines, a failure that is hard to reproduce could not be diagnosed.
 			const log = await readFile(process.logFile, 'utf8');
-			throw new Error(`${instance} is not healthy; the end of its log:\n${log.slice(-toldLogCharacters)}`, {cause: error});
+			throw new Error(`${instance} did not become healthy; the end of its log:\n${log.slice(-logExcerptCharacters)}`, {cause: error});
 		}
 	}
 
 	/**
-	Waits until a daemon knows a revision, servers and members.
+	Waits until a daemon reports a revision, servers and members.
 
 	@param daemon The daemon.
-	@param wanted The least revision, the servers, and the least number of members, none by default.
+	@param expected The minimum revision, the servers, and the minimum number of members, 0 by default.
 	*/
-	async waitUntilReady(daemon: RunningDaemon, wanted: {readonly revision: number; readonly servers: readonly string[]; readonly members?: number}): Promise<void> {
+	async waitUntilReady(daemon: RunningDaemon, expected: {readonly revision: number; readonly servers: readonly string[]; readonly members?: number}): Promise<void> {
 		await waitUntil(async () => {
 			const status = await this.status(daemon);
-			const known = new Set(status.servers.map(({server}) => server));
-			const missing = wanted.servers.filter(server => !known.has(server));
-			if (status.revision < wanted.revision || missing.length > 0 || status.members < (wanted.members ?? 0)) {
-				throw new Error(`Got revision ${status.revision} and ${status.members} members without the servers ${missing.join(', ') || 'none'}`);
+			const reported = new Set(status.servers.map(({server}) => server));
+			const missing = expected.servers.filter(server => !reported.has(server));
+			if (status.revision < expected.revision || missing.length > 0 || status.members < (expected.members ?? 0)) {
+				throw new Error(`Status has revision ${status.revision} and ${status.members} members; missing servers: ${missing.join(', ') || 'none'}`);
 			}
 
 			return true;
-		}, this.#wait(`${daemon.instance} to know revision ${wanted.revision}, all servers and members`));
+		}, this.#waitOptions(`${daemon.instance} to know revision ${expected.revision}, all servers and members`));
 	}
 
 	/**
-	Asks a daemon for its status.
+	Fetches the status of a daemon.
 
 	@param daemon The daemon.
 	@returns The parsed status.
@@ -189,17 +189,17 @@
 	Reads all bills of a workspace.
 
 	@param workspace The workspace.
-	@param daemon The daemon asked; the first that runs by default.
-	@returns The bills in the ledger's order.
+	@param daemon The daemon to call; by default the first one running.
+	@returns The bills in ledger order.
 	*/
-	async ledger(workspace: string, daemon: RunningDaemon = this.#anyDaemon()): Promise<readonly LedgerBill[]> {
+	async ledger(workspace: string, daemon: RunningDaemon = this.#firstRunningDaemon()): Promise<readonly LedgerBill[]> {
 		return this.#ledgerAfter({workspace, daemon, after: 0});
 	}
 
 	/**
-	Stops everything with SIGTERM, the daemons before the fakes.
+	Stops all processes with SIGTERM, the daemons before the backend servers.
 
-	@returns The names of the processes that did not end with code 0.
+	@returns The names of the processes that did not exit with code 0.
 	*/
 	async stop(): Promise<readonly string[]> {
 		return [...await stopAll(this.daemons), ...await stopAll(this.backends)];
@@ -217,30 +217,30 @@
 	async #get(daemon: RunningDaemon, target: string): Promise<unknown> {
 		const {status, body} = await callOperator(`${daemon.operators}${target}`, {key: deploymentKeys.operators});
 		if (status !== 200) {
-			throw new Error(`Got ${status} from ${daemon.instance} for ${target}, wanted 200`);
+			throw new Error(`Expected status 200 from ${daemon.instance} for ${target}, got ${status}`);
 		}
 
 		return body;
 	}
 
-	#anyDaemon(): RunningDaemon {
+	#firstRunningDaemon(): RunningDaemon {
 		const daemon = this.daemons.find(candidate => candidate.process.isRunning);
 		if (!daemon) {
-			throw new Error('No daemon runs');
+			throw new Error('No daemon of the deployment is running');
 		}
 
 		return daemon;
 	}
 
-	#wait(what: string) {
+	#waitOptions(what: string) {
 		return this.#timeoutMilliseconds === undefined ? {what} : {what, timeoutMilliseconds: this.#timeoutMilliseconds};
 	}
 }
 
 async function stopAll(parts: ReadonlyArray<{readonly process: ManagedProcess}>): Promise<readonly string[]> {
 	const names = await Promise.all(parts.map(async ({process}) => {
-		const end = await process.stop();
-		return end === undefined || end.code === 0 ? undefined : process.name;
+		const exit = await process.stop();
+		return exit === undefined || exit.code === 0 ? undefined : process.name;
 	}));
 	return names.filter(name => name !== undefined);
 }
--- a/packages/testing/src/error-table.ts
+++ b/packages/testing/src/error-table.ts
@@ -1,14 +1,14 @@
 import {errorAnswers} from '@valehitch/core';
 
-/** The line of docs/API.md after which the table begins. */
+/** The marker line in docs/API.md before the table. */
 export const errorTableStart = '<!-- The table of errors, made by npm run docs:errors -->';
-/** The line of docs/API.md before which the table ends. */
+/** The marker line in docs/API.md after the table. */
 export const errorTableEnd = '<!-- End of the table of errors -->';
 
 /**
-The table of error kinds and their answers, in Markdown, from the one in code.
+Formats the error kinds and their responses, as defined in code, as a Markdown table.
 
-@returns The table, one kind a row, by status.
+@returns The table with one row per kind, sorted by status.
 @example
 ```ts
 const table = errorTable();
@@ -22,11 +22,11 @@
 }
 
 /**
-Puts the table into a page, between its two marks.
+Replaces the table between the two markers of a page.
 
-@param page The page.
-@returns The page with the table of the code.
-@throws {RangeError} Where a mark is missing.
+@param page The Markdown text of the page.
+@returns The page with the current table.
+@throws {RangeError} If a marker is missing.
 @example
 ```ts
 const page = withErrorTable(await readFile('docs/API.md', 'utf8'));
@@ -36,7 +36,7 @@
 	const start = page.indexOf(errorTableStart);
 	const end = page.indexOf(errorTableEnd);
 	if (start === -1 || end < start) {
-		throw new RangeError('Got a page without the marks of the table of errors, wanted both');
+		throw new RangeError('The page lacks the start or end marker of the error table');
 	}
 
 	return `${page.slice(0, start)}${errorTableStart}\n\n${errorTable()}\n\n${page.slice(end)}`;
--- a/packages/testing/src/exit-on-signal.ts
+++ b/packages/testing/src/exit-on-signal.ts
@@ -1,9 +1,9 @@
 import process from 'node:process';
 
-const interruptedCode = 130;
+const interruptedExitCode = 130;
 
 /**
-Has this process exit on SIGINT and SIGTERM, so that the processes it manages are killed with it.
+Makes this process exit on SIGINT and SIGTERM, so that its exit handlers kill the child processes.
 
 @example
 ```ts
@@ -13,7 +13,7 @@
 export function exitOnSignal(): void {
 	for (const signal of ['SIGINT', 'SIGTERM'] as const) {
 		process.once(signal, () => {
-			process.exit(interruptedCode);
+			process.exit(interruptedExitCode);
 		});
 	}
 }
--- a/packages/testing/src/fake-answer.ts
+++ b/packages/testing/src/fake-answer.ts
@@ -1,19 +1,19 @@
 import {createHash} from 'node:crypto';
 
-/** A message of a chat, as a caller sends it. */
+/** A chat message, as a caller sends it. */
 export type ChatMessage = {
 	readonly role: string;
 	readonly content: string;
 };
 
-/** What decides the answer of the fake engine. */
+/** The inputs that determine the fake engine's response. */
 export type FakeAnswerOptions = {
 	/** The model and version, such as `tag-small@1.0`. */
 	readonly version: string;
 	readonly messages: readonly ChatMessage[];
-	/** Tokens in the whole answer. */
+	/** Number of tokens in the complete response. */
 	readonly tokens: number;
-	/** The text so far; undefined for an answer from the start. */
+	/** The text generated so far; undefined to start from the beginning. */
 	readonly resumeText?: string | undefined;
 };
 
@@ -21,12 +21,12 @@
 const tokenPattern = /\S+\s*/gv;
 
 /**
-Works out the tokens that the fake engine answers; the same input gives the same tokens.
+Generates the fake engine's response tokens deterministically from the input.
 
-A resumed answer goes on right after the text so far. Where that text came from another version, it goes on after as many tokens.
+A resumed response continues right after the text generated so far. If that text came from another version, the same number of tokens is skipped.
 
-@param options What decides the answer.
-@returns The tokens, whose concatenation is the answer.
+@param options The inputs that determine the response.
+@returns The tokens, whose concatenation is the response text.
 @example
 ```ts
 fakeAnswer({version: 'tag-small@1.0', messages: [{role: 'user', content: 'Tag this'}], tokens: 3}).join('');
@@ -34,17 +34,17 @@
 */
 export function fakeAnswer(options: FakeAnswerOptions): readonly string[] {
 	const tokens = tokensFromStart(options);
-	const before = options.resumeText ?? '';
-	const whole = tokens.join('');
-	return whole.startsWith(before)
-		? tokensOf(whole.slice(before.length))
-		: tokens.slice(tokensOf(before).length);
+	const resumeText = options.resumeText ?? '';
+	const completeText = tokens.join('');
+	return completeText.startsWith(resumeText)
+		? tokenize(completeText.slice(resumeText.length))
+		: tokens.slice(tokenize(resumeText).length);
 }
 
 /**
-Counts the tokens of messages as the fake engine does: one a word.
+Counts the tokens of messages as the fake engine does: one per word.
 
-@param messages The messages of a chat.
+@param messages The chat messages.
 @returns The number of tokens.
 @example
 ```ts
@@ -54,7 +54,7 @@
 export function countPromptTokens(messages: readonly ChatMessage[]): number {
 	let total = 0;
 	for (const message of messages) {
-		total += tokensOf(message.content).length;
+		total += tokenize(message.content).length;
 	}
 
 	return total;
@@ -68,6 +68,6 @@
 	});
 }
 
-function tokensOf(text: string): string[] {
+function tokenize(text: string): string[] {
 	return text.match(tokenPattern) ?? [];
 }
--- a/packages/testing/src/fake-engine-orders.ts
+++ b/packages/testing/src/fake-engine-orders.ts
@@ -2,7 +2,7 @@
 import * as z from 'zod';
 import {type Exchange, sendJson} from './_fake-server.js';
 
-/** An order that a fake engine obeyed. */
+/** An order that a fake engine executed. */
 export type ObeyedOrder = z.infer<typeof orderSchema>;
 
 const orderSchema = z.object({
@@ -17,7 +17,7 @@
 });
 
 /**
-The orders of a fake engine: `POST /v1/orders`, `GET /v1/state`, and `GET /test/orders` for what it obeyed.
+Order endpoints of a fake engine: `POST /v1/orders`, `GET /v1/state`, and `GET /test/orders`, which lists the executed orders.
 
 @example
 ```ts
@@ -26,14 +26,14 @@
 ```
 */
 export class FakeEngineOrders {
-	/** What it obeyed, in order. */
+	/** The executed orders, oldest first. */
 	readonly obeyed: ObeyedOrder[] = [];
 	readonly #models: Set<string>;
 	readonly #checksFencing: boolean;
 	#role = 'both';
 
 	/**
-	@param options The versions it has loaded, such as `tag-small@1.0`, which orders change; and whether it refuses an order that is older than the last one.
+	@param options The loaded versions, such as `tag-small@1.0`, a set that orders modify; and whether an order older than the last executed one is refused.
 	*/
 	constructor({models, checksFencing}: {readonly models: Set<string>; readonly checksFencing: boolean}) {
 		this.#models = models;
@@ -41,17 +41,17 @@
 	}
 
 	/**
-	Answers a call about orders.
+	Handles a request to one of the order endpoints.
 
-	@param exchange The call.
-	@returns Whether it was one.
+	@param exchange The request and its response.
+	@returns Whether the request was for one of these endpoints.
 	*/
 	async answer({request, response}: Exchange): Promise<boolean> {
 		switch (`${request.method} ${request.url}`) {
 			case 'POST /v1/orders': {
 				const order = orderSchema.parse(JSON.parse(await text(request)));
-				const isTaken = this.#take(order);
-				sendJson(response, {status: isTaken ? 200 : 409, body: {orderId: order.orderId, taken: isTaken}});
+				const accepted = this.#accept(order);
+				sendJson(response, {status: accepted ? 200 : 409, body: {orderId: order.orderId, taken: accepted}});
 				return true;
 			}
 
@@ -80,19 +80,19 @@
 		}
 	}
 
-	#take(order: ObeyedOrder): boolean {
+	#accept(order: ObeyedOrder): boolean {
 		const last = this.obeyed.at(-1);
-		const age = last === undefined ? 1 : (order.term - last.term || order.sequence - last.sequence);
-		if (this.#checksFencing && age <= 0) {
-			return age === 0;
+		const fencingOrder = last === undefined ? 1 : (order.term - last.term || order.sequence - last.sequence);
+		if (this.#checksFencing && fencingOrder <= 0) {
+			return fencingOrder === 0;
 		}
 
 		this.obeyed.push(order);
-		this.#obey(order.order);
+		this.#execute(order.order);
 		return true;
 	}
 
-	#obey(order: ObeyedOrder['order']): void {
+	#execute(order: ObeyedOrder['order']): void {
 		if (order.type === 'set-role') {
 			this.#role = order.role;
 		} else if (order.type === 'load') {
--- a/packages/testing/src/fake-engine-types.ts
+++ b/packages/testing/src/fake-engine-types.ts
@@ -1,28 +1,28 @@
 import {type Behaviour} from './behaviour.js';
 import {type ObeyedOrder} from './fake-engine-orders.js';
 
-/** How to start a fake engine. */
+/** Options for `startFakeEngine`. */
 export type FakeEngineOptions = {
-	/** The versions it has loaded, such as `tag-small@1.0`; it refuses others as not run. */
+	/** The loaded versions, such as `tag-small@1.0`; requests for others are refused with the outcome `notRun`. */
 	readonly models: readonly string[];
-	/** The port on 127.0.0.1; a free one by default. */
+	/** The port on 127.0.0.1; chosen by the operating system by default. */
 	readonly port?: number;
-	/** Whether it refuses an order that is older than the last one it obeyed; true by default. */
+	/** Whether an order older than the last executed one is refused; true by default. */
 	readonly checksFencing?: boolean;
-	/** Members of the behaviour that differ from the defaults. */
+	/** Overrides of the default behaviour. */
 	readonly behaviour?: Partial<Behaviour>;
 };
 
-/** One run, as seen from outside the router. */
+/** A request that the engine ran, as seen by the backend server. */
 export type EngineRun = {
 	readonly requestId: string;
 	readonly attempt: string;
 	readonly model: string;
 	readonly version: string;
 	readonly streamed: boolean;
-	/** Whether the whole answer was handed to the connection. */
+	/** Whether the complete response was written to the connection. */
 	completed: boolean;
-	/** Whether the caller closed the connection first. */
+	/** Whether the client closed the connection before that. */
 	cancelled: boolean;
 };
 
@@ -30,18 +30,18 @@
 export type FakeEngine = {
 	readonly address: string;
 	readonly port: number;
-	/** Change its members to change what the engine does. */
+	/** The current behaviour; assign to its members to change it. */
 	readonly behaviour: Behaviour;
 	readonly runs: readonly EngineRun[];
-	/** The orders that it obeyed. */
+	/** The executed orders. */
 	readonly orders: readonly ObeyedOrder[];
-	/** The versions it has loaded now. */
+	/** Returns the versions that are currently loaded. */
 	readonly models: () => readonly string[];
 	readonly checksFencing: boolean;
-	/** Requests it works on now. */
+	/** Returns the number of requests in progress. */
 	readonly active: () => number;
 	/** Stops listening and waits for the requests in progress. */
 	readonly close: () => Promise<void>;
-	/** Stops listening and destroys all connections. */
+	/** Stops listening and closes all connections immediately. */
 	readonly kill: () => Promise<void>;
 };
--- a/packages/testing/src/fake-engine.ts
+++ b/packages/testing/src/fake-engine.ts
@@ -22,8 +22,8 @@
 
 type ChatBody = z.infer<typeof chatSchema>;
 
-/** One answer in the making. */
-type Work = Exchange & {
+/** A response in progress. */
+type ResponseJob = Exchange & {
 	readonly behaviour: Behaviour;
 	readonly run: EngineRun;
 	readonly id: string;
@@ -32,8 +32,8 @@
 	readonly usage: Readonly<Record<string, number>>;
 };
 
-/** How fast tokens come, and where they go. */
-type Pace = {
+/** The interval between tokens and the function that receives them. */
+type TokenPacing = {
 	readonly milliseconds: number;
 	readonly signal: AbortSignal;
 	readonly onToken: ((token: string) => void) | undefined;
@@ -50,7 +50,7 @@
 /**
 Starts a fake model engine in this process.
 
-@param options How to start it.
+@param options The loaded versions, the port and the behaviour.
 @returns The running engine.
 @example
 ```ts
@@ -71,9 +71,9 @@
 		behaviour,
 		runs,
 		async answer(exchange) {
-			const isOrder = await orders.answer(exchange);
-			if (!isOrder) {
-				await answerChat(state, exchange);
+			const handled = await orders.answer(exchange);
+			if (!handled) {
+				await handleChat(state, exchange);
 			}
 		},
 	});
@@ -82,32 +82,32 @@
 	};
 }
 
-async function answerChat(state: State, exchange: Exchange): Promise<void> {
+async function handleChat(state: State, exchange: Exchange): Promise<void> {
 	const {request, response} = exchange;
 	if (request.method !== 'POST' || request.url !== '/v1/chat/completions') {
-		sendJson(response, {status: 404, body: {error: {message: 'Wanted POST /v1/chat/completions'}}});
+		sendJson(response, {status: 404, body: {error: {message: 'Not found; the only route is POST /v1/chat/completions'}}});
 		return;
 	}
 
 	const body = chatSchema.parse(JSON.parse(await text(request)));
 	if (state.behaviour.refuseNotRun || !state.models.has(body.model)) {
-		sendNotRun(response, `Got ${body.model}, which does not run here now`);
+		sendNotRun(response, `Model ${body.model} is not loaded on this engine`);
 		return;
 	}
 
-	const run = runOf(request, body);
+	const run = createRun(request, body);
 	state.runs.push(run);
 	state.active++;
 	try {
-		await work(workOf({behaviour: slowedDown(state), run, body}, exchange));
+		await runJob(createJob({behaviour: scaleDelays(state), run, body}, exchange));
 	} finally {
 		run.cancelled = exchange.signal.aborted && !run.completed;
 		state.active--;
 	}
 }
 
-/** Batching engines slow down in proportion once the batch is full. */
-function slowedDown({behaviour, active}: State): Behaviour {
+/** Scales the delays as a batching engine does: in proportion to the requests in progress once the batch is full. */
+function scaleDelays({behaviour, active}: State): Behaviour {
 	const slowdown = Math.max(1, active / (behaviour.fullSpeedRequests ?? Infinity));
 	return {
 		...behaviour,
@@ -116,7 +116,7 @@
 	};
 }
 
-function runOf(request: IncomingMessage, body: ChatBody): EngineRun {
+function createRun(request: IncomingMessage, body: ChatBody): EngineRun {
 	const [model = '', version = ''] = body.model.split('@');
 	return {
 		requestId: headerOf(request, 'valehitch-request-id'),
@@ -129,10 +129,10 @@
 	};
 }
 
-function workOf({behaviour, run, body}: {behaviour: Behaviour; run: EngineRun; body: ChatBody}, exchange: Exchange): Work {
-	const wanted = Math.min(body[wireNames.maxTokens] ?? behaviour.answerTokens, behaviour.answerTokens);
+function createJob({behaviour, run, body}: {behaviour: Behaviour; run: EngineRun; body: ChatBody}, exchange: Exchange): ResponseJob {
+	const tokenCount = Math.min(body[wireNames.maxTokens] ?? behaviour.answerTokens, behaviour.answerTokens);
 	const tokens = fakeAnswer({
-		version: body.model, messages: body.messages, tokens: wanted, resumeText: body.resume?.text,
+		version: body.model, messages: body.messages, tokens: tokenCount, resumeText: body.resume?.text,
 	});
 	const promptTokens = countPromptTokens(body.messages) + (body.resume ? countPromptTokens([{role: 'assistant', content: body.resume.text}]) : 0);
 	return {
@@ -150,27 +150,27 @@
 	};
 }
 
-async function work(job: Work): Promise<void> {
+async function runJob(job: ResponseJob): Promise<void> {
 	const {behaviour, response, signal} = job;
 	if (behaviour.stall) {
-		await raised(signal);
+		await waitForAbort(signal);
 		return;
 	}
 
 	if (behaviour.failStatus !== undefined) {
 		await delay(behaviour.firstTokenMilliseconds, undefined, {signal});
-		sendJson(response, {status: behaviour.failStatus, body: {error: {message: 'The fake was told to fail'}}});
+		sendJson(response, {status: behaviour.failStatus, body: {error: {message: 'The fake engine is configured to fail'}}});
 		return;
 	}
 
-	const answer = job.run.streamed ? streamAnswer : sendWhole;
-	await answer(job);
+	const respond = job.run.streamed ? streamResponse : sendUnstreamed;
+	await respond(job);
 }
 
-async function sendWhole(job: Work): Promise<void> {
+async function sendUnstreamed(job: ResponseJob): Promise<void> {
 	const {response, run, tokens, usage, versionKey, id} = job;
-	await produce(job);
-	if (wasCut(job)) {
+	await generate(job);
+	if (closeIfCut(job)) {
 		return;
 	}
 
@@ -185,29 +185,29 @@
 	run.completed = true;
 }
 
-async function streamAnswer(job: Work): Promise<void> {
+async function streamResponse(job: ResponseJob): Promise<void> {
 	const {response, run, usage} = job;
 	response.writeHead(200, {'content-type': 'text/event-stream', 'cache-control': 'no-store'});
 	response.flushHeaders();
-	await produce(job, token => {
-		response.write(chunk(job, {choices: [{index: 0, delta: {content: token}}]}));
+	await generate(job, token => {
+		response.write(formatChunk(job, {choices: [{index: 0, delta: {content: token}}]}));
 	});
-	if (wasCut(job)) {
+	if (closeIfCut(job)) {
 		return;
 	}
 
-	response.write(chunk(job, {choices: [{index: 0, delta: {}, [wireNames.finishReason]: 'stop'}], usage}));
+	response.write(formatChunk(job, {choices: [{index: 0, delta: {}, [wireNames.finishReason]: 'stop'}], usage}));
 	response.end('data: [DONE]\n\n');
 	run.completed = true;
 }
 
-function chunk({id, versionKey}: Work, members: Readonly<Record<string, unknown>>): string {
+function formatChunk({id, versionKey}: ResponseJob, members: Readonly<Record<string, unknown>>): string {
 	return `data: ${JSON.stringify({
 		id, object: 'chat.completion.chunk', model: versionKey, ...members,
 	})}\n\n`;
 }
 
-async function produce({behaviour, tokens, signal}: Work, onToken?: (token: string) => void): Promise<void> {
+async function generate({behaviour, tokens, signal}: ResponseJob, onToken?: (token: string) => void): Promise<void> {
 	const pending = tokens.slice(0, behaviour.cutAfterTokens);
 	await delay(behaviour.firstTokenMilliseconds, undefined, {signal});
 	if (behaviour.tokenMilliseconds === 0) {
@@ -224,10 +224,10 @@
 	}
 
 	onToken?.(first);
-	await producePaced(later, {milliseconds: behaviour.tokenMilliseconds, signal, onToken});
+	await generatePaced(later, {milliseconds: behaviour.tokenMilliseconds, signal, onToken});
 }
 
-async function producePaced(tokens: readonly string[], {milliseconds, signal, onToken}: Pace): Promise<void> {
+async function generatePaced(tokens: readonly string[], {milliseconds, signal, onToken}: TokenPacing): Promise<void> {
 	const remaining = [...tokens];
 	if (remaining.length === 0) {
 		return;
@@ -242,7 +242,7 @@
 	}
 }
 
-function wasCut({behaviour, tokens, response}: Work): boolean {
+function closeIfCut({behaviour, tokens, response}: ResponseJob): boolean {
 	if (behaviour.cutAfterTokens === undefined || behaviour.cutAfterTokens >= tokens.length) {
 		return false;
 	}
@@ -251,7 +251,7 @@
 	return true;
 }
 
-async function raised(signal: AbortSignal): Promise<void> {
+async function waitForAbort(signal: AbortSignal): Promise<void> {
 	if (signal.aborted) {
 		return;
 	}
--- a/packages/testing/src/fake-service.ts
+++ b/packages/testing/src/fake-service.ts
@@ -5,19 +5,19 @@
 } from './_fake-server.js';
 import {type Behaviour, defaultBehaviour} from './behaviour.js';
 
-/** How to start a fake plain service. */
+/** Options for `startFakeService`. */
 export type FakeServiceOptions = {
-	/** The port on 127.0.0.1; a free one by default. */
+	/** The port on 127.0.0.1; chosen by the operating system by default. */
 	readonly port?: number;
-	/** Members of the behaviour that differ from the defaults. */
+	/** Overrides of the default behaviour. */
 	readonly behaviour?: Partial<Behaviour>;
 };
 
-/** One run of a plain service, as seen from outside the router. */
+/** A call that the service ran, as seen by the backend server. */
 export type ServiceRun = {
 	readonly requestId: string;
 	readonly attempt: string;
-	/** The `Idempotency-Key`, or an empty text. */
+	/** The `Idempotency-Key`, or an empty string. */
 	readonly key: string;
 	readonly method: string;
 	readonly path: string;
@@ -25,12 +25,12 @@
 	cancelled: boolean;
 };
 
-/** What the fake service answers: the call as it arrived. */
+/** The response body of the fake service: the call as received. */
 export type ServiceEcho = {
 	readonly method: string;
 	readonly path: string;
 	readonly body: string;
-	/** Numbers the runs of this service from 1. */
+	/** Sequence number of the run, starting at 1. */
 	readonly run: number;
 };
 
@@ -38,16 +38,16 @@
 export type FakeService = {
 	readonly address: string;
 	readonly port: number;
-	/** Change its members to change what the service does. */
+	/** The current behaviour; assign to its members to change it. */
 	readonly behaviour: Behaviour;
 	readonly runs: readonly ServiceRun[];
-	/** Calls it works on now. */
+	/** Returns the number of calls in progress. */
 	readonly active: () => number;
-	/** Counts the runs for a request id or an idempotency key. */
+	/** Counts the runs with a request id or an idempotency key. */
 	readonly countRuns: (idOrKey: string) => number;
 	/** Stops listening and waits for the calls in progress. */
 	readonly close: () => Promise<void>;
-	/** Stops listening and destroys all connections. */
+	/** Stops listening and closes all connections immediately. */
 	readonly kill: () => Promise<void>;
 };
 
@@ -58,9 +58,9 @@
 };
 
 /**
-Starts a fake plain service in this process; it echoes each call and counts the runs.
+Starts a fake plain service in this process, which echoes each call and records its runs.
 
-@param options How to start it.
+@param options The port and the behaviour.
 @returns The running service.
 @example
 ```ts
@@ -76,7 +76,7 @@
 		behaviour,
 		runs,
 		async answer(exchange) {
-			await answerCall(state, exchange);
+			await handleCall(state, exchange);
 		},
 	});
 	const countRuns = (idOrKey: string) => runs.filter(run => run.requestId === idOrKey || run.key === idOrKey).length;
@@ -85,11 +85,11 @@
 	};
 }
 
-async function answerCall(state: State, exchange: Exchange): Promise<void> {
+async function handleCall(state: State, exchange: Exchange): Promise<void> {
 	const {request, response, signal} = exchange;
 	const body = await text(request);
 	if (state.behaviour.refuseNotRun) {
-		sendNotRun(response, 'The fake was told to refuse');
+		sendNotRun(response, 'The fake service is configured to refuse requests');
 		return;
 	}
 
@@ -105,7 +105,7 @@
 	const number = state.runs.push(run);
 	state.active++;
 	try {
-		await finishCall({
+		await respond({
 			behaviour: {...state.behaviour}, run, echo: {
 				method: run.method, path: run.path, body, run: number,
 			},
@@ -116,7 +116,7 @@
 	}
 }
 
-async function finishCall({behaviour, run, echo}: {behaviour: Behaviour; run: ServiceRun; echo: ServiceEcho}, {response, signal}: Exchange): Promise<void> {
+async function respond({behaviour, run, echo}: {behaviour: Behaviour; run: ServiceRun; echo: ServiceEcho}, {response, signal}: Exchange): Promise<void> {
 	if (behaviour.stall) {
 		await new Promise<void>(resolve => {
 			signal.addEventListener('abort', () => {
@@ -133,7 +133,7 @@
 	}
 
 	if (behaviour.failStatus !== undefined) {
-		sendJson(response, {status: behaviour.failStatus, body: {error: {message: 'The fake was told to fail'}}});
+		sendJson(response, {status: behaviour.failStatus, body: {error: {message: 'The fake service is configured to fail'}}});
 		return;
 	}
 
