--- a/packages/testing/src/free-ports.ts
+++ b/packages/testing/src/free-ports.ts
@@ -3,22 +3,22 @@
 import {createServer, type Server} from 'node:net';
 
 const lowestPort = 10_000;
-/** Linux gives outgoing connections their ports from 32768 on; a port from there may be taken again before it is used. */
+/** Start of Linux's ephemeral port range: an outgoing connection could take a port above it before a test uses the port. */
 const firstEphemeralPort = 32_768;
-const blockPorts = 100;
-const blocks = Math.floor((firstEphemeralPort - lowestPort) / blockPorts);
+const portsPerBlock = 100;
+const blockCount = Math.floor((firstEphemeralPort - lowestPort) / portsPerBlock);
 const host = '127.0.0.1';
 
-/** The ports that this process may still hand out; each comes from a block that it holds. */
+/** Ports that this process may still hand out, from the blockCount that it has reserved. */
 const reserved: number[] = [];
 
 /**
-Finds ports on 127.0.0.1 that nobody listens on, below those that outgoing connections take.
+Finds unused ports on 127.0.0.1 below the ephemeral port range.
 
-The ports come from blocks that this process holds by listening on their first port until it ends, so that processes that run at the same time never hand out the same one.
+The ports come from blockCount. This process reserves a block by listening on its first port until the process exits, so that concurrent processes never hand out the same port.
 
-@param count How many.
-@returns The ports, all different and different from those handed out before.
+@param count The number of ports.
+@returns Distinct ports that this process has not handed out before.
 @example
 ```ts
 const [port] = await freePorts(1);
@@ -39,18 +39,18 @@
 }
 
 async function reserveBlock(): Promise<void> {
-	const start = randomInt(blocks);
-	for (let offset = 0; offset < blocks; offset++) {
-		const first = lowestPort + (((start + offset) % blocks) * blockPorts);
-		const guard = await listenOn(first);
-		if (guard !== undefined) {
-			guard.unref();
-			reserved.push(...Array.from({length: blockPorts - 1}, (_, index) => first + index + 1));
+	const startBlock = randomInt(blockCount);
+	for (let offset = 0; offset < blockCount; offset++) {
+		const first = lowestPort + (((startBlock + offset) % blockCount) * portsPerBlock);
+		const blockLock = await listenOn(first);
+		if (blockLock !== undefined) {
+			blockLock.unref();
+			reserved.push(...Array.from({length: portsPerBlock - 1}, (_, index) => first + index + 1));
 			return;
 		}
 	}
 
-	throw new Error(`Got no free block of ports from ${lowestPort} to ${firstEphemeralPort}, wanted one`);
+	throw new Error(`No free block of ports between ${lowestPort} and ${firstEphemeralPort}`);
 }
 
 async function isFree(port: number): Promise<boolean> {
--- a/packages/testing/src/managed-process.ts
+++ b/packages/testing/src/managed-process.ts
@@ -3,27 +3,27 @@
 import {createWriteStream} from 'node:fs';
 import process from 'node:process';
 
-/** How to run a process of a deployment. */
+/** Options for a managed process. */
 export type ManagedProcessOptions = {
 	readonly name: string;
-	/** A script for Node, and its arguments. */
+	/** The Node.js script and its arguments. */
 	readonly command: readonly string[];
-	/** Where its output goes; a restart appends. */
+	/** The file that its output is appended to. */
 	readonly logFile: string;
-	/** Variables of its environment besides those of this process. */
+	/** Environment variables in addition to those of this process. */
 	readonly environment?: Readonly<Record<string, string>>;
 };
 
-/** How a process ended. */
+/** The exit code or signal of a process. */
 export type ProcessEnd = {
 	readonly code: number | undefined;
 	readonly signal: string | undefined;
 };
 
-/** How a process ended, and after how many milliseconds. */
+/** The exit code or signal of a process, and its run time in milliseconds. */
 export type LastEnd = ProcessEnd & {readonly runtime: number};
 
-const defaultStopMilliseconds = 20_000;
+const defaultStopTimeoutMilliseconds = 20_000;
 const runningChildren = new Set<ChildProcess>();
 
 process.once('exit', () => {
@@ -33,7 +33,7 @@
 });
 
 /**
-A Node process that a test starts, kills and starts again.
+A Node.js process that a test can start, kill and restart.
 
 @example
 ```ts
@@ -50,9 +50,9 @@
 	readonly #command: readonly string[];
 	readonly #environment: Readonly<Record<string, string>>;
 	#child: ChildProcess | undefined;
-	#ended: Promise<ProcessEnd> | undefined;
+	#exit: Promise<ProcessEnd> | undefined;
 	#startedAt = 0;
-	#lastEnd: LastEnd | undefined;
+	#lastExit: LastEnd | undefined;
 
 	constructor({name, command, logFile, environment = {}}: ManagedProcessOptions) {
 		this.name = name;
@@ -61,12 +61,12 @@
 		this.#environment = environment;
 	}
 
-	/** The process id; undefined while it does not run. */
+	/** The process id; undefined while the process is not running. */
 	get pid(): number | undefined {
 		return this.#child?.pid;
 	}
 
-	/** How long it has run, in milliseconds; 0 while it does not. */
+	/** Milliseconds since the process was started; 0 while it is not running. */
 	get runtime(): number {
 		return this.#child === undefined ? 0 : performance.now() - this.#startedAt;
 	}
@@ -75,12 +75,12 @@
 		return this.#child !== undefined;
 	}
 
-	/** How it ended the last time; undefined before. */
+	/** The most recent exit; undefined before the first one. */
 	get lastEnd(): LastEnd | undefined {
-		return this.#lastEnd;
+		return this.#lastExit;
 	}
 
-	/** Starts the process; does nothing while it runs. */
+	/** Starts the process; does nothing if it is already running. */
 	start(): void {
 		if (this.#child) {
 			return;
@@ -93,18 +93,18 @@
 		this.#child = child;
 		this.#startedAt = performance.now();
 		runningChildren.add(child);
-		this.#ended = this.#waitForEnd(child, log);
+		this.#exit = this.#waitForExit(child, log);
 	}
 
 	/**
-	Sends a signal and waits for the end.
+	Sends a signal and waits for the process to exit.
 
 	@param signal The signal; SIGKILL by default.
-	@returns How the process ended; undefined where it did not run.
+	@returns The exit; undefined if the process was never started.
 	*/
 	async kill(signal: NodeJS.Signals = 'SIGKILL'): Promise<ProcessEnd | undefined> {
 		this.signal(signal);
-		return this.#ended;
+		return this.#exit;
 	}
 
 	/**
@@ -117,33 +117,33 @@
 	}
 
 	/**
-	Stops the process with SIGTERM, and with SIGKILL where it takes too long.
+	Stops the process with SIGTERM, then with SIGKILL after a timeout.
 
-	@param timeoutMilliseconds How long SIGTERM may take; 20 000 by default.
-	@returns How the process ended; undefined where it did not run.
+	@param timeoutMilliseconds The timeout; 20 000 by default.
+	@returns The exit; undefined if the process was never started.
 	*/
-	async stop(timeoutMilliseconds: number = defaultStopMilliseconds): Promise<ProcessEnd | undefined> {
+	async stop(timeoutMilliseconds: number = defaultStopTimeoutMilliseconds): Promise<ProcessEnd | undefined> {
 		const timer = setTimeout(() => {
 			this.signal('SIGKILL');
 		}, timeoutMilliseconds);
-		const end = await this.kill('SIGTERM');
+		const exit = await this.kill('SIGTERM');
 		clearTimeout(timer);
-		return end;
+		return exit;
 	}
 
-	/** Stops the process and starts it again with the same arguments. */
+	/** Stops the process and starts it with the same arguments. */
 	async restart(): Promise<void> {
 		await this.stop();
 		this.start();
 	}
 
-	async #waitForEnd(child: ChildProcess, log: NodeJS.WritableStream): Promise<ProcessEnd> {
+	async #waitForExit(child: ChildProcess, log: NodeJS.WritableStream): Promise<ProcessEnd> {
 		const [code, signal] = await once(child, 'close') as [number | undefined, string | undefined];
 		log.end();
 		runningChildren.delete(child);
 		this.#child = undefined;
-		const end = {code: code ?? undefined, signal: signal ?? undefined};
-		this.#lastEnd = {...end, runtime: performance.now() - this.#startedAt};
-		return end;
+		const exit = {code: code ?? undefined, signal: signal ?? undefined};
+		this.#lastExit = {...exit, runtime: performance.now() - this.#startedAt};
+		return exit;
 	}
 }
--- a/packages/testing/src/mod.ts
+++ b/packages/testing/src/mod.ts
@@ -1,5 +1,5 @@
 /**
-Fakes, processes and callers for tests and the demonstration; never shipped.
+Fake backend servers, managed processes and HTTP clients for tests and the demo; not part of a release.
 
 @module
 */
--- a/packages/testing/src/naive-choice.ts
+++ b/packages/testing/src/naive-choice.ts
@@ -3,13 +3,13 @@
 } from '@valehitch/core';
 import {type Policies} from '@valehitch/policy';
 
-/** A model and version, as the naive router chooses them. */
+/** A model and version chosen by the naive router. */
 export type NaiveChoice = {
 	readonly model: ModelId;
 	readonly version: VersionId;
 };
 
-/** What the naive choice depends on besides the request. */
+/** Inputs of the naive choice other than the request. */
 export type NaiveChoiceOptions = {
 	readonly document: Configuration;
 	readonly policies: Policies;
@@ -17,11 +17,11 @@
 };
 
 /**
-Chooses the first allowed version, in the order of the documents, that is not withdrawn and whose listed quality meets the target.
+Chooses the first allowed version, in document order, that is not withdrawn and whose listed quality meets the target.
 
 @param facts The request.
-@param options The configuration and the workspace.
-@returns The version, or undefined where there is none.
+@param options The configuration, the compiled policies and the workspace.
+@returns The version, or undefined if none qualifies.
 @example
 ```ts
 naiveChoice(facts, {document, policies, workspace});
--- a/packages/testing/src/naive-router.ts
+++ b/packages/testing/src/naive-router.ts
@@ -12,22 +12,22 @@
 import {wireNames} from './_wire-names.js';
 import {naiveChoice} from './naive-choice.js';
 
-/** A backend server that the naive router was told of. */
+/** A backend server in the naive router's list. */
 export type NaiveServer = {
 	readonly address: string;
-	/** For an engine: its versions, such as `tag-small@1.0`. */
+	/** For an engine: its loaded versions, such as `tag-small@1.0`. */
 	readonly models?: readonly string[] | undefined;
 	/** For a plain service: its name. */
 	readonly service?: string | undefined;
 };
 
-/** How to start a naive router. */
+/** Options for `startNaiveRouter`. */
 export type NaiveRouterOptions = {
-	/** The operators' document, with every member given. */
+	/** The operators' configuration document, with no members omitted. */
 	readonly document: Configuration;
-	/** The servers; the list never changes. */
+	/** The fixed list of servers. */
 	readonly servers: readonly NaiveServer[];
-	/** The port on 127.0.0.1; a free one by default. */
+	/** The port on 127.0.0.1; chosen by the operating system by default. */
 	readonly port?: number;
 };
 
@@ -42,11 +42,11 @@
 	readonly policies: Policies;
 	readonly servers: readonly NaiveServer[];
 	readonly workspaces: ReadonlyMap<string, WorkspaceId>;
-	turn: number;
+	nextServerIndex: number;
 };
 
-/** A call to some server of a list. */
-type Forward = {
+/** A call that any server of a list can serve. */
+type ForwardedCall = {
 	readonly servers: readonly NaiveServer[];
 	readonly method: string;
 	readonly path: string;
@@ -67,11 +67,11 @@
 const servicePathPattern = /^\/services\/(?<service>[^\/]+)(?<path>\/.*)$/v;
 
 /**
-Starts the naive router that valehitch is compared with: the first allowed version that meets the target by its listed quality, the engines in turn, another try on any error, no limits, no state.
+Starts the naive router that is the baseline for measurements of valehitch. It uses the first allowed version whose listed quality meets the target, selects servers round-robin, retries on any error, and has no limits and keeps no state.
 
-@param options What it was told.
+@param options The configuration, the servers and the port.
 @returns The running router.
-@throws Where a policy condition does not compile or the port can't be opened.
+@throws If a policy condition does not compile or the port cannot be opened.
 @example
 ```ts
 const router = await startNaiveRouter({document, servers});
@@ -85,7 +85,7 @@
 		servers,
 		policies: compilePolicies(document).unsafeCoerce(),
 		workspaces: new Map(Object.entries(document.workspaces).flatMap(([workspace, {keyDigests}]) => keyDigests.map(digest => [digest, workspace as WorkspaceId]))),
-		turn: 0,
+		nextServerIndex: 0,
 	};
 	const agent = new Agent({keepAlive: true});
 	const server = createServer((request, response) => {
@@ -123,7 +123,7 @@
 		const workspace = state.workspaces.get(digestOf((request.headers.authorization ?? '').slice('Bearer '.length)));
 		const body = await text(request);
 		if (workspace === undefined) {
-			refuse(response, 401);
+			sendEmptyResponse(response, 401);
 			return;
 		}
 
@@ -154,7 +154,7 @@
 		session: false,
 	}, {...state, workspace: call.workspace});
 	if (choice === undefined) {
-		refuse(call.response, 403);
+		sendEmptyResponse(call.response, 403);
 		return;
 	}
 
@@ -179,15 +179,15 @@
 	});
 }
 
-async function forward(state: State, {request, response, agent}: Call, sent: Forward): Promise<void> {
+async function forward(state: State, {request, response, agent}: Call, forwarded: ForwardedCall): Promise<void> {
 	const requestId = randomUUID();
 	for (let attempt = 1; attempt <= maximumAttempts; attempt++) {
-		const server = sent.servers[state.turn++ % sent.servers.length];
+		const server = forwarded.servers[state.nextServerIndex++ % forwarded.servers.length];
 		if (server === undefined) {
 			break;
 		}
 
-		const answer = await attemptOn(server, sent, {
+		const upstreamResponse = await sendAttempt(server, forwarded, {
 			agent,
 			response,
 			headers: {
@@ -197,18 +197,18 @@
 				'idempotency-key': headerOf(request, 'idempotency-key'),
 			},
 		});
-		if (answer !== undefined && (answer.statusCode ?? 500) < 500) {
-			response.writeHead(answer.statusCode ?? 500, {
-				...sent.headers, 'valehitch-request-id': requestId, 'content-type': answer.headers['content-type'] ?? 'application/json',
+		if (upstreamResponse !== undefined && (upstreamResponse.statusCode ?? 500) < 500) {
+			response.writeHead(upstreamResponse.statusCode ?? 500, {
+				...forwarded.headers, 'valehitch-request-id': requestId, 'content-type': upstreamResponse.headers['content-type'] ?? 'application/json',
 			});
-			await pipeline(answer, response);
+			await pipeline(upstreamResponse, response);
 			return;
 		}
 
-		answer?.resume();
+		upstreamResponse?.resume();
 	}
 
-	refuse(response, 502);
+	sendEmptyResponse(response, 502);
 }
 
 type Attempt = {
@@ -217,26 +217,26 @@
 	readonly headers: Readonly<Record<string, string>>;
 };
 
-async function attemptOn(server: NaiveServer, {method, path, body}: Forward, {agent, response, headers}: Attempt): Promise<IncomingMessage | undefined> {
+async function sendAttempt(server: NaiveServer, {method, path, body}: ForwardedCall, {agent, response, headers}: Attempt): Promise<IncomingMessage | undefined> {
 	const outgoing = sendRequest(`${server.address}${path}`, {method, agent, headers: {...headers, 'content-length': new TextEncoder().encode(body).byteLength}});
 	const cancel = () => {
 		outgoing.destroy();
 	};
 
 	response.once('close', cancel);
-	// An error after the head of the answer reaches the reader of its body.
+	// After the response headers, the reader of the body receives the error.
 	outgoing.on('error', cancel);
 	try {
 		outgoing.end(body);
-		const [answer] = await once(outgoing, 'response') as [IncomingMessage];
-		return answer;
+		const [upstreamResponse] = await once(outgoing, 'response') as [IncomingMessage];
+		return upstreamResponse;
 	} catch {
 		response.off('close', cancel);
 		return undefined;
 	}
 }
 
-function refuse(response: ServerResponse, status: number): void {
+function sendEmptyResponse(response: ServerResponse, status: number): void {
 	response.writeHead(status, {'content-type': 'application/json'});
 	response.end('{}');
 }
--- a/packages/testing/src/process-usage.ts
+++ b/packages/testing/src/process-usage.ts
@@ -1,10 +1,10 @@
 import {readdir, readFile} from 'node:fs/promises';
 
-/** What a process has used. */
+/** The resource usage of a process. */
 export type ProcessUsage = {
-	/** Processor time since its start, over all its threads, in microseconds. */
+	/** CPU time of all its threads since their start, in microseconds. */
 	readonly cpuMicroseconds: number;
-	/** Memory in real memory now, in bytes. */
+	/** Current resident set size, in bytes. */
 	readonly memoryBytes: number;
 };
 
@@ -12,11 +12,11 @@
 const nanosecondsPerMicrosecond = 1000;
 
 /**
-Reads the processor time and memory of a process from Linux's /proc.
+Reads the CPU time and resident memory of a process from Linux's /proc.
 
 @param pid The process id.
-@returns What it has used.
-@throws Where there is no such process, or no /proc.
+@returns The resource usage.
+@throws If there is no such process, or no /proc.
 @example
 ```ts
 const {memoryBytes} = await readUsage(process.pid);
@@ -28,7 +28,7 @@
 	const threads = await readdir(`/proc/${pid}/task`);
 	let nanoseconds = 0;
 	for (const thread of threads) {
-		nanoseconds += await readThread(pid, thread);
+		nanoseconds += await readThreadNanoseconds(pid, thread);
 	}
 
 	return {
@@ -37,7 +37,7 @@
 	};
 }
 
-async function readThread(pid: number, thread: string): Promise<number> {
-	const times = await readFile(`/proc/${pid}/task/${thread}/schedstat`, 'utf8');
-	return Number(times.split(' ')[0]);
+async function readThreadNanoseconds(pid: number, thread: string): Promise<number> {
+	const fields = await readFile(`/proc/${pid}/task/${thread}/schedstat`, 'utf8');
+	return Number(fields.split(' ')[0]);
 }
--- a/packages/testing/src/wait-until.ts
+++ b/packages/testing/src/wait-until.ts
@@ -1,35 +1,35 @@
 import {setInterval} from 'node:timers/promises';
 
-/** How long to wait, and for what. */
+/** Options for `waitUntil`. */
 export type WaitOptions = {
-	/** What is waited for, for the error. */
+	/** Description of the awaited condition, for the error message. */
 	readonly what: string;
-	/** 20 000 by default. */
+	/** Timeout in milliseconds; 20 000 by default. */
 	readonly timeoutMilliseconds?: number;
-	/** Milliseconds between two tries; 50 by default. */
+	/** Milliseconds between polls; 50 by default. */
 	readonly everyMilliseconds?: number;
 };
 
 /**
-Tries again and again until something is there.
+Polls until a condition is met.
 
-@param look Gives what is waited for, or undefined; an error counts as undefined.
-@param options How long, and for what.
-@returns What `look` gave.
-@throws When the time is over, with the last error as the cause and its message in the own one, since not every reporter shows causes.
+@param poll Returns the awaited value, or undefined while there is none; an error counts as undefined.
+@param options The timeout, the interval and a description.
+@returns The value that `poll` returned.
+@throws On timeout, with the last error as the cause. Its message is also part of this error's message, since not every test reporter shows causes.
 @example
 ```ts
 await waitUntil(async () => await isHealthy() || undefined, {what: 'a healthy daemon'});
 ```
 */
-export async function waitUntil<Found>(look: () => Promise<Found | undefined>, options: WaitOptions): Promise<Found> {
+export async function waitUntil<Value>(poll: () => Promise<Value | undefined>, options: WaitOptions): Promise<Value> {
 	const deadline = performance.now() + (options.timeoutMilliseconds ?? 20_000);
 	let cause: unknown;
-	for await (const isOver of setInterval(options.everyMilliseconds ?? 50, () => performance.now() >= deadline)) {
+	for await (const hasTimedOut of setInterval(options.everyMilliseconds ?? 50, () => performance.now() >= deadline)) {
 		try {
-			const found = await look();
-			if (found !== undefined) {
-				return found;
+			const value = await poll();
+			if (value !== undefined) {
+				return value;
 			}
 
 			cause = undefined;
@@ -37,11 +37,11 @@
 			cause = error;
 		}
 
-		if (isOver()) {
+		if (hasTimedOut()) {
 			break;
 		}
 	}
 
 	const detail = cause instanceof Error ? ` (${cause.message})` : '';
-	throw new Error(`Waited in vain for ${options.what}${detail}`, {cause});
+	throw new Error(`Timed out waiting for ${options.what}${detail}`, {cause});
 }
