--- a/packages/testing/src/_bad-version-trial.ts
+++ b/packages/testing/src/_bad-version-trial.ts
@@ -6,46 +6,46 @@
 } from '@valehitch/policy';
 import {seededRandom} from './_seeded-random.js';
 
-/** A roll-out in which the new version may turn bad. */
+/** Parameters of a simulated roll-out in which the new version may degrade. */
 export type BadVersionTrial = {
 	readonly seed: number;
-	/** The mean rating of the new version after it turned; 0.85 is as good as before. */
+	/** Mean rating of the new version after the degradation; 0.85 means no degradation. */
 	readonly rating: number;
-	/** Its share of failures after it turned; 0.01 is as good as before. */
+	/** Failure rate of the new version after the degradation; 0.01 means no degradation. */
 	readonly failureShare: number;
 };
 
-/** Requests that the new version served after it turned, until each detector stopped it; undefined where it did not. */
+/** Number of requests that the new version served between its degradation and its stop, by detector; undefined where the detector did not stop it. */
 export type TrialResult = Readonly<Record<string, number | undefined>>;
 
 const requestsPerSecond = 25;
-const seconds = 1200;
-const turnsAtSecond = 300;
-const share = 0.1;
+const durationSeconds = 1200;
+const degradesAtSecond = 300;
+const newVersionShare = 0.1;
 const ratedShare = 0.1;
 const instances = 7;
 const goodRating = 0.85;
 const goodFailureShare = 0.01;
-const earliestRating = 10;
-const latestRating = 60;
+const minimumRatingDelaySeconds = 10;
+const maximumRatingDelaySeconds = 60;
 const windowMargins = [0.05, 0.1, 0.2] as const;
 const windowSizes = [10, 20, 50] as const;
 
-const [replaced, fresh] = ['1', '2'].map(version => ({model: toId<ModelId>('m'), version: toId<VersionId>(version)})) as [VersionTarget, VersionTarget];
+const [replacedVersion, newVersion] = ['1', '2'].map(version => ({model: toId<ModelId>('m'), version: toId<VersionId>(version)})) as [VersionTarget, VersionTarget];
 const listed = {state: 'settled', quality: goodRating, prices: {input: 1, output: 1}} as const;
-const versions: Record<string, VersionConfiguration> = {1: listed, 2: {...listed, state: 'rolling-out', replaces: replaced.version}};
+const versions: Record<string, VersionConfiguration> = {1: listed, 2: {...listed, state: 'rolling-out', replaces: replacedVersion.version}};
 const configuration: EffectiveConfiguration = {
 	revision: toRevision(1),
-	document: {models: {[fresh.model]: {versions}}, services: {}, workspaces: {}},
+	document: {models: {[newVersion.model]: {versions}}, services: {}, workspaces: {}},
 	rollouts: {
-		[versionKey(fresh.model, fresh.version)]: {
-			...fresh, stage: 0, status: 'running', stageStartedAt: 0,
+		[versionKey(newVersion.model, newVersion.version)]: {
+			...newVersion, stage: 0, status: 'running', stageStartedAt: 0,
 		},
 	},
 };
 
-type Seen = {
-	readonly isFresh: boolean;
+type Observation = {
+	readonly isNewVersion: boolean;
 	readonly instance: number;
 	readonly measure: 'rating' | 'failure';
 	readonly value: number;
@@ -53,19 +53,19 @@
 	readonly now: number;
 };
 
-type Rule = {
+type DetectorRule = {
 	readonly name: string;
-	/** Takes an observation and tells whether the version is stopped for all. */
-	readonly observe: (seen: Seen) => boolean;
-	/** Whether one instance has stopped on its own. */
+	/** Processes an observation; returns whether the version is stopped on all instances. */
+	readonly observe: (observation: Observation) => boolean;
+	/** Whether an instance has stopped the version by itself. */
 	readonly hasStopped: (instance: number) => boolean;
 };
 
 /**
-Runs one seeded roll-out past all detectors at once: 25 requests a second on 7 instances for 20 minutes, a tenth of them on the new version, a tenth of all rated 10 to 60 seconds later; the version turns after 5 minutes.
+Simulates one roll-out with all detectors at once: 25 requests per second on 7 instances for 20 minutes, 10 % of them on the new version and 10 % of all rated 10 to 60 seconds later. The new version degrades after 5 minutes.
 
-@param trial The seed and what the version turns into.
-@returns The requests it served after it turned, by detector.
+@param trial The seed and the quality after the degradation.
+@returns The requests that the new version served after its degradation, by detector.
 @example
 ```ts
 runBadVersionTrial({seed: 1, rating: 0.45, failureShare: 0.01});
@@ -73,24 +73,24 @@
 */
 export function runBadVersionTrial(trial: BadVersionTrial): TrialResult {
 	const random = seededRandom(trial.seed);
-	const rules = [...windowRules(), pairRule(), bettingRule('e-detector, each instance alone', false), bettingRule('e-detector, and the sum of all', true)];
+	const rules = [...windowRules(), pairRule(), monitorRule('e-detector, each instance alone', false), monitorRule('e-detector, and the sum of all', true)];
 	const served = new Map(rules.map(({name}) => [name, 0]));
 	const stopped = new Set<string>();
-	const due = new Map<number, Seen[]>();
-	for (let second = 0; second < seconds && stopped.size < rules.length; second += 1) {
-		const seen = [...due.get(second) ?? [], ...drawSecond(second, {trial, random, due})];
-		due.delete(second);
+	const scheduledRatings = new Map<number, Observation[]>();
+	for (let second = 0; second < durationSeconds && stopped.size < rules.length; second += 1) {
+		const observations = [...scheduledRatings.get(second) ?? [], ...generateSecond(second, {trial, random, scheduledRatings})];
+		scheduledRatings.delete(second);
 		for (const rule of rules.filter(({name}) => !stopped.has(name))) {
-			for (const found of seen) {
-				if (found.isFresh && rule.hasStopped(found.instance) && found.ranAt === second) {
+			for (const observation of observations) {
+				if (observation.isNewVersion && rule.hasStopped(observation.instance) && observation.ranAt === second) {
 					continue;
 				}
 
-				if (found.isFresh && found.measure === 'failure' && second >= turnsAtSecond) {
+				if (observation.isNewVersion && observation.measure === 'failure' && second >= degradesAtSecond) {
 					served.set(rule.name, (served.get(rule.name) ?? 0) + 1);
 				}
 
-				if (rule.observe(found)) {
+				if (rule.observe(observation)) {
 					stopped.add(rule.name);
 					break;
 				}
@@ -101,7 +101,7 @@
 	return Object.fromEntries(rules.map(rule => [rule.name, stopped.has(rule.name) || isStoppedEverywhere(rule) ? served.get(rule.name) : undefined]));
 }
 
-function isStoppedEverywhere({hasStopped}: Rule): boolean {
+function isStoppedEverywhere({hasStopped}: DetectorRule): boolean {
 	for (let instance = 0; instance < instances; instance += 1) {
 		if (!hasStopped(instance)) {
 			return false;
@@ -111,52 +111,52 @@
 	return true;
 }
 
-type Draw = {
+type SecondOptions = {
 	readonly trial: BadVersionTrial;
 	readonly random: RandomSource;
-	readonly due: Map<number, Seen[]>;
+	readonly scheduledRatings: Map<number, Observation[]>;
 };
 
-function drawSecond(second: number, {trial, random, due}: Draw): Seen[] {
-	const seen: Seen[] = [];
+function generateSecond(second: number, {trial, random, scheduledRatings}: SecondOptions): Observation[] {
+	const observations: Observation[] = [];
 	for (let index = 0; index < requestsPerSecond; index += 1) {
-		const isFresh = random() < share;
-		const isBad = isFresh && second >= turnsAtSecond;
-		const common = {isFresh, instance: Math.floor(random() * instances), ranAt: second};
+		const isNewVersion = random() < newVersionShare;
+		const isBad = isNewVersion && second >= degradesAtSecond;
+		const common = {isNewVersion, instance: Math.floor(random() * instances), ranAt: second};
 		const failureShare = isBad ? trial.failureShare : goodFailureShare;
-		seen.push({
+		observations.push({
 			...common, measure: 'failure', value: random() < failureShare ? 1 : 0, now: second,
 		});
 		if (random() < ratedShare) {
-			const now = second + earliestRating + Math.floor(random() * (latestRating - earliestRating));
+			const now = second + minimumRatingDelaySeconds + Math.floor(random() * (maximumRatingDelaySeconds - minimumRatingDelaySeconds));
 			const spread = (random() + random() + random() - 1.5) * 0.3;
 			const value = Math.min(1, Math.max(0, (isBad ? trial.rating : goodRating) + spread));
-			due.set(now, [...due.get(now) ?? [], {
+			scheduledRatings.set(now, [...scheduledRatings.get(now) ?? [], {
 				...common, measure: 'rating', value, now,
 			}]);
 		}
 	}
 
-	return seen;
+	return observations;
 }
 
-function windowRules(): Rule[] {
-	const rules: Rule[] = [];
+function windowRules(): DetectorRule[] {
+	const rules: DetectorRule[] = [];
 	for (const size of windowSizes) {
 		for (const margin of windowMargins) {
 			const recent = {rating: [] as number[], failure: [] as number[]};
 			rules.push({
 				name: `last ${size} against a margin of ${margin}`,
 				hasStopped: () => false,
-				observe({isFresh, measure, value}) {
-					if (!isFresh) {
+				observe({isNewVersion, measure, value}) {
+					if (!isNewVersion) {
 						return false;
 					}
 
 					const values = recent[measure];
 					values.push(value);
 					values.splice(0, values.length - size);
-					const mean = values.reduce((sum, found) => sum + found, 0) / values.length;
+					const mean = values.reduce((sum, each) => sum + each, 0) / values.length;
 					const isWorse = measure === 'rating' ? mean < goodRating - margin : mean > goodFailureShare + margin;
 					return values.length === size && isWorse;
 				},
@@ -167,18 +167,18 @@
 	return rules;
 }
 
-/** Bets on pairs of one observation of each version: exact, and without an estimate of the replaced version. */
-function pairRule(): Rule {
+/** Applies the e-detector to pairs of one observation of each version: exact, and needs no estimate for the replaced version. */
+function pairRule(): DetectorRule {
 	const detectors = {rating: new ChangeDetector(defaultBadVersionSettings.ratings.detector), failure: new ChangeDetector(defaultBadVersionSettings.failures.detector)};
 	const latest: Record<string, number | undefined> = {};
 	return {
 		name: 'e-detector on pairs, the sum of all',
 		hasStopped: () => false,
-		observe({isFresh, measure, value}) {
+		observe({isNewVersion, measure, value}) {
 			const badness = measure === 'rating' ? 1 - value : value;
 			const other = latest[measure];
-			if (!isFresh || other === undefined) {
-				latest[measure] = isFresh ? latest[measure] : badness;
+			if (!isNewVersion || other === undefined) {
+				latest[measure] = isNewVersion ? latest[measure] : badness;
 				return false;
 			}
 
@@ -189,7 +189,7 @@
 	};
 }
 
-function bettingRule(name: string, addsUp: boolean): Rule {
+function monitorRule(name: string, combinesEvidence: boolean): DetectorRule {
 	const book = new QualityBook({instance: toId<InstanceId>('all'), startedAt: 0});
 	const table = new EvidenceTable();
 	const stopped = new Set<number>();
@@ -197,18 +197,18 @@
 	return {
 		name,
 		hasStopped: instance => stopped.has(instance),
-		observe({isFresh, instance, measure, value, ranAt, now}) {
+		observe({isNewVersion, instance, measure, value, ranAt, now}) {
 			const monitor = monitors[instance];
 			const alarm = monitor?.observe({
-				...(isFresh ? fresh : replaced), qualityClass: 'yard/lookup', measure, value, ranAt: ranAt * 1000,
+				...(isNewVersion ? newVersion : replacedVersion), qualityClass: 'yard/lookup', measure, value, ranAt: ranAt * 1000,
 			}, {configuration, now: now * 1000});
 			if (alarm !== undefined) {
 				stopped.add(instance);
 			}
 
 			let isBad = false;
-			for (const report of addsUp && isFresh ? monitor?.reports() ?? [] : []) {
-				isBad ||= table.merge(report) !== undefined && report.version === fresh.version;
+			for (const report of combinesEvidence && isNewVersion ? monitor?.reports() ?? [] : []) {
+				isBad ||= table.merge(report) !== undefined && report.version === newVersion.version;
 			}
 
 			return isBad;
--- a/packages/testing/src/_bench-hedge.ts
+++ b/packages/testing/src/_bench-hedge.ts
@@ -15,7 +15,7 @@
 const stallMilliseconds = 4000;
 const version = {model: toId<ModelId>('tag-small'), version: toId<VersionId>('1.0')};
 
-/** One attempt: its time to the first piece, and a pause after some token, 0 for none. */
+/** A simulated attempt: its time to the first chunk, and a pause (0 for none) after one of its tokens. */
 type Attempt = {
 	readonly prefill: number;
 	readonly pause: number;
@@ -24,7 +24,7 @@
 
 type HedgeRule = {
 	readonly name: string;
-	/** The delays for a prompt; undefined for no hedge. */
+	/** Returns the hedge delays for a prompt; undefined for no hedging. */
 	readonly delays: (promptTokens: number, history: StageHistory) => HedgeDelays | undefined;
 };
 
@@ -34,19 +34,19 @@
 	readonly hedged: boolean;
 };
 
-/** Four of five prompts are short; prefill takes 0.12 ms a token; one in fifty attempts prefills eight times as slowly. */
-function draw(promptTokens: number, random: RandomSource): Attempt {
-	const slowness = random() < slowShare ? 8 : 1;
-	const prefill = slowness * (30 + (0.12 * promptTokens)) * (0.7 + exponential(0.3, random));
+/** Draws a random attempt: prefill takes 30 ms plus 0.12 ms per token, and eight times as long in 2 % of the attempts. */
+function drawAttempt(promptTokens: number, random: RandomSource): Attempt {
+	const slowdown = random() < slowShare ? 8 : 1;
+	const prefill = slowdown * (30 + (0.12 * promptTokens)) * (0.7 + exponential(0.3, random));
 	const pause = random() < stallShare ? exponential(stallMilliseconds, random) : 0;
 	return {prefill, pause, pauseAfter: 1 + Math.floor(random() * (tokens - 1))};
 }
 
-function run(first: Attempt, {second, delays}: {readonly second: Attempt; readonly delays: HedgeDelays | undefined}): Result {
+function simulateRequest(first: Attempt, {second, delays}: {readonly second: Attempt; readonly delays: HedgeDelays | undefined}): Result {
 	const decode = tokens * gapMilliseconds;
-	const alone = {first: first.prefill, last: first.prefill + decode + first.pause, hedged: false};
+	const unhedged = {first: first.prefill, last: first.prefill + decode + first.pause, hedged: false};
 	if (delays === undefined) {
-		return alone;
+		return unhedged;
 	}
 
 	if (first.prefill > delays.prefillMilliseconds) {
@@ -61,28 +61,28 @@
 		return {first: first.prefill, last: first.prefill + decode + Math.min(first.pause, resumed), hedged: true};
 	}
 
-	return alone;
+	return unhedged;
 }
 
-function learn(history: StageHistory, {promptTokens, first, shown}: {readonly promptTokens: number; readonly first: Attempt; readonly shown: Result}): void {
-	// A cancelled attempt is recorded with the time it had when it was cancelled.
-	history.record(classOf(promptTokens), {stage: 'prefill', milliseconds: Math.min(first.prefill, shown.first)});
+function recordLatencies(history: StageHistory, {promptTokens, first, shown}: {readonly promptTokens: number; readonly first: Attempt; readonly shown: Result}): void {
+	// A cancelled attempt is recorded with the time elapsed until its cancellation.
+	history.record(sizeClassOf(promptTokens), {stage: 'prefill', milliseconds: Math.min(first.prefill, shown.first)});
 	history.record('tag-small@1.0', {stage: 'prefill', milliseconds: Math.min(first.prefill, shown.first)});
 	history.record('tag-small@1.0', {stage: 'decode', milliseconds: gapMilliseconds});
 	history.record('all prompts', {stage: 'whole', milliseconds: shown.last});
 }
 
-/** The history of prompts of like size: four times as long is another class. */
-function classOf(promptTokens: number): string {
+/** Returns the history key of a prompt size class; each class covers a factor of four. */
+function sizeClassOf(promptTokens: number): string {
 	return `class ${Math.floor(Math.log(promptTokens) / Math.log(4))}`;
 }
 
-function likeSize(name: string, {share = 0.95, medianFactor = 0}: {readonly share?: number; readonly medianFactor?: number}): HedgeRule {
+function sizeClassRule(name: string, {share = 0.95, medianFactor = 0}: {readonly share?: number; readonly medianFactor?: number}): HedgeRule {
 	return {
 		name: `${name}, prompts of like size`,
 		delays(promptTokens, history) {
-			const late = history.quantile(classOf(promptTokens), {stage: 'prefill', share});
-			const median = history.quantile(classOf(promptTokens), {stage: 'prefill', share: 0.5});
+			const late = history.quantile(sizeClassOf(promptTokens), {stage: 'prefill', share});
+			const median = history.quantile(sizeClassOf(promptTokens), {stage: 'prefill', share: 0.5});
 			const delay = Math.max(20, late ?? 0, medianFactor * (median ?? 0));
 			return late === undefined ? undefined : {prefillMilliseconds: delay, decodeMilliseconds: delay};
 		},
@@ -101,13 +101,13 @@
 		},
 	},
 	{name: 'p95 of the stage, as shipped', delays: (_, history) => hedgeDelays({...version, streamed: true}, {history})},
-	likeSize('p95 of the stage', {}),
-	likeSize('p99 of the stage', {share: 0.99}),
-	likeSize('p95 and 2 medians of the stage', {medianFactor: 2}),
-	likeSize('p95 and 3 medians of the stage', {medianFactor: 3}),
+	sizeClassRule('p95 of the stage', {}),
+	sizeClassRule('p99 of the stage', {share: 0.99}),
+	sizeClassRule('p95 and 2 medians of the stage', {medianFactor: 2}),
+	sizeClassRule('p95 and 3 medians of the stage', {medianFactor: 3}),
 ];
 
-function play(seed: number, rule: HedgeRule, share: number): string {
+function simulateRule(seed: number, rule: HedgeRule, share: number): string {
 	const random = seededRandom(seed);
 	const history = new StageHistory();
 	const budget = new RetryBudget({share, burst: 20});
@@ -116,28 +116,30 @@
 	let hedges = 0;
 	let denied = 0;
 	for (let index = 0; index < requests; index++) {
+		// Four of five prompts are short.
 		const promptTokens = random() < 0.8 ? 60 + Math.round(random() * 300) : 4000 + Math.round(random() * 8000);
-		const first = draw(promptTokens, random);
-		const second = draw(promptTokens, random);
+		const first = drawAttempt(promptTokens, random);
+		const second = drawAttempt(promptTokens, random);
 		budget.deposit('key', index);
-		let shown = run(first, {second, delays: rule.delays(promptTokens, history)});
+		let shown = simulateRequest(first, {second, delays: rule.delays(promptTokens, history)});
 		if (shown.hedged && !budget.withdraw('key', index)) {
 			denied++;
-			shown = run(first, {second, delays: undefined});
+			shown = simulateRequest(first, {second, delays: undefined});
 		}
 
 		hedges += shown.hedged ? 1 : 0;
 		firsts.push(shown.first);
 		lasts.push(shown.last);
-		learn(history, {promptTokens, first, shown});
+		recordLatencies(history, {promptTokens, first, shown});
 	}
 
-	const tell = (values: readonly number[]) => [0.5, 0.95, 0.99, 0.999].map(quantile => Math.round(quantileOf(values, quantile))).join('/');
-	return `first piece p50/p95/p99/p99.9 ${tell(firsts)} ms, last ${tell(lasts)} ms; hedged ${(100 * hedges / requests).toFixed(1)} %, denied by the budget ${(100 * denied / requests).toFixed(1)} %`;
+	const formatQuantiles = (values: readonly number[]) => [0.5, 0.95, 0.99, 0.999].map(quantile => Math.round(quantileOf(values, quantile))).join('/');
+	const latencies = `first piece p50/p95/p99/p99.9 ${formatQuantiles(firsts)} ms, last ${formatQuantiles(lasts)} ms`;
+	return `${latencies}; hedged ${(100 * hedges / requests).toFixed(1)} %, denied by the budget ${(100 * denied / requests).toFixed(1)} %`;
 }
 
 /**
-Compares rules for hedging on synthetic attempts.
+Compares hedging rules on synthetic attempts.
 
 @param seed The seed.
 @returns The lines of the report.
@@ -149,11 +151,11 @@
 export function benchHedge(seed: number): string[] {
 	const lines: string[] = [];
 	for (const rule of rules) {
-		lines.push(`hedge, ${rule.name}, budget 5 %: ${play(seed, rule, 0.05)}`);
+		lines.push(`hedge, ${rule.name}, budget 5 %: ${simulateRule(seed, rule, 0.05)}`);
 	}
 
 	for (const rule of rules) {
-		lines.push(`hedge, ${rule.name}, no budget: ${play(seed, rule, 1)}`);
+		lines.push(`hedge, ${rule.name}, no budget: ${simulateRule(seed, rule, 1)}`);
 	}
 
 	return lines;
--- a/packages/testing/src/_bench-life.ts
+++ b/packages/testing/src/_bench-life.ts
@@ -21,7 +21,7 @@
 	hedge: {prefillMilliseconds: 300, decodeMilliseconds: 500},
 };
 
-function eventsOf(): RequestEvent[] {
+function createEvents(): RequestEvent[] {
 	const events: RequestEvent[] = [
 		{type: 'admitted'},
 		{type: 'bill-opened'},
@@ -40,7 +40,7 @@
 	return events;
 }
 
-function play(events: readonly RequestEvent[]): RequestState {
+function runRequest(events: readonly RequestEvent[]): RequestState {
 	let {state} = startRequest(plan);
 	for (const event of events) {
 		state = stepRequest(state, {event, now: 1}).state;
@@ -50,7 +50,7 @@
 }
 
 /**
-Measures the life of a request: speed, and bytes of state.
+Measures the request state machine: throughput, and bytes of state per request.
 
 @returns The lines of the report.
 @example
@@ -59,53 +59,53 @@
 ```
 */
 export function benchLife(): string[] {
-	const events = eventsOf();
-	const streaming = events.slice(0, -2);
-	play(events);
+	const events = createEvents();
+	const untilLastChunk = events.slice(0, -2);
+	runRequest(events);
 	const start = performance.now();
 	for (let request = 0; request < requests; request++) {
-		play(events);
+		runRequest(events);
 	}
 
 	const seconds = (performance.now() - start) / 1000;
-	const state = heapOf(() => Array.from({length: liveRequests}, () => play(streaming))) / liveRequests;
+	const state = heapOf(() => Array.from({length: liveRequests}, () => runRequest(untilLastChunk))) / liveRequests;
 	return [
 		`life: ${Math.round(requests / seconds)} requests/s, ${Math.round(requests * events.length / seconds)} events/s, ${events.length} events each`,
 		`life: ${Math.round(state)} bytes of state for a request that streams`,
-		...benchBooks(),
+		...measureMemory(),
 	];
 }
 
-function benchBooks(): string[] {
+function measureMemory(): string[] {
 	const ring = heapOf(() => {
-		const made = new DecisionRing({capacity: liveRequests});
+		const created = new DecisionRing({capacity: liveRequests});
 		for (let index = 0; index < liveRequests; index++) {
 			const request = toId<RequestId>(`r${index}`);
-			made.begin({
+			created.begin({
 				request, workspace: toId('mills'), at: index, versions: [{model: toId('tag-small'), version: toId('1.0'), verdict: 'chosen'}], attempts: [],
 			});
-			made.attempt(request, {
+			created.attempt(request, {
 				attempt: 1, purpose: 'first', servers: Array.from({length: 8}, () => ({server: toId('engine-1'), verdict: 'busier'})), outcome: 'ran', reason: 'complete',
 			});
 		}
 
-		return made;
+		return created;
 	});
 	const history = heapOf(() => {
-		const made = new StageHistory();
+		const created = new StageHistory();
 		for (let index = 0; index < 1000; index++) {
-			made.record(String(index), {stage: 'prefill', milliseconds: index});
+			created.record(String(index), {stage: 'prefill', milliseconds: index});
 		}
 
-		return made;
+		return created;
 	});
 	const budget = heapOf(() => {
-		const made = new RetryBudget();
+		const created = new RetryBudget();
 		for (let index = 0; index < 4000; index++) {
-			made.deposit(`mills/${index}`, 0);
+			created.deposit(`mills/${index}`, 0);
 		}
 
-		return made;
+		return created;
 	});
 	return [
 		`books: ${Math.round(ring / liveRequests)} bytes for a request in the decision ring, ${Math.round(history / 1000)} for a sketch, ${Math.round(budget / 4000)} for a budget`,
--- a/packages/testing/src/_bench-server-choice.ts
+++ b/packages/testing/src/_bench-server-choice.ts
@@ -10,7 +10,7 @@
 const reportMilliseconds = 1000;
 const meanServiceMilliseconds = 600;
 const simulatedMilliseconds = 20_000;
-const slotsInUse = 0.75;
+const utilization = 0.75;
 const prefixes = 400;
 const cachedPrefixes = 20;
 const target = 'tag-small@1.0';
@@ -21,9 +21,9 @@
 type Engine = {
 	readonly id: ServerId;
 	active: number;
-	reported: number;
+	reportedActive: number;
 	reportedAt: number;
-	readonly own: number[];
+	readonly ownInFlight: number[];
 	readonly ownAtReport: number[];
 	readonly cache: Set<number>;
 };
@@ -46,10 +46,10 @@
 		id: engine.id,
 		zone,
 		capacity,
-		reportedActive: engine.reported,
+		reportedActive: engine.reportedActive,
 		ownAtReport: engine.ownAtReport[instance] ?? 0,
 		reportAge: now - engine.reportedAt,
-		ownInFlight: engine.own[instance] ?? 0,
+		ownInFlight: engine.ownInFlight[instance] ?? 0,
 		draining: false,
 		expired: false,
 		ejected: false,
@@ -58,14 +58,14 @@
 	};
 }
 
-function play({seed, engines, instances}: Size & {readonly seed: number}, {
+function simulate({seed, engines, instances}: Size & {readonly seed: number}, {
 	samples, affinity, loadBound, spread = true, fadeMilliseconds = 150,
 }: Rule): string {
-	const requestsPerSecond = slotsInUse * engines * capacity / meanServiceMilliseconds * 1000;
+	const requestsPerSecond = utilization * engines * capacity / meanServiceMilliseconds * 1000;
 	const random = seededRandom(seed);
 	const all: Engine[] = Array.from({length: engines}, (_, index) => ({
-		id: toId<ServerId>(`engine-${index}`), active: 0, reported: 0, reportedAt: 0,
-		own: Array.from({length: instances}, () => 0), ownAtReport: Array.from({length: instances}, () => 0), cache: new Set(),
+		id: toId<ServerId>(`engine-${index}`), active: 0, reportedActive: 0, reportedAt: 0,
+		ownInFlight: Array.from({length: instances}, () => 0), ownAtReport: Array.from({length: instances}, () => 0), cache: new Set(),
 	}));
 	const ends: Array<{at: number; engine: Engine; instance: number}> = [];
 	const shares = Array.from({length: instances}, () => new PrefixShares());
@@ -75,14 +75,14 @@
 		while (ends[0] !== undefined && ends[0].at <= now) {
 			const {engine, instance} = ends.shift()!;
 			engine.active--;
-			engine.own[instance] = engine.own[instance]! - 1;
+			engine.ownInFlight[instance] = engine.ownInFlight[instance]! - 1;
 		}
 
 		for (const engine of all) {
 			if (now - engine.reportedAt >= reportMilliseconds) {
-				engine.reported = engine.active;
+				engine.reportedActive = engine.active;
 				engine.reportedAt = now;
-				engine.ownAtReport.splice(0, instances, ...engine.own);
+				engine.ownAtReport.splice(0, instances, ...engine.ownInFlight);
 			}
 		}
 
@@ -98,7 +98,7 @@
 		const id = choice.map(({server}) => server).toMaybe().extract();
 		const engine = all.find(candidate => candidate.id === id)!;
 		engine.active++;
-		engine.own[instance] = engine.own[instance]! + 1;
+		engine.ownInFlight[instance] = engine.ownInFlight[instance]! + 1;
 		loads.push(engine.active);
 		hits += engine.cache.delete(prefix) ? 1 : 0;
 		engine.cache.add(prefix);
@@ -107,8 +107,8 @@
 		}
 
 		const end = now + exponential(meanServiceMilliseconds, random);
-		const place = ends.findIndex(({at}) => at > end);
-		ends.splice(place === -1 ? ends.length : place, 0, {at: end, engine, instance});
+		const insertionIndex = ends.findIndex(({at}) => at > end);
+		ends.splice(insertionIndex === -1 ? ends.length : insertionIndex, 0, {at: end, engine, instance});
 	}
 
 	const most = `requests at the chosen engine p50 ${quantileOf(loads, 0.5)}, p99 ${quantileOf(loads, 0.99)}, most ${Math.max(...loads)}`;
@@ -117,7 +117,7 @@
 }
 
 /**
-Measures the choice of servers: speed, spread of load under lagged reports, and hits of the prefix cache.
+Measures server choice: throughput, load distribution under delayed load reports, and the hit rate of the prefix cache.
 
 @param seed The seed.
 @returns The lines of the report.
@@ -153,7 +153,7 @@
 	const lines = [benchSpeed(seed)];
 	for (const size of [{engines: 13, instances: 7}, {engines: 40, instances: 50}]) {
 		for (const [name, rule] of rules) {
-			lines.push(`server choice, ${size.instances} instances, ${size.engines} engines, ${name}: ${play({seed, ...size}, rule)}`);
+			lines.push(`server choice, ${size.instances} instances, ${size.engines} engines, ${name}: ${simulate({seed, ...size}, rule)}`);
 		}
 	}
 
--- a/packages/testing/src/_bench-tools.ts
+++ b/packages/testing/src/_bench-tools.ts
@@ -4,11 +4,11 @@
 import {type RandomSource} from '@valehitch/core';
 
 /**
-Tells the value that a share of the values does not exceed.
+Returns a quantile of the values.
 
 @param values The values.
-@param share The share, from 0 to 1.
-@returns The value, or 0 for none.
+@param share The quantile, from 0 to 1.
+@returns The quantile, or 0 if there are no values.
 @example
 ```ts
 quantileOf([1, 2, 3], 0.5); // 2
@@ -20,11 +20,11 @@
 }
 
 /**
-Draws from the exponential distribution.
+Draws a sample from the exponential distribution.
 
 @param mean The mean.
 @param random The random source.
-@returns The number drawn.
+@returns The sample.
 @example
 ```ts
 exponential(600, random);
@@ -35,10 +35,10 @@
 }
 
 /**
-Measures the heap that a value holds.
+Measures the heap memory that a value retains.
 
-@param make Makes the value.
-@returns Bytes.
+@param make Creates the value.
+@returns The retained bytes.
 @example
 ```ts
 heapOf(() => Array.from({length: 1000}, () => ({})));
@@ -49,8 +49,8 @@
 	const collect = runInNewContext('gc') as () => void;
 	collect();
 	const before = process.memoryUsage().heapUsed;
-	const held = [make()];
+	const retained = [make()];
 	collect();
 	const after = process.memoryUsage().heapUsed;
-	return held.length > 0 ? after - before : 0;
+	return retained.length > 0 ? after - before : 0;
 }
--- a/packages/testing/src/_control-oracle.ts
+++ b/packages/testing/src/_control-oracle.ts
@@ -7,7 +7,7 @@
 } from '@valehitch/core';
 import {match} from 'ts-pattern';
 
-/** Bounds so small that a short run meets them; the oracle repeats the figures. */
+/** Limits small enough for a short run to reach; the oracle repeats their values as literals. */
 export const oracleLimits: ControlLimits = {
 	...defaultControlLimits,
 	changeIds: 4,
@@ -25,20 +25,20 @@
 /** The only model of the oracle's documents. */
 export const oracleModel = toId<ModelId>('m');
 
-/** How a document lists a version. */
+/** The state of a version in a document. */
 export type Listed = VersionState | 'absent';
 type Progress = {status: string; stage: number};
 type OracleClaim = {
 	workspace: string; key: string; digest: string; owner: string; instance: string; takenAt: number;
 	state: string; settledAt: number; order: number; size: number; hasBody: boolean; releasedBy: string[];
 };
-/** One run of an instance that settles bills. */
+/** A run of an instance that settles bills. */
 type OracleRun = {instance: string; startedAt: number; heardAt: number; isForgotten: boolean};
 type OracleOrder = {id: string; server: string; role: string; index: number; outcome: string};
-/** What the oracle says of a command: an error kind, or the facts of the answer. */
+/** The compared part of a command's result: the error kind, or some members of the answer. */
 export type Verdict = Readonly<Record<string, unknown>>;
 
-/** The replicated state as plain lists, without any thought for size. */
+/** A reference model of the replicated state, made of plain lists that are not optimized for size. */
 export class ControlOracle {
 	revision = 0;
 	listed: Record<string, Listed> = {};
@@ -52,41 +52,41 @@
 	#elapsed = 0;
 	#readAt: number | undefined;
 
-	/** Whether the ledger must refuse a bill: its run was forgotten. */
+	/** Whether the ledger must refuse a bill because its run has expired. */
 	isRefused({instance, origin}: Bill): boolean {
 		if (origin === undefined) {
 			return false;
 		}
 
 		const {startedAt} = origin;
-		const known = this.#runs.find(run => run.instance === instance && run.startedAt === startedAt);
-		if (known === undefined) {
+		const existing = this.#runs.find(run => run.instance === instance && run.startedAt === startedAt);
+		if (existing === undefined) {
 			this.#runs.push({
 				instance, startedAt, heardAt: this.#elapsed, isForgotten: false,
 			});
 			return false;
 		}
 
-		known.heardAt = this.#elapsed;
-		return known.isForgotten;
+		existing.heardAt = this.#elapsed;
+		return existing.isForgotten;
 	}
 
 	carryOut(command: Command, index: number): Verdict | undefined {
 		return match(command)
-			.with({type: 'apply-configuration'}, found => this.#apply(found))
-			.with({type: 'advance-rollout'}, found => this.#advance(found))
-			.with({type: 'stop-version'}, found => this.#stop(found))
-			.with({type: 'take-claim'}, found => this.#take(found))
-			.with({type: 'settle-claim'}, found => this.#settle(found))
-			.with({type: 'instance-lost'}, ({instance}) => this.#giveUp(claim => claim.instance === instance))
+			.with({type: 'apply-configuration'}, found => this.#applyConfiguration(found))
+			.with({type: 'advance-rollout'}, found => this.#advanceRollout(found))
+			.with({type: 'stop-version'}, found => this.#stopVersion(found))
+			.with({type: 'take-claim'}, found => this.#takeClaim(found))
+			.with({type: 'settle-claim'}, found => this.#settleClaim(found))
+			.with({type: 'instance-lost'}, ({instance}) => this.#markUnknown(claim => claim.instance === instance))
 			.with({type: 'expire'}, ({at}) => this.#expire(at))
-			.with({type: 'issue-order'}, found => this.#issue(found, index))
-			.with({type: 'complete-order'}, found => this.#complete(found))
+			.with({type: 'issue-order'}, found => this.#issueOrder(found, index))
+			.with({type: 'complete-order'}, found => this.#completeOrder(found))
 			.with({type: 'record-bills'}, {type: 'set-limits'}, () => undefined)
 			.exhaustive();
 	}
 
-	#advance(command: AdvanceRolloutCommand): Verdict {
+	#advanceRollout(command: AdvanceRolloutCommand): Verdict {
 		const progress = this.progress[command.version];
 		if (progress?.status !== 'running' || progress.stage !== command.fromStage) {
 			return {kind: progress === undefined ? 'not-found' : 'revision-conflict'};
@@ -98,7 +98,7 @@
 		return {revision: this.revision};
 	}
 
-	#stop({version}: StopVersionCommand): Verdict {
+	#stopVersion({version}: StopVersionCommand): Verdict {
 		if (['absent', 'withdrawn'].includes(this.listed[version] ?? 'absent')) {
 			return {kind: 'not-found'};
 		}
@@ -115,16 +115,16 @@
 			run.isForgotten ||= run.heardAt < this.#elapsed - 250_000;
 		}
 
-		this.#giveUp(claim => claim.takenAt + 300_000 <= this.#elapsed);
+		this.#markUnknown(claim => claim.takenAt + 300_000 <= this.#elapsed);
 		this.claims = this.claims.filter(claim => claim.state === 'open' || claim.settledAt + 200_000 > this.#elapsed);
 		return {revision: this.revision};
 	}
 
-	#issue(command: IssueOrderCommand, index: number): Verdict {
-		const known = this.orders.find(({id}) => id === command.orderId);
+	#issueOrder(command: IssueOrderCommand, index: number): Verdict {
+		const existing = this.orders.find(({id}) => id === command.orderId);
 		const role = command.order.type === 'set-role' ? command.order.role : '';
-		if (known !== undefined) {
-			return known.server === command.server && known.role === role ? {sequence: known.index, outcome: known.outcome} : {kind: 'change-id-reused'};
+		if (existing !== undefined) {
+			return existing.server === command.server && existing.role === role ? {sequence: existing.index, outcome: existing.outcome} : {kind: 'change-id-reused'};
 		}
 
 		if (this.orders.filter(({server, outcome}) => server === command.server && outcome === 'open').length === 2) {
@@ -137,17 +137,17 @@
 		return {sequence: index, outcome: 'open'};
 	}
 
-	#complete(command: CompleteOrderCommand): Verdict {
-		const known = this.orders.find(({id, index: issued}) => id === command.orderId && issued === command.fencing.sequence);
-		if (known === undefined) {
+	#completeOrder(command: CompleteOrderCommand): Verdict {
+		const existing = this.orders.find(({id, index: issued}) => id === command.orderId && issued === command.fencing.sequence);
+		if (existing === undefined) {
 			return {kind: 'not-found'};
 		}
 
-		known.outcome = known.outcome === 'open' ? command.outcome : known.outcome;
-		return {sequence: known.index, outcome: known.outcome};
+		existing.outcome = existing.outcome === 'open' ? command.outcome : existing.outcome;
+		return {sequence: existing.index, outcome: existing.outcome};
 	}
 
-	#apply({changeId, digest, expectedRevision, document}: ApplyConfigurationCommand): Verdict {
+	#applyConfiguration({changeId, digest, expectedRevision, document}: ApplyConfigurationCommand): Verdict {
 		const earlier = this.remembered.find(({id}) => id === changeId);
 		if (earlier !== undefined) {
 			return earlier.digest === digest ? earlier.verdict : {kind: 'change-id-reused'};
@@ -168,18 +168,18 @@
 		return verdict;
 	}
 
-	#take({workspace, key, requestDigest, request, instance}: TakeClaimCommand): Verdict {
-		const known = this.#claim(workspace, key);
-		if (known !== undefined && known.digest !== requestDigest) {
+	#takeClaim({workspace, key, requestDigest, request, instance}: TakeClaimCommand): Verdict {
+		const existing = this.#findClaim(workspace, key);
+		if (existing !== undefined && existing.digest !== requestDigest) {
 			return {claim: 'key-reused'};
 		}
 
-		if (known !== undefined && (known.state !== 'released' || known.releasedBy.includes(request))) {
-			return verdictOn(known, request);
+		if (existing !== undefined && (existing.state !== 'released' || existing.releasedBy.includes(request))) {
+			return claimResult(existing, request);
 		}
 
 		const others = this.claims.filter(claim => claim.workspace === workspace);
-		if (known === undefined && others.length === 3) {
+		if (existing === undefined && others.length === 3) {
 			const oldest = others.filter(({state}) => state !== 'open').toSorted((left, right) => left.order - right.order)[0];
 			if (oldest === undefined || oldest.settledAt + 50_000 > this.#elapsed) {
 				return {kind: 'limit-reached'};
@@ -188,7 +188,7 @@
 			this.claims = this.claims.filter(claim => claim !== oldest);
 		}
 
-		this.claims = [...this.claims.filter(claim => claim !== known), {
+		this.claims = [...this.claims.filter(claim => claim !== existing), {
 			workspace,
 			key,
 			digest: requestDigest,
@@ -200,29 +200,29 @@
 			order: 0,
 			size: 0,
 			hasBody: false,
-			releasedBy: known?.releasedBy ?? [],
+			releasedBy: existing?.releasedBy ?? [],
 		}];
 		return {claim: 'taken'};
 	}
 
-	#settle({workspace, key, request, settlement}: SettleClaimCommand): Verdict {
-		const known = this.#claim(workspace, key);
-		if (known === undefined) {
+	#settleClaim({workspace, key, request, settlement}: SettleClaimCommand): Verdict {
+		const existing = this.#findClaim(workspace, key);
+		if (existing === undefined) {
 			return {claim: 'expired'};
 		}
 
-		if (known.owner === request && ['open', 'unknown'].includes(known.state)) {
-			known.size = settlement.type === 'done' ? settlement.answer.bytes : 0;
-			known.hasBody = known.size > 0 && known.size <= 8;
-			known.releasedBy = settlement.type === 'released' ? [...known.releasedBy, request] : known.releasedBy;
-			this.#close(known, settlement.type);
-			this.#dropBodies(workspace);
+		if (existing.owner === request && ['open', 'unknown'].includes(existing.state)) {
+			existing.size = settlement.type === 'done' ? settlement.answer.bytes : 0;
+			existing.hasBody = existing.size > 0 && existing.size <= 8;
+			existing.releasedBy = settlement.type === 'released' ? [...existing.releasedBy, request] : existing.releasedBy;
+			this.#closeClaim(existing, settlement.type);
+			this.#evictBodies(workspace);
 		}
 
-		return verdictOn(known, request);
+		return claimResult(existing, request);
 	}
 
-	#dropBodies(workspace: string): void {
+	#evictBodies(workspace: string): void {
 		const kept = this.claims.filter(claim => claim.workspace === workspace && claim.hasBody).toSorted((left, right) => right.order - left.order);
 		let bytes = 0;
 		for (const claim of kept) {
@@ -231,34 +231,34 @@
 		}
 	}
 
-	#giveUp(isOver: (claim: OracleClaim) => boolean): Verdict {
+	#markUnknown(hasEnded: (claim: OracleClaim) => boolean): Verdict {
 		for (const claim of this.claims) {
-			if (claim.state === 'open' && isOver(claim)) {
-				this.#close(claim, 'unknown');
+			if (claim.state === 'open' && hasEnded(claim)) {
+				this.#closeClaim(claim, 'unknown');
 			}
 		}
 
 		return {revision: this.revision};
 	}
 
-	/** Ages begin with the next reading of a clock, so that none ends too early. */
-	#close(claim: OracleClaim, state: string): void {
+	/** Closes a claim. Its age counts from the next clock reading, so that it never expires too early. */
+	#closeClaim(claim: OracleClaim, state: string): void {
 		claim.state = state;
 		claim.settledAt = this.#elapsed + 10_000;
 		claim.order = ++this.#settlements;
 	}
 
-	#claim(workspace: string, key: string): OracleClaim | undefined {
+	#findClaim(workspace: string, key: string): OracleClaim | undefined {
 		return this.claims.find(claim => claim.workspace === workspace && claim.key === key);
 	}
 }
 
-function verdictOn({state, owner, hasBody}: OracleClaim, asking: string): Verdict {
+function claimResult({state, owner, hasBody}: OracleClaim, asking: string): Verdict {
 	const open = owner === asking ? 'taken' : 'in-progress';
 	return {claim: state === 'open' ? open : state, ...(state === 'done' && {hasBody})};
 }
 
-/** The facts of an answer that the oracle speaks of. */
+/** Extracts the members of a command's result that are compared with the oracle. */
 export function factsOf(result: CommandResult): Verdict {
 	return result.caseOf<Verdict>({
 		Left: ({kind, details}) => ({kind, ...(details?.currentRevision !== undefined && {currentRevision: details.currentRevision})}),
--- a/packages/testing/src/_demo-plan.ts
+++ b/packages/testing/src/_demo-plan.ts
@@ -2,19 +2,19 @@
 import {type BackendPlan, type DaemonPlan} from './deployment.js';
 import {seededRandom} from './_seeded-random.js';
 
-/** One request of the demonstration. */
+/** A request of the demo. */
 export type DemoRequest = {
 	readonly kind: 'lookup' | 'reconcile' | 'turn' | 'print';
 	readonly text: string;
 };
 
-/** Requests that follow one another, such as the turns of a session. */
+/** Requests sent one after another, such as the turns of a session. */
 export type DemoErrand = readonly DemoRequest[];
 
 export const workspace = 'yard';
 export const workspaceKey = 'yard-key';
 const seed = 20_240;
-const mostTurns = 4;
+const maximumTurns = 4;
 const smallSettled = '1.0';
 const smallNext = '1.1';
 const largeSettled = '2.0';
@@ -37,7 +37,7 @@
 	{server: 'labels-1', zone: 'prairie-south-b', service: 'labels'},
 ];
 
-/** The document of examples/configuration.yaml. */
+/** The same configuration as examples/configuration.yaml. */
 export const demoConfiguration = {
 	models: {
 		'tag-small': {
@@ -87,34 +87,34 @@
 	},
 };
 
-/** Plans exactly as many requests as wanted; the same in every run. */
+/** Plans the given number of requests; the plan is the same in every run. */
 export function planErrands(count: number): readonly DemoErrand[] {
 	const random = seededRandom(seed);
-	const errands: DemoErrand[] = [];
+	const sequences: DemoErrand[] = [];
 	for (let planned = 0; planned < count;) {
-		const errand = planErrand(random, planned).slice(0, count - planned);
-		errands.push(errand);
-		planned += errand.length;
+		const sequence = planRequestSequence(random, planned).slice(0, count - planned);
+		sequences.push(sequence);
+		planned += sequence.length;
 	}
 
-	return errands;
+	return sequences;
 }
 
-function planErrand(random: () => number, number: number): DemoErrand {
-	const drawn = random();
+function planRequestSequence(random: () => number, number: number): DemoErrand {
+	const sample = random();
 	const crate = Math.floor(random() * 1000);
-	if (drawn < 0.5) {
+	if (sample < 0.5) {
 		return [{kind: 'lookup', text: `Tag crate ${crate} of load ${number}`}];
 	}
 
-	if (drawn < 0.65) {
+	if (sample < 0.65) {
 		return [{kind: 'reconcile', text: `Reconcile load ${number} with the bill of crate ${crate}`}];
 	}
 
-	if (drawn < 0.85) {
+	if (sample < 0.85) {
 		return [{kind: 'print', text: `Crate ${crate}, load ${number}`}];
 	}
 
-	const turns = 2 + Math.floor(random() * (mostTurns - 1));
+	const turns = 2 + Math.floor(random() * (maximumTurns - 1));
 	return Array.from({length: turns}, (_, turn) => ({kind: 'turn', text: `Question ${turn + 1} on load ${number}`}));
 }
--- a/packages/testing/src/_demo-report.ts
+++ b/packages/testing/src/_demo-report.ts
@@ -8,10 +8,10 @@
 	readonly isMatch: boolean;
 };
 
-type Match = {
+type BillComparison = {
 	readonly unbilled: readonly string[];
 	readonly unanswered: readonly string[];
-	/** Answers or bills that come more than once, or answers without a request id. */
+	/** Number of duplicate responses, duplicate bills, and responses without a request id. */
 	readonly repeated: number;
 	readonly isMatch: boolean;
 };
@@ -20,8 +20,8 @@
 const microsInUnit = 1_000_000;
 const microsecondsInMillisecond = 1000;
 
-/** Compares the whole answers with the bills, request by request. */
-export function matchBills(results: readonly DemoResult[], bills: readonly LedgerBill[]): Match {
+/** Compares the complete responses with the bills, request by request. */
+export function matchBills(results: readonly DemoResult[], bills: readonly LedgerBill[]): BillComparison {
 	const answered = results.filter(({isWhole}) => isWhole).map(({requestId}) => requestId);
 	const billed = bills.map(({request}) => request);
 	const answeredSet = new Set(answered.filter(id => id !== ''));
@@ -35,7 +35,7 @@
 	};
 }
 
-/** Makes the table that the demonstration prints. */
+/** Formats the table that the demo prints. */
 export function reportOf(results: readonly DemoResult[], bills: readonly LedgerBill[]): DemoReport {
 	const whole = results.filter(({isWhole}) => isWhole);
 	const match = matchBills(results, bills);
@@ -46,23 +46,23 @@
 	}
 
 	const lines = [
-		row('requests', results.length),
-		row('whole answers', whole.length),
-		row('bills', bills.length),
-		row('cost in units of account', (cost / microsInUnit).toFixed(6)),
-		row('latency p50 in milliseconds', percentile(latencies, 50)),
-		row('latency p95 in milliseconds', percentile(latencies, 95)),
+		formatRow('requests', results.length),
+		formatRow('whole answers', whole.length),
+		formatRow('bills', bills.length),
+		formatRow('cost in units of account', (cost / microsInUnit).toFixed(6)),
+		formatRow('latency p50 in milliseconds', percentile(latencies, 50)),
+		formatRow('latency p95 in milliseconds', percentile(latencies, 95)),
 		...countRows('requests to', whole.map(result => targetOf(result))),
 		...countRows('refused or failed:', results.filter(({isWhole}) => !isWhole).map(result => reasonOf(result))),
-		row('answers without a bill', match.unbilled.length),
-		row('bills without an answer', match.unanswered.length),
-		row('repeated or unnamed', match.repeated),
-		row('answers and bills match', match.isMatch ? 'yes' : 'NO'),
+		formatRow('answers without a bill', match.unbilled.length),
+		formatRow('bills without an answer', match.unanswered.length),
+		formatRow('repeated or unnamed', match.repeated),
+		formatRow('answers and bills match', match.isMatch ? 'yes' : 'NO'),
 	];
 	return {lines, isMatch: match.isMatch};
 }
 
-function row(label: string, value: number | string): string {
+function formatRow(label: string, value: number | string): string {
 	return `${label.padEnd(labelWidth)} ${String(value).padStart(12)}`;
 }
 
@@ -72,7 +72,7 @@
 		counts.set(name, (counts.get(name) ?? 0) + 1);
 	}
 
-	return [...counts].toSorted(([left], [right]) => left.localeCompare(right)).map(([name, count]) => row(`${label} ${name}`, count));
+	return [...counts].toSorted(([left], [right]) => left.localeCompare(right)).map(([name, count]) => formatRow(`${label} ${name}`, count));
 }
 
 function targetOf(result: DemoResult): string {
--- a/packages/testing/src/_demo-traffic.ts
+++ b/packages/testing/src/_demo-traffic.ts
@@ -6,17 +6,17 @@
 	callService, type CallResult, chatStreamed, chatWhole,
 } from './http-client.js';
 
-/** What came of one request. */
+/** The result of a request. */
 export type DemoResult = CallResult & {
 	readonly kind: DemoRequest['kind'];
-	/** Whether the answer is whole: it came to its end with the text that the fake gives. */
+	/** Whether the response was received completely and has the text that the fake server generates. */
 	readonly isWhole: boolean;
 };
 
 export type DemoTrafficOptions = {
-	/** The callers' addresses, taken in turn. */
+	/** Addresses of the callers' endpoints, used round-robin. */
 	readonly entries: readonly string[];
-	/** Errands in progress at the same time. */
+	/** Number of request sequences in progress at the same time. */
 	readonly concurrency: number;
 	readonly onResult: (result: DemoResult) => void;
 };
@@ -28,14 +28,14 @@
 
 const defaultAnswerTokens = 16;
 
-/** Sends the requests of all errands. */
-export async function sendTraffic(errands: readonly DemoErrand[], options: DemoTrafficOptions): Promise<void> {
-	const traffic = new Traffic(options);
-	const queue = errands.values();
-	await Promise.all(Array.from({length: options.concurrency}, async () => traffic.work(queue)));
+/** Sends the requests of all sequences. */
+export async function sendTraffic(sequences: readonly DemoErrand[], options: DemoTrafficOptions): Promise<void> {
+	const traffic = new TrafficSender(options);
+	const queue = sequences.values();
+	await Promise.all(Array.from({length: options.concurrency}, async () => traffic.runWorker(queue)));
 }
 
-class Traffic {
+class TrafficSender {
 	readonly #options: DemoTrafficOptions;
 	#sent = 0;
 
@@ -43,23 +43,23 @@
 		this.#options = options;
 	}
 
-	async work(queue: Iterator<DemoErrand, undefined>): Promise<void> {
+	async runWorker(queue: Iterator<DemoErrand, undefined>): Promise<void> {
 		const next = queue.next();
 		if (next.done) {
 			return;
 		}
 
-		await this.#follow(next.value, {messages: [], session: 'new'});
-		return this.work(queue);
+		await this.#sendSequence(next.value, {messages: [], session: 'new'});
+		return this.runWorker(queue);
 	}
 
-	async #follow([request, ...later]: DemoErrand, conversation: Conversation): Promise<void> {
+	async #sendSequence([request, ...later]: DemoErrand, conversation: Conversation): Promise<void> {
 		if (!request) {
 			return;
 		}
 
 		this.#options.onResult(await this.#send(request, conversation));
-		return this.#follow(later, conversation);
+		return this.#sendSequence(later, conversation);
 	}
 
 	async #send({kind, text}: DemoRequest, conversation: Conversation): Promise<DemoResult> {
@@ -75,7 +75,7 @@
 			? await sendTurn(entry, conversation)
 			: await chatWhole(entry, {key: workspaceKey, messages, headers: {'Valehitch-Class': kind}});
 		conversation.messages.push({role: 'assistant', content: result.text});
-		return {...result, kind, isWhole: result.done && result.text === wantedText(result, messages)};
+		return {...result, kind, isWhole: result.done && result.text === expectedText(result, messages)};
 	}
 }
 
@@ -95,12 +95,12 @@
 	return result;
 }
 
-function wantedText(result: CallResult, messages: readonly ChatMessage[]): string {
+function expectedText(result: CallResult, messages: readonly ChatMessage[]): string {
 	const version = `${headerText(result, 'valehitch-model')}@${headerText(result, 'valehitch-version')}`;
 	return fakeAnswer({version, messages, tokens: defaultAnswerTokens}).join('');
 }
 
-/** Gives a header of an answer, or an empty text. */
+/** Returns a response header, or an empty string if there is none. */
 export function headerText({headers}: CallResult, name: string): string {
 	const value = headers[name];
 	return typeof value === 'string' ? value : '';
--- a/packages/testing/src/_distribution-trial.ts
+++ b/packages/testing/src/_distribution-trial.ts
@@ -9,21 +9,21 @@
 import {waitUntil} from './wait-until.js';
 import {trialConfiguration} from './_zone-trial.js';
 
-/** What one size of the deployment gave; rates are per daemon and second. */
+/** Measurements for one deployment size; rates are per daemon and second. */
 export type DistributionFigures = {
 	readonly daemons: number;
 	readonly engines: number;
 	readonly seconds: number;
 	readonly meanSentBytes: number;
 	readonly meanReceivedBytes: number;
-	/** Sent and received together on the daemon that had the most. */
+	/** Bytes sent and received per second by the daemon with the most traffic. */
 	readonly largestBytes: number;
 	readonly meanFrames: number;
-	/** The share of one core. */
+	/** As a share of one core. */
 	readonly meanCpu: number;
 	readonly largestCpu: number;
 	readonly meanResidentMegabytes: number;
-	/** From sending the change until the last daemon held it, and until the leader called it in force. */
+	/** Milliseconds from sending each change until the last daemon had it, and until the leader reported it in force. */
 	readonly heldMilliseconds: readonly number[];
 	readonly inForceMilliseconds: readonly number[];
 };
@@ -46,9 +46,9 @@
 const capacity = 16;
 const settleMilliseconds = 10_000;
 const changes = 5;
-const patience = {timeoutMilliseconds: 120_000, everyMilliseconds: 20};
+const waitOptions = {timeoutMilliseconds: 120_000, everyMilliseconds: 20};
 
-/** Starts so many daemons, announces engines with changing loads, and measures while nothing else goes on. */
+/** Starts the given number of daemons, announces engines with changing loads, and measures the otherwise idle deployment. */
 export async function measureDistribution(daemons: number, seconds: number): Promise<DistributionFigures> {
 	const deployment = await startDeployment({
 		daemons: planDaemons(daemons), backends: [], configuration: trialConfiguration('settled'), startMilliseconds: 120_000, settings: {logging: {level: 'warn'}},
@@ -56,13 +56,13 @@
 	const engines = Math.round(daemons * enginesPerDaemon);
 	const announcers = announceEngines(deployment, engines);
 	try {
-		await Promise.all(deployment.daemons.map(async daemon => waitUntilKnown(daemon, engines)));
+		await Promise.all(deployment.daemons.map(async daemon => waitUntilEnginesListed(daemon, engines)));
 		await delay(settleMilliseconds);
-		const before = await allStatuses(deployment);
+		const before = await fetchAllStatuses(deployment);
 		await delay(seconds * 1000);
-		const after = await allStatuses(deployment);
+		const after = await fetchAllStatuses(deployment);
 		return {
-			daemons, engines, seconds, ...ratesOf({before, after, seconds}), ...await timeChanges(deployment),
+			daemons, engines, seconds, ...ratesOf({before, after, seconds}), ...await measureChanges(deployment),
 		};
 	} finally {
 		await Promise.all(announcers.map(async announcer => announcer.stop()));
@@ -81,7 +81,7 @@
 function announceEngines({daemons}: Deployment, count: number): Announcer[] {
 	return Array.from({length: count}, (_, index) => {
 		const daemon = daemons[index % daemons.length];
-		let calls = index;
+		let load = index;
 		return startAnnouncer({
 			daemons: [`http://127.0.0.1:${daemon?.ports.backends ?? 0}`],
 			key: deploymentKeys.backends,
@@ -90,29 +90,29 @@
 			address: 'http://127.0.0.1:9',
 			models: ['steady@1.0', 'fresh@2.0'],
 			capacity,
-			// A load that moves by more than one step from one report to the next.
+			// The load changes by more than one between consecutive reports.
 			active() {
-				calls += 5;
-				return calls % capacity;
+				load += 5;
+				return load % capacity;
 			},
 		});
 	});
 }
 
-async function waitUntilKnown(daemon: RunningDaemon, engines: number): Promise<void> {
+async function waitUntilEnginesListed(daemon: RunningDaemon, engines: number): Promise<void> {
 	await waitUntil(async () => {
-		const {servers, isolated} = await statusOf(daemon);
+		const {servers, isolated} = await fetchStatus(daemon);
 		return servers.length === engines && !isolated ? true : undefined;
-	}, {what: `${daemon.instance} to know ${engines} engines`, ...patience});
+	}, {what: `${daemon.instance} to list ${engines} engines`, ...waitOptions});
 }
 
-async function statusOf(daemon: RunningDaemon): Promise<Status> {
+async function fetchStatus(daemon: RunningDaemon): Promise<Status> {
 	const {body} = await callOperator(`${daemon.operators}/v1/status`, {key: deploymentKeys.operators});
 	return statusSchema.parse(body);
 }
 
-async function allStatuses({daemons}: Deployment): Promise<Status[]> {
-	return Promise.all(daemons.map(async daemon => statusOf(daemon)));
+async function fetchAllStatuses({daemons}: Deployment): Promise<Status[]> {
+	return Promise.all(daemons.map(async daemon => fetchStatus(daemon)));
 }
 
 type Samples = {readonly before: readonly Status[]; readonly after: readonly Status[]; readonly seconds: number};
@@ -136,7 +136,7 @@
 	};
 }
 
-async function timeChanges(deployment: Deployment): Promise<Pick<DistributionFigures, 'heldMilliseconds' | 'inForceMilliseconds'>> {
+async function measureChanges(deployment: Deployment): Promise<Pick<DistributionFigures, 'heldMilliseconds' | 'inForceMilliseconds'>> {
 	const heldMilliseconds: number[] = [];
 	const inForceMilliseconds: number[] = [];
 	let revision = 1;
@@ -144,9 +144,9 @@
 		const startedAt = performance.now();
 		const next = await deployment.apply(trialConfiguration(change % 2 === 0 ? 'rolling-out' : 'settled'), {replaces: revision});
 		revision = next;
-		await Promise.all(deployment.daemons.map(async daemon => waitUntilHeld(daemon, next)));
+		await Promise.all(deployment.daemons.map(async daemon => waitUntilReceived(daemon, next)));
 		heldMilliseconds.push(performance.now() - startedAt);
-		await waitUntilComplete(deployment);
+		await waitUntilInForce(deployment);
 		inForceMilliseconds.push(performance.now() - startedAt);
 		await delay(1000);
 	}
@@ -154,18 +154,18 @@
 	return {heldMilliseconds, inForceMilliseconds};
 }
 
-async function waitUntilHeld(daemon: RunningDaemon, revision: number): Promise<void> {
+async function waitUntilReceived(daemon: RunningDaemon, revision: number): Promise<void> {
 	await waitUntil(async () => {
-		const status = await statusOf(daemon);
+		const status = await fetchStatus(daemon);
 		return status.revision >= revision || undefined;
-	}, {what: `${daemon.instance} to hold revision ${revision}`, ...patience});
+	}, {what: `${daemon.instance} to have revision ${revision}`, ...waitOptions});
 }
 
-async function waitUntilComplete({daemons: [first]}: Deployment): Promise<void> {
+async function waitUntilInForce({daemons: [first]}: Deployment): Promise<void> {
 	await waitUntil(async () => {
-		const status = first === undefined ? undefined : await statusOf(first);
+		const status = first === undefined ? undefined : await fetchStatus(first);
 		return status?.inForce.complete === true || undefined;
-	}, {what: 'the change in force', ...patience});
+	}, {what: 'the change to be in force', ...waitOptions});
 }
 
 function mean(values: readonly number[]): number {
--- a/packages/testing/src/_entry-deployment.ts
+++ b/packages/testing/src/_entry-deployment.ts
@@ -15,23 +15,23 @@
 const nextVersion = '1.1';
 const zones = ['prairie-south-a', 'prairie-south-b', 'prairie-south-c'] as const;
 
-/** The versions of the one model, as engines announce them. */
+/** The versions of the only model, as engines announce them. */
 export const versions = {first: `tag-small@${firstVersion}`, next: `tag-small@${nextVersion}`} as const;
 
-/** What an entry deployment is made of. */
+/** Options for `startEntryDeployment`. */
 export type EntryDeploymentOptions = {
-	/** Engines that have both versions; two by default. */
+	/** Number of engines, each with both versions loaded; two by default. */
 	readonly engines?: number;
-	/** How many requests an engine works on at the same time; 8 by default. */
+	/** Number of concurrent requests per engine; 8 by default. */
 	readonly capacity?: number;
 	/** Settings that replace the generated ones. */
 	readonly settings?: Readonly<Record<string, unknown>>;
 };
 
 /**
-The operators' document of an entry deployment.
+Returns the configuration document of an entry deployment.
 
-@param states The states of the two versions; the first is settled and the next withdrawn by default.
+@param states The states of the two versions; by default the first is settled and the next withdrawn.
 @returns The document.
 */
 export function entryConfiguration(states: {readonly first?: string; readonly next?: string} = {}): unknown {
@@ -60,16 +60,16 @@
 }
 
 /**
-Sorts texts, so that collections can be compared whatever their order.
+Sorts strings, so that collections can be compared regardless of order.
 
-@param texts The texts.
+@param texts The strings; other values are converted.
 @returns A sorted copy.
 */
 export function sorted(texts: Iterable<unknown>): readonly string[] {
 	return [...texts].map(String).toSorted((left, right) => left.localeCompare(right));
 }
 
-/** A deployment of three daemons, engines and a plain service, and what tests ask of it. */
+/** A deployment of three daemons, engines and a plain service, with helpers for tests. */
 export class EntryDeployment {
 	readonly deployment: Deployment;
 
@@ -77,7 +77,7 @@
 		this.deployment = deployment;
 	}
 
-	/** The callers' address of a daemon. */
+	/** Returns the address of a daemon's callers' endpoint. */
 	callers(index: number): string {
 		return this.daemon(index).callers;
 	}
@@ -104,7 +104,7 @@
 		return runs.length;
 	}
 
-	/** The log lines of all daemons about a request, so that a failure that shows once can be traced. */
+	/** Returns the log lines of all daemons about a request, to diagnose failures that are hard to reproduce. */
 	async linesAbout(request: string): Promise<readonly string[]> {
 		const lines: string[] = [];
 		for (const {process: {logFile}} of this.deployment.daemons) {
@@ -115,14 +115,14 @@
 		return lines;
 	}
 
-	/** Waits for the bills of requests, and gives all bills of the workspace. */
+	/** Waits until the ledger has the bills of the requests, and returns all bills of workspace `yard`. */
 	async bills(requests: readonly string[], by = 0): Promise<ReadonlyArray<Readonly<Record<string, unknown>>>> {
 		return waitUntil(async () => {
 			const bills = await this.deployment.ledger('yard', this.daemon(by));
 			const known = new Set(bills.map(({request}) => request));
 			const missing = requests.filter(request => !known.has(request));
 			if (missing.length > 0) {
-				throw new Error(`Got ${bills.length} bills without those of ${missing.join(', ')}`);
+				throw new Error(`The ledger has ${bills.length} bills; bills are missing for ${missing.join(', ')}`);
 			}
 
 			return bills;
@@ -131,10 +131,10 @@
 }
 
 /**
-Starts an entry deployment; it is stopped when the test ends.
+Starts an entry deployment that is stopped when the test ends.
 
-@param t The test.
-@param options What it is made of.
+@param t The context of the test.
+@param options The engines and settings.
 @returns The deployment.
 */
 export async function startEntryDeployment(t: ExecutionContext, options: EntryDeploymentOptions = {}): Promise<EntryDeployment> {
@@ -150,7 +150,7 @@
 		backends: [...engines, {server: 'labels-1', zone: zones[0], service: 'labels'}],
 		configuration: entryConfiguration(),
 		settings: options.settings ?? {},
-		// Generous, since a busy machine starts eight processes slowly.
+		// A long timeout, since a busy machine starts eight processes slowly.
 		startMilliseconds: 90_000,
 	});
 	t.teardown(async () => {
--- a/packages/testing/src/_fake-server.ts
+++ b/packages/testing/src/_fake-server.ts
@@ -4,24 +4,24 @@
 import {text} from 'node:stream/consumers';
 import {type Behaviour, behaviourSchema, defaultBehaviour} from './behaviour.js';
 
-/** What the common part of the fakes needs. */
+/** Options for `startFakeServer`. */
 export type FakeServerOptions = {
 	readonly port: number;
 	readonly behaviour: Behaviour;
-	/** The records that `GET /test/runs` shows. */
+	/** The records that `GET /test/runs` returns. */
 	readonly runs: readonly unknown[];
-	/** Answers everything but the control calls; the signal is raised when the caller goes away. */
+	/** Handles all requests except those under `/test/`; the signal is aborted when the client disconnects. */
 	readonly answer: (exchange: Exchange) => Promise<void>;
 };
 
-/** One request to a fake. */
+/** A request to a fake server and its response. */
 export type Exchange = {
 	readonly request: IncomingMessage;
 	readonly response: ServerResponse;
 	readonly signal: AbortSignal;
 };
 
-/** A listening fake. */
+/** A listening fake server. */
 export type FakeServer = {
 	readonly port: number;
 	readonly address: string;
@@ -32,16 +32,16 @@
 const host = '127.0.0.1';
 
 export async function startFakeServer(options: FakeServerOptions): Promise<FakeServer> {
-	const used = new WeakSet<Socket>();
+	const usedSockets = new WeakSet<Socket>();
 	const server = createServer((request, response) => {
 		const {socket} = request;
-		if (used.has(socket) && options.behaviour.closesKeptConnections && !isControlCall(request)) {
+		if (usedSockets.has(socket) && options.behaviour.closesKeptConnections && !isControlCall(request)) {
 			socket.destroy();
 			return;
 		}
 
-		used.add(socket);
-		void serve(options, {request, response, signal: signalOfClose(response)});
+		usedSockets.add(socket);
+		void serve(options, {request, response, signal: disconnectSignal(response)});
 	});
 	server.listen(options.port, host);
 	await once(server, 'listening');
@@ -82,7 +82,7 @@
 	return (Array.isArray(value) ? value[0] : value) ?? '';
 }
 
-function signalOfClose(response: ServerResponse): AbortSignal {
+function disconnectSignal(response: ServerResponse): AbortSignal {
 	const controller = new AbortController();
 	response.once('close', () => {
 		if (!response.writableFinished) {
@@ -106,7 +106,7 @@
 	}
 }
 
-/** Tells whether a test speaks to the fake itself. */
+/** Determines whether a request controls the fake server itself. */
 function isControlCall({url}: IncomingMessage): boolean {
 	return url?.startsWith('/test/') === true;
 }
--- a/packages/testing/src/_isolation-trial.ts
+++ b/packages/testing/src/_isolation-trial.ts
@@ -5,13 +5,13 @@
 import {type RunningDaemon} from './deployment.js';
 import {waitUntil} from './wait-until.js';
 
-/** What a cut-off instance did with requests, by what they asked for. */
+/** Numbers of requests that an isolated instance served and refused, by what they asked for. */
 export type IsolationFigures = {
 	readonly serve: IsolationServe;
-	/** While the change was not in force yet, or afterwards. */
+	/** Whether the requests were sent before the change was in force, or after. */
 	readonly phase: 'before in force' | 'in force';
 	readonly settled: Counts;
-	/** Requests for a version that was withdrawn outside the cut. */
+	/** Requests for a version that was withdrawn in the other zones. */
 	readonly withdrawn: Counts;
 	readonly plainService: Counts;
 };
@@ -19,22 +19,22 @@
 type Counts = Readonly<Record<Seen, number>>;
 
 const rounds = 5;
-const requestsEach = 10;
+const requestsPerRound = 10;
 
-/** Cuts a zone, withdraws a version outside, and counts what an entry instance in the zone serves. */
+/** Isolates a zone, withdraws a version in the others, and counts what an entry instance in the isolated zone serves. */
 export async function measureIsolation(serve: IsolationServe): Promise<readonly IsolationFigures[]> {
 	const {deployment, session, revision: before} = await startZoneTrial({leaseMilliseconds: 6000, serve});
 	try {
 		const leader = findDaemon(deployment, 'control-a');
-		const cutOff = findDaemon(deployment, 'entry-c');
+		const isolatedDaemon = findDaemon(deployment, 'entry-c');
 		await cutZone(deployment, 'zone-c');
 		const revision = await deployment.apply(trialConfiguration('withdrawn'), {replaces: before, by: leader});
-		const early = await countOnce(cutOff, session);
+		const early = await countRound(isolatedDaemon, session);
 		await waitUntil(async () => {
 			const status = await distributionStatus(leader);
 			return status.inForce.complete && status.revision >= revision ? true : undefined;
-		}, {what: 'the change in force', timeoutMilliseconds: 60_000});
-		const late = await countRounds(cutOff, session);
+		}, {what: 'the change to be in force', timeoutMilliseconds: 60_000});
+		const late = await countRounds(isolatedDaemon, session);
 		return [{serve, phase: 'before in force', ...early}, {serve, phase: 'in force', ...late}];
 	} finally {
 		await cutZone(deployment);
@@ -45,9 +45,9 @@
 type RoundCounts = Pick<IsolationFigures, 'settled' | 'withdrawn' | 'plainService'>;
 
 async function countRounds(daemon: RunningDaemon, session: string): Promise<RoundCounts> {
-	let all = await countOnce(daemon, session);
+	let all = await countRound(daemon, session);
 	for (let round = 1; round < rounds; round++) {
-		const next = await countOnce(daemon, session);
+		const next = await countRound(daemon, session);
 		all = {
 			settled: add(all.settled, next.settled),
 			withdrawn: add(all.withdrawn, next.withdrawn),
@@ -58,7 +58,7 @@
 	return all;
 }
 
-async function countOnce(daemon: RunningDaemon, session: string): Promise<RoundCounts> {
+async function countRound(daemon: RunningDaemon, session: string): Promise<RoundCounts> {
 	const [settled, withdrawn, plainService] = await Promise.all([
 		count(async () => askFor(daemon)),
 		count(async () => askFor(daemon, session)),
@@ -68,7 +68,7 @@
 }
 
 async function count(ask: () => Promise<Seen>): Promise<Counts> {
-	const seen = await Promise.all(Array.from({length: requestsEach}, async () => ask()));
+	const seen = await Promise.all(Array.from({length: requestsPerRound}, async () => ask()));
 	const served = seen.filter(one => one === 'served').length;
 	return {served, refused: seen.length - served};
 }
--- a/packages/testing/src/_note-listener.ts
+++ b/packages/testing/src/_note-listener.ts
@@ -1,9 +1,9 @@
 import process from 'node:process';
 
 /**
-Preloaded before a program: says, at each listener to SIGHUP, whether the program had loaded its parts by then.
+Preloaded before a program: reports, for each SIGHUP listener that the program adds, whether the program had loaded its modules by then.
 
-The parts are told by the runtime's module for HTTP, which nothing but they load.
+The check looks for Node's HTTP module, which only the program's modules load.
 */
 const on = process.on.bind(process);
 
--- a/packages/testing/src/_place-deployment.ts
+++ b/packages/testing/src/_place-deployment.ts
@@ -8,16 +8,16 @@
 import {freePorts} from './free-ports.js';
 import {ManagedProcess} from './managed-process.js';
 
-const portsEach = 4;
+const portsPerDaemon = 4;
 const defaultCapacity = 8;
 const packageFolder = fileURLToPath(new URL('..', import.meta.url));
 const workspaceDaemon = path.join(packageFolder, '../daemon/dist/bin/valehitchd.js');
 
-/** Gives each daemon free ports. */
+/** Allocates free ports for each daemon. */
 export async function placeDaemons(plans: readonly DaemonPlan[]): Promise<readonly PlacedDaemon[]> {
-	const ports = await freePorts(plans.length * portsEach);
+	const ports = await freePorts(plans.length * portsPerDaemon);
 	return plans.map((plan, index) => {
-		const [callers = 0, backends = 0, operators = 0, peers = 0] = ports.slice(index * portsEach);
+		const [callers = 0, backends = 0, operators = 0, peers = 0] = ports.slice(index * portsPerDaemon);
 		return {
 			...plan, ports: {
 				callers, backends, operators, peers,
@@ -26,20 +26,20 @@
 	});
 }
 
-type DaemonSurroundings = {
+type WriteDaemonOptions = {
 	readonly placed: readonly PlacedDaemon[];
 	readonly folder: string;
 	readonly options: DeploymentOptions;
 };
 
-type BackendSurroundings = {
+type PlaceBackendsOptions = {
 	readonly daemons: readonly RunningDaemon[];
 	readonly folder: string;
 	readonly plans: readonly BackendPlan[];
 };
 
-/** Writes a daemon's settings file and readies its process. */
-export async function writeDaemon(daemon: PlacedDaemon, {placed, folder, options}: DaemonSurroundings): Promise<RunningDaemon> {
+/** Writes a daemon's settings file and prepares its process. */
+export async function writeDaemon(daemon: PlacedDaemon, {placed, folder, options}: WriteDaemonOptions): Promise<RunningDaemon> {
 	const {instance, ports} = daemon;
 	const file = path.join(folder, `${instance}.yaml`);
 	await writeFile(file, settingsFile(daemon, {folder, daemons: placed, overrides: options.settings}));
@@ -55,34 +55,34 @@
 	};
 }
 
-/** Gives each fake a free port and readies its process. */
-export async function placeBackends({daemons, folder, plans}: BackendSurroundings): Promise<readonly RunningBackend[]> {
+/** Allocates a free port for each fake backend server and prepares its process. */
+export async function placeBackends({daemons, folder, plans}: PlaceBackendsOptions): Promise<readonly RunningBackend[]> {
 	const ports = await freePorts(plans.length);
 	const addresses = daemons.map(daemon => `http://127.0.0.1:${daemon.ports.backends}`);
 	return plans.map((plan, index) => {
 		const port = ports[index] ?? 0;
-		// Each begins with another daemon, so that announcements spread.
+		// Each starts with a different daemon, so that announcements are spread.
 		const start = index % Math.max(1, addresses.length);
-		const announce = [...addresses.slice(start), ...addresses.slice(0, start)];
+		const announceTo = [...addresses.slice(start), ...addresses.slice(0, start)];
 		return {
 			...plan,
 			address: `http://127.0.0.1:${port}`,
 			process: new ManagedProcess({
 				name: plan.server,
-				command: backendCommand(plan, {port, announce}),
+				command: backendCommand(plan, {port, announceTo}),
 				logFile: path.join(folder, `${plan.server}.log`),
 			}),
 		};
 	});
 }
 
-function backendCommand(plan: BackendPlan, {port, announce}: {readonly port: number; readonly announce: readonly string[]}): readonly string[] {
+function backendCommand(plan: BackendPlan, {port, announceTo}: {readonly port: number; readonly announceTo: readonly string[]}): readonly string[] {
 	const script = plan.service === undefined ? 'fake-engine.js' : 'fake-service.js';
 	const flags = {
 		port,
 		server: plan.server,
 		zone: plan.zone,
-		announce: announce.join(','),
+		announce: announceTo.join(','),
 		key: deploymentKeys.backends,
 		capacity: plan.capacity ?? defaultCapacity,
 		...(plan.models && {models: plan.models.join(','), checksFencing: plan.checksFencing ?? true}),
--- a/packages/testing/src/_run-fake.ts
+++ b/packages/testing/src/_run-fake.ts
@@ -2,7 +2,7 @@
 import {parseArgs} from 'node:util';
 import {type Announcer, startAnnouncer} from './announcer.js';
 
-/** The flags of both fakes. */
+/** Command-line flags of both fake servers. */
 export type FakeFlags = {
 	readonly port: number;
 	readonly server: string;
@@ -12,18 +12,18 @@
 	readonly announce: readonly string[];
 	readonly key: string;
 	readonly capacity: number;
-	/** Whether the engine refuses orders that are older than the last. */
+	/** Whether the engine refuses orders older than the last one it executed. */
 	readonly checksFencing: boolean;
 };
 
-/** What a fake process runs. */
+/** Options for `runFake`. */
 export type FakeProcessOptions = {
 	readonly flags: FakeFlags;
 	/** The service's name; undefined for an engine. */
 	readonly service?: string;
 	readonly fake: {
 		readonly address: string;
-		/** An engine's loaded versions. */
+		/** Returns the loaded versions of an engine. */
 		readonly models?: () => readonly string[];
 		readonly checksFencing?: boolean;
 		readonly active: () => number;
@@ -50,8 +50,8 @@
 		port: Number(values.port),
 		capacity: Number(values.capacity),
 		checksFencing: values.checksFencing === 'true',
-		models: listOf(values.models),
-		announce: listOf(values.announce),
+		models: splitList(values.models),
+		announce: splitList(values.announce),
 	};
 }
 
@@ -83,6 +83,6 @@
 	await announcer.stop();
 }
 
-function listOf(text: string): readonly string[] {
-	return text.split(',').filter(part => part !== '');
+function splitList(value: string): readonly string[] {
+	return value.split(',').filter(part => part !== '');
 }
--- a/packages/testing/src/_seeded-random.ts
+++ b/packages/testing/src/_seeded-random.ts
@@ -4,10 +4,10 @@
 const modulus = 2_147_483_647;
 
 /**
-Makes a random source from a seed (Park and Miller, 1988): small, and good enough to mix requests.
+Creates a pseudorandom source from a seed: the Lehmer generator of Park and Miller (1988) with multiplier 48271, which is simple and good enough to generate requests.
 
-@param seed A whole number from 1 up to 2,147,483,646.
-@returns The random source; the same seed gives the same numbers.
+@param seed An integer from 1 to 2,147,483,646.
+@returns The random source; the same seed produces the same numbers.
 @example
 ```ts
 const random = seededRandom(20_240);
--- a/packages/testing/src/_settings-file.ts
+++ b/packages/testing/src/_settings-file.ts
@@ -28,13 +28,13 @@
 export type SettingsFileOptions = {
 	readonly folder: string;
 	readonly daemons: readonly PlacedDaemon[];
-	/** Top-level members that replace the generated ones. */
+	/** Top-level settings that replace the generated ones. */
 	readonly overrides?: Readonly<Record<string, unknown>> | undefined;
 };
 
 const host = '127.0.0.1';
 
-/** Gives the settings of a daemon as JSON, which is YAML too. */
+/** Formats the settings of a daemon as JSON, which is also valid YAML. */
 export function settingsFile(daemon: PlacedDaemon, options: SettingsFileOptions): string {
 	const {instance, zone, roles, ports} = daemon;
 	const settings = {
@@ -43,10 +43,10 @@
 		zone,
 		roles,
 		listen: Object.fromEntries(Object.entries(ports).map(([name, port]) => [name, {host, port}])),
-		control: options.daemons.filter(other => isControl(other)).map(other => ({
+		control: options.daemons.filter(other => hasControlRole(other)).map(other => ({
 			instance: other.instance, zone: other.zone, host, port: other.ports.peers,
 		})),
-		...(isControl(daemon) && {dataFolder: path.join(options.folder, 'data', instance)}),
+		...(hasControlRole(daemon) && {dataFolder: path.join(options.folder, 'data', instance)}),
 		keys: {
 			operators: [digestOf(deploymentKeys.operators)],
 			backends: [digestOf(deploymentKeys.backends)],
@@ -67,6 +67,6 @@
 	return createHash('sha256').update(key).digest('hex');
 }
 
-function isControl({roles}: PlacedDaemon): boolean {
+function hasControlRole({roles}: PlacedDaemon): boolean {
 	return roles.includes('control');
 }
--- a/packages/testing/src/_wire-names.ts
+++ b/packages/testing/src/_wire-names.ts
@@ -1,4 +1,4 @@
-/** The chat-completions members whose names are not in this code's case. */
+/** Members of the chat completions API whose names are not in camel case. */
 export const wireNames = {
 	maxTokens: 'max_tokens',
 	promptTokens: 'prompt_tokens',
--- a/packages/testing/src/_zone-trial.ts
+++ b/packages/testing/src/_zone-trial.ts
@@ -8,10 +8,10 @@
 } from './http-client.js';
 import {waitUntil} from './wait-until.js';
 
-/** What a daemon says of its part in the distribution. */
+/** A daemon's distribution status, with the members that trials read. */
 export type DistributionStatus = z.infer<typeof distributionStatusSchema>;
 
-/** How a deployment of three zones with a version in roll-out is set. */
+/** Options for `startZoneTrial`. */
 export type ZoneTrialOptions = {
 	readonly leaseMilliseconds: number;
 	readonly serve?: 'settled' | 'all' | 'none';
@@ -26,7 +26,7 @@
 	servers: z.array(z.looseObject({server: z.string(), state: z.string()})),
 });
 
-const askMilliseconds = 4000;
+const requestTimeoutMilliseconds = 4000;
 const question = [{role: 'user' as const, content: 'Which heat?'}];
 const key = 'trial-key';
 const workspace = 'trial';
@@ -48,7 +48,7 @@
 	{server: 'labels-c', zone: 'zone-c', service: 'labels'},
 ];
 
-/** A document with a version that stays settled, and one whose state changes in the trial. */
+/** Returns a configuration with a version that stays settled and one whose state changes during the trial. */
 export function trialConfiguration(fresh: 'settled' | 'rolling-out' | 'withdrawn'): unknown {
 	const prices = {input: 1, output: 1};
 	return {
@@ -75,16 +75,16 @@
 	};
 }
 
-/** A running deployment and a session on the version whose state changes. */
+/** A running deployment with a session on the version whose state changes. */
 export type ZoneTrial = {
 	readonly deployment: Deployment;
-	/** The token of a session on the version that is now in the middle of a roll-out. */
+	/** The token of a session on the version that is being rolled out. */
 	readonly session: string;
-	/** The revision of the document that says so. */
+	/** The revision of the configuration that started the roll-out. */
 	readonly revision: number;
 };
 
-/** Starts 7 daemons in 3 zones, begins a session, puts its version in the middle of a roll-out and waits until all hold a lease. */
+/** Starts 7 daemons in 3 zones, waits until all hold a lease, starts a session, and begins a roll-out of its version. */
 export async function startZoneTrial({leaseMilliseconds, serve = 'settled'}: ZoneTrialOptions): Promise<ZoneTrial> {
 	const deployment = await startDeployment({
 		daemons: trialDaemons,
@@ -126,7 +126,7 @@
 	}, {what: `${daemon.instance} to hold a lease`, timeoutMilliseconds: 60_000});
 }
 
-/** Cuts the links between the zone and all others, or mends all links where none is named. */
+/** Cuts the links between a zone and all others, or restores all links if no zone is given. */
 export async function cutZone(deployment: Deployment, zone?: string): Promise<void> {
 	await Promise.all(deployment.daemons.map(async daemon => {
 		const cut = deployment.daemons
@@ -136,25 +136,25 @@
 			key: deploymentKeys.operators, method: 'POST', document: {cut},
 		});
 		if (status !== 200) {
-			throw new Error(`Got ${status} from ${daemon.instance}, wanted 200`);
+			throw new Error(`Expected status 200 from ${daemon.instance}, got ${status}`);
 		}
 	}));
 }
 
-/** What came of a request, as far as the caller saw within some seconds. */
+/** The result of a request, as observed by the caller within a few seconds. */
 export type Seen = 'served' | 'refused';
 
 /**
-Asks for the settled version, or goes on with a session on the version whose state changes.
+Sends a request for the settled version or, with a session, for the version whose state changes.
 
-A stream that began counts as served, since a cut-off zone may not reach the ledger before its end.
+A started stream counts as served, since an isolated zone may not be able to reach the ledger before the stream ends.
 */
 export async function askFor(daemon: RunningDaemon, session?: string): Promise<Seen> {
 	const {text, status, connectionError} = await chatStreamed(daemon.callers, {
 		key,
 		model: session === undefined ? 'steady' : 'fresh',
 		messages: question,
-		timeoutMilliseconds: askMilliseconds,
+		timeoutMilliseconds: requestTimeoutMilliseconds,
 		...(session !== undefined && {headers: {'Valehitch-Session': session}}),
 	});
 	if (status >= 400) {
@@ -162,16 +162,16 @@
 	}
 
 	if (text === '') {
-		throw new Error(`Got neither an answer nor a refusal: ${connectionError ?? 'an empty stream'}`);
+		throw new Error(`Received neither a response nor a refusal: ${connectionError ?? 'the stream was empty'}`);
 	}
 
 	return 'served';
 }
 
-/** Calls the plain service; gives whether the instance refused. */
+/** Calls the plain service and returns whether the instance served or refused the call. */
 export async function askForLabels(daemon: RunningDaemon): Promise<Seen> {
 	const {status} = await callService(daemon.callers, {
-		key, service: 'labels', path: '/print', body: '{}', timeoutMilliseconds: askMilliseconds,
+		key, service: 'labels', path: '/print', body: '{}', timeoutMilliseconds: requestTimeoutMilliseconds,
 	});
 	return status >= 400 ? 'refused' : 'served';
 }
@@ -179,7 +179,7 @@
 export function findDaemon(deployment: Deployment, instance: string): RunningDaemon {
 	const daemon = deployment.daemons.find(candidate => candidate.instance === instance);
 	if (daemon === undefined) {
-		throw new Error(`Got no daemon ${instance}`);
+		throw new Error(`No daemon named ${instance} in the deployment`);
 	}
 
 	return daemon;
