--- a/packages/testing/src/_note-listener.ts
+++ b/packages/testing/src/_report-sighup-listener.ts
@@ -10,7 +10,7 @@
 process.on = ((name: string, listener: () => void) => {
 	if (name === 'SIGHUP') {
 		const {moduleLoadList} = process as unknown as {readonly moduleLoadList: readonly string[]};
-		process.stderr.write(moduleLoadList.includes('NativeModule http') ? 'listens after its parts\n' : 'listens before its parts\n');
+		process.stderr.write(moduleLoadList.includes('NativeModule http') ? 'SIGHUP listener added after the modules were loaded\n' : 'SIGHUP listener added before the modules were loaded\n');
 	}
 
 	return on(name, listener);
--- a/packages/testing/src/announcer.test.ts
+++ b/packages/testing/src/announcer.test.ts
@@ -16,9 +16,9 @@
 async function startRegistry(t: ExecutionContext) {
 	const announcements: Announcement[] = [];
 	const answer = async (request: IncomingMessage, response: ServerResponse) => {
-		const isKnown = request.headers.authorization === 'Bearer backend-key';
+		const isAuthorized = request.headers.authorization === 'Bearer backend-key';
 		announcements.push(announcementSchema.parse(JSON.parse(await text(request))));
-		response.writeHead(isKnown ? 200 : 401).end('{"renewAfterMilliseconds": 20}');
+		response.writeHead(isAuthorized ? 200 : 401).end('{"renewAfterMilliseconds": 20}');
 	};
 
 	const server = createServer((request, response) => {
@@ -56,7 +56,7 @@
 	t.is(first?.startedAt, second?.startedAt);
 });
 
-test('a fake runs as a process, announces itself and its end, and starts again', async t => {
+test('a fake service runs as a process, announces its start and shutdown, and can be restarted', async t => {
 	const registry = await startRegistry(t);
 	const folder = await mkdtemp(path.join(tmpdir(), 'valehitch-fake-'));
 	const script = fileURLToPath(new URL('bin/fake-service.js', import.meta.url));
--- a/packages/testing/src/bad-version-process.test.ts
+++ b/packages/testing/src/bad-version-process.test.ts
@@ -7,10 +7,10 @@
 import {sendRequest} from './send-request.js';
 import {waitUntil} from './wait-until.js';
 
-const generousMilliseconds = 90_000;
+const timeoutMilliseconds = 90_000;
 const model = 'tag-small';
-const sound = '1.0';
-const bad = '1.1';
+const goodVersion = '1.0';
+const badVersion = '1.1';
 const key = 'yard-key';
 const badRating = 0.1;
 const prices = {input: 1, output: 1};
@@ -21,9 +21,9 @@
 	models: {
 		[model]: {
 			versions: {
-				[sound]: {state: 'settled', quality: 0.85, prices},
-				[bad]: {
-					state: 'settled', quality: 0.85, prices, replaces: sound,
+				[goodVersion]: {state: 'settled', quality: 0.85, prices},
+				[badVersion]: {
+					state: 'settled', quality: 0.85, prices, replaces: goodVersion,
 				},
 			},
 		},
@@ -31,8 +31,8 @@
 	services: {},
 	workspaces: {
 		yard: {
-			// Only the version that turns bad, so that an instance that has stopped it for good has to refuse.
-			keyDigests: [digestOf(key)], weight: 1, allowed: {[model]: [bad]}, services: [], policy: [rule],
+			// Only the bad version is allowed, so that an instance that has stopped it must refuse requests.
+			keyDigests: [digestOf(key)], weight: 1, allowed: {[model]: [badVersion]}, services: [], policy: [rule],
 		},
 	},
 };
@@ -44,16 +44,16 @@
 });
 
 async function start(t: ExecutionContext): Promise<Deployment> {
-	t.timeout(4 * generousMilliseconds);
+	t.timeout(4 * timeoutMilliseconds);
 	const deployment = await startDeployment({
 		daemons: [
 			{instance: 'control-a', zone: 'prairie-south-a', roles: ['control', 'entry']},
 			{instance: 'entry-b', zone: 'prairie-south-b', roles: ['entry']},
 			{instance: 'entry-c', zone: 'prairie-south-c', roles: ['entry']},
 		],
-		backends: [{server: 'engine-1', zone: 'prairie-south-a', models: [`${model}@${sound}`, `${model}@${bad}`]}],
+		backends: [{server: 'engine-1', zone: 'prairie-south-a', models: [`${model}@${goodVersion}`, `${model}@${badVersion}`]}],
 		configuration: document,
-		startMilliseconds: generousMilliseconds,
+		startMilliseconds: timeoutMilliseconds,
 	});
 	t.teardown(async () => {
 		await deployment.stop();
@@ -62,66 +62,66 @@
 	return deployment;
 }
 
-async function ask({callers}: RunningDaemon) {
+async function sendChat({callers}: RunningDaemon) {
 	return chatWhole(callers, {key, messages: [{role: 'user', content: 'Tag coil 7'}], maxTokens: 4});
 }
 
-/** Sends a request to one instance and its bad rating to another one. */
-async function askAndRate(asked: RunningDaemon, rated: RunningDaemon): Promise<void> {
-	const {requestId, done} = await ask(asked);
+/** Sends a request to one instance and a bad rating of it to another. */
+async function sendAndRate(server: RunningDaemon, rater: RunningDaemon): Promise<void> {
+	const {requestId, done} = await sendChat(server);
 	if (!done) {
 		return;
 	}
 
-	await sendRequest(`http://127.0.0.1:${rated.ports.backends}/v1/ratings`, {
+	await sendRequest(`http://127.0.0.1:${rater.ports.backends}/v1/ratings`, {
 		method: 'POST',
 		headers: {authorization: `Bearer ${deploymentKeys.backends}`},
 		body: JSON.stringify({
-			requestId, model, version: bad, workspace: 'yard', class: rule.name, rating: badRating, ratedAt: Date.now(),
+			requestId, model, version: badVersion, workspace: 'yard', class: rule.name, rating: badRating, ratedAt: Date.now(),
 		}),
 	});
 }
 
-async function stopScopes({operators}: RunningDaemon): Promise<readonly string[]> {
+async function fetchStopScopes({operators}: RunningDaemon): Promise<readonly string[]> {
 	const {body} = await callOperator(`${operators}/v1/timeline`, {key: deploymentKeys.operators});
 	return timelineSchema.parse(body).events
 		.filter(({event}) => event === 'version-stopped')
 		.map(({details}) => details?.scope ?? '');
 }
 
-async function configurationOf({operators}: RunningDaemon) {
+async function fetchConfiguration({operators}: RunningDaemon) {
 	const {body} = await callOperator(`${operators}/v1/configuration`, {key: deploymentKeys.operators});
 	return configurationSchema.parse(body);
 }
 
 async function waitUntilStopped(daemon: RunningDaemon): Promise<number> {
 	return waitUntil(async () => {
-		const {revision, rollouts} = await configurationOf(daemon);
-		return rollouts[`${model}@${bad}`]?.status === 'stopped' ? revision : undefined;
-	}, {what: `${daemon.instance} to know that the version is stopped`, timeoutMilliseconds: generousMilliseconds});
+		const {revision, rollouts} = await fetchConfiguration(daemon);
+		return rollouts[`${model}@${badVersion}`]?.status === 'stopped' ? revision : undefined;
+	}, {what: `${daemon.instance} to report the version as stopped`, timeoutMilliseconds});
 }
 
 async function assertRefuses(t: ExecutionContext, daemon: RunningDaemon): Promise<void> {
-	const {done, problem} = await ask(daemon);
+	const {done, problem} = await sendChat(daemon);
 	t.false(done, daemon.instance);
 	t.like(problem, {kind: 'no-server', outcome: 'notRun'}, daemon.instance);
 }
 
-test('a version that turns bad is stopped by the instance that gets its ratings, then for all, and stays so after the leader restarts', async t => {
+test('a bad version is stopped by the instance that receives its ratings, then on all instances, and stays stopped after the leader restarts', async t => {
 	const deployment = await start(t);
-	const [leader, rated, asked] = deployment.daemons as [RunningDaemon, RunningDaemon, RunningDaemon];
-	const {revision} = await configurationOf(leader);
+	const [leader, rater, server] = deployment.daemons as [RunningDaemon, RunningDaemon, RunningDaemon];
+	const {revision} = await fetchConfiguration(leader);
 	await waitUntil(async () => {
-		await askAndRate(asked, rated);
-		const scopes = await stopScopes(rated);
+		await sendAndRate(server, rater);
+		const scopes = await fetchStopScopes(rater);
 		return scopes.includes('instance') || undefined;
-	}, {what: 'the stop on the instance', timeoutMilliseconds: generousMilliseconds, everyMilliseconds: 5});
-	t.deepEqual(await stopScopes(asked), []);
+	}, {what: 'the instance to stop the version', timeoutMilliseconds, everyMilliseconds: 5});
+	t.deepEqual(await fetchStopScopes(server), []);
 
 	const stoppedAt = await Promise.all(deployment.daemons.map(async daemon => waitUntilStopped(daemon)));
-	t.true(Math.min(...stoppedAt) > revision, `Got revisions ${stoppedAt.join(', ')}, wanted above ${revision}`);
-	const leaderScopes = await stopScopes(leader);
-	t.true(leaderScopes.includes('all'), `Got ${leaderScopes.join(', ')}`);
+	t.true(Math.min(...stoppedAt) > revision, `Expected revisions above ${revision}, got ${stoppedAt.join(', ')}`);
+	const leaderScopes = await fetchStopScopes(leader);
+	t.true(leaderScopes.includes('all'), `Expected scope all, got ${leaderScopes.join(', ')}`);
 	for (const daemon of deployment.daemons) {
 		await assertRefuses(t, daemon);
 	}
--- a/packages/testing/src/catches-signal.test.ts
+++ b/packages/testing/src/catches-signal.test.ts
@@ -4,14 +4,14 @@
 import test from 'ava';
 import {catchesSignal} from './catches-signal.js';
 
-/** Starts a program, and waits for its first output. */
-async function startProgram(text: string) {
-	const child = spawn(process.execPath, ['-e', `${text}; console.log('started'); setInterval(() => {}, 1000)`], {stdio: ['ignore', 'pipe', 'inherit']});
+/** Starts a Node.js program and waits for its first output. */
+async function startProgram(code: string) {
+	const child = spawn(process.execPath, ['-e', `${code}; console.log('started'); setInterval(() => {}, 1000)`], {stdio: ['ignore', 'pipe', 'inherit']});
 	await once(child.stdout, 'data');
 	return child;
 }
 
-test('a signal is caught by a process with a listener, not by one without, and not by one that has ended', async t => {
+test('catchesSignal is true for a process with a listener, and false for one without or one that has exited', async t => {
 	const listening = await startProgram('process.on("SIGHUP", () => {})');
 	const plain = await startProgram('');
 	t.teardown(() => {
--- a/packages/testing/src/control-repair.test.ts
+++ b/packages/testing/src/control-repair.test.ts
@@ -17,13 +17,13 @@
 import {callOperator} from './http-client.js';
 import {waitUntil} from './wait-until.js';
 
-const generousMilliseconds = 60_000;
+const waitMilliseconds = 60_000;
 const bills = 2500;
-const billsEach = 10;
+const billsPerCommand = 10;
 const plans: readonly DaemonPlan[] = ['a', 'b', 'c'].map(name => ({
 	instance: `control-${name}`, zone: `prairie-south-${name}`, roles: ['control', 'entry'],
 }));
-// More than the largest frame between daemons, which is 16 MiB.
+// Together larger than the maximum frame size between daemons, which is 16 MiB.
 const largeBodies = 20;
 const bodyBytes = 1_000_000;
 const identitySchema = z.object({identity: z.string()});
@@ -46,7 +46,7 @@
 
 async function startControl(t: ExecutionContext, controlLimits: Readonly<Record<string, number>>): Promise<Deployment> {
 	const deployment = await startDeployment({
-		daemons: plans, backends: [], configuration: {models: {}, services: {}, workspaces: {}}, startMilliseconds: generousMilliseconds, settings: {controlLimits, controlLog: {snapshotEntries: 100}},
+		daemons: plans, backends: [], configuration: {models: {}, services: {}, workspaces: {}}, startMilliseconds: waitMilliseconds, settings: {controlLimits, controlLog: {snapshotEntries: 100}},
 	});
 	t.teardown(async () => {
 		await deployment.stop();
@@ -55,7 +55,7 @@
 	return deployment;
 }
 
-/** A claim and its settlement with a large body. */
+/** Creates the commands that take a claim and settle it with a large body. */
 function claimWithBody(index: number): readonly Command[] {
 	const claim = {
 		workspace: toId<WorkspaceId>('yard'), key: toId<IdempotencyKey>(`key-${index}`), request: toId<RequestId>(`request-${index}`), at: Date.now(),
@@ -74,7 +74,7 @@
 async function openNetwork(t: ExecutionContext): Promise<PeerNetwork<unknown>> {
 	const network = await PeerNetwork.listen<unknown>({
 		self: toId<InstanceId>('recorder'), key: deploymentKeys.peers, host: '127.0.0.1', port: 0, onMessage() {
-			// No daemon sends to the recorder.
+			// No daemon sends messages to this test.
 		}, onRequest: async () => undefined, onFailure(_from, error) {
 			throw error;
 		},
@@ -83,7 +83,7 @@
 	return network;
 }
 
-/** Waits until the leader has set the bounds of the settings: only then are large bodies kept. */
+/** Waits until the leader has applied the limits of the settings; before that, large bodies are not kept. */
 async function waitForLargeBodies(network: PeerNetwork<unknown>, deployment: Deployment): Promise<void> {
 	const daemon = firstDaemon(deployment);
 	let index = largeBodies;
@@ -96,23 +96,23 @@
 		}
 
 		return replies.at(-1)?.data?.result.value.claim.answer.body === undefined ? undefined : true;
-	}, {what: 'the bounds of the settings', timeoutMilliseconds: generousMilliseconds});
+	}, {what: 'the limits of the settings', timeoutMilliseconds: waitMilliseconds});
 }
 
-async function record(network: PeerNetwork<unknown>, {deployment, command}: {readonly deployment: Deployment; readonly command: Command}): Promise<void> {
+async function proposeUntilRecorded(network: PeerNetwork<unknown>, {deployment, command}: {readonly deployment: Deployment; readonly command: Command}): Promise<void> {
 	await waitUntil(async () => {
 		const daemon = deployment.daemons.find(({process}) => process.isRunning);
 		const reply = await network.request({instance: toId<InstanceId>(daemon?.instance ?? ''), host: '127.0.0.1', port: daemon?.ports.peers ?? 0}, {scope: 'control', type: 'propose', command});
 		const parsed = replySchema.safeParse(reply.orDefault(undefined));
 		return (parsed.success && parsed.data.result.ok) || undefined;
-	}, {what: 'bills to be recorded', timeoutMilliseconds: generousMilliseconds});
+	}, {what: 'bills to be recorded', timeoutMilliseconds: waitMilliseconds});
 }
 
 async function identityOf(folder: string): Promise<string> {
 	return identitySchema.parse(JSON.parse(await readFile(path.join(folder, 'identity.json'), 'utf8'))).identity;
 }
 
-/** Loses the disk of an instance and waits until it is repaired. */
+/** Deletes the data folder of an instance and waits until its replacement has joined as a replica. */
 async function replaceDisk(deployment: Deployment, daemon: RunningDaemon): Promise<void> {
 	const folder = path.join(deployment.folder, 'data', daemon.instance);
 	await daemon.process.kill('SIGKILL');
@@ -123,28 +123,28 @@
 	await waitUntil(async () => {
 		const logs = await Promise.all(deployment.daemons.map(async ({process}) => readFile(process.logFile, 'utf8')));
 		return logs.some(log => log.split('\n').some(line => line.includes('"event":"replica-added"') && line.includes(identity))) || undefined;
-	}, {what: `the repair of ${daemon.instance}`, timeoutMilliseconds: generousMilliseconds});
+	}, {what: `the repair of ${daemon.instance}`, timeoutMilliseconds: waitMilliseconds});
 }
 
 function firstDaemon({daemons: [daemon]}: Deployment): RunningDaemon {
 	if (daemon === undefined) {
-		throw new RangeError('Got a deployment without daemons, wanted three');
+		throw new RangeError('The deployment has no daemons');
 	}
 
 	return daemon;
 }
 
-async function pageAfter(daemon: RunningDaemon, after: number): Promise<z.infer<typeof pageSchema>> {
+async function fetchPage(daemon: RunningDaemon, after: number): Promise<z.infer<typeof pageSchema>> {
 	return waitUntil(async () => {
 		const {status, body} = await callOperator(`${daemon.operators}/v1/ledger?after=${after}`, {key: deploymentKeys.operators});
 		return status === 200 ? pageSchema.parse(body) : undefined;
-	}, {what: `the page after ${after}`, timeoutMilliseconds: generousMilliseconds});
+	}, {what: `the page after ${after}`, timeoutMilliseconds: waitMilliseconds});
 }
 
-async function allRequests(daemon: RunningDaemon): Promise<readonly string[]> {
+async function fetchAllRequests(daemon: RunningDaemon): Promise<readonly string[]> {
 	const requests: string[] = [];
 	for (let after: number | undefined = 0; after !== undefined;) {
-		const page: z.infer<typeof pageSchema> = await pageAfter(daemon, after);
+		const page: z.infer<typeof pageSchema> = await fetchPage(daemon, after);
 		requests.push(...page.bills.map(({request}) => request));
 		after = page.next;
 	}
@@ -152,14 +152,14 @@
 	return requests;
 }
 
-// Recording may last beyond the time after which silent runs are forgotten.
-test.serial('every disk is lost in turn, each after the repair before it, and the ledger still lists every bill once', async t => {
-	t.timeout(6 * generousMilliseconds);
+// Recording may take longer than the time after which runs without new bills expire.
+test.serial('the ledger lists every bill once after the disks of all instances were lost one after another', async t => {
+	t.timeout(6 * waitMilliseconds);
 	const deployment = await startControl(t, {recentBills: 100});
 	const network = await openNetwork(t);
-	for (let first = 1; first <= bills; first += billsEach) {
-		const batch = Array.from({length: billsEach}, (_, index) => billAt(first + index));
-		await record(network, {deployment, command: {type: 'record-bills', bills: batch}});
+	for (let first = 1; first <= bills; first += billsPerCommand) {
+		const batch = Array.from({length: billsPerCommand}, (_, index) => billAt(first + index));
+		await proposeUntilRecorded(network, {deployment, command: {type: 'record-bills', bills: batch}});
 	}
 
 	await Promise.all(deployment.daemons.map(async daemon => waitUntil(
@@ -167,33 +167,33 @@
 			const names = await readdir(path.join(deployment.folder, 'data', daemon.instance, 'bills'));
 			return names.length > 0 || undefined;
 		},
-		{what: `archived bills on ${daemon.instance}`, timeoutMilliseconds: generousMilliseconds},
+		{what: `archived bills on ${daemon.instance}`, timeoutMilliseconds: waitMilliseconds},
 	)));
-	// No pause: the next disk is lost as soon as the repair before it is reported as finished.
+	// No pause: each disk is deleted as soon as the previous replica is reported as added.
 	for (const daemon of deployment.daemons) {
 		await replaceDisk(deployment, daemon);
 	}
 
 	const expected = Array.from({length: bills}, (_, index) => `request-${index + 1}`);
 	for (const daemon of deployment.daemons) {
-		t.deepEqual(await allRequests(daemon), expected, `asked through ${daemon.instance}`);
+		t.deepEqual(await fetchAllRequests(daemon), expected, `read from ${daemon.instance}`);
 	}
 });
 
-test.serial('a state that is larger than a frame between daemons reaches a new replica', async t => {
-	t.timeout(6 * generousMilliseconds);
+test.serial('a state larger than the maximum frame is transferred to a new replica', async t => {
+	t.timeout(6 * waitMilliseconds);
 	const deployment = await startControl(t, {keptAnswerBytes: 1_048_576, keptAnswerBytesPerWorkspace: 67_108_864});
 	const network = await openNetwork(t);
 	await waitForLargeBodies(network, deployment);
 	for (let index = 1; index <= largeBodies; index++) {
 		for (const command of claimWithBody(index)) {
-			await record(network, {deployment, command});
+			await proposeUntilRecorded(network, {deployment, command});
 		}
 	}
 
-	// Enough for two snapshots, so that the log no longer holds the bodies.
+	// Enough entries for two snapshots, so that the log no longer contains the bodies.
 	for (let sequence = 1; sequence <= 250; sequence++) {
-		await record(network, {deployment, command: {type: 'record-bills', bills: [billAt(sequence)]}});
+		await proposeUntilRecorded(network, {deployment, command: {type: 'record-bills', bills: [billAt(sequence)]}});
 	}
 
 	const daemon = firstDaemon(deployment);
--- a/packages/testing/src/control-state.test.ts
+++ b/packages/testing/src/control-state.test.ts
@@ -17,7 +17,7 @@
 	maker: anyCommand, milliseconds: fc.integer({min: 0, max: 40_000}), resends: fc.constantFrom(0, 0, 0, 1, 3), event: fc.constantFrom('none', 'none', 'none', 'snapshot', 'crash', 'archive'),
 });
 
-/** One replica with its log, which is cut at snapshots and replayed after a crash. */
+/** A replica with its log, which is truncated at snapshots and replayed after a crash. */
 class Replica {
 	state = new ControlState();
 	archived: Bill[] = [];
@@ -62,7 +62,7 @@
 		const {request, origin} = bill;
 		const isRefused = answer.expired.includes(request);
 		const isNew = !oracle.billed.has(request) && !isRefused;
-		assert.ok(origin === undefined || isRefused === oracle.isRefused(bill), 'a bill with an origin expires just when its run was forgotten');
+		assert.ok(origin === undefined || isRefused === oracle.isRefused(bill), 'a bill with an origin is refused exactly when its run has expired');
 		recorded += isNew ? 1 : 0;
 		if (!isRefused) {
 			oracle.billed.add(request);
@@ -72,7 +72,7 @@
 	assert.equal(answer.recorded, recorded);
 }
 
-test(`the state answers as plain lists do, through resends, crashes and snapshots (seed ${seed}, ${runs} cases)`, t => {
+test(`the state gives the same results as the reference model across resends, crashes and snapshots (seed ${seed}, ${runs} cases)`, t => {
 	const property = fc.property(fc.array(step, {minLength: 20, maxLength: 60}), steps => {
 		const replica = new Replica();
 		const oracle = new ControlOracle();
@@ -84,7 +84,7 @@
 			const first = make({at, oracle});
 			const resent = resends === 0 ? [] : sent.slice(-resends);
 			sent.push(first);
-			for (const command of [first, ...stamped(resent, at)]) {
+			for (const command of [first, ...withTime(resent, at)]) {
 				const result = replica.apply(command);
 				const verdict = oracle.carryOut(command, replica.index);
 				if (verdict !== undefined) {
@@ -108,23 +108,23 @@
 	});
 });
 
-function stamped(commands: readonly Command[], at: number): readonly Command[] {
+function withTime(commands: readonly Command[], at: number): readonly Command[] {
 	return commands.map(command => 'at' in command ? {...command, at} : command);
 }
 
 function checkState({state, archived}: Replica, oracle: ControlOracle): void {
 	assert.equal(state.effective.revision, oracle.revision);
-	for (const found of ['a', 'b']) {
-		const progress = state.effective.rollouts[`${model}@${found}`];
-		assert.equal(state.effective.document.models[model]?.versions[found as VersionId]?.state ?? 'absent', oracle.listed[found] ?? 'absent');
-		assert.deepEqual(progress && {status: progress.status, stage: progress.stage}, oracle.progress[found]);
+	for (const version of ['a', 'b']) {
+		const progress = state.effective.rollouts[`${model}@${version}`];
+		assert.equal(state.effective.document.models[model]?.versions[version as VersionId]?.state ?? 'absent', oracle.listed[version] ?? 'absent');
+		assert.deepEqual(progress && {status: progress.status, stage: progress.stage}, oracle.progress[version]);
 	}
 
 	assert.deepEqual(state.openOrders().map(({orderId}) => orderId), oracle.orders.filter(({outcome}) => outcome === 'open').map(({id}) => id));
 	const bills = [...archived, ...state.bills];
-	assert.equal(new Set(bills.map(({request}) => request)).size, bills.length, 'no bill is there twice');
+	assert.equal(new Set(bills.map(({request}) => request)).size, bills.length, 'no bill occurs twice');
 	for (const workspace of ['w0', 'w1'].map(id => toId<WorkspaceId>(id))) {
-		const own = bills.filter(bill => bill.workspace === workspace);
-		assert.deepEqual(state.totalOf(workspace), {bills: own.length, micros: own.reduce((sum, {total}) => sum + total, 0)});
+		const workspaceBills = bills.filter(bill => bill.workspace === workspace);
+		assert.deepEqual(state.totalOf(workspace), {bills: workspaceBills.length, micros: workspaceBills.reduce((sum, {total}) => sum + total, 0)});
 	}
 }
--- a/packages/testing/src/crashing-requests.test.ts
+++ b/packages/testing/src/crashing-requests.test.ts
@@ -7,23 +7,23 @@
 const host = 'desk.example';
 const deadlyPath = '/drafts/deadly';
 const serverCount = 8;
-/** How long a server takes to end after it began the request, and to be back as a new process, in milliseconds. */
-const endsAfter = 30;
-const backAfter = 400;
-/** A request that ended this many servers is known for what it is. */
-const provenEnds = 3;
-/** The time in which all instances must know it, in milliseconds, and the sends that are still allowed after it. */
+/** Milliseconds from the start of the deadly request to the server's exit, and from there to its restart as a new process. */
+const exitDelayMilliseconds = 30;
+const restartDelayMilliseconds = 400;
+/** Number of server exits after which the request counts as identified. */
+const identifyingExits = 3;
+/** Milliseconds within which all instances must have learned of it, and the number of sends still allowed afterwards. */
 const windowMilliseconds = 3000;
 const allowedSends = 3;
 const saveMilliseconds = 300;
 const slowSaveMilliseconds = 500;
 
-/** Servers of one service that end when they begin the deadly request, and are back after a while as new processes. */
+/** Servers of one service that exit when they start the deadly request, and restart later as new processes. */
 class CrashingServers {
-	/** When the deadly request reached a server, in milliseconds. */
+	/** Times at which the deadly request reached a server, in milliseconds. */
 	readonly sends: number[] = [];
-	/** When servers ended under it, in milliseconds. */
-	readonly ends: number[] = [];
+	/** Times at which servers exited because of it, in milliseconds. */
+	readonly exits: number[] = [];
 	readonly #running = new Set<BackendStandIn>();
 	#started = 0;
 	#isStopped = false;
@@ -31,7 +31,7 @@
 	/**
 	Starts a server.
 
-	@param port The port of the process before it, which it takes over.
+	@param port The port of the process that it replaces.
 	*/
 	async start(port?: number): Promise<void> {
 		this.#started++;
@@ -48,9 +48,9 @@
 
 				this.sends.push(performance.now());
 				setTimeout(() => {
-					void this.#end(server);
-				}, endsAfter);
-				return {confidence: 90, firstAfter: 10 * endsAfter};
+					void this.#exit(server);
+				}, exitDelayMilliseconds);
+				return {confidence: 90, firstAfter: 10 * exitDelayMilliseconds};
 			},
 		});
 		this.#running.add(server);
@@ -69,15 +69,15 @@
 		this.#running.clear();
 	}
 
-	async #end(server: BackendStandIn): Promise<void> {
+	async #exit(server: BackendStandIn): Promise<void> {
 		if (!this.#running.delete(server)) {
 			return;
 		}
 
 		const {port} = server;
 		server.close();
-		this.ends.push(performance.now());
-		await elapsed(backAfter);
+		this.exits.push(performance.now());
+		await sleep(restartDelayMilliseconds);
 		if (!this.#isStopped) {
 			await this.start(port);
 		}
@@ -93,11 +93,11 @@
 	const deployment = await PlatformDeployment.start({entries: 3, environment: () => environment});
 	const servers = new CrashingServers();
 	await Promise.all(Array.from({length: serverCount}, async () => servers.start()));
-	const beat = setInterval(() => {
+	const announceTimer = setInterval(() => {
 		void servers.announce(deployment.controls[0]!.address);
 	}, 200);
 	t.teardown(async () => {
-		clearInterval(beat);
+		clearInterval(announceTimer);
 		servers.stop();
 		await deployment.stop();
 	});
@@ -108,9 +108,9 @@
 		return statuses.includes(200) || undefined;
 	}, {what: 'an acknowledged configuration'});
 	await waitUntil(async () => {
-		const answers = await Promise.all(deployment.entries.map(async (_, index) => draft(deployment, {entry: index, path: '/drafts/first'})));
+		const answers = await Promise.all(deployment.entries.map(async (_, index) => sendDraft(deployment, {entry: index, path: '/drafts/first'})));
 		return answers.every(({status}) => status === 200) || undefined;
-	}, {what: 'an answer of each entry instance'});
+	}, {what: 'a response of each entry instance'});
 	return {deployment, servers};
 }
 
@@ -129,7 +129,7 @@
 
 let attempts = 0;
 
-async function draft({entries}: PlatformDeployment, {entry, path}: {readonly entry: number; readonly path: string}) {
+async function sendDraft({entries}: PlatformDeployment, {entry, path}: {readonly entry: number; readonly path: string}) {
 	attempts++;
 	return ask({
 		method: 'POST', address: entries[entry % entries.length]!.address, path, body: {draft: path}, headers: {
@@ -145,114 +145,114 @@
 	return text;
 }
 
-async function elapsed(milliseconds: number): Promise<void> {
+async function sleep(milliseconds: number): Promise<void> {
 	return new Promise(resolve => {
 		setTimeout(resolve, milliseconds);
 	});
 }
 
-/** The sends of the deadly request later than the window after it ended the third server. */
-function lateSends({sends, ends}: CrashingServers): number {
-	const proven = ends[provenEnds - 1] ?? Number.POSITIVE_INFINITY;
-	return sends.filter(at => at > proven + windowMilliseconds).length;
+/** Counts the sends of the deadly request after the window that begins with the third server exit. */
+function countLateSends({sends, exits}: CrashingServers): number {
+	const identifiedAt = exits[identifyingExits - 1] ?? Number.POSITIVE_INFINITY;
+	return sends.filter(at => at > identifiedAt + windowMilliseconds).length;
 }
 
-// Its caller comes again with a new request id, at another instance.
-test('a request that ends each server it runs on is soon sent to none, whichever instance its caller comes to', async t => {
+// The caller retries with a new request id at another instance each time.
+test('a request that crashes every server it runs on is soon sent to none, whichever instance receives it', async t => {
 	const {deployment, servers} = await start(t);
-	const tries: Array<ReturnType<typeof draft>> = [];
+	const responses: Array<ReturnType<typeof sendDraft>> = [];
 	for (let entry = 0; entry < 32; entry++) {
-		tries.push(draft(deployment, {entry, path: deadlyPath}));
-		await elapsed(250);
+		responses.push(sendDraft(deployment, {entry, path: deadlyPath}));
+		await sleep(250);
 	}
 
-	const answers = await Promise.all(tries);
-	t.true(servers.ends.length >= provenEnds);
-	t.true(lateSends(servers) <= allowedSends, `${lateSends(servers)} late sends, ${servers.ends.length} servers ended, the caller got ${answers.map(({status}) => status).join(' ')}`);
+	const answers = await Promise.all(responses);
+	t.true(servers.exits.length >= identifyingExits);
+	t.true(countLateSends(servers) <= allowedSends, `${countLateSends(servers)} late sends, ${servers.exits.length} servers exited, the caller got ${answers.map(({status}) => status).join(' ')}`);
 
-	// The last tries are told at once that they fail, without a promise that they did not run or an invitation to come back.
+	// The last responses fail with a status that neither says that the request did not run nor invites a retry.
 	for (const {status, retryAfter} of answers.slice(-3)) {
 		t.false([200, 408, 421, 429, 503].includes(status));
 		t.is(retryAfter, undefined);
 	}
 
-	// And the other requests are served again, by all instances: each of twelve, on a machine with other work not at its first try.
-	const ends = servers.ends.length;
+	// All instances serve other requests again: each of twelve, but on a busy machine not necessarily at the first try.
+	const exits = servers.exits.length;
 	await Promise.all(Array.from({length: 12}, async (_, entry) => waitUntil(async () => {
-		const {status, isWhole} = await draft(deployment, {entry, path: `/drafts/${entry}`});
+		const {status, isWhole} = await sendDraft(deployment, {entry, path: `/drafts/${entry}`});
 		return (status === 200 && isWhole) || undefined;
-	}, {what: `an answer to request ${entry}`})));
-	t.is(servers.ends.length, ends);
+	}, {what: `a response to request ${entry}`})));
+	t.is(servers.exits.length, exits);
 });
 
-test('a request that came in many copies at once is still known after the end of all processes, until an operator lifts it', async t => {
+test('a request sent in many concurrent copies stays quarantined when all processes restart, until an operator lifts the quarantine', async t => {
 	const {deployment, servers} = await start(t);
 	const copies = await sendCopies(deployment);
 	t.true(copies.every(({status, isWhole}) => status !== 200 || !isWhole));
-	await listedByAll(deployment);
-	// The save begins with the listing, and takes two syncs.
-	await elapsed(saveMilliseconds);
+	await waitUntilListedByAll(deployment);
+	// Saving starts when the request is listed, and takes two syncs.
+	await sleep(saveMilliseconds);
 	await restartAll(deployment);
 	const sends = servers.sends.length;
-	const refused = await Promise.all(deployment.entries.map(async (_, entry) => draft(deployment, {entry, path: deadlyPath})));
+	const refused = await Promise.all(deployment.entries.map(async (_, entry) => sendDraft(deployment, {entry, path: deadlyPath})));
 	t.deepEqual(refused.map(({status}) => status), [400, 400, 400]);
 	t.is(servers.sends.length, sends);
 
 	const fingerprint = /\((?<fingerprint>[\da-f]{32})\)/v.exec(refused[0]!.text)?.groups?.fingerprint;
 	const {address} = (deployment.controls[1]!);
-	// Entry instances answer with two control instances; the third may still be starting.
+	// Entry instances serve requests once two control instances run; the third may still be starting.
 	const listed = await waitUntil(async () => await listQuarantine(address) || undefined, {what: 'a list of the second control instance'});
 	t.true(listed.includes(fingerprint!));
 	t.is(await call({method: 'DELETE', address, path: '/-/quarantine/other'}), 404);
 	t.is(await call({method: 'DELETE', address, path: `/-/quarantine/${fingerprint}`}), 200);
 	await waitUntil(async () => {
-		await draft(deployment, {entry: 0, path: deadlyPath});
+		await sendDraft(deployment, {entry: 0, path: deadlyPath});
 		return servers.sends.length > sends || undefined;
 	}, {what: 'a send after the quarantine was lifted'});
 });
 
-// The list said so before any disk held the third end.
-test('a request that is listed as quarantined is known after the end of all processes, however slow their disks are', async t => {
+// Guards against listing the quarantine before any disk has saved the third exit.
+test('a request that is listed as quarantined stays so when all processes restart, however slow their disks are', async t => {
 	const {deployment, servers} = await start(t, slowDisk({file: 'suspects.json', fileMilliseconds: slowSaveMilliseconds}));
 	await sendCopies(deployment);
-	await listedByAll(deployment);
+	await waitUntilListedByAll(deployment);
 	await restartAll(deployment);
 	const sends = servers.sends.length;
-	const refused = await Promise.all(deployment.entries.map(async (_, entry) => draft(deployment, {entry, path: deadlyPath})));
+	const refused = await Promise.all(deployment.entries.map(async (_, entry) => sendDraft(deployment, {entry, path: deadlyPath})));
 	t.deepEqual(refused.map(({status}) => status), [400, 400, 400]);
 	t.is(servers.sends.length, sends);
 });
 
-// The operator was told so before the disk of the instance held it.
-test('a quarantine that an operator has lifted stays lifted after the end of all processes', async t => {
+// Guards against acknowledging the operator's request before the instance's disk has saved it.
+test('a quarantine that an operator has lifted stays lifted when all processes restart', async t => {
 	const {deployment, servers} = await start(t, slowDisk({file: 'suspects.json', fileMilliseconds: slowSaveMilliseconds}));
 	await sendCopies(deployment);
-	const [list] = await listedByAll(deployment);
+	const [list] = await waitUntilListedByAll(deployment);
 	const fingerprint = /[\da-f]{32}/v.exec(list!)?.[0];
-	await elapsed(3 * slowSaveMilliseconds);
+	await sleep(3 * slowSaveMilliseconds);
 	t.is(await call({method: 'DELETE', address: deployment.controls[0]!.address, path: `/-/quarantine/${fingerprint}`}), 200);
 	await restartAll(deployment);
 	const sends = servers.sends.length;
 	t.true(await waitUntil(async () => {
-		await draft(deployment, {entry: 0, path: deadlyPath});
+		await sendDraft(deployment, {entry: 0, path: deadlyPath});
 		return servers.sends.length > sends || undefined;
 	}, {what: 'a send after the quarantine was lifted'}));
 });
 
-/** Sends the deadly request in many copies at once, to all entry instances. */
+/** Sends many concurrent copies of the deadly request to all entry instances. */
 async function sendCopies(deployment: PlatformDeployment) {
-	return Promise.all(Array.from({length: 9}, async (_, entry) => draft(deployment, {entry, path: deadlyPath})));
+	return Promise.all(Array.from({length: 9}, async (_, entry) => sendDraft(deployment, {entry, path: deadlyPath})));
 }
 
-/** Waits until all control instances list a request, and gives their lists. */
-async function listedByAll(deployment: PlatformDeployment): Promise<readonly string[]> {
+/** Waits until all control instances list a request, and returns their lists. */
+async function waitUntilListedByAll(deployment: PlatformDeployment): Promise<readonly string[]> {
 	return waitUntil(async () => {
 		const lists = await Promise.all(deployment.controls.map(async ({address}) => listQuarantine(address)));
 		return lists.every(list => list.includes('process')) ? lists : undefined;
-	}, {what: 'a request that all control instances list'});
+	}, {what: 'all control instances to list a request'});
 }
 
-/** Kills all processes at once, starts them again, and waits until each entry instance answers. */
+/** Kills all processes at once, restarts them, and waits until each entry instance serves requests. */
 async function restartAll(deployment: PlatformDeployment): Promise<void> {
 	await Promise.all(deployment.members.map(async member => member.process.kill('SIGKILL')));
 	for (const member of deployment.members) {
@@ -261,7 +261,7 @@
 	}
 
 	await waitUntil(async () => {
-		const answers = await Promise.all(deployment.entries.map(async (_, entry) => draft(deployment, {entry, path: `/drafts/after-${entry}`})));
+		const answers = await Promise.all(deployment.entries.map(async (_, entry) => sendDraft(deployment, {entry, path: `/drafts/after-${entry}`})));
 		return answers.every(({status}) => status === 200) || undefined;
-	}, {what: 'an answer of each entry instance after the end of all'});
+	}, {what: 'a response of each entry instance after the restart of all processes'});
 }
--- a/packages/testing/src/demo-report.test.ts
+++ b/packages/testing/src/demo-report.test.ts
@@ -15,7 +15,7 @@
 	};
 }
 
-test('answers and bills match only one to one', t => {
+test('responses and bills match only one to one', t => {
 	const results = [resultOf('r1'), resultOf('r2')];
 	const bills = [billOf('r2'), billOf('r1')];
 	t.true(matchBills(results, bills).isMatch);
@@ -42,7 +42,7 @@
 	t.regex(table, /cost in units of account +0\.000100/v);
 });
 
-test('the plan holds as many requests as wanted, is the same each time and holds all kinds', t => {
+test('the plan has the given number of requests, is deterministic and has all kinds', t => {
 	const requests = planErrands(200).flat();
 	t.is(requests.length, 200);
 	t.deepEqual(requests, planErrands(200).flat());
--- a/packages/testing/src/deploy.test.ts
+++ b/packages/testing/src/deploy.test.ts
@@ -10,15 +10,15 @@
 import test from 'ava';
 
 const root = fileURLToPath(new URL('../../..', import.meta.url));
-const freePort = '127.0.0.1:0';
+const anyFreePort = '127.0.0.1:0';
 
-test('the deploy file builds a program that starts with the code compiled for it', async t => {
+test('the deploy command starts the bundled program with its precompiled code', async t => {
 	const [code] = await once(spawn('node', ['deploy/bundle.mjs'], {cwd: root, stdio: 'inherit'}), 'exit') as [number];
 	t.is(code, 0);
 	const folder = await mkdtemp(path.join(tmpdir(), 'valehitch-deploy-'));
 	const settings = path.join(folder, 'node.yaml');
 	await writeFile(settings, JSON.stringify({
-		node: 'core-1', ip: '127.0.0.1', zone: 'hall-a', listen: {control: freePort}, portRange: [0, 0], seeds: [freePort], bootstrap: true, dataDir: folder, heartbeatMs: 1200, bounds: {graceS: 8},
+		node: 'core-1', ip: '127.0.0.1', zone: 'hall-a', listen: {control: anyFreePort}, portRange: [0, 0], seeds: [anyFreePort], bootstrap: true, dataDir: folder, heartbeatMs: 1200, bounds: {graceS: 8},
 	}));
 	const deployFile = await readFile(path.join(root, 'deploy/system.toml'), 'utf8');
 	const [, command = ''] = /run = "node (.*) --metrics-port/v.exec(deployFile) ?? [];
--- a/packages/testing/src/distribution.test.ts
+++ b/packages/testing/src/distribution.test.ts
@@ -6,7 +6,7 @@
 import {type RunningDaemon} from './deployment.js';
 import {waitUntil} from './wait-until.js';
 
-const patience = {timeoutMilliseconds: 60_000};
+const waitOptions = {timeoutMilliseconds: 60_000};
 
 async function startTrial(t: ExecutionContext, options: ZoneTrialOptions): Promise<ZoneTrial> {
 	t.timeout(240_000);
@@ -24,19 +24,19 @@
 
 async function waitUntilInForce(daemon: RunningDaemon, revision: number): Promise<void> {
 	await waitUntil(async () => {
-		const {inForce, revision: held} = await distributionStatus(daemon);
-		return inForce.complete && held >= revision ? true : undefined;
-	}, {what: `revision ${revision} in force everywhere`, ...patience});
+		const {inForce, revision: current} = await distributionStatus(daemon);
+		return inForce.complete && current >= revision ? true : undefined;
+	}, {what: `revision ${revision} in force everywhere`, ...waitOptions});
 }
 
-test.serial('a change is in force on all 7, and a server that shuts down is known to all', async t => {
+test.serial('a change takes effect on all 7 daemons, and all learn of a server shutdown', async t => {
 	const {deployment, session, revision: before} = await startTrial(t, {leaseMilliseconds: 5000});
 	const leader = findDaemon(deployment, 'control-a');
 	const revision = await deployment.apply(trialConfiguration('withdrawn'), {replaces: before, by: findDaemon(deployment, 'entry-c')});
 	await waitUntilInForce(leader, revision);
 	for (const daemon of deployment.daemons) {
-		const {revision: held} = await distributionStatus(daemon);
-		t.is(held, revision, `${daemon.instance} is behind though the change is in force`);
+		const {revision: current} = await distributionStatus(daemon);
+		t.is(current, revision, `${daemon.instance} has an older revision although the change is in force`);
 		t.is(await askFor(daemon, session), 'refused');
 		t.is(await askFor(daemon), 'served');
 	}
@@ -47,21 +47,21 @@
 		await waitUntil(async () => {
 			const log = await readFile(daemon.process.logFile, 'utf8');
 			return log.split('\n').some(line => line.includes('server-draining') && line.includes('engine-b')) || undefined;
-		}, {what: `${daemon.instance} to hear that engine-b shuts down`, ...patience});
+		}, {what: `${daemon.instance} to learn that engine-b shuts down`, ...waitOptions});
 		const {servers} = await distributionStatus(daemon);
 		t.false(servers.some(({server, state}) => server === 'engine-b' && state === 'joined'));
 	}
 });
 
-test.serial('an instance in a planned stop takes itself out, and one that starts again is back without a change of settings', async t => {
+test.serial('a stopping instance leaves the membership, and rejoins after a restart without a change of settings', async t => {
 	const {deployment} = await startTrial(t, {leaseMilliseconds: 5000});
 	const stopped = findDaemon(deployment, 'entry-d');
 	const others = deployment.daemons.filter(daemon => daemon !== stopped);
-	const waitForMembers = async (daemons: readonly RunningDaemon[], wanted: number): Promise<void> => {
+	const waitForMembers = async (daemons: readonly RunningDaemon[], expected: number): Promise<void> => {
 		await Promise.all(daemons.map(async daemon => waitUntil(async () => {
 			const {members} = await distributionStatus(daemon);
-			return members === wanted || undefined;
-		}, {what: `${daemon.instance} to know ${wanted} members`, ...patience})));
+			return members === expected || undefined;
+		}, {what: `${daemon.instance} to report ${expected} members`, ...waitOptions})));
 	};
 
 	await waitForMembers(deployment.daemons, deployment.daemons.length);
@@ -74,34 +74,34 @@
 	t.is(await askFor(stopped), 'served');
 });
 
-test.serial('a frozen instance keeps a change from being in force until its lease has run out, and serves nothing withdrawn when it wakes', async t => {
+test.serial('a suspended instance delays a change until its lease expires, and serves no withdrawn version when it resumes', async t => {
 	const {deployment, session, revision: before} = await startTrial(t, {leaseMilliseconds: 20_000});
 	const leader = findDaemon(deployment, 'control-a');
-	const frozen = findDaemon(deployment, 'entry-b');
-	t.is(await askFor(frozen, session), 'served');
-	frozen.process.signal('SIGSTOP');
+	const suspended = findDaemon(deployment, 'entry-b');
+	t.is(await askFor(suspended, session), 'served');
+	suspended.process.signal('SIGSTOP');
 	const revision = await deployment.apply(trialConfiguration('withdrawn'), {replaces: before, by: leader});
 	await waitUntil(async () => {
 		const {inForce} = await distributionStatus(leader);
 		return !inForce.complete && inForce.waitingFor.join(',') === 'zone-b' ? true : undefined;
-	}, {what: 'only zone-b to be out', ...patience});
+	}, {what: 'only zone-b to be missing', ...waitOptions});
 	await waitUntilInForce(leader, revision);
-	frozen.process.signal('SIGCONT');
-	t.is(await askFor(frozen, session), 'refused');
-	t.is(await askFor(frozen), 'served');
-	await waitUntilLeased(frozen);
-	const {revision: held} = await distributionStatus(frozen);
-	t.is(held, revision);
-	t.is(await askFor(frozen, session), 'refused');
+	suspended.process.signal('SIGCONT');
+	t.is(await askFor(suspended, session), 'refused');
+	t.is(await askFor(suspended), 'served');
+	await waitUntilLeased(suspended);
+	const {revision: current} = await distributionStatus(suspended);
+	t.is(current, revision);
+	t.is(await askFor(suspended, session), 'refused');
 });
 
-test.serial('a zone that is cut off goes on with what was settled, refuses the version in roll-out, and catches up without going back', async t => {
+test.serial('an isolated zone serves settled versions, refuses the version in roll-out, and catches up without revisions going back', async t => {
 	const {deployment, session, revision: before} = await startTrial(t, {leaseMilliseconds: 4000});
 	const leader = findDaemon(deployment, 'control-a');
-	const cutOff = findDaemon(deployment, 'entry-c');
+	const isolatedDaemon = findDaemon(deployment, 'entry-c');
 	const revisions: number[] = [];
-	const note = async (): Promise<boolean> => {
-		const {revision, isolated} = await distributionStatus(cutOff);
+	const recordRevision = async (): Promise<boolean> => {
+		const {revision, isolated} = await distributionStatus(isolatedDaemon);
 		revisions.push(revision);
 		return isolated;
 	};
@@ -109,17 +109,17 @@
 	await cutZone(deployment, 'zone-c');
 	const revision = await deployment.apply(trialConfiguration('withdrawn'), {replaces: before, by: leader});
 	await waitUntilInForce(leader, revision);
-	t.true(await note());
-	t.is(await askFor(cutOff, session), 'refused');
-	t.is(await askFor(cutOff), 'served');
-	t.is(await askForLabels(cutOff), 'served');
+	t.true(await recordRevision());
+	t.is(await askFor(isolatedDaemon, session), 'refused');
+	t.is(await askFor(isolatedDaemon), 'served');
+	t.is(await askForLabels(isolatedDaemon), 'served');
 
 	await cutZone(deployment);
-	await waitUntil(async () => await note() ? undefined : true, {what: 'the zone to hold a lease again', ...patience});
+	await waitUntil(async () => await recordRevision() ? undefined : true, {what: 'the zone to regain a lease', ...waitOptions});
 	await waitUntil(async () => {
-		await note();
+		await recordRevision();
 		return revisions.at(-1) === revision || undefined;
-	}, {what: 'the zone to catch up', ...patience});
-	t.is(await askFor(cutOff, session), 'refused');
+	}, {what: 'the zone to catch up', ...waitOptions});
+	t.is(await askFor(isolatedDaemon, session), 'refused');
 	t.deepEqual(revisions, revisions.toSorted((left, right) => left - right));
 });
--- a/packages/testing/src/entry-failures.test.ts
+++ b/packages/testing/src/entry-failures.test.ts
@@ -18,35 +18,35 @@
 	return [{role: 'user', content: text}];
 }
 
-function wholeAnswer(text: string): string {
+function completeText(text: string): string {
 	return fakeAnswer({version: versions.first, messages: messagesOf(text), tokens}).join('');
 }
 
-// The other engine may be held up when the first one ends.
-test.serial('an engine that is killed in the middle of streams: each is whole or an explicit failure, with one bill', async t => {
+// The other engine may be delayed by a busy machine when the first one is killed.
+test.serial('when an engine is killed during streams, each stream completes or fails explicitly, with one bill', async t => {
 	const entry = await startEntryDeployment(t, {settings: {timing}});
 	const behaviour = {answerTokens: tokens, tokenMilliseconds: 25};
 	await Promise.all([entry.setBehaviour('engine-1', behaviour), entry.setBehaviour('engine-2', behaviour)]);
 	const texts = Array.from({length: 8}, (_, index) => `Trace coil ${index}`);
 	const answers = texts.map(async (text, index) => chatStreamed(entry.callers(index % 3), {key, messages: messagesOf(text)}));
-	const victim = await waitUntil(async () => {
+	const started = await waitUntil(async () => {
 		const runs = await entry.runs('engine-1');
 		return runs.length >= 2 || undefined;
 	}, {what: 'streams on the first engine'});
-	t.true(victim);
+	t.true(started);
 	await entry.backend('engine-1').process.kill('SIGKILL');
 	const results = await Promise.all(answers);
 	t.log(JSON.stringify(results));
 	for (const [index, result] of results.entries()) {
-		const expected = wholeAnswer(texts[index]!);
-		// A stream that had not begun when the engine died fails with a status and the problem alone.
+		const expected = completeText(texts[index]!);
+		// A stream that had not started when the engine was killed fails with a status and only the problem details.
 		const isExplicit = result.status === 200 ? expected.startsWith(result.text) : result.text.includes(`"kind":"${result.problem?.kind ?? 'none'}"`);
 		t.true(result.done ? result.text === expected : isExplicit && result.problem !== undefined, `${index}: ${JSON.stringify(result)}`);
 	}
 
 	const whole = results.filter(({done}) => done);
 	t.true(whole.length > 0);
-	// A request that provably did not run has no bill, and all others have one.
+	// Requests that provably did not run have no bill; all others have one.
 	const ran = results.filter(({problem}) => problem?.outcome !== 'notRun');
 	const requests = ran.map(({requestId, problem}) => requestId === '' ? String(problem?.requestId) : requestId);
 	const bills = await entry.bills(requests);
@@ -58,16 +58,16 @@
 	}
 });
 
-test.serial('an engine that accepts and stalls: another answers, or the failure is explicit', async t => {
+test.serial('when an engine accepts requests and stalls, another engine serves them or they fail explicitly', async t => {
 	const entry = await startEntryDeployment(t, {settings: {timing}});
 	await entry.setBehaviour('engine-1', {stall: true, answerTokens: tokens});
 	await entry.setBehaviour('engine-2', {answerTokens: tokens});
 	const results = await Promise.all(Array.from({length: 6}, async (_, index) => chatStreamed(entry.callers(index % 3), {key, messages: messagesOf(`Stall ${index}`)})));
-	t.deepEqual(results.map(({done, text}) => [done, text]), results.map((_, index) => [true, wholeAnswer(`Stall ${index}`)]));
+	t.deepEqual(results.map(({done, text}) => [done, text]), results.map((_, index) => [true, completeText(`Stall ${index}`)]));
 	const stalled = await waitUntil(async () => {
 		const runs = await entry.runs('engine-1');
 		return runs.every(({cancelled}) => cancelled === true) ? runs : undefined;
-	}, {what: 'the end of the stalled runs'});
+	}, {what: 'the stalled runs to be cancelled'});
 	t.true(stalled.length > 0);
 	await entry.setBehaviour('engine-2', {stall: true});
 	const failed = await chatStreamed(entry.callers(0), {key, messages: messagesOf('Stall everywhere')});
@@ -78,7 +78,7 @@
 	t.is(new Set(bills.map(({request}) => request)).size, bills.length);
 });
 
-test.serial('many callers whose answers come out of order each get their own', async t => {
+test.serial('concurrent callers whose responses arrive out of order each get their own response', async t => {
 	const entry = await startEntryDeployment(t);
 	const pace = async (server: string, milliseconds: number) => entry.setBehaviour(server, {answerTokens: tokens, firstTokenMilliseconds: milliseconds, tokenMilliseconds: 1});
 	await Promise.all([pace('engine-1', 400), pace('engine-2', 20)]);
@@ -88,13 +88,13 @@
 	};
 
 	const results = await Promise.all(Array.from({length: 24}, async (_, index) => ask(index)));
-	t.deepEqual(results.map(({text}) => text), results.map((_, index) => wholeAnswer(`Coil ${index}`)));
+	t.deepEqual(results.map(({text}) => text), results.map((_, index) => completeText(`Coil ${index}`)));
 	t.is(new Set(results.map(({requestId}) => requestId)).size, results.length);
 	const bills = await entry.bills(results.map(({requestId}) => requestId));
 	t.is(bills.length, results.length);
 });
 
-test.serial('a call that may not be repeated is sent once; keys in parallel run once and are replayed', async t => {
+test.serial('a non-repeatable call is sent once, and concurrent calls with one key run once and are replayed', async t => {
 	const entry = await startEntryDeployment(t, {engines: 1});
 	const print = async (index: number, idempotencyKey?: string, body = '{"label":7}') => callService(entry.callers(index % 3), {
 		key, service: 'labels', path: '/print', body, ...(idempotencyKey !== undefined && {headers: {'Idempotency-Key': idempotencyKey}}),
@@ -110,7 +110,7 @@
 	const replayed = await waitUntil(async () => {
 		const answer = await print(2, 'print-7');
 		return answer.status === 200 ? answer : undefined;
-	}, {what: 'the kept answer'});
+	}, {what: 'the replayed response'});
 	t.is(replayed.headers['valehitch-replayed'], 'true');
 	t.true(replayed.text.includes('"run":1'));
 	const reused = await print(0, 'print-7', '{"label":8}');
--- a/packages/testing/src/entry-lifecycle.test.ts
+++ b/packages/testing/src/entry-lifecycle.test.ts
@@ -16,7 +16,7 @@
 	return [{role: 'user', content: text}];
 }
 
-test.serial('an entry instance that is killed in the middle of a print: the resend runs nothing again, and there is one bill', async t => {
+test.serial('when an entry instance is killed during a print, the resend is not run again, and each request has one bill', async t => {
 	const entry = await startEntryDeployment(t, {engines: 1});
 	await entry.setBehaviour('labels-1', {stall: true});
 	await entry.setBehaviour('engine-1', {answerTokens: 400, tokenMilliseconds: 50});
@@ -29,7 +29,7 @@
 		const prints = await entry.runs('labels-1');
 		const chats = await entry.runs('engine-1');
 		return (prints.length === 1 && chats.length === 1) || undefined;
-	}, {what: 'both requests at their servers'});
+	}, {what: 'both requests to reach their servers'});
 	const [run] = await entry.runs('labels-1');
 	const [chat] = await entry.runs('engine-1');
 	await entry.daemon(1).process.kill('SIGKILL');
@@ -40,17 +40,17 @@
 	const resent = await waitUntil(async () => {
 		const answer = await print(2);
 		return answer.status === 409 ? undefined : answer;
-	}, {what: 'the end of the claim of the lost instance', timeoutMilliseconds: 60_000});
+	}, {what: 'the claim of the killed instance to be closed', timeoutMilliseconds: 60_000});
 	t.deepEqual([resent.status, resent.problem?.kind, resent.problem?.outcome], [502, 'outcome-unknown', 'unknown']);
 	t.is(await entry.countRuns('labels-1'), 1);
-	// The servers know both ids; the caller of the stream need not have got the head of its answer.
+	// The servers know both request ids; the caller of the stream may not have received the response headers.
 	const requests = [String(run?.requestId), String(chat?.requestId)];
 	const bills = await entry.bills(requests);
 	t.deepEqual(sorted(bills.map(({request, outcome}) => `${String(request)} ${String(outcome)}`)), sorted(requests.map(request => `${request} unknown`)));
 });
 
-// Requests that are served one after the other do not end within the time of a stop.
-test.serial('a planned stop under load loses nothing and refuses the rest as not run', async t => {
+// If the remaining requests were served one after another, they would not complete within the shutdown timeout.
+test.serial('a graceful shutdown under load loses nothing and refuses the remaining requests as not run', async t => {
 	const entry = await startEntryDeployment(t);
 	await Promise.all(['engine-1', 'engine-2'].map(async server => entry.setBehaviour(server, {answerTokens: tokens, tokenMilliseconds: 20})));
 	const load = new Load(entry, 1);
@@ -61,7 +61,7 @@
 	await load.end();
 	t.is(end?.code, 0);
 	for (const [text, result] of load.results) {
-		const isWhole = result.done && result.text === wholeAnswer(text);
+		const isWhole = result.done && result.text === completeText(text);
 		const isRefused = result.status === 503 && result.problem?.kind === 'shutting-down' && result.problem.outcome === 'notRun' && result.headers['retry-after'] !== undefined;
 		const isUnreachable = result.status === 0 && result.text === '';
 		const lines = isWhole || isRefused || isUnreachable ? [] : await entry.linesAbout(result.problem?.requestId ?? text);
@@ -73,7 +73,7 @@
 	t.deepEqual(sorted(bills.map(({request}) => request)), sorted(whole));
 });
 
-test.serial('a version that is withdrawn under load gets no new work, and its sessions end', async t => {
+test.serial('a version withdrawn under load gets no new requests, and its sessions end', async t => {
 	const entry = await startEntryDeployment(t);
 	await Promise.all(['engine-1', 'engine-2'].map(async server => entry.setBehaviour(server, {answerTokens: tokens, tokenMilliseconds: 5})));
 	const begun = await chatWhole(entry.callers(0), {key, messages: messagesOf('Begin'), headers: {'Valehitch-Session': 'new'}});
@@ -100,7 +100,7 @@
 	t.deepEqual(new Set(load.results.slice(seen + 6).map(([, {headers}]) => headers['valehitch-version'])), new Set(['1.1']));
 });
 
-test.serial('with capacity down to a third, what cannot be met is refused at once with a time to come back', async t => {
+test.serial('with a third of the capacity left, requests that cannot be served in time are refused with a retry time', async t => {
 	const entry = await startEntryDeployment(t, {engines: 3, capacity: 2});
 	await Promise.all(['engine-1', 'engine-2', 'engine-3'].map(async server => entry.setBehaviour(server, {answerTokens: tokens, firstTokenMilliseconds: 200})));
 	const send = async (index: number, headers: Readonly<Record<string, string>>) => chatWhole(entry.callers(index % 3), {
@@ -108,7 +108,7 @@
 	});
 	const ask = async (index: number) => send(index, {'Valehitch-Deadline-Milliseconds': '1500'});
 	for (let round = 0; round < 4; round++) {
-		// Without a deadline: on a machine so busy that an answer takes half of it, a refusal would be right here too.
+		// No deadline here: on a machine so busy that a response takes half of it, a refusal would be correct.
 		const warm = await Promise.all(Array.from({length: 6}, async (_, index) => send(index, {})));
 		t.deepEqual(warm.filter(({done}) => !done), []);
 	}
@@ -117,7 +117,7 @@
 	await waitUntil(async () => {
 		const statuses = await Promise.all(entry.deployment.daemons.map(async daemon => entry.deployment.status(daemon)));
 		return statuses.every(({servers}) => servers.every(server => server.server === 'engine-1' || server.server === 'labels-1' || server.shuttingDown === true)) || undefined;
-	}, {what: 'the loss of two engines'});
+	}, {what: 'the removal of two engines'});
 	const results = await Promise.all(Array.from({length: 120}, async (_, index) => ask(index)));
 	const whole = results.filter(({done}) => done);
 	const refused = results.filter(({done}) => !done);
@@ -130,11 +130,11 @@
 	const again = await waitUntil(async () => {
 		const answer = await ask(0);
 		return answer.done || undefined;
-	}, {what: 'service after the rush'});
+	}, {what: 'a response after the overload'});
 	t.true(again);
 });
 
-test.serial('the decisions of a request are told by any instance', async t => {
+test.serial('every instance explains the decisions of a request', async t => {
 	const entry = await startEntryDeployment(t, {engines: 1});
 	const {requestId} = await chatWhole(entry.callers(1), {key, messages: messagesOf('Explain')});
 	const answers = await Promise.all(entry.deployment.daemons.map(async ({operators}) => callOperator(`${operators}/v1/explain/${requestId}`, {key: deploymentKeys.operators})));
@@ -151,11 +151,11 @@
 	t.is(status, 404);
 });
 
-function wholeAnswer(text: string): string {
+function completeText(text: string): string {
 	return fakeAnswer({version: versions.first, messages: messagesOf(text), tokens}).join('');
 }
 
-/** Callers that ask one instance again and again. */
+/** Callers that send requests to one instance in a loop. */
 class Load {
 	readonly results: Array<readonly [string, CallResult]> = [];
 	readonly #entry: EntryDeployment;
@@ -169,7 +169,7 @@
 	}
 
 	begin(callers: number): void {
-		this.#callers = Array.from({length: callers}, async (_, caller) => this.#ask(caller));
+		this.#callers = Array.from({length: callers}, async (_, caller) => this.#sendRequests(caller));
 	}
 
 	async end(): Promise<void> {
@@ -177,7 +177,7 @@
 		await Promise.all(this.#callers);
 	}
 
-	async #ask(caller: number): Promise<void> {
+	async #sendRequests(caller: number): Promise<void> {
 		for (let turn = 0; !this.#ended; turn++) {
 			const text = `Coil ${caller} turn ${turn}`;
 			const result = await chatStreamed(this.#entry.callers(this.#index), {key, messages: messagesOf(text)});
--- a/packages/testing/src/entry-requests.test.ts
+++ b/packages/testing/src/entry-requests.test.ts
@@ -79,15 +79,15 @@
 	},
 ];
 
-test('each bad request gets its own answer, says that it did not run, and nothing runs', async t => {
+test('each malformed request gets its specific error with the outcome notRun, and nothing runs', async t => {
 	const entry = await startEntryDeployment(t, {engines: 1, settings: {limits}});
-	const send = async (wanted: Case): Promise<TextAnswer> => sendRequest(`${entry.callers(1)}${wanted.path ?? '/v1/chat/completions'}`, {
-		method: wanted.method ?? 'POST', headers: {...yard, ...wanted.headers}, body: wanted.body ?? goodBody,
+	const send = async (testCase: Case): Promise<TextAnswer> => sendRequest(`${entry.callers(1)}${testCase.path ?? '/v1/chat/completions'}`, {
+		method: testCase.method ?? 'POST', headers: {...yard, ...testCase.headers}, body: testCase.body ?? goodBody,
 	});
-	for (const wanted of cases) {
-		const {status, body} = await send(wanted);
+	for (const testCase of cases) {
+		const {status, body} = await send(testCase);
 		const {kind, outcome} = JSON.parse(body) as {kind: string; outcome: string};
-		t.deepEqual([wanted.name, status, kind, outcome], [wanted.name, wanted.status, wanted.kind, 'notRun']);
+		t.deepEqual([testCase.name, status, kind, outcome], [testCase.name, testCase.status, testCase.kind, 'notRun']);
 	}
 
 	for (const name of ['Idempotency-Key', 'Valehitch-Session', 'Valehitch-Class', 'Valehitch-Deadline-Milliseconds', 'Authorization']) {
--- a/packages/testing/src/fake-engine.test.ts
+++ b/packages/testing/src/fake-engine.test.ts
@@ -10,7 +10,7 @@
 const chat = {key: 'none', model: version, messages};
 const expected = fakeAnswer({version, messages, tokens: 16}).join('');
 
-test('a streamed and a whole answer are the same, and each is one run', async t => {
+test('streamed and unstreamed responses have the same text, and each is one run', async t => {
 	const engine = await startFakeEngine({models: [version]});
 	t.teardown(engine.kill);
 	const streamed = await chatStreamed(engine.address, {...chat, headers: {'Valehitch-Request-Id': 'r1', 'Valehitch-Attempt': '1'}});
@@ -31,24 +31,24 @@
 	t.is(engine.active(), 0);
 });
 
-test('a whole answer whose tokens are paced comes to its end', async t => {
+test('an unstreamed response with delayed tokens completes', async t => {
 	const engine = await startFakeEngine({models: [version], behaviour: {tokenMilliseconds: 1}});
 	t.teardown(engine.kill);
 	t.like(await chatWhole(engine.address, chat), {text: expected, done: true});
 });
 
-test('an engine with a full batch still answers each request whole', async t => {
+test('an engine with a full batch completes each response', async t => {
 	const engine = await startFakeEngine({models: [version], behaviour: {tokenMilliseconds: 1, fullSpeedRequests: 1}});
 	t.teardown(engine.kill);
 	const answers = await Promise.all(Array.from({length: 5}, async () => chatStreamed(engine.address, chat)));
 	t.deepEqual(answers.map(({text}) => text), Array.from({length: 5}, () => expected));
 });
 
-test('another version gives another answer', t => {
+test('different versions generate different responses', t => {
 	t.not(fakeAnswer({version: 'tag-small@1.1', messages, tokens: 16}).join(''), expected);
 });
 
-test('a cut stream ends without its proper end, and a resume goes on right after it', async t => {
+test('a cut stream ends without the final event, and a resumed response continues right after it', async t => {
 	const engine = await startFakeEngine({models: [version], behaviour: {cutAfterTokens: 5}});
 	t.teardown(engine.kill);
 	const cut = await chatStreamed(engine.address, chat);
@@ -62,7 +62,7 @@
 	t.deepEqual(engine.runs.map(run => [run.completed, run.cancelled]), [[false, false], [true, false]]);
 });
 
-test('closing the connection cancels the work', async t => {
+test('closing the connection cancels the request', async t => {
 	const engine = await startFakeEngine({models: [version], behaviour: {tokenMilliseconds: 20, answerTokens: 1000}});
 	t.teardown(engine.kill);
 	const canceller = new AbortController();
@@ -75,7 +75,7 @@
 	t.deepEqual(engine.runs.map(run => [run.completed, run.cancelled]), [[false, true]]);
 });
 
-test('a stalled request is cancelled when the caller gives up', async t => {
+test('a stalled request is cancelled when the caller times out', async t => {
 	const engine = await startFakeEngine({models: [version], behaviour: {stall: true}});
 	t.teardown(engine.kill);
 	const {status} = await chatWhole(engine.address, {...chat, timeoutMilliseconds: 100});
@@ -84,7 +84,7 @@
 	t.is(engine.runs.length, 1);
 });
 
-test('a refusal is not a run, a failure is one, and both are set over HTTP', async t => {
+test('a refusal is not recorded as a run, a failure is, and both can be configured over HTTP', async t => {
 	const engine = await startFakeEngine({models: [version]});
 	t.teardown(engine.kill);
 	const setBehaviour = async (behaviour: unknown) => sendRequest(`${engine.address}/test/behaviour`, {method: 'POST', body: JSON.stringify(behaviour)});
--- a/packages/testing/src/fake-service.test.ts
+++ b/packages/testing/src/fake-service.test.ts
@@ -15,7 +15,7 @@
 	t.is(service.countRuns('print-8'), 0);
 });
 
-test('refuses without a run, fails after one, and cuts the connection', async t => {
+test('refuses without running, fails after running, and closes the connection', async t => {
 	const service = await startFakeService({behaviour: {refuseNotRun: true}});
 	t.teardown(service.kill);
 	const refused = await sendRequest(`${service.address}/print`, {method: 'POST'});
--- a/packages/testing/src/free-ports.test.ts
+++ b/packages/testing/src/free-ports.test.ts
@@ -8,10 +8,10 @@
 
 const moduleUrl = new URL('free-ports.js', import.meta.url).href;
 const processes = 16;
-const portsEach = 300;
+const portsPerProcess = 300;
 const script = `
 const {freePorts} = await import(${JSON.stringify(moduleUrl)});
-console.log(JSON.stringify(await freePorts(${portsEach})));
+console.log(JSON.stringify(await freePorts(${portsPerProcess})));
 process.stdin.resume();
 `;
 
@@ -20,16 +20,16 @@
 	return line;
 }
 
-test('processes that run at the same time never hand out the same port', async t => {
+test('concurrent processes never hand out the same port', async t => {
 	const children = Array.from({length: processes}, () => spawn(process.execPath, ['--input-type=module', '--eval', script], {stdio: ['pipe', 'pipe', 'inherit']}));
-	// Each goes on holding its ports until all have answered.
+	// Each process keeps its port blocks reserved until all have printed their ports.
 	const answers = await Promise.all(children.map(async ({stdout}) => firstLine(stdout)));
 	for (const {stdin} of children) {
 		stdin.end();
 	}
 
 	const ports = answers.flatMap(answer => JSON.parse(answer) as number[]);
-	t.is(ports.length, processes * portsEach);
+	t.is(ports.length, processes * portsPerProcess);
 	t.is(new Set(ports).size, ports.length);
 });
 
--- a/packages/testing/src/held-up-processes.test.ts
+++ b/packages/testing/src/held-up-processes.test.ts
@@ -10,9 +10,9 @@
 const key = callerKeys.yard;
 const tokens = 60;
 const stallMilliseconds = 1500;
-const heldUpMilliseconds = 4000;
-/** Longer than an attempt waits for a server, and shorter than that and the wait before servers are asked again. */
-const engineHeldUpMilliseconds = 2000;
+const suspendedMilliseconds = 4000;
+/** Longer than the stall timeout of an attempt, and shorter than that plus the delay before servers are retried. */
+const engineSuspendedMilliseconds = 2000;
 const timing = {
 	announcementRenewMilliseconds: 1000, configurationLeaseMilliseconds: 5000, shutdownMilliseconds: 10_000, stallMilliseconds,
 };
@@ -21,8 +21,8 @@
 	return [{role: 'user', content: text}];
 }
 
-// A process that goes on runs its timers before it reads its sockets.
-test.serial('an instance that is held up for longer than it waits for a server goes on with what came meanwhile', async t => {
+// A resumed process runs its timers before it reads its sockets, so that stall timeouts fire although data has arrived.
+test.serial('an instance suspended for longer than the stall timeout continues with the data that arrived meanwhile', async t => {
 	const entry = await startEntryDeployment(t, {engines: 1, settings: {timing}});
 	await entry.setBehaviour('engine-1', {answerTokens: tokens, tokenMilliseconds: 25});
 	const texts = Array.from({length: 6}, (_, index) => `Coil ${index}`);
@@ -30,18 +30,18 @@
 	await waitUntil(async () => {
 		const runs = await entry.runs('engine-1');
 		return runs.length === texts.length || undefined;
-	}, {what: 'all streams at the engine'});
+	}, {what: 'all streams to reach the engine'});
 	entry.daemon(1).process.signal('SIGSTOP');
-	await delay(heldUpMilliseconds);
+	await delay(suspendedMilliseconds);
 	entry.daemon(1).process.signal('SIGCONT');
 	const results = await answers;
-	const wanted = texts.map(text => [200, true, fakeAnswer({version: versions.first, messages: messagesOf(text), tokens}).join('')]);
-	t.deepEqual(results.map(({status, done, text}) => [status, done, text]), wanted);
+	const expected = texts.map(text => [200, true, fakeAnswer({version: versions.first, messages: messagesOf(text), tokens}).join('')]);
+	t.deepEqual(results.map(({status, done, text}) => [status, done, text]), expected);
 	t.is(await entry.countRuns('engine-1'), texts.length);
 });
 
-// Each stream has tried both engines when the second one goes on.
-test.serial('one engine is killed and the other is held up: the streams go on once it does', async t => {
+// Each stream has tried both engines by the time the second one resumes.
+test.serial('when one engine is killed and the other is suspended, the streams continue once it resumes', async t => {
 	const entry = await startEntryDeployment(t, {settings: {timing}});
 	const behaviour = {answerTokens: tokens, tokenMilliseconds: 25};
 	await Promise.all([entry.setBehaviour('engine-1', behaviour), entry.setBehaviour('engine-2', behaviour)]);
@@ -50,14 +50,14 @@
 	await waitUntil(async () => {
 		const runs = await Promise.all([entry.runs('engine-1'), entry.runs('engine-2')]);
 		return runs.flat().length === texts.length || undefined;
-	}, {what: 'all streams at the engines'});
+	}, {what: 'all streams to reach the engines'});
 	entry.backend('engine-2').process.signal('SIGSTOP');
 	await entry.backend('engine-1').process.kill('SIGKILL');
-	await delay(engineHeldUpMilliseconds);
+	await delay(engineSuspendedMilliseconds);
 	entry.backend('engine-2').process.signal('SIGCONT');
 	const results = await answers;
-	const wanted = texts.map(text => [200, true, fakeAnswer({version: versions.first, messages: messagesOf(text), tokens}).join('')]);
-	t.deepEqual(results.map(({status, done, text}) => [status, done, text]), wanted);
+	const expected = texts.map(text => [200, true, fakeAnswer({version: versions.first, messages: messagesOf(text), tokens}).join('')]);
+	t.deepEqual(results.map(({status, done, text}) => [status, done, text]), expected);
 	const requests = results.map(({requestId}) => requestId);
 	const bills = await entry.bills(requests);
 	t.deepEqual(requests.map(request => bills.filter(bill => bill.request === request).length), requests.map(() => 1));
--- a/packages/testing/src/kept-connections.test.ts
+++ b/packages/testing/src/kept-connections.test.ts
@@ -16,19 +16,19 @@
 	return [{role: 'user', content: text}];
 }
 
-function wholeAnswer(text: string): string {
+function completeText(text: string): string {
 	return fakeAnswer({version: versions.first, messages: messagesOf(text), tokens}).join('');
 }
 
-/** Has connections from the second instance to all back ends open and idle, and the back ends close each of them as the next request goes out on it. */
+/** Opens idle connections from the second instance to all engines, which close each of them when the next request arrives on it. */
 async function closeKeptConnections(entry: EntryDeployment, tokenMilliseconds: number): Promise<void> {
 	await Promise.all(['engine-1', 'engine-2'].map(async server => entry.setBehaviour(server, {answerTokens: tokens, firstTokenMilliseconds: 50})));
 	await Promise.all(Array.from({length: 3 * callers}, async (_, index) => chatStreamed(entry.callers(1), {key, messages: messagesOf(`Warm ${index}`)})));
 	await Promise.all(['engine-1', 'engine-2'].map(async server => entry.setBehaviour(server, {answerTokens: tokens, tokenMilliseconds, closesKeptConnections: true})));
 }
 
-// A server may close a kept connection while a request goes out on it.
-test.serial('engines that close kept connections as requests go out on them: every request is answered whole', async t => {
+// A server may close an idle keep-alive connection while a request is being sent on it.
+test.serial('every request completes when engines close keep-alive connections as requests arrive', async t => {
 	const entry = await startEntryDeployment(t);
 	await closeKeptConnections(entry, 0);
 	const results: CallResult[] = [];
@@ -37,13 +37,13 @@
 		results.push(await ask(entry.callers(1), {key, messages: messagesOf(`Coil ${turn}`)}));
 	}
 
-	t.deepEqual(results.map(({status, done, text}) => [status, done, text]), results.map((_, turn) => [200, true, wholeAnswer(`Coil ${turn}`)]));
+	t.deepEqual(results.map(({status, done, text}) => [status, done, text]), results.map((_, turn) => [200, true, completeText(`Coil ${turn}`)]));
 	const requests = results.map(({requestId}) => requestId);
 	const bills = await entry.bills(requests);
 	t.deepEqual(requests.map(request => bills.filter(bill => bill.request === request).length), requests.map(() => 1));
 });
 
-test.serial('a planned stop while engines close kept connections loses no request', async t => {
+test.serial('a graceful shutdown while engines close keep-alive connections loses no request', async t => {
 	const entry = await startEntryDeployment(t);
 	await closeKeptConnections(entry, 50);
 	const answers = Promise.all(Array.from({length: callers}, async (_, caller) => chatStreamed(entry.callers(1), {key, messages: messagesOf(`Coil ${caller}`)})));
@@ -54,10 +54,10 @@
 	const end = await entry.daemon(1).process.stop();
 	t.is(end?.code, 0);
 	const results = await answers;
-	t.deepEqual(results.map(({status, done, text}) => [status, done, text]), results.map((_, caller) => [200, true, wholeAnswer(`Coil ${caller}`)]));
+	t.deepEqual(results.map(({status, done, text}) => [status, done, text]), results.map((_, caller) => [200, true, completeText(`Coil ${caller}`)]));
 });
 
-test.serial('a service that closes kept connections: what may be repeated is answered, and the rest is sent once', async t => {
+test.serial('when a service closes keep-alive connections, calls succeed and each runs once', async t => {
 	const entry = await startEntryDeployment(t);
 	const call = async (path: string) => callService(entry.callers(1), {
 		key, service: 'labels', path, body: '{"label":7}',
--- a/packages/testing/src/naive-router.test.ts
+++ b/packages/testing/src/naive-router.test.ts
@@ -29,34 +29,34 @@
 	},
 });
 
-test('the first version that meets the target serves, and another engine after an error', async t => {
+test('the first version that meets the target serves, and an error is retried on another engine', async t => {
 	const broken = await startFakeEngine({models: ['small@v3'], behaviour: {failStatus: 500}});
-	const sound = await startFakeEngine({models: ['small@v3']});
-	const router = await startNaiveRouter({document, servers: [broken, sound].map(({address}) => ({address, models: ['small@v3']}))});
+	const healthy = await startFakeEngine({models: ['small@v3']});
+	const router = await startNaiveRouter({document, servers: [broken, healthy].map(({address}) => ({address, models: ['small@v3']}))});
 	t.teardown(async () => {
-		await Promise.all([router.close(), broken.kill(), sound.kill()]);
+		await Promise.all([router.close(), broken.kill(), healthy.kill()]);
 	});
-	const wanted = fakeAnswer({version: 'small@v3', messages, tokens: 16}).join('');
-	t.like(await chatWhole(router.address, {key, messages}), {status: 200, text: wanted, done: true});
-	t.like(await chatStreamed(router.address, {key, messages}), {status: 200, text: wanted, done: true});
+	const expectedText = fakeAnswer({version: 'small@v3', messages, tokens: 16}).join('');
+	t.like(await chatWhole(router.address, {key, messages}), {status: 200, text: expectedText, done: true});
+	t.like(await chatStreamed(router.address, {key, messages}), {status: 200, text: expectedText, done: true});
 	t.true(broken.runs.length > 0);
 	t.like(await chatWhole(router.address, {key: 'other', messages}), {status: 401});
 });
 
-test('a label print that fails after it ran is run again: the fault that valehitch is there for', async t => {
+test('a label print that fails after it ran is run again, the failure that valehitch prevents', async t => {
 	const cutting = await startFakeService({behaviour: {cutAfterTokens: 0}});
-	const sound = await startFakeService();
-	const router = await startNaiveRouter({document, servers: [cutting, sound].map(({address}) => ({address, service: 'labels'}))});
+	const healthy = await startFakeService();
+	const router = await startNaiveRouter({document, servers: [cutting, healthy].map(({address}) => ({address, service: 'labels'}))});
 	t.teardown(async () => {
-		await Promise.all([router.close(), cutting.kill(), sound.kill()]);
+		await Promise.all([router.close(), cutting.kill(), healthy.kill()]);
 	});
 	t.like(await callService(router.address, {
 		key, service: 'labels', path: '/print', body: '{}', headers: {'Idempotency-Key': 'print-1'},
 	}), {status: 200});
-	t.is(cutting.countRuns('print-1') + sound.countRuns('print-1'), 2);
+	t.is(cutting.countRuns('print-1') + healthy.countRuns('print-1'), 2);
 });
 
-test('an engine whose answer breaks off with garbage leaves the router running', async t => {
+test('an engine whose response ends in invalid data does not crash the router', async t => {
 	const engine = createTcpServer(socket => {
 		socket.once('data', () => {
 			socket.write('HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n: \r\nno chunk\r\n');
--- a/packages/testing/src/platform-path.test.ts
+++ b/packages/testing/src/platform-path.test.ts
@@ -46,7 +46,7 @@
 
 let attempts = 0;
 
-/** A caller's request through the first entry instance. */
+/** Sends a request through the first entry instance. */
 async function send(deployment: PlatformDeployment, path: string, headers: Readonly<Record<string, string>> = {}): Promise<CallerAnswer> {
 	attempts++;
 	return ask({
@@ -63,18 +63,18 @@
 	readonly backends: readonly BackendStandIn[];
 };
 
-/** A deployment with backend servers and configuration 1, ready to serve. */
+/** Starts a deployment with backend servers and configuration 1, and waits until it serves requests. */
 async function start(t: ExecutionContext, {servers, ...size}: PlatformDeploymentOptions & {readonly servers: ReadonlyArray<Omit<BackendStandInOptions, 'host'>>}): Promise<Started> {
 	const deployment = await PlatformDeployment.start(size);
 	const backends = await Promise.all(servers.map(async server => BackendStandIn.start({...server, host: '127.0.0.1'})));
 	const control = deployment.controls[0]!.address;
-	const beat = setInterval(() => {
+	const announceTimer = setInterval(() => {
 		for (const backend of backends) {
 			void backend.announce(control);
 		}
 	}, 300);
 	t.teardown(async () => {
-		clearInterval(beat);
+		clearInterval(announceTimer);
 		for (const backend of backends) {
 			backend.close();
 		}
@@ -85,7 +85,7 @@
 	await waitUntil(async () => {
 		const answer = await send(deployment, '/look/first/');
 		return answer.status === 200 || undefined;
-	}, {what: 'a first answer'});
+	}, {what: 'a first response'});
 	return {deployment, backends};
 }
 
@@ -105,7 +105,7 @@
 
 const labels = {id: 'i-labels', service: 'labels', answer: () => ({events: ['printed']})};
 
-test('requests of each kind are answered whole, by the model that they need, and refused with the right status', async t => {
+test('requests of each kind are served by the required model or refused with the right status', async t => {
 	const models = {
 		id: 'i-models', service: 'models', answer: ({model}: {readonly model: string | undefined}) => ({confidence: model === 'small' ? 20 : 90, events: [`by ${model}`, 'end']}),
 	};
@@ -124,20 +124,20 @@
 	t.like(await send(deployment, '/open/7', {Authorization: ''}), {status: 200});
 });
 
-test('a stream that breaks in the middle of an event goes on elsewhere, and nothing comes twice', async t => {
+test('a stream that breaks in the middle of an event is resumed on another server without duplicate events', async t => {
 	const events = ['one', 'two', 'three', 'four'];
 	const broken = {id: 'i-1', service: 'models', answer: () => ({confidence: 90, events, breakAfter: 2})};
 	const {deployment, backends} = await start(t, {servers: [labels, broken, {...broken, id: 'i-2'}]});
 	const whole = events.map((event, index) => `id: ${index + 1}\ndata: ${event}\n\n`).join('');
 	const first = await send(deployment, '/drafts/7');
-	// Both break after two events, so that the second one, which goes on after the second event, breaks at once.
+	// Both servers break after two events, so the second one, which resumes after the second event, breaks at once.
 	t.is(first.text, whole.slice(0, first.text.length));
 	t.false(first.isWhole);
 	const last = backends.flatMap(({runs}) => runs).find(({lastEventId}) => lastEventId !== undefined);
 	t.is(last?.lastEventId, '2');
 });
 
-test('an unsafe request that was sent is never sent again, and its outcome is not called not run', async t => {
+test('an unsafe request that was sent is never resent, and its outcome is not reported as not run', async t => {
 	const cut = {id: 'i-labels', service: 'labels', answer: ({path}: {readonly path: string}) => path.startsWith('/print/') ? {breakAfter: 0} : {}};
 	const {deployment, backends} = await start(t, {servers: [cut, {...cut, id: 'i-other'}]});
 	const answer = await send(deployment, '/print/7');
@@ -145,7 +145,7 @@
 	t.is(backends.flatMap(({runs}) => runs).filter(({path}) => path.startsWith('/print/')).length, 1);
 });
 
-test('a server in shutdown gets no new work once that was acknowledged by any control instance', async t => {
+test('a draining server gets no new requests once any control instance has acknowledged the draining', async t => {
 	const {deployment, backends} = await start(t, {servers: [labels, {...labels, id: 'i-other'}]});
 	t.is(await backends[0]!.announce(deployment.controls[2]!.address, 'draining'), 200);
 	const before = backends[0]!.runs.length;
@@ -157,7 +157,7 @@
 	t.is(backends[0]!.runs.length, before);
 });
 
-test('a configuration that was acknowledged outlives the death of all control instances, and an older one never comes back', async t => {
+test('an acknowledged configuration survives the crash of all control instances, and is not replaced by an older one', async t => {
 	const {deployment} = await start(t, {servers: [labels]});
 	await put(deployment, configuration(9, ['k1', 'k2']));
 	await Promise.all(deployment.controls.map(async ({process}) => process.kill('SIGKILL')));
@@ -178,7 +178,7 @@
 	}
 });
 
-test('a key that was taken away stops working, also at an entry instance that control no longer reaches; public routes go on', async t => {
+test('a revoked key stops working, even at an entry instance without contact to control, while public routes keep working', async t => {
 	const revocation = 2000;
 	const {deployment, backends} = await start(t, {servers: [labels], revocation});
 	await put(deployment, configuration(2, ['k2']));
@@ -199,7 +199,7 @@
 	t.is(backends[0]!.runs.length, runs + 1);
 });
 
-test('a stop lets the requests in progress end whole, and the process ends by itself', async t => {
+test('a graceful shutdown completes the requests in progress, and the process exits by itself', async t => {
 	const slow = {id: 'i-models', service: 'models', answer: () => ({confidence: 90, events: ['a', 'b', 'c', 'd'], gap: 300})};
 	const {deployment} = await start(t, {servers: [labels, slow]});
 	const streaming = send(deployment, '/drafts/7');
@@ -220,13 +220,13 @@
 	t.is(end?.code, 0);
 });
 
-test('a process goes on with its settings while the file is being replaced', async t => {
+test('a process keeps its settings while the settings file is being replaced', async t => {
 	const {deployment} = await start(t, {servers: [labels]});
 	const {process, removeSettings, writeSettings} = deployment.entries[0]!;
 	const {pid} = process;
 	await removeSettings();
 	process.signal('SIGHUP');
-	// Longer than the process waits between two looks at the file.
+	// Longer than the interval at which the process polls the file.
 	await new Promise(resolve => {
 		setTimeout(resolve, 2500);
 	});
@@ -235,7 +235,7 @@
 	t.is(process.pid, pid);
 });
 
-test('a caller that leaves ends the work of the server', async t => {
+test('a request is cancelled at the server when its caller disconnects', async t => {
 	const slow = {id: 'i-models', service: 'models', answer: () => ({confidence: 90, events: ['a', 'b', 'c', 'd', 'e', 'f'], gap: 1000})};
 	const {deployment, backends} = await start(t, {servers: [labels, slow]});
 	const [ip, port] = deployment.entries[0]!.address.split(':');
@@ -247,11 +247,11 @@
 	caller.once('data', () => {
 		caller.destroy();
 	});
-	const abandoned = await waitUntil(async () => backends[1]!.abandoned[0], {what: 'the end of the work'});
+	const abandoned = await waitUntil(async () => backends[1]!.abandoned[0], {what: 'the cancellation at the server'});
 	t.is(abandoned, 'leaving');
 });
 
-test('a message of another instance that cannot be handled ends no process, however often it comes', async t => {
+test('an invalid message from another instance crashes no process, even when repeated', async t => {
 	const {deployment} = await start(t, {servers: [labels]});
 	const {ip} = deployment.controls[0]!;
 	const network = await PeerNetwork.listen<unknown>({
--- a/packages/testing/src/rollout-operator.test.ts
+++ b/packages/testing/src/rollout-operator.test.ts
@@ -19,7 +19,7 @@
 	},
 };
 
-test('an operator advances a roll-out once, then stops the version', async t => {
+test('an operator advances a roll-out by one stage, then stops the version', async t => {
 	const deployment = await startDeployment({
 		daemons: [{instance: 'alone', zone: 'zone-a', roles: ['control', 'entry']}], backends: [], configuration, startMilliseconds: 60_000,
 	});
--- a/packages/testing/src/rollouts-and-orders.test.ts
+++ b/packages/testing/src/rollouts-and-orders.test.ts
@@ -40,8 +40,8 @@
 });
 const orderSchema = z.looseObject({orderId: z.string(), outcome: z.string()});
 const listSchema = z.object({open: z.array(orderSchema), completed: z.array(orderSchema)});
-const obeyedSchema = z.array(z.looseObject({orderId: z.string(), term: z.number(), sequence: z.number()}));
-const patient = {timeoutMilliseconds: 60_000};
+const executedSchema = z.array(z.looseObject({orderId: z.string(), term: z.number(), sequence: z.number()}));
+const waitOptions = {timeoutMilliseconds: 60_000};
 
 async function getConfiguration(daemon: RunningDaemon) {
 	const {body} = await callOperator(`${daemon.operators}/v1/configuration`, {key: deploymentKeys.operators});
@@ -59,29 +59,29 @@
 		}
 
 		return undefined;
-	}, {what: 'a leader', ...patient});
+	}, {what: 'a leader', ...waitOptions});
 }
 
-async function issue(daemon: RunningDaemon, wanted: {readonly orderId: string; readonly server: string; readonly order: unknown}): Promise<void> {
+async function issueOrder(daemon: RunningDaemon, order: {readonly orderId: string; readonly server: string; readonly order: unknown}): Promise<void> {
 	await waitUntil(async () => {
 		const {status, body} = await sendRequest(`${daemon.operators}/v1/orders`, {
-			method: 'POST', headers: {authorization: `Bearer ${deploymentKeys.operators}`}, body: JSON.stringify(wanted),
+			method: 'POST', headers: {authorization: `Bearer ${deploymentKeys.operators}`}, body: JSON.stringify(order),
 		});
 		if (status !== 202) {
-			throw new Error(`Got ${status} ${body}, wanted 202`);
+			throw new Error(`Expected status 202, got ${status} ${body}`);
 		}
 
 		return true;
-	}, {what: `order ${wanted.orderId}`, ...patient});
+	}, {what: `order ${order.orderId}`, ...waitOptions});
 }
 
-async function obeyedBy(deployment: Deployment, server: string) {
+async function fetchExecutedOrders(deployment: Deployment, server: string) {
 	const backend = deployment.backends.find(found => found.server === server);
 	const {body} = await sendRequest(`${backend?.address}/test/orders`);
-	return obeyedSchema.parse(JSON.parse(body));
+	return executedSchema.parse(JSON.parse(body));
 }
 
-test.serial('a roll-out goes on where it stopped when its leader is killed halfway', async t => {
+test.serial('a roll-out continues from its current stage when the leader is killed', async t => {
 	const deployment = await startDeployment({daemons, backends, configuration});
 	t.teardown(async () => deployment.stop());
 	const leader = await findLeader(deployment);
@@ -89,7 +89,7 @@
 	await waitUntil(async () => {
 		const {rollouts} = await getConfiguration(survivor);
 		return rollouts[rolloutKey]?.stage === 1 || undefined;
-	}, {what: 'the second stage', ...patient});
+	}, {what: 'the second stage', ...waitOptions});
 	await leader.process.kill('SIGKILL');
 
 	const stages: number[] = [];
@@ -98,16 +98,16 @@
 		const progress = found.rollouts[rolloutKey];
 		stages.push(progress?.stage ?? -1);
 		return progress?.status === 'completed' ? found : undefined;
-	}, {what: 'the end of the roll-out', ...patient});
-	t.deepEqual(stages, stages.toSorted((left, right) => left - right), 'no stage comes back');
+	}, {what: 'the end of the roll-out', ...waitOptions});
+	t.deepEqual(stages, stages.toSorted((left, right) => left - right), 'the stage never decreases');
 	t.is(stages[0], 1);
 	t.is(last.document.models['tag-small']?.versions.v2?.state, 'settled');
-	// One change of the operator and three steps: none was taken twice.
+	// One change by the operator and three stage changes: none happened twice.
 	t.is(last.revision, 4);
 });
 
 for (const failure of ['SIGKILL', 'SIGSTOP'] as const) {
-	test.serial(`orders are carried out in order, and not twice out of order, through a ${failure} of the leader`, async t => {
+	test.serial(`engines execute each order, and with fencing only once and in sequence, when the leader gets ${failure}`, async t => {
 		const deployment = await startDeployment({daemons, backends, configuration});
 		t.teardown(async () => {
 			for (const {process} of deployment.daemons) {
@@ -118,17 +118,17 @@
 		});
 		const leader = await findLeader(deployment);
 		const survivor = deployment.daemons.find(daemon => daemon !== leader) ?? leader;
-		const wanted = ['checks', 'ignores'].flatMap(server => [1, 2, 3, 4].map(number => ({
+		const orders = ['checks', 'ignores'].flatMap(server => [1, 2, 3, 4].map(number => ({
 			orderId: `${server}-${number}`, server, order: {type: 'set-role', role: `role-${number}`},
 		})));
-		for (const [index, order] of wanted.entries()) {
-			if (index === wanted.length / 4) {
+		for (const [index, order] of orders.entries()) {
+			if (index === orders.length / 4) {
 				leader.process.signal(failure);
 			}
 
-			await issue(survivor, order);
-			// A resend under the same id is the same order.
-			await issue(survivor, order);
+			await issueOrder(survivor, order);
+			// A resend with the same id is the same order.
+			await issueOrder(survivor, order);
 		}
 
 		if (failure === 'SIGSTOP') {
@@ -138,17 +138,17 @@
 		const {completed} = await waitUntil(async () => {
 			const {body} = await callOperator(`${survivor.operators}/v1/orders`, {key: deploymentKeys.operators});
 			const list = listSchema.parse(body);
-			return list.open.length === 0 && list.completed.length === wanted.length ? list : undefined;
-		}, {what: 'all orders to be carried out', ...patient});
-		t.deepEqual(completed.map(({outcome}) => outcome), wanted.map(() => 'done'));
+			return list.open.length === 0 && list.completed.length === orders.length ? list : undefined;
+		}, {what: 'all orders to be completed', ...waitOptions});
+		t.deepEqual(completed.map(({outcome}) => outcome), orders.map(() => 'done'));
 		for (const server of ['checks', 'ignores']) {
-			const obeyed = await obeyedBy(deployment, server);
-			const sequences = obeyed.map(({sequence}) => sequence);
-			t.deepEqual(sequences, sequences.toSorted((left, right) => left - right), `${server}: no older order after a newer one`);
-			t.deepEqual([...new Set(obeyed.map(({orderId}) => orderId))], [1, 2, 3, 4].map(number => `${server}-${number}`));
+			const executed = await fetchExecutedOrders(deployment, server);
+			const sequences = executed.map(({sequence}) => sequence);
+			t.deepEqual(sequences, sequences.toSorted((left, right) => left - right), `${server} executed an older order after a newer one`);
+			t.deepEqual([...new Set(executed.map(({orderId}) => orderId))], [1, 2, 3, 4].map(number => `${server}-${number}`));
 		}
 
-		const onChecking = await obeyedBy(deployment, 'checks');
-		t.is(onChecking.length, 4);
+		const executedWithFencing = await fetchExecutedOrders(deployment, 'checks');
+		t.is(executedWithFencing.length, 4);
 	});
 }
--- a/packages/testing/src/silent-servers.test.ts
+++ b/packages/testing/src/silent-servers.test.ts
@@ -10,8 +10,8 @@
 const key = callerKeys.yard;
 const tokens = 60;
 const behaviour = {answerTokens: tokens, tokenMilliseconds: 25};
-/** Longer than a stall and the wait after it, and than the time after which a server without announcements is taken out. */
-const heldUpMilliseconds = 4500;
+/** Longer than the stall timeout plus the retry delay, and longer than the time after which a server without announcements is removed. */
+const suspendedMilliseconds = 4500;
 const timing = {
 	announcementRenewMilliseconds: 1000, configurationLeaseMilliseconds: 5000, shutdownMilliseconds: 10_000, stallMilliseconds: 1500,
 };
@@ -21,19 +21,19 @@
 	return [{role: 'user', content: text}];
 }
 
-const wholeAnswers = texts.map(text => [200, true, fakeAnswer({version: versions.first, messages: messagesOf(text), tokens}).join('')]);
+const expectedResponses = texts.map(text => [200, true, fakeAnswer({version: versions.first, messages: messagesOf(text), tokens}).join('')]);
 
-function answersOf(results: readonly CallResult[]) {
+function summarize(results: readonly CallResult[]) {
 	return results.map(({status, done, text}) => [status, done, text]);
 }
 
-/** Opens all streams and waits until each has reached an engine. */
+/** Starts all streams and waits until each has reached an engine. */
 async function openStreams(entry: EntryDeployment, engines: readonly string[]): Promise<{readonly results: Promise<CallResult[]>}> {
 	const results = Promise.all(texts.map(async (text, index) => chatStreamed(entry.callers(index % 3), {key, messages: messagesOf(text)})));
 	await waitUntil(async () => {
 		const runs = await Promise.all(engines.map(async engine => entry.runs(engine)));
 		return runs.flat().length === texts.length || undefined;
-	}, {what: 'all streams at the engines'});
+	}, {what: 'all streams to reach the engines'});
 	return {results};
 }
 
@@ -43,28 +43,28 @@
 	return requests.map(request => bills.filter(bill => bill.request === request).length);
 }
 
-test.serial('streams whose only server is held up for longer than a stall and a wait go on once it does, with one bill each', async t => {
+test.serial('streams whose only server is suspended for longer than stall timeout and retry delay continue once it resumes, with one bill each', async t => {
 	const entry = await startEntryDeployment(t, {settings: {timing}});
 	await Promise.all([entry.setBehaviour('engine-1', behaviour), entry.setBehaviour('engine-2', behaviour)]);
 	const {results} = await openStreams(entry, ['engine-1', 'engine-2']);
 	entry.backend('engine-2').process.signal('SIGSTOP');
 	await entry.backend('engine-1').process.kill('SIGKILL');
-	await delay(heldUpMilliseconds);
+	await delay(suspendedMilliseconds);
 	entry.backend('engine-2').process.signal('SIGCONT');
-	const answered = await results;
-	t.deepEqual(answersOf(answered), wholeAnswers);
-	t.deepEqual(await countBills(entry, answered), texts.map(() => 1));
+	const completed = await results;
+	t.deepEqual(summarize(completed), expectedResponses);
+	t.deepEqual(await countBills(entry, completed), texts.map(() => 1));
 });
 
-test.serial('streams whose only server ends before their first token go on once it is back', async t => {
+test.serial('streams whose only server is killed before their first token continue once it has restarted', async t => {
 	const entry = await startEntryDeployment(t, {engines: 1, settings: {timing}});
 	await entry.setBehaviour('engine-1', {...behaviour, firstTokenMilliseconds: 1000});
 	const {results} = await openStreams(entry, ['engine-1']);
-	// The heads of the answers follow the runs at once, and the tokens later.
+	// The response headers follow the start of the runs at once, the tokens later.
 	await delay(behaviour.tokenMilliseconds);
 	await entry.backend('engine-1').process.kill('SIGKILL');
 	entry.backend('engine-1').process.start();
-	const answered = await results;
-	t.deepEqual(answered.map(({status, done}) => [status, done]), texts.map(() => [200, true]));
-	t.deepEqual(await countBills(entry, answered), texts.map(() => 1));
+	const completed = await results;
+	t.deepEqual(completed.map(({status, done}) => [status, done]), texts.map(() => [200, true]));
+	t.deepEqual(await countBills(entry, completed), texts.map(() => 1));
 });
--- a/packages/testing/src/slow-disks.test.ts
+++ b/packages/testing/src/slow-disks.test.ts
@@ -16,8 +16,8 @@
 	tenants: [{name: 'mills', apiKeys: ['k1'], priority: 1}],
 };
 
-/** Starts three control instances, some with slow disks, and waits until they acknowledge a configuration. */
-async function acknowledgeOn(t: ExecutionContext, disks: ReadonlyArray<{readonly syncMilliseconds: number}>): Promise<void> {
+/** Starts three control instances with the given disk latencies and waits until they acknowledge a configuration. */
+async function assertConfigurationAcknowledged(t: ExecutionContext, disks: ReadonlyArray<{readonly syncMilliseconds: number}>): Promise<void> {
 	const deployment = await PlatformDeployment.prepare({
 		entries: 0,
 		environment: ({ip}) => slowDisk(disks[Number(ip.split('.').at(-1)) - 1] ?? {}),
@@ -37,10 +37,10 @@
 	}, {what: 'an acknowledged configuration'}));
 }
 
-test('control instances whose disks take as long for a vote as an election elect a leader that takes a configuration', async t => {
-	await acknowledgeOn(t, [{syncMilliseconds: 500}, {syncMilliseconds: 500}, {syncMilliseconds: 500}]);
+test('control instances whose disks take as long to save a vote as an election lasts elect a leader that accepts a configuration', async t => {
+	await assertConfigurationAcknowledged(t, [{syncMilliseconds: 500}, {syncMilliseconds: 500}, {syncMilliseconds: 500}]);
 });
 
-test('a control instance with a fast disk leads two with slow ones', async t => {
-	await acknowledgeOn(t, [{syncMilliseconds: 800}, {syncMilliseconds: 0}, {syncMilliseconds: 800}]);
+test('a configuration is accepted when one control instance has a fast disk and two have slow ones', async t => {
+	await assertConfigurationAcknowledged(t, [{syncMilliseconds: 800}, {syncMilliseconds: 0}, {syncMilliseconds: 800}]);
 });
