--- a/packages/testing/src/deploy.test.ts
+++ b/packages/testing/src/deploy.test.ts
@@ -10,7 +10,7 @@
 import test from 'ava';
 
 const root = fileURLToPath(new URL('../../..', import.meta.url));
-const anyFreePort = '127.0.0.1:0';
+const anyPort = '127.0.0.1:0';
 
 test('the deploy command starts the bundled program with its precompiled code', async t => {
 	const [code] = await once(spawn('node', ['deploy/bundle.mjs'], {cwd: root, stdio: 'inherit'}), 'exit') as [number];
@@ -18,7 +18,7 @@
 	const folder = await mkdtemp(path.join(tmpdir(), 'valehitch-deploy-'));
 	const settings = path.join(folder, 'node.yaml');
 	await writeFile(settings, JSON.stringify({
-		node: 'core-1', ip: '127.0.0.1', zone: 'hall-a', listen: {control: anyFreePort}, portRange: [0, 0], seeds: [anyFreePort], bootstrap: true, dataDir: folder, heartbeatMs: 1200, bounds: {graceS: 8},
+		node: 'core-1', ip: '127.0.0.1', zone: 'hall-a', listen: {control: anyPort}, portRange: [0, 0], seeds: [anyPort], bootstrap: true, dataDir: folder, heartbeatMs: 1200, bounds: {graceS: 8},
 	}));
 	const deployFile = await readFile(path.join(root, 'deploy/system.toml'), 'utf8');
 	const [, command = ''] = /run = "node (.*) --metrics-port/v.exec(deployFile) ?? [];
--- a/packages/testing/src/rollouts-and-orders.test.ts
+++ b/packages/testing/src/rollouts-and-orders.test.ts
@@ -107,7 +107,7 @@
 });
 
 for (const failure of ['SIGKILL', 'SIGSTOP'] as const) {
-	test.serial(`engines execute each order, and with fencing only once and in sequence, when the leader gets ${failure}`, async t => {
+	test.serial(`orders are executed in sequence, and only once with fencing, when the leader gets ${failure}`, async t => {
 		const deployment = await startDeployment({daemons, backends, configuration});
 		t.teardown(async () => {
 			for (const {process} of deployment.daemons) {
