--- a/packages/testing/src/control-repair.test.ts
+++ b/packages/testing/src/control-repair.test.ts
@@ -46,7 +46,11 @@
 
 async function startControl(t: ExecutionContext, controlLimits: Readonly<Record<string, number>>): Promise<Deployment> {
 	const deployment = await startDeployment({
-		daemons: plans, backends: [], configuration: {models: {}, services: {}, workspaces: {}}, startMilliseconds: waitMilliseconds, settings: {controlLimits, controlLog: {snapshotEntries: 100}},
+		daemons: plans,
+		backends: [],
+		configuration: {models: {}, services: {}, workspaces: {}},
+		startMilliseconds: waitMilliseconds,
+		settings: {controlLimits, controlLog: {snapshotEntries: 100}},
 	});
 	t.teardown(async () => {
 		await deployment.stop();
--- a/packages/testing/src/deployment.ts
+++ b/packages/testing/src/deployment.ts
@@ -9,7 +9,7 @@
 import {callOperator} from './http-client.js';
 import {type ManagedProcess} from './managed-process.js';
 import {sendRequest} from './send-request.js';
-import {waitUntil} from './wait-until.js';
+import {waitUntil, type WaitOptions} from './wait-until.js';
 
 export type * from './deployment-plan.js';
 
@@ -232,7 +232,7 @@
 		return daemon;
 	}
 
-	#waitOptions(what: string) {
+	#waitOptions(what: string): WaitOptions {
 		return this.#timeoutMilliseconds === undefined ? {what} : {what, timeoutMilliseconds: this.#timeoutMilliseconds};
 	}
 }
