--- a/packages/testing/src/platform/backend-stand-in.ts
+++ b/packages/testing/src/platform/backend-stand-in.ts
@@ -5,24 +5,24 @@
 } from 'node:http';
 import {type AddressInfo} from 'node:net';
 
-/** How a stand-in answers one request. */
+/** The response of the fake server to one request. */
 export type StandInAnswer = {
 	readonly status?: number;
-	/** The model's opinion of its answer, from 0 to 100. */
+	/** The confidence that the model reports for its response, from 0 to 100. */
 	readonly confidence?: number;
-	/** The events of a stream, or one body. */
+	/** The data of the streamed events, or the parts of a plain body. */
 	readonly events?: readonly string[];
-	/** Milliseconds between the head of the answer and the first event. */
+	/** Delay between the response headers and the first event, in milliseconds. */
 	readonly firstAfter?: number;
-	/** Milliseconds between two events. */
+	/** Delay between two events, in milliseconds. */
 	readonly gap?: number;
-	/** The connection is reset after as many events, in the middle of the next. */
+	/** The number of events after which the connection is reset, in the middle of the next event. */
 	readonly breakAfter?: number;
-	/** The server says that it did not run the request. */
+	/** Whether the server responds that it did not execute the request. */
 	readonly isNotRun?: boolean;
 };
 
-/** What a stand-in saw. */
+/** A request that the fake server executed. */
 export type StandInRun = {
 	readonly id: string;
 	readonly model: string | undefined;
@@ -32,48 +32,48 @@
 	readonly server: string;
 };
 
-/** What a backend server stand-in is. */
+/** Options of `FakeBackendServer`. */
 export type BackendStandInOptions = {
 	readonly id: string;
 	readonly service: string;
 	readonly host: string;
 	readonly version?: string;
 	readonly answer: (run: StandInRun) => StandInAnswer;
-	/** The port that it listens on; a free one by default. */
+	/** The port to listen on; a free port by default. */
 	readonly port?: number;
-	/** When its process started, in milliseconds since the epoch; it does not say by default. */
+	/** The process start time to announce, in milliseconds since the epoch; not announced by default. */
 	readonly startedAt?: number;
-	/** The port that it announces in place of its own, as where a proxy stands before it. */
+	/** Gives the port to announce instead of its own, such as that of a proxy in front of the server. */
 	readonly announcedPort?: () => number;
 };
 
-/** The platform's servers wait a second for an acknowledgement. */
-const announceMilliseconds = 1000;
+/** The platform's servers time out after one second without an acknowledgement. */
+const announceTimeoutMilliseconds = 1000;
 
 /**
-A backend server of the platform, as its protocol describes it, for tests.
+A backend server for tests that implements the platform's protocol.
 
 @example
 ```ts
-const server = await BackendStandIn.start({id: 'i-1', service: 'labels', host: '127.0.0.1', answer: () => ({events: ['printed']})});
+const server = await FakeBackendServer.start({id: 'i-1', service: 'labels', host: '127.0.0.1', answer: () => ({events: ['printed']})});
 ```
 */
 export class BackendStandIn {
 	/**
-	Starts to listen.
+	Starts a server and waits until it listens.
 
-	@param options What it is.
+	@param options The server's identity, address and responses.
 	@returns The running server.
 	*/
 	static async start(options: BackendStandInOptions): Promise<BackendStandIn> {
-		const standIn = new BackendStandIn(options);
-		standIn.#server.listen(options.port ?? 0, options.host);
-		await once(standIn.#server, 'listening');
-		return standIn;
+		const fake = new BackendStandIn(options);
+		fake.#server.listen(options.port ?? 0, options.host);
+		await once(fake.#server, 'listening');
+		return fake;
 	}
 
 	readonly runs: StandInRun[] = [];
-	/** The requests whose connection ended before their answer did. */
+	/** The ids of the requests whose connection closed before the response was complete. */
 	readonly abandoned: string[] = [];
 	readonly #options: BackendStandInOptions;
 	readonly #server: Server;
@@ -86,7 +86,7 @@
 		});
 	}
 
-	/** The port that it listens on. */
+	/** The port on which the server listens. */
 	get port(): number {
 		return (this.#server.address() as AddressInfo).port;
 	}
@@ -95,7 +95,7 @@
 	Announces the server to a control instance.
 
 	@param control The address of the control instance.
-	@param state Whether it takes work.
+	@param state Whether the server accepts requests.
 	@returns The status of the acknowledgement.
 	*/
 	async announce(control: string, state: 'ready' | 'draining' = 'ready'): Promise<number> {
@@ -104,7 +104,7 @@
 		return call({
 			method: 'PUT', address: control, path: `/-/instances/${id}`, body: {
 				service, address: `${host}:${announcedPort()}`, zone: 'hall-a', version, slots: 8, state, coldRemainingMs: 0, seq: this.#sequence, born: startedAt,
-			}, timeout: announceMilliseconds,
+			}, timeout: announceTimeoutMilliseconds,
 		});
 	}
 
@@ -125,12 +125,17 @@
 		}
 
 		const run: StandInRun = {
-			id: String(headers['attempt-id']), model: textOf(headers.model), workspace: textOf(headers.tenant), lastEventId: textOf(headers['last-event-id']), path: url, server: this.#options.id,
+			id: String(headers['attempt-id']),
+			model: firstValueOf(headers.model),
+			workspace: firstValueOf(headers.tenant),
+			lastEventId: firstValueOf(headers['last-event-id']),
+			path: url,
+			server: this.#options.id,
 		};
-		await this.#answer(run, response);
+		await this.#respond(run, response);
 	}
 
-	async #answer(run: StandInRun, response: ServerResponse): Promise<void> {
+	async #respond(run: StandInRun, response: ServerResponse): Promise<void> {
 		const {status = 200, confidence, events = ['done'], firstAfter, gap = 0, breakAfter, isNotRun = false} = this.#options.answer(run);
 		if (isNotRun) {
 			response.writeHead(503, {'Not-Executed': '1'});
@@ -152,7 +157,7 @@
 		});
 		if (firstAfter !== undefined) {
 			response.flushHeaders();
-			await elapsed(firstAfter);
+			await delay(firstAfter);
 		}
 
 		const first = Number(run.lastEventId ?? 0);
@@ -163,57 +168,57 @@
 
 			if (index === breakAfter) {
 				response.write(`id: ${index + 1}\nda`);
-				await elapsed(20);
+				await delay(20);
 				response.socket?.resetAndDestroy();
 				return;
 			}
 
 			response.write(isStream ? `id: ${index + 1}\ndata: ${event}\n\n` : event);
-			await elapsed(gap);
+			await delay(gap);
 		}
 
 		response.end();
 	}
 }
 
-/** A call to a control instance. */
+/** An HTTP request to an instance. */
 export type StandInCall = {
 	readonly method: string;
-	/** Host and port. */
+	/** The host and port, as `HOST:PORT`. */
 	readonly address: string;
 	readonly path: string;
 	readonly body?: unknown;
-	/** Keeps connections; by default each call has its own. */
+	/** The agent that pools connections; by default each request opens its own. */
 	readonly agent?: Agent;
-	/** Milliseconds after which the call is given up; never by default. */
+	/** The timeout in milliseconds; none by default. */
 	readonly timeout?: number;
 };
 
 /**
-Makes a call and gives the status; 0 where no answer came.
+Sends a request and returns the status of its response.
 
-@param options The call.
-@returns The status.
+@param options The request.
+@returns The status; 0 if the connection failed before a response.
 */
 export async function call(options: StandInCall): Promise<number> {
 	const {status} = await ask({...options, headers: {}});
 	return status;
 }
 
-/** An answer that a caller got. */
+/** A response as the caller received it. */
 export type CallerAnswer = {
 	readonly status: number;
 	readonly text: string;
 	readonly retryAfter: string | undefined;
-	/** Whether the body came whole. */
+	/** Whether the body was received completely. */
 	readonly isWhole: boolean;
 };
 
 /**
-Sends a request and reads the whole answer.
+Sends a request and reads its response to the end.
 
 @param options The request.
-@returns The answer; status 0 where the connection ended before one.
+@returns The response; its status is 0 if the connection failed before a response.
 */
 export async function ask({method, address, path, body, headers, agent, timeout}: StandInCall & {readonly headers: Readonly<Record<string, string>>}): Promise<CallerAnswer> {
 	const [host, port] = address.split(':');
@@ -228,7 +233,7 @@
 				text += chunk;
 			});
 			message.on('error', () => {
-				// The close that follows tells that the body is not whole.
+				// The close event follows, and `message.complete` then shows that the body is incomplete.
 			});
 			message.on('close', () => {
 				clearTimeout(timer);
@@ -252,11 +257,11 @@
 	});
 }
 
-function textOf(value: string | readonly string[] | undefined): string | undefined {
+function firstValueOf(value: string | readonly string[] | undefined): string | undefined {
 	return typeof value === 'string' ? value : value?.[0];
 }
 
-async function elapsed(milliseconds: number): Promise<void> {
+async function delay(milliseconds: number): Promise<void> {
 	return new Promise(resolve => {
 		setTimeout(resolve, milliseconds);
 	});
--- a/packages/testing/src/platform/platform-deployment.ts
+++ b/packages/testing/src/platform/platform-deployment.ts
@@ -7,32 +7,32 @@
 import {ManagedProcess} from '../managed-process.js';
 import {type ReservedNetwork, reserveNetwork} from './reserve-network.js';
 
-/** How large the deployment is. */
+/** Options of `PlatformDeployment`. */
 export type PlatformDeploymentOptions = {
-	/** Control instances; 3 by default. */
+	/** The number of control instances; 3 by default. */
 	readonly controls?: number;
-	/** Entry instances; 2 by default. */
+	/** The number of entry instances; 2 by default. */
 	readonly entries?: number;
-	/** Milliseconds after which a key that was taken away must not work any more; 5000 by default. */
+	/** The time within which a revoked key must stop working, in milliseconds; 5000 by default. */
 	readonly revocation?: number;
-	/** Further variables of each process; none by default. */
+	/** Additional environment variables of each process; none by default. */
 	readonly environment?: (member: {readonly ip: string; readonly folder: string}) => Readonly<Record<string, string>>;
 };
 
-/** One process of the deployment. */
+/** An instance of the deployment, which is one process. */
 export type PlatformMember = {
 	readonly name: string;
 	readonly ip: string;
-	/** Its data folder; empty on entry instances. */
+	/** The data folder; empty on entry instances. */
 	readonly folder: string;
 	readonly process: ManagedProcess;
-	/** Where callers, or operators and backend servers, connect. */
+	/** The address for callers on an entry instance, or for operators and backend servers on a control instance. */
 	readonly address: string;
-	/** Where readiness is asked; the address itself on control instances. */
+	/** The address of the readiness check; the same as `address` on control instances. */
 	readonly readiness: string;
-	/** Writes the settings anew, as the platform does before each start. */
+	/** Rewrites the settings file, as the platform does before each start. */
 	readonly writeSettings: (changes: {readonly isFounding: boolean; readonly seeds?: readonly string[]}) => Promise<void>;
-	/** Takes the settings file away, as where it is being replaced. */
+	/** Deletes the settings file, as happens while it is being replaced. */
 	readonly removeSettings: () => Promise<void>;
 };
 
@@ -42,7 +42,7 @@
 const program = createRequire(import.meta.url).resolve('@valehitch/platform').replace(/mod\.js$/v, 'bin/valehitch-platform.js');
 
 /**
-The real programs of the platform as separate processes on loopback addresses, with the settings that the platform writes.
+Runs the real programs as separate processes on loopback addresses, with settings files as the platform writes them.
 
 @example
 ```ts
@@ -52,9 +52,9 @@
 */
 export class PlatformDeployment {
 	/**
-	Starts all processes.
+	Creates a deployment and starts all its processes.
 
-	@param options How large it is.
+	@param options The size and settings of the deployment.
 	@returns The deployment.
 	*/
 	static async start(options: PlatformDeploymentOptions = {}): Promise<PlatformDeployment> {
@@ -67,14 +67,14 @@
 	}
 
 	/**
-	Writes the settings of all processes and starts none.
+	Writes the settings files of all processes without starting the processes.
 
-	@param options How large the deployment is.
+	@param options The size and settings of the deployment.
 	@returns The deployment.
 	*/
 	static async prepare({controls = 3, entries = 2, revocation = 5000, environment = () => ({})}: PlatformDeploymentOptions = {}): Promise<PlatformDeployment> {
 		const folder = await mkdtemp(path.join(tmpdir(), 'valehitch-platform-'));
-		// Each deployment has a network of its own, since the ports are the same on all instances.
+		// All instances use the same ports, so each deployment needs its own subnet.
 		const network = await reserveNetwork();
 		const deployment = new PlatformDeployment(folder, network);
 		const seeds = Array.from({length: Math.min(3, controls)}, (_, index) => `${network.prefix}.${index + 1}:${ports.control}`);
@@ -92,7 +92,7 @@
 
 	readonly controls: PlatformMember[] = [];
 	readonly entries: PlatformMember[] = [];
-	/** Where settings, logs and data folders are. */
+	/** The folder that contains the settings, logs and data folders. */
 	readonly #folder: string;
 	readonly #network: ReservedNetwork;
 
@@ -101,19 +101,19 @@
 		this.#network = network;
 	}
 
-	/** All processes. */
+	/** All instances, the control instances first. */
 	get members(): readonly PlatformMember[] {
 		return [...this.controls, ...this.entries];
 	}
 
-	/** Ends all processes and removes their files. */
+	/** Kills all processes and deletes their files. */
 	async stop(): Promise<void> {
 		await Promise.all(this.members.map(async member => member.process.kill('SIGKILL')));
 		await rm(this.#folder, {recursive: true, force: true});
 		this.#network.release();
 	}
 
-	async #add({name, ip, isControl, seeds, revocation, environment}: MemberOptions): Promise<PlatformMember> {
+	async #add({name, ip, isControl, seeds, revocation, environment}: InstanceOptions): Promise<PlatformMember> {
 		const file = path.join(this.#folder, `${name}.yaml`);
 		const dataFolder = path.join(this.#folder, name);
 		await mkdir(dataFolder, {recursive: true});
@@ -151,7 +151,7 @@
 	}
 }
 
-type MemberOptions = {
+type InstanceOptions = {
 	readonly name: string;
 	readonly ip: string;
 	readonly isControl: boolean;
--- a/packages/testing/src/platform/reserve-network.test.ts
+++ b/packages/testing/src/platform/reserve-network.test.ts
@@ -3,8 +3,8 @@
 import test from 'ava';
 import {reserveNetwork, type ReservedNetwork} from './reserve-network.js';
 
-// Two deployments at a time with the same addresses end each other.
-test('a network is handed out once until it is given back', async t => {
+// Two deployments that run at the same time with the same addresses make each other fail.
+test('a reserved subnet is not reserved again until it is released', async t => {
 	const reserved: ReservedNetwork[] = [];
 	for (let index = 0; index < 300; index++) {
 		reserved.push(await reserveNetwork());
@@ -12,13 +12,13 @@
 
 	t.is(new Set(reserved.map(({prefix}) => prefix)).size, reserved.length);
 	const {prefix} = reserved[0]!;
-	const taken = createServer().listen(8228, `${prefix}.254`);
-	await t.throwsAsync(once(taken, 'listening'), {code: 'EADDRINUSE'});
+	const conflicting = createServer().listen(8228, `${prefix}.254`);
+	await t.throwsAsync(once(conflicting, 'listening'), {code: 'EADDRINUSE'});
 	for (const {release} of reserved) {
 		release();
 	}
 
-	const free = createServer().listen(8228, `${prefix}.254`);
-	await once(free, 'listening');
-	free.close();
+	const released = createServer().listen(8228, `${prefix}.254`);
+	await once(released, 'listening');
+	released.close();
 });
--- a/packages/testing/src/platform/reserve-network.ts
+++ b/packages/testing/src/platform/reserve-network.ts
@@ -2,60 +2,60 @@
 import {once} from 'node:events';
 import {createServer, type Server} from 'node:net';
 
-/** A range of loopback addresses that no other deployment of the machine has. */
+/** A /24 subnet of loopback addresses that no other deployment on the machine uses. */
 export type ReservedNetwork = {
-	/** The first three numbers of its addresses, such as `127.10.0`. */
+	/** The first three octets of its addresses, such as `127.10.0`. */
 	readonly prefix: string;
-	/** Gives it back. */
+	/** Releases the subnet. */
 	readonly release: () => void;
 };
 
-const firstNetwork = 10;
-const networks = 240 * 250;
-const networksEach = 250;
-/** No process of a deployment has this address. */
-const guardAddress = 254;
-const guardPort = 8228;
+const firstSecondOctet = 10;
+const subnetCount = 240 * 250;
+const subnetsPerSecondOctet = 250;
+/** The last octet of the address that marks a subnet as reserved; no process of a deployment uses it. */
+const lockHost = 254;
+const lockPort = 8228;
 
 /**
-Reserves loopback addresses for a deployment whose processes all have the same ports.
+Reserves a loopback subnet for a deployment whose processes all use the same ports.
 
-A listener on one of the addresses holds them until they are given back or this process ends: addresses that follow from a process id are met twice where two ids are a multiple of the range apart.
+A listener on one of the addresses holds the reservation until it is released or this process exits. Addresses derived from the process id would collide, because two ids can differ by a multiple of the number of subnets.
 
-@returns The network.
-@throws If none is free.
+@returns The subnet.
+@throws If no subnet is free.
 @example
 ```ts
-const {prefix, release} = await reserveNetwork();
+const {prefix, release} = await reserveLoopbackSubnet();
 ```
 */
 export async function reserveNetwork(): Promise<ReservedNetwork> {
-	const start = randomInt(networks);
-	for (let offset = 0; offset < networks; offset++) {
-		const index = (start + offset) % networks;
-		const prefix = `127.${firstNetwork + Math.floor(index / networksEach)}.${index % networksEach}`;
-		const guard = await listenOn(`${prefix}.${guardAddress}`);
-		if (guard !== undefined) {
-			guard.unref();
+	const start = randomInt(subnetCount);
+	for (let offset = 0; offset < subnetCount; offset++) {
+		const index = (start + offset) % subnetCount;
+		const prefix = `127.${firstSecondOctet + Math.floor(index / subnetsPerSecondOctet)}.${index % subnetsPerSecondOctet}`;
+		const lock = await listenOn(`${prefix}.${lockHost}`);
+		if (lock !== undefined) {
+			lock.unref();
 			return {
 				prefix, release() {
-					guard.close();
+					lock.close();
 				},
 			};
 		}
 	}
 
-	throw new Error(`Got no free network of ${networks}, wanted one`);
+	throw new Error(`none of the ${subnetCount} loopback subnets is free`);
 }
 
 async function listenOn(address: string): Promise<Server | undefined> {
 	const server = createServer();
 	try {
-		server.listen(guardPort, address);
+		server.listen(lockPort, address);
 		await once(server, 'listening');
 		return server;
 	} catch {
-		// Another deployment has it.
+		// The address is in use by another deployment.
 		return undefined;
 	}
 }
--- a/packages/testing/src/platform/slow-disk.ts
+++ b/packages/testing/src/platform/slow-disk.ts
@@ -1,21 +1,21 @@
-/** What is slow about a disk. */
+/** The delays of a simulated slow disk. */
 export type SlowDiskOptions = {
-	/** How much longer each sync takes, in milliseconds; 0 by default. */
+	/** The delay of each sync, in milliseconds; 0 by default. */
 	readonly syncMilliseconds?: number;
-	/** The name of files whose replacement takes longer; none by default. */
+	/** The base name of the files whose replacement is delayed; none by default. */
 	readonly file?: string;
-	/** How much longer each replacement of them takes, in milliseconds; 0 by default. */
+	/** The delay of each replacement of such a file, in milliseconds; 0 by default. */
 	readonly fileMilliseconds?: number;
 };
 
 /**
-Makes the variables of a process whose disk is slow.
+Returns environment variables that make a process run as on a slow disk.
 
-@param options What is slow.
-@returns The variables.
+@param options The delays.
+@returns The environment variables.
 @example
 ```ts
-await PlatformDeployment.start({environment: () => slowDisk({syncMilliseconds: 400})});
+await PlatformDeployment.start({environment: () => slowDiskEnvironment({syncMilliseconds: 400})});
 ```
 */
 export function slowDisk({syncMilliseconds = 0, file = '', fileMilliseconds = 0}: SlowDiskOptions): Readonly<Record<string, string>> {
--- a/packages/testing/src/platform/slow-saves.ts
+++ b/packages/testing/src/platform/slow-saves.ts
@@ -4,7 +4,7 @@
 import process from 'node:process';
 import {setTimeout} from 'node:timers/promises';
 
-/** Loaded into a process before its program: slows down each replacement of files of one name, and each sync. */
+/** Preloaded into a process with `--import`: delays each rename to a file of the configured name, and each sync. */
 const {SLOW_FILE: slowFile, SLOW_FILE_MILLISECONDS: fileMilliseconds = '0', SLOW_SYNC_MILLISECONDS: syncMilliseconds = '0'} = process.env;
 const {rename} = fileSystem;
 
@@ -19,11 +19,11 @@
 syncBuiltinESMExports();
 
 const handle = await open(process.execPath, 'r');
-const handles = Object.getPrototypeOf(handle) as Pick<typeof handle, 'datasync' | 'sync'>;
+const fileHandlePrototype = Object.getPrototypeOf(handle) as Pick<typeof handle, 'datasync' | 'sync'>;
 await handle.close();
 for (const name of ['datasync', 'sync'] as const) {
-	const sync = handles[name];
-	handles[name] = async function (this: typeof handle) {
+	const sync = fileHandlePrototype[name];
+	fileHandlePrototype[name] = async function (this: typeof handle) {
 		await setTimeout(Number(syncMilliseconds));
 		await sync.call(this);
 	};
