--- a/packages/testing/src/capacity/_observe.ts
+++ b/packages/testing/src/capacity/_measure-usage.ts
@@ -8,10 +8,10 @@
 const bytesPerKilobyte = 1024;
 const percent = 100;
 
-/** What to observe, and for how long. */
-export type ObserveOptions = {
+/** The daemons to measure, and for how long. */
+export type MeasureUsageOptions = {
 	readonly deployment: Deployment;
-	/** The daemons whose mean is taken; all by default. */
+	/** The daemons to average over; all by default. */
 	readonly daemons?: readonly RunningDaemon[];
 	readonly seconds: number;
 };
@@ -24,8 +24,8 @@
 	readonly bytesReceived: number;
 };
 
-/** Observes daemons for a while; gives the mean over them. */
-export async function observe({deployment, daemons = deployment.daemons, seconds}: ObserveOptions): Promise<SizeFigures> {
+/** Measures memory, processor time and traffic over an interval and returns the mean over the daemons. */
+export async function measureUsage({deployment, daemons = deployment.daemons, seconds}: MeasureUsageOptions): Promise<SizeFigures> {
 	const before = await Promise.all(daemons.map(async daemon => sampleOf(deployment, daemon)));
 	await delay(seconds * millisecondsPerSecond);
 	const after = await Promise.all(daemons.map(async daemon => sampleOf(deployment, daemon)));
--- a/packages/testing/src/capacity/experiments.ts
+++ b/packages/testing/src/capacity/experiments.ts
@@ -7,16 +7,16 @@
 import {chatStreamed} from '../http-client.js';
 import {sendRequest} from '../send-request.js';
 import {waitUntil} from '../wait-until.js';
-import {observe} from './_observe.js';
+import {measureUsage} from './_measure-usage.js';
 import {type Series, type SizedFigures, seriesOf} from './series.js';
 
-/** How long and how often an experiment measures. */
+/** Options of an experiment. */
 export type ExperimentOptions = {
-	/** Seconds of each measurement. */
+	/** The duration of each measurement. */
 	readonly seconds: number;
-	/** The sizes; those of the experiment by default. */
+	/** The sizes to measure at; those of the experiment by default. */
 	readonly sizes?: readonly number[];
-	/** Told what goes on. */
+	/** Receives progress messages. */
 	readonly say: (line: string) => void;
 };
 
@@ -28,7 +28,7 @@
 const daemonSizes = [3, 7, 14, 28] as const;
 const tokenMilliseconds = 100;
 const answerTokens = 600;
-const startMilliseconds = 60_000;
+const startTimeoutMilliseconds = 60_000;
 const controlDaemons = 3;
 
 const configuration = {
@@ -49,41 +49,41 @@
 };
 
 /**
-Measures one daemon against the number of backend servers that announce themselves to it once a second.
+Measures how the usage of one daemon grows with the number of backend servers that announce themselves to it every second.
 
-@param options How long to measure, and at which sizes.
+@param options The duration and the sizes.
 @returns Memory, processor time and traffic per known server.
 @example
 ```ts
-await measureServers({seconds: 5, say: console.log});
+await measureServers({seconds: 5, reportProgress: console.log});
 ```
 */
 export async function measureServers(options: ExperimentOptions): Promise<readonly Series[]> {
-	return measureAlone(options.sizes ?? serverSizes, {...options, per: 'known server that renews each second', load: announceMany});
+	return measureSingleDaemon(options.sizes ?? serverSizes, {...options, per: 'known server that renews each second', load: announceServers});
 }
 
 /**
-Measures one daemon against the number of streams in progress, each with ten tokens a second.
+Measures how the usage of one daemon grows with the number of concurrent streams of ten tokens per second.
 
-@param options How long to measure, and at which sizes.
+@param options The duration and the sizes.
 @returns Memory and processor time per stream in progress.
 @example
 ```ts
-await measureRequests({seconds: 5, say: console.log});
+await measureRequests({seconds: 5, reportProgress: console.log});
 ```
 */
 export async function measureRequests(options: ExperimentOptions): Promise<readonly Series[]> {
-	return measureAlone(options.sizes ?? requestSizes, {...options, per: 'stream in progress at 10 tokens/s', load: streamMany});
+	return measureSingleDaemon(options.sizes ?? requestSizes, {...options, per: 'stream in progress at 10 tokens/s', load: startStreams});
 }
 
 /**
-Measures idle daemons against how many there are, with 13 engines that renew each second.
+Measures how the usage of an idle daemon grows with the number of daemons, while 13 engines renew their announcements every second.
 
-@param options How long to measure, and at which sizes.
-@returns Memory, processor time and traffic of the mean daemon per daemon.
+@param options The duration and the sizes.
+@returns Mean memory, processor time and traffic of a daemon, per daemon in the deployment.
 @example
 ```ts
-await measureMembers({seconds: 5, say: console.log});
+await measureDaemons({seconds: 5, reportProgress: console.log});
 ```
 */
 export async function measureMembers(options: ExperimentOptions): Promise<readonly Series[]> {
@@ -93,9 +93,9 @@
 		say(`${size} daemons`);
 		const deployment = await start(daemonPlans(size));
 		try {
-			const stop = await announceMany(deployment, 13);
+			const stop = await announceServers(deployment, 13);
 			await delay(settleMilliseconds);
-			measured.push({size, figures: await observe({deployment, seconds})});
+			measured.push({size, figures: await measureUsage({deployment, seconds})});
 			await stop();
 		} finally {
 			await deployment.stop();
@@ -105,13 +105,13 @@
 	return seriesOf('daemon', measured);
 }
 
-type LoneOptions = ExperimentOptions & {
+type SingleDaemonOptions = ExperimentOptions & {
 	readonly per: string;
-	/** Puts load on the deployment; what it gives takes it away. */
+	/** Applies load to the deployment and returns a function that removes it. */
 	readonly load: (deployment: Deployment, size: number) => Promise<() => Promise<void>>;
 };
 
-async function measureAlone(sizes: readonly number[], {per, load, seconds, say}: LoneOptions): Promise<readonly Series[]> {
+async function measureSingleDaemon(sizes: readonly number[], {per, load, seconds, say}: SingleDaemonOptions): Promise<readonly Series[]> {
 	const measured: SizedFigures[] = [];
 	for (const size of sizes) {
 		say(`${size} × ${per}`);
@@ -119,7 +119,7 @@
 		try {
 			const stop = await load(deployment, size);
 			await delay(settleMilliseconds);
-			measured.push({size, figures: await observe({deployment, seconds})});
+			measured.push({size, figures: await measureUsage({deployment, seconds})});
 			await stop();
 		} finally {
 			await deployment.stop();
@@ -131,7 +131,7 @@
 
 async function start(daemons: readonly DaemonPlan[]): Promise<Deployment> {
 	return startDeployment({
-		daemons, backends: [engine], configuration, startMilliseconds,
+		daemons, backends: [engine], configuration, startMilliseconds: startTimeoutMilliseconds,
 	});
 }
 
@@ -143,7 +143,7 @@
 	}));
 }
 
-async function announceMany(deployment: Deployment, count: number): Promise<() => Promise<void>> {
+async function announceServers(deployment: Deployment, count: number): Promise<() => Promise<void>> {
 	const addresses = deployment.daemons.map(({ports}) => `http://127.0.0.1:${ports.backends}`);
 	const announcers = Array.from({length: count}, (_, index) => startAnnouncer({
 		daemons: [addresses[index % addresses.length] ?? ''],
@@ -158,19 +158,19 @@
 	await waitUntil(async () => {
 		const statuses = await Promise.all(deployment.daemons.map(async daemon => deployment.status(daemon)));
 		return statuses.every(({servers}) => servers.length > count) || undefined;
-	}, {what: `${count} announced servers`, timeoutMilliseconds: startMilliseconds});
+	}, {what: `${count} announced servers`, timeoutMilliseconds: startTimeoutMilliseconds});
 	return async () => {
 		await Promise.all(announcers.map(async announcer => announcer.stop()));
 	};
 }
 
-async function streamMany(deployment: Deployment, count: number): Promise<() => Promise<void>> {
+async function startStreams(deployment: Deployment, count: number): Promise<() => Promise<void>> {
 	const [daemon] = deployment.daemons;
 	const [backend] = deployment.backends;
 	await sendRequest(`${backend?.address ?? ''}/test/behaviour`, {method: 'POST', body: JSON.stringify({tokenMilliseconds, answerTokens})});
 	const abort = new AbortController();
 	const streams = Array.from({length: count}, async (_, index) => chatStreamed(daemon?.callers ?? '', {
-		key: workspaceKey, messages: [{role: 'user', content: `Stream ${index}`}], signal: abort.signal, timeoutMilliseconds: startMilliseconds,
+		key: workspaceKey, messages: [{role: 'user', content: `Stream ${index}`}], signal: abort.signal, timeoutMilliseconds: startTimeoutMilliseconds,
 	}));
 	return async () => {
 		abort.abort();
--- a/packages/testing/src/capacity/series.ts
+++ b/packages/testing/src/capacity/series.ts
@@ -1,36 +1,36 @@
 import {fitLine, type LineFit, type Point} from './fit-line.js';
 
-/** Measurements of one quantity at several sizes, and the line through them. */
+/** Measurements of one quantity at several sizes, and the line fitted to them. */
 export type Series = {
-	/** What was measured. */
+	/** The name of the measured quantity. */
 	readonly quantity: string;
 	/** The unit of the values. */
 	readonly unit: string;
-	/** What the sizes count. */
+	/** What a size counts, such as `daemon`. */
 	readonly per: string;
 	readonly points: readonly Point[];
 	readonly fit: LineFit;
 };
 
-/** What is measured at each size, by the name of the quantity. */
+/** The measured quantities at one size, by name. */
 export type SizeFigures = Readonly<Record<string, {readonly value: number; readonly unit: string}>>;
 
-/** One size and the figures found there. */
+/** A size and the quantities measured at it. */
 export type SizedFigures = {
 	readonly size: number;
 	readonly figures: SizeFigures;
 };
 
 /**
-Turns figures by size into one series for each quantity.
+Groups measurements into one series for each quantity.
 
-@param per What the sizes count.
-@param measured The figures of each size, at least two sizes.
-@returns A series for each quantity of the first size.
-@throws {RangeError} Where there are fewer than two sizes.
+@param per What a size counts.
+@param measured The measurements, at two or more sizes.
+@returns A series for each quantity that was measured at the first size.
+@throws {RangeError} If there are fewer than two sizes.
 @example
 ```ts
-seriesOf('known server', [{size: 0, figures}, {size: 150, figures: more}]);
+toSeries('known server', [{size: 0, quantities: base}, {size: 150, quantities: loaded}]);
 ```
 */
 export function seriesOf(per: string, measured: readonly SizedFigures[]): readonly Series[] {
@@ -43,28 +43,28 @@
 }
 
 /**
-Writes a series as one line of text.
+Formats a series as one line of text.
 
 @param series The series.
-@returns Its slope, its value at size 0, its residual and its points.
+@returns The slope, the value at size 0, the residual and the points.
 @example
 ```ts
 formatSeries(series); // 'memory, KB per known server: slope 1.2, at 0 81000, residual 300 (0: 81000, ...)'
 ```
 */
 export function formatSeries({quantity, unit, per, points, fit}: Series): string {
-	const listed = points.map(({size, value}) => `${size}: ${formatFigure(value)}`).join(', ');
-	return `${quantity}, ${unit} per ${per}: slope ${formatFigure(fit.slope)}, at 0 ${formatFigure(fit.intercept)}, residual ${formatFigure(fit.residual)} (${listed})`;
+	const formattedPoints = points.map(({size, value}) => `${size}: ${formatFigure(value)}`).join(', ');
+	return `${quantity}, ${unit} per ${per}: slope ${formatFigure(fit.slope)}, at 0 ${formatFigure(fit.intercept)}, residual ${formatFigure(fit.residual)} (${formattedPoints})`;
 }
 
 /**
-Writes a figure with as many digits as it is worth.
+Formats a number with three significant digits, or as an integer from 100 up.
 
-@param value The figure.
-@returns It with three significant digits, or without a fraction where it is large.
+@param value The number.
+@returns The formatted number.
 @example
 ```ts
-formatFigure(0.123456); // '0.123'
+formatNumber(0.123456); // '0.123'
 ```
 */
 export function formatFigure(value: number): string {
