--- a/packages/testing/src/measure/caller.ts
+++ b/packages/testing/src/measure/caller.ts
@@ -5,55 +5,56 @@
 import {type PlannedRequest} from './schedule.js';
 import {type Workload} from './workload.js';
 
-/** What a caller saw of one request, over all its sends. */
+/** The result of one request as its caller observed it, over all attempts. */
 export type CallerRecord = {
 	readonly request: PlannedRequest;
-	/** The results of the sends, in their order. */
+	/** The results of the attempts, in order. */
 	readonly sends: readonly CallResult[];
-	/** The version that answered, as `MODEL@VERSION`; empty where none did or the call went to a service. */
+	/** The version that responded, as `MODEL@VERSION`; empty if none did or if the request called a service. */
 	readonly version: string;
-	/** Whether the last result is the whole and right answer. */
+	/** Whether the last attempt returned the complete and expected response. */
 	readonly isWhole: boolean;
-	/** Whether an answer came to its end with another text. */
+	/** Whether a response completed with an unexpected text. */
 	readonly isWrong: boolean;
-	/** Whether the version was bad when the answer came. */
+	/** Whether the version was degraded when the response arrived. */
 	readonly isBad: boolean;
-	/** Milliseconds from the first send to the first token of the answer; the last byte where it was not streamed. */
+	/** Milliseconds from the first attempt to the first token of the response, or to its last byte if it was not streamed. */
 	readonly firstTokenMilliseconds: number;
-	/** Milliseconds from the first send to the last byte. */
+	/** Milliseconds from the first attempt to the last byte. */
 	readonly totalMilliseconds: number;
 };
 
-/** How a caller reaches a system. */
+/** Options of `sendWithRetries`. */
 export type CallerOptions = {
 	readonly workload: Workload;
 	/** The addresses of the entry instances. */
 	readonly entries: readonly string[];
-	/** Tells whether a version is bad now. */
+	/** Returns whether a version is degraded now. */
 	readonly isBad: (version: string) => boolean;
 };
 
-const mostSends = 3;
-const graceMilliseconds = 2000;
+const maximumAttempts = 3;
+/** How much longer than the deadline of a request the client waits for it. */
+const timeoutMarginMilliseconds = 2000;
 
 /**
-Sends a request as a caller does: to one entry instance, and once more to another where the connection broke, under the same idempotency key.
+Sends a request as a caller does: to one entry instance and, if the connection fails, to the next one with the same idempotency key, in up to three attempts.
 
 @param request The request.
-@param options How to reach the system.
-@returns What the caller saw.
+@param options The entry instances and the workload.
+@returns The observed result.
 @example
 ```ts
-const record = await callAsCaller(request, {workload, entries, isBad: () => false});
+const record = await sendWithRetries(request, {workload, entries, isVersionDegraded: () => false});
 ```
 */
 export async function callAsCaller(request: PlannedRequest, options: CallerOptions): Promise<CallerRecord> {
 	const startedAt = performance.now();
 	const sends: CallResult[] = [];
-	let lastStartedAt = startedAt;
-	for (let send = 0; send < mostSends; send++) {
-		lastStartedAt = performance.now();
-		const result = await sendOnce(request, {...options, entry: options.entries[(request.turn + send) % options.entries.length] ?? ''});
+	let lastAttemptStartedAt = startedAt;
+	for (let attempt = 0; attempt < maximumAttempts; attempt++) {
+		lastAttemptStartedAt = performance.now();
+		const result = await sendAttempt(request, {...options, entry: options.entries[(request.turn + attempt) % options.entries.length] ?? ''});
 		sends.push(result);
 		if (result.connectionError === undefined) {
 			break;
@@ -62,25 +63,25 @@
 
 	const last = sends.at(-1);
 	const version = `${headerOf(last, 'valehitch-model')}@${headerOf(last, 'valehitch-version')}`;
-	const isRight = last?.done === true && last.text === wantedText(request, {version, last, workload: options.workload});
+	const isExpected = last?.done === true && last.text === expectedText(request, {version, last, workload: options.workload});
 	const totalMilliseconds = performance.now() - startedAt;
 	return {
 		request,
 		sends,
 		version: version === '@' ? '' : version,
-		isWhole: isRight,
-		isWrong: last?.done === true && !isRight,
+		isWhole: isExpected,
+		isWrong: last?.done === true && !isExpected,
 		isBad: options.isBad(version),
-		firstTokenMilliseconds: last?.firstTokenMilliseconds === undefined ? totalMilliseconds : lastStartedAt - startedAt + last.firstTokenMilliseconds,
+		firstTokenMilliseconds: last?.firstTokenMilliseconds === undefined ? totalMilliseconds : lastAttemptStartedAt - startedAt + last.firstTokenMilliseconds,
 		totalMilliseconds,
 	};
 }
 
-type Send = CallerOptions & {readonly entry: string};
+type AttemptOptions = CallerOptions & {readonly entry: string};
 
-async function sendOnce({kind, id, workspace: {key}, messages}: PlannedRequest, {workload, entry}: Send): Promise<CallResult> {
+async function sendAttempt({kind, id, workspace: {key}, messages}: PlannedRequest, {workload, entry}: AttemptOptions): Promise<CallResult> {
 	const headers = {'Valehitch-Class': kind.class, 'Idempotency-Key': id};
-	const timeoutMilliseconds = kind.deadlineMilliseconds + graceMilliseconds;
+	const timeoutMilliseconds = kind.deadlineMilliseconds + timeoutMarginMilliseconds;
 	if (kind.form === 'call') {
 		return callService(entry, {
 			key, headers, timeoutMilliseconds, service: workload.service, path: workload.servicePath, body: callBody(id),
@@ -93,15 +94,15 @@
 	});
 }
 
-type Answered = {readonly version: string; readonly last: CallResult; readonly workload: Workload};
+type ExpectedTextOptions = {readonly version: string; readonly last: CallResult; readonly workload: Workload};
 
-function wantedText({kind, id, messages}: PlannedRequest, {version, last, workload}: Answered): string {
+function expectedText({kind, id, messages}: PlannedRequest, {version, last, workload}: ExpectedTextOptions): string {
 	if (kind.form === 'call') {
 		return last.text.includes(JSON.stringify(callBody(id))) ? last.text : '';
 	}
 
-	const longest = workload.speeds[version.split('@')[0] ?? '']?.answerTokens ?? 0;
-	return fakeAnswer({version, messages, tokens: Math.min(kind.maxTokens, longest)}).join('');
+	const modelMaxTokens = workload.speeds[version.split('@')[0] ?? '']?.answerTokens ?? 0;
+	return fakeAnswer({version, messages, tokens: Math.min(kind.maxTokens, modelMaxTokens)}).join('');
 }
 
 function callBody(id: string): string {
--- a/packages/testing/src/measure/fault.ts
+++ b/packages/testing/src/measure/fault.ts
@@ -3,26 +3,26 @@
 import {type System, type SystemBackend} from './system.js';
 import {type Workload} from './workload.js';
 
-/** What happens to a system a third into a run. */
+/** A fault that is injected after one third of a run. */
 export type Fault = {
 	readonly name: string;
-	/** Brings it about. */
+	/** Injects the fault. */
 	readonly begin: (stage: FaultStage) => Promise<void>;
-	/** Ends it at two thirds; a fault without this stays. */
+	/** Reverts the fault after two thirds of the run; without this, the fault persists. */
 	readonly end?: (stage: FaultStage) => Promise<void>;
 };
 
-/** Where a fault happens. */
+/** What a fault acts on. */
 export type FaultStage = {
 	readonly system: System;
 	readonly workload: Workload;
-	/** Keeps the runs of a back end that is about to be killed. */
+	/** Saves the run records of a back end before it is killed, since they are lost with its process. */
 	readonly keepRuns: (backend: SystemBackend) => Promise<void>;
-	/** Makes answers of a version bad from now on. */
+	/** Degrades the responses of a version from now on. */
 	readonly turnBad: (version: string) => void;
 };
 
-/** One run as a fake recorded it. */
+/** A run of a request, as recorded by a fake engine or service. */
 export type RecordedRun = z.infer<typeof runSchema> & {readonly server: string};
 
 const runSchema = z.looseObject({
@@ -35,12 +35,12 @@
 	cancelled: z.boolean(),
 });
 
-/** Calm, and each fault that the brief names, by name. */
+/** The faults to measure under; the first is a run without a fault. */
 export const faults: readonly Fault[] = [
 	{
 		name: 'calm',
 		async begin() {
-			// Nothing happens.
+			// No fault is injected.
 		},
 	},
 	{
@@ -94,10 +94,10 @@
 ];
 
 /**
-Reads what a fake ran.
+Reads the run records of a fake engine or service.
 
 @param backend The engine or service.
-@returns Its runs, or none where it does not answer.
+@returns Its runs; empty if it does not respond.
 @example
 ```ts
 const runs = await readRuns(system.backends[0]);
@@ -115,3 +115,4 @@
 function smallEngines({backends}: System, {smallModel}: Workload): readonly SystemBackend[] {
 	return backends.filter(({models}) => models?.some(version => version.startsWith(`${smallModel}@`)));
 }
+
--- a/packages/testing/src/measure/judge.test.ts
+++ b/packages/testing/src/measure/judge.test.ts
@@ -6,13 +6,13 @@
 import {type PlannedRequest, planRequests} from './schedule.js';
 import {workloads} from './workloads.js';
 
-const [workload = missing()] = workloads;
+const [workload = throwMissingWorkload()] = workloads;
 const planned = planRequests(workload, {seconds: 10, seed: 1});
 
 function requestOf(form: 'call' | 'streamed'): PlannedRequest {
 	const found = planned.find(({kind}) => kind.form === form);
 	if (found === undefined) {
-		throw new Error(`Got no ${form} request, wanted one`);
+		throw new Error(`the schedule contains no ${form} request`);
 	}
 
 	return found;
@@ -41,34 +41,34 @@
 	};
 }
 
-function verdictOn(callers: readonly CallerRecord[], runs: readonly RecordedRun[]) {
+function evaluate(callers: readonly CallerRecord[], runs: readonly RecordedRun[]) {
 	return judge({
 		system: 'x', callers, runs, ratings: {sent: 0, taken: 0},
 	}, workload);
 }
 
-test('the same seed plans the same requests, and another seed others', t => {
+test('the same seed plans the same requests, and another seed plans different ones', t => {
 	t.deepEqual(planRequests(workload, {seconds: 10, seed: 1}), planned);
 	t.notDeepEqual(planRequests(workload, {seconds: 10, seed: 2}), planned);
 });
 
-test('a call that ran twice, one that never ran, and a refusal that ran are seen', t => {
+test('detects a call that ran twice, a call that never ran and a refused request that ran', t => {
 	const request = requestOf('call');
-	t.like(verdictOn([recordOf(request)], [runOf({key: request.id}), runOf({key: request.id})]), {doubledCalls: 1, phantomCalls: 0});
-	t.like(verdictOn([recordOf(request)], []), {doubledCalls: 0, phantomCalls: 1});
+	t.like(evaluate([recordOf(request)], [runOf({key: request.id}), runOf({key: request.id})]), {doubledCalls: 1, phantomCalls: 0});
+	t.like(evaluate([recordOf(request)], []), {doubledCalls: 0, phantomCalls: 1});
 	const refused = recordOf(request, {isWhole: false, send: {done: false, problem: {kind: 'overloaded', outcome: 'notRun'}}});
-	t.like(verdictOn([refused], [runOf({key: request.id})]), {falseRefusals: 1, refusals: {overloaded: 1}, failed: 0});
-	t.like(verdictOn([refused], []), {falseRefusals: 0});
+	t.like(evaluate([refused], [runOf({key: request.id})]), {falseRefusals: 1, refusals: {overloaded: 1}, failed: 0});
+	t.like(evaluate([refused], []), {falseRefusals: 0});
 });
 
-test('a bad answer, a late one and a lost one miss the target', t => {
+test('a degraded, a late and an incorrect response miss the target', t => {
 	const request = requestOf('streamed');
-	t.like(verdictOn([recordOf(request)], []), {metTarget: 1});
-	t.like(verdictOn([recordOf(request, {isBad: true})], []), {metTarget: 0, badAnswers: 1});
-	t.like(verdictOn([recordOf(request, {totalMilliseconds: request.kind.deadlineMilliseconds + 1})], []), {metTarget: 0, answered: 1});
-	t.like(verdictOn([recordOf(request, {isWhole: false, isWrong: true})], []), {failed: 1, wrongAnswers: 1});
+	t.like(evaluate([recordOf(request)], []), {metTarget: 1});
+	t.like(evaluate([recordOf(request, {isBad: true})], []), {metTarget: 0, badAnswers: 1});
+	t.like(evaluate([recordOf(request, {totalMilliseconds: request.kind.deadlineMilliseconds + 1})], []), {metTarget: 0, answered: 1});
+	t.like(evaluate([recordOf(request, {isWhole: false, isWrong: true})], []), {failed: 1, wrongAnswers: 1});
 });
 
-function missing(): never {
-	throw new Error('Got no workloads, wanted two');
+function throwMissingWorkload(): never {
+	throw new Error('no workload is defined');
 }
--- a/packages/testing/src/measure/judge.ts
+++ b/packages/testing/src/measure/judge.ts
@@ -4,81 +4,81 @@
 import {type CellRecords} from './run-cell.js';
 import {type Workload} from './workload.js';
 
-/** Milliseconds at three percentiles; undefined without an answer. */
+/** Latency percentiles in milliseconds; 0 without responses. */
 export type Percentiles = {
 	readonly p50: number;
 	readonly p95: number;
 	readonly p99: number;
 };
 
-/** What came of one cell, judged from what callers and back ends recorded. */
+/** The metrics of one cell, computed from the records of callers and back ends. */
 export type Verdict = {
 	readonly requests: number;
-	/** Whole and right answers. */
+	/** Complete and expected responses. */
 	readonly answered: number;
-	/** Answers of a sound version of the wanted quality, within the deadline. */
+	/** Responses within the deadline from a version that was not degraded and meets the quality target. */
 	readonly metTarget: number;
-	/** Units of account over all runs, for each thousand answers that met the target. */
+	/** Cost of all runs per responsesPerCostUnit responses that met the target, in units of account. */
 	readonly costPerThousand: number;
 	readonly firstToken: Percentiles;
 	readonly wholeAnswer: Percentiles;
-	/** Answers by a bad version after it turned. */
+	/** Responses of a version after it was degraded. */
 	readonly badAnswers: number;
-	/** Requests refused as not run, by the kind of the refusal. */
+	/** Requests refused as not executed, by the kind of the refusal. */
 	readonly refusals: Readonly<Record<string, number>>;
-	/** Requests that ended with neither a whole answer nor a refusal as not run. */
+	/** Requests that ended with neither a complete response nor a refusal as not executed. */
 	readonly failed: number;
-	/** Sends by callers beyond the first. */
+	/** Attempts by callers after the first one of each request. */
 	readonly resends: number;
-	/** Runs of chats beyond the first of each request. */
+	/** Runs of chat requests after the first one of each request. */
 	readonly extraRuns: number;
-	/** Calls that may not be repeated and ran more than once. */
+	/** Non-repeatable runCounts that ran more than once. */
 	readonly doubledCalls: number;
-	/** Calls that were answered and never ran; those of a killed service are not known. */
+	/** Calls that got a response but never ran; the runs of a killed service are unknown. */
 	readonly phantomCalls: number;
-	/** Refusals as not run of requests that did run. */
+	/** Refusals as not executed of requests that did run. */
 	readonly falseRefusals: number;
-	/** Answers that came to their end with another text. */
+	/** Responses that completed with an unexpected text. */
 	readonly wrongAnswers: number;
 	readonly ratingsSent: number;
 	readonly ratingsTaken: number;
 };
 
-const tokensPerPrice = 1_000_000;
-const thousand = 1000;
+const tokensPerPriceUnit = 1_000_000;
+const responsesPerCostUnit = 1000;
 const microsecondsInMillisecond = 1000;
 
 /**
-Judges a cell from outside.
+Computes the metrics of a cell from the records of callers and back ends alone.
 
-@param records What callers and back ends recorded.
-@param workload Tells prices, targets and true qualities.
-@returns The verdict.
+@param records The records.
+@param workload The prices, targets and true qualities.
+@returns The metrics.
 @example
 ```ts
-judge(records, workload).metTarget;
+computeCellMetrics(records, workload).metTarget;
 ```
 */
 export function judge({callers, runs, ratings}: CellRecords, workload: Workload): Verdict {
-	const whole = callers.filter(({isWhole}) => isWhole);
-	const metTarget = whole.filter(record => meetsTarget(record, workload)).length;
+	const complete = callers.filter(({isWhole}) => isWhole);
+	const metTarget = complete.filter(record => meetsTarget(record, workload)).length;
 	const runIds = new Set(runs.map(({requestId}) => requestId));
 	const refused = callers.filter(record => !record.isWhole && refusalOf(record) !== undefined);
-	const calls = runsByKey(runs);
+	const runCounts = countRunsByKey(runs);
 	return {
 		requests: callers.length,
-		answered: whole.length,
+		answered: complete.length,
 		metTarget,
-		costPerThousand: costOfRuns(runs, {callers, workload}) * thousand / Math.max(1, metTarget),
-		firstToken: percentilesOf(whole.filter(({request}) => request.kind.form === 'streamed').map(({firstTokenMilliseconds}) => firstTokenMilliseconds)),
-		wholeAnswer: percentilesOf(whole.map(({totalMilliseconds}) => totalMilliseconds)),
-		badAnswers: whole.filter(({isBad}) => isBad).length,
+		costPerThousand: costOfRuns(runs, {callers, workload}) * responsesPerCostUnit / Math.max(1, metTarget),
+		firstToken: percentilesOf(complete.filter(({request}) => request.kind.form === 'streamed').map(({firstTokenMilliseconds}) => firstTokenMilliseconds)),
+		wholeAnswer: percentilesOf(complete.map(({totalMilliseconds}) => totalMilliseconds)),
+		badAnswers: complete.filter(({isBad}) => isBad).length,
 		refusals: countBy(refused.map(record => refusalOf(record) ?? '')),
-		failed: callers.length - whole.length - refused.length,
+		failed: callers.length - complete.length - refused.length,
 		resends: sumOf(callers.map(({sends}) => sends.length - 1)),
 		extraRuns: extraRunsOf(runs),
-		doubledCalls: [...calls.values()].filter(count => count > 1).length,
-		phantomCalls: whole.filter(({request}) => request.kind.form === 'call' && !calls.has(request.id)).length,
+		doubledCalls: [...runCounts.values()].filter(count => count > 1).length,
+		phantomCalls: complete.filter(({request}) => request.kind.form === 'call' && !runCounts.has(request.id)).length,
 		falseRefusals: refused.filter(({sends}) => sends.some(({requestId, problem}) => problem?.outcome === 'notRun' && runIds.has(requestId))).length,
 		wrongAnswers: callers.filter(({isWrong}) => isWrong).length,
 		ratingsSent: ratings.sent,
@@ -96,7 +96,7 @@
 	return problem?.outcome === 'notRun' ? problem.kind : undefined;
 }
 
-/** A run costs what its prompt and, where it came to its end, its answer cost; runs whose request is not known cost the mean prompt. */
+/** Each run costs its prompt and, if it completed, its output; runs of unknown requests are charged the mean prompt length. */
 function costOfRuns(runs: readonly RecordedRun[], {callers, workload}: {readonly callers: readonly CallerRecord[]; readonly workload: Workload}): number {
 	const requests = new Map(callers.flatMap(({request, sends}) => sends.map(({requestId}) => [requestId, request] as const)));
 	const meanWords = sumOf(callers.map(({request}) => request.kind.promptWords)) / Math.max(1, callers.length);
@@ -104,9 +104,9 @@
 	for (const {requestId, model = '', version = '', completed} of runs) {
 		const prices = workload.prices[`${model}@${version}`];
 		const kind = requests.get(requestId)?.kind;
-		const longest = workload.speeds[model]?.answerTokens ?? 0;
-		const output = completed ? Math.min(kind?.maxTokens ?? longest, longest) : 0;
-		cost += (((prices?.input ?? 0) * (kind?.promptWords ?? meanWords)) + ((prices?.output ?? 0) * output)) / tokensPerPrice;
+		const modelMaxTokens = workload.speeds[model]?.answerTokens ?? 0;
+		const output = completed ? Math.min(kind?.maxTokens ?? modelMaxTokens, modelMaxTokens) : 0;
+		cost += (((prices?.input ?? 0) * (kind?.promptWords ?? meanWords)) + ((prices?.output ?? 0) * output)) / tokensPerPriceUnit;
 	}
 
 	return cost;
@@ -117,7 +117,7 @@
 	return chats.length - new Set(chats.map(({requestId}) => requestId)).size;
 }
 
-function runsByKey(runs: readonly RecordedRun[]): ReadonlyMap<string, number> {
+function countRunsByKey(runs: readonly RecordedRun[]): ReadonlyMap<string, number> {
 	return new Map(Object.entries(countBy(runs.map(({key}) => key ?? '').filter(key => key !== ''))));
 }
 
--- a/packages/testing/src/measure/own-cost.ts
+++ b/packages/testing/src/measure/own-cost.ts
@@ -13,20 +13,20 @@
 } from './system.js';
 import {type Workload} from './workload.js';
 
-/** What one router costs for a request, over what the process does when idle. */
+/** The resources that a router uses per request. */
 export type OwnCost = {
 	readonly router: string;
 	readonly form: 'whole' | 'streamed';
-	/** Processor time of the router's process, in microseconds a request. */
+	/** Processor time of the router's process, in microseconds per request. */
 	readonly cpuMicroseconds: number;
-	/** Bytes that it wrote to its log, a request. */
+	/** Bytes that the process wrote to its log, per request. */
 	readonly logBytes: number;
-	/** Whole answers, of as many requests. */
+	/** The number of complete responses to `requests` requests. */
 	readonly answered: number;
 	readonly requests: number;
 };
 
-/** Where and how much to measure. */
+/** Options of `measureRouterOverhead`. */
 export type OwnCostOptions = {
 	readonly folder: string;
 	readonly requests: number;
@@ -41,18 +41,18 @@
 
 const concurrency = 8;
 const zone = 'zone-a';
-const script = fileURLToPath(new URL('../bin/pass-through.js', import.meta.url));
+const passThroughScript = fileURLToPath(new URL('../bin/pass-through.js', import.meta.url));
 
 /**
-Measures the processor time and log of each router for a request, against a bare pass-through, with one engine that answers at once.
+Measures the processor time and log volume per request of each router and, as a baseline, of a bare HTTP proxy, with one engine that responds immediately.
 
-@param workload Gives the configuration; its daemons and back ends are replaced by one each.
-@param options Where and how much.
-@returns The costs, whole answers and streamed ones.
-@throws Where a process does not start.
+@param workload The workload; its daemons and back ends are replaced by one of each.
+@param options The output folder and the number of requests.
+@returns The overhead of each router, for complete and for streamed responses.
+@throws If a process does not start.
 @example
 ```ts
-await measureOwnCost(workload, {folder: 'measure-output/own', requests: 1000});
+await measureRouterOverhead(workload, {folder: 'measure-output/own', requests: 1000});
 ```
 */
 export async function measureOwnCost(workload: Workload, {folder, requests}: OwnCostOptions): Promise<readonly OwnCost[]> {
@@ -60,12 +60,12 @@
 	const backends: readonly BackendPlan[] = [{
 		server: 'engine', zone, models: [workload.fragileVersion], capacity: 100,
 	}];
-	const small: Workload = {
+	const singleInstanceWorkload: Workload = {
 		...workload, daemons, backends, speeds: {},
 	};
 	const costs: OwnCost[] = [];
 	for (const start of [startNaive, startValehitch]) {
-		const system = await start(small, path.join(folder, start.name));
+		const system = await start(singleInstanceWorkload, path.join(folder, start.name));
 		try {
 			if (start === startNaive) {
 				costs.push(...await measurePassThrough(system, {workload, folder, requests}));
@@ -80,12 +80,12 @@
 	return costs;
 }
 
-type Surroundings = OwnCostOptions & {readonly workload: Workload};
+type MeasurementOptions = OwnCostOptions & {readonly workload: Workload};
 
-async function measurePassThrough({backends: [engine]}: System, surroundings: Surroundings): Promise<readonly OwnCost[]> {
+async function measurePassThrough({backends: [engine]}: System, options: MeasurementOptions): Promise<readonly OwnCost[]> {
 	const [port = 0] = await freePorts(1);
-	const logFile = path.join(surroundings.folder, 'pass-through.log');
-	const managed = new ManagedProcess({name: 'pass-through', command: [script, `--port=${port}`, `--to=${engine?.address ?? ''}`], logFile});
+	const logFile = path.join(options.folder, 'pass-through.log');
+	const managed = new ManagedProcess({name: 'pass-through', command: [passThroughScript, `--port=${port}`, `--to=${engine?.address ?? ''}`], logFile});
 	const address = `http://127.0.0.1:${port}`;
 	managed.start();
 	try {
@@ -94,8 +94,8 @@
 			return status === 200 || undefined;
 		}, {what: 'the pass-through'});
 		return await measureRouter({
-			name: 'pass-through', address, model: surroundings.workload.fragileVersion, process: managed,
-		}, surroundings);
+			name: 'pass-through', address, model: options.workload.fragileVersion, process: managed,
+		}, options);
 	} finally {
 		await managed.stop();
 	}
@@ -103,7 +103,7 @@
 
 function routerOf({name, entries: [entry]}: System): Router {
 	if (entry === undefined) {
-		throw new RangeError('Got a system without entries, wanted one');
+		throw new RangeError('the system has no entry instance');
 	}
 
 	return {
@@ -111,12 +111,12 @@
 	};
 }
 
-async function measureRouter(router: Router, {workload, requests}: Surroundings): Promise<readonly OwnCost[]> {
+async function measureRouter(router: Router, {workload, requests}: MeasurementOptions): Promise<readonly OwnCost[]> {
 	const costs: OwnCost[] = [];
 	for (const form of ['whole', 'streamed'] as const) {
-		await sendMany(router, {workload, form, requests});
+		await sendRequests(router, {workload, form, requests});
 		const before = await sampleOf(router);
-		const answered = await sendMany(router, {workload, form, requests});
+		const answered = await sendRequests(router, {workload, form, requests});
 		const after = await sampleOf(router);
 		costs.push({
 			router: router.name,
@@ -137,16 +137,16 @@
 	return {cpuMicroseconds, logBytes: size};
 }
 
-async function sendMany({address, model}: Router, {workload, form, requests}: {readonly workload: Workload; readonly form: OwnCost['form']; readonly requests: number}): Promise<number> {
+async function sendRequests({address, model}: Router, {workload, form, requests}: {readonly workload: Workload; readonly form: OwnCost['form']; readonly requests: number}): Promise<number> {
 	const key = workload.workspaces[0]?.key ?? '';
-	const lookup = workload.kinds[0]?.class ?? '';
+	const requestClass = workload.kinds[0]?.class ?? '';
 	const queue = Array.from({length: requests}, (_, index) => index).values();
 	const chat = form === 'whole' ? chatWhole : chatStreamed;
 	const results: CallResult[] = [];
 	const send = async (): Promise<void> => {
 		for (const number of queue) {
 			results.push(await chat(address, {
-				key, model, messages: [{role: 'user', content: `Request ${number}`}], headers: {'Valehitch-Class': lookup},
+				key, model, messages: [{role: 'user', content: `Request ${number}`}], headers: {'Valehitch-Class': requestClass},
 			}));
 		}
 	};
@@ -154,3 +154,4 @@
 	await Promise.all(Array.from({length: concurrency}, send));
 	return results.filter(({done}) => done).length;
 }
+
--- a/packages/testing/src/measure/rater.ts
+++ b/packages/testing/src/measure/rater.ts
@@ -6,34 +6,34 @@
 import {type System} from './system.js';
 import {type Workload} from './workload.js';
 
-/** How many ratings were sent, and how many a daemon took. */
+/** The number of ratings sent, and of those a daemon accepted. */
 export type RatingCount = {
 	sent: number;
 	taken: number;
 };
 
-/** The stand-in for the service that rates answers. */
+/** A simulated service that rates responses. */
 export type Rater = {
-	/** Rates an answer, late and only sometimes. */
+	/** Rates a sample of the responses, each after a delay. */
 	readonly rate: (record: CallerRecord) => void;
 	readonly count: RatingCount;
-	/** Drops the ratings that have not been sent. */
+	/** Cancels the ratings that have not been sent. */
 	readonly stop: () => void;
 };
 
 const sampledShare = 0.3;
-const shortestDelayMilliseconds = 300;
-const delaySpreadMilliseconds = 1200;
-const noise = 0.2;
-/** The quality of a bad version's answers. */
-const badQuality = 0.3;
-const answerTimeoutMilliseconds = 2000;
+const minimumDelayMilliseconds = 300;
+const delayRangeMilliseconds = 1200;
+const noiseRange = 0.2;
+/** The quality of the responses of a degraded version. */
+const degradedQuality = 0.3;
+const responseTimeoutMilliseconds = 2000;
 
 /**
-Starts the rating stand-in: it rates 30 % of the answers, 0.3 to 1.5 seconds late, with noise.
+Starts a simulated rating service. It rates 30 % of the complete responses, 0.3 to 1.5 seconds after they arrive, with noise.
 
-@param system Where the ratings go, to one instance each; a system without an address for them gets none.
-@param workload Tells the true qualities.
+@param system The system; each rating goes to one of its entry instances, and to none if the instance takes no ratings.
+@param workload The workload, for the true qualities.
 @returns The rater.
 @example
 ```ts
@@ -43,7 +43,7 @@
 */
 export function startRater(system: System, workload: Workload): Rater {
 	const abort = new AbortController();
-	// Each rating that waits listens for the end.
+	// Each pending rating adds an abort listener.
 	setMaxListeners(0, abort.signal);
 	const count: RatingCount = {sent: 0, taken: 0};
 	return {
@@ -54,7 +54,7 @@
 				return;
 			}
 
-			void send(record, {
+			void sendRating(record, {
 				system, workload, count, signal: abort.signal,
 			});
 		},
@@ -64,15 +64,16 @@
 	};
 }
 
-type Sending = {
+type SendRatingOptions = {
 	readonly system: System;
 	readonly workload: Workload;
 	readonly count: RatingCount;
 	readonly signal: AbortSignal;
 };
 
-async function send(record: CallerRecord, {system, workload, count, signal}: Sending): Promise<void> {
+async function sendRating(record: CallerRecord, {system, workload, count, signal}: SendRatingOptions): Promise<void> {
 	const {request: {turn, workspace, kind, ratingDraw}, version, isBad, sends} = record;
+	// Uniform from 0 to 1 among the sampled responses.
 	const draw = ratingDraw / sampledShare;
 	const entry = system.entries[turn % system.entries.length];
 	if (entry?.ratings === undefined) {
@@ -80,9 +81,9 @@
 	}
 
 	const [model, name] = version.split('@');
-	const quality = (isBad ? badQuality : workload.qualities[version] ?? 0) + ((draw - 0.5) * noise);
+	const quality = (isBad ? degradedQuality : workload.qualities[version] ?? 0) + ((draw - 0.5) * noiseRange);
 	try {
-		await delay(shortestDelayMilliseconds + (draw * delaySpreadMilliseconds), undefined, {signal});
+		await delay(minimumDelayMilliseconds + (draw * delayRangeMilliseconds), undefined, {signal});
 		count.sent++;
 		const {status} = await sendRequest(entry.ratings, {
 			method: 'POST',
@@ -91,12 +92,12 @@
 				requestId: sends.at(-1)?.requestId, model, version: name, workspace: workspace.name, class: kind.class, rating: Math.min(1, Math.max(0, quality)), ratedAt: Date.now(),
 			}),
 			signal,
-			timeoutMilliseconds: answerTimeoutMilliseconds,
+			timeoutMilliseconds: responseTimeoutMilliseconds,
 		});
 		if (status >= 200 && status < 300) {
 			count.taken++;
 		}
 	} catch {
-		// A rating may be lost.
+		// Losing a rating is acceptable.
 	}
 }
--- a/packages/testing/src/measure/report.ts
+++ b/packages/testing/src/measure/report.ts
@@ -1,6 +1,6 @@
 import {type Verdict} from './judge.js';
 
-/** The verdicts on both systems under one fault. */
+/** The metrics of both systems for one workload and fault. */
 export type Comparison = {
 	readonly workload: string;
 	readonly fault: string;
@@ -10,38 +10,38 @@
 
 type Row = {
 	readonly label: string;
-	readonly figure: (verdict: Verdict) => number;
+	readonly metric: (metrics: Verdict) => number;
 };
 
 const labelWidth = 42;
-const figureWidth = 12;
+const cellWidth = 12;
 const rows: readonly Row[] = [
-	{label: 'requests', figure: verdict => verdict.requests},
-	{label: 'whole answers, share', figure: verdict => verdict.answered / verdict.requests},
-	{label: 'met the target, share', figure: verdict => verdict.metTarget / verdict.requests},
-	{label: 'cost per 1000 that met the target', figure: verdict => verdict.costPerThousand},
-	{label: 'first token p50, ms', figure: verdict => verdict.firstToken.p50},
-	{label: 'first token p95, ms', figure: verdict => verdict.firstToken.p95},
-	{label: 'first token p99, ms', figure: verdict => verdict.firstToken.p99},
-	{label: 'whole answer p50, ms', figure: verdict => verdict.wholeAnswer.p50},
-	{label: 'whole answer p95, ms', figure: verdict => verdict.wholeAnswer.p95},
-	{label: 'whole answer p99, ms', figure: verdict => verdict.wholeAnswer.p99},
-	{label: 'answers by a bad version', figure: verdict => verdict.badAnswers},
-	{label: 'refused as not run', figure: verdict => sumOf(Object.values(verdict.refusals))},
-	{label: 'failed or lost', figure: verdict => verdict.failed},
-	{label: 'sent again by callers', figure: verdict => verdict.resends},
-	{label: 'runs beyond the first', figure: verdict => verdict.extraRuns},
-	{label: 'calls run more than once', figure: verdict => verdict.doubledCalls},
-	{label: 'calls answered and never run', figure: verdict => verdict.phantomCalls},
-	{label: 'refused as not run, and ran', figure: verdict => verdict.falseRefusals},
-	{label: 'answers with another text', figure: verdict => verdict.wrongAnswers},
-	{label: 'ratings taken', figure: verdict => verdict.ratingsTaken},
+	{label: 'requests', metric: metrics => metrics.requests},
+	{label: 'complete responses, share', metric: metrics => metrics.answered / metrics.requests},
+	{label: 'met the target, share', metric: metrics => metrics.metTarget / metrics.requests},
+	{label: 'cost per 1000 that met the target', metric: metrics => metrics.costPerThousand},
+	{label: 'first token p50, ms', metric: metrics => metrics.firstToken.p50},
+	{label: 'first token p95, ms', metric: metrics => metrics.firstToken.p95},
+	{label: 'first token p99, ms', metric: metrics => metrics.firstToken.p99},
+	{label: 'complete response p50, ms', metric: metrics => metrics.wholeAnswer.p50},
+	{label: 'complete response p95, ms', metric: metrics => metrics.wholeAnswer.p95},
+	{label: 'complete response p99, ms', metric: metrics => metrics.wholeAnswer.p99},
+	{label: 'responses of a degraded version', metric: metrics => metrics.badAnswers},
+	{label: 'refused as not executed', metric: metrics => sumOf(Object.values(metrics.refusals))},
+	{label: 'failed', metric: metrics => metrics.failed},
+	{label: 'retries by callers', metric: metrics => metrics.resends},
+	{label: 'duplicate runs of chat requests', metric: metrics => metrics.extraRuns},
+	{label: 'non-repeatable calls run more than once', metric: metrics => metrics.doubledCalls},
+	{label: 'calls answered but never run', metric: metrics => metrics.phantomCalls},
+	{label: 'refused as not executed but run', metric: metrics => metrics.falseRefusals},
+	{label: 'responses with unexpected text', metric: metrics => metrics.wrongAnswers},
+	{label: 'ratings accepted', metric: metrics => metrics.ratingsTaken},
 ];
 
 /**
-Lays out one comparison as a table with the ratio of valehitch to the naive router.
+Formats a comparison as a table with the ratio of valehitch to the naive router.
 
-@param comparison The verdicts.
+@param comparison The metrics of both systems.
 @returns The lines.
 @example
 ```ts
@@ -50,20 +50,20 @@
 */
 export function formatComparison({workload, fault, naive, valehitch}: Comparison): readonly string[] {
 	return [
-		lineOf(`${workload}, ${fault}`, ['naive', 'valehitch', 'ratio']),
-		...rows.map(({label, figure}) => {
-			const [left, right] = [figure(naive), figure(valehitch)];
-			return lineOf(label, [formatFigure(left), formatFigure(right), left === 0 ? '-' : (right / left).toFixed(2)]);
+		formatLine(`${workload}, ${fault}`, ['naive', 'valehitch', 'ratio']),
+		...rows.map(({label, metric}) => {
+			const [baseline, measured] = [metric(naive), metric(valehitch)];
+			return formatLine(label, [formatMetric(baseline), formatMetric(measured), baseline === 0 ? '-' : (measured / baseline).toFixed(2)]);
 		}),
-		...Object.entries(valehitch.refusals).map(([kind, count]) => lineOf(`  refused as ${kind}`, ['', String(count), ''])),
+		...Object.entries(valehitch.refusals).map(([kind, count]) => formatLine(`  refused as ${kind}`, ['', String(count), ''])),
 	];
 }
 
-function lineOf(label: string, cells: readonly string[]): string {
-	return `${label.padEnd(labelWidth)}${cells.map(cell => cell.padStart(figureWidth)).join('')}`;
+function formatLine(label: string, cells: readonly string[]): string {
+	return `${label.padEnd(labelWidth)}${cells.map(cell => cell.padStart(cellWidth)).join('')}`;
 }
 
-function formatFigure(value: number): string {
+function formatMetric(value: number): string {
 	return Number.isInteger(value) ? String(value) : value.toFixed(3);
 }
 
--- a/packages/testing/src/measure/run-cell.ts
+++ b/packages/testing/src/measure/run-cell.ts
@@ -6,7 +6,7 @@
 import {type StartSystem, type System} from './system.js';
 import {type Workload} from './workload.js';
 
-/** One system under one fault. */
+/** One cell of the benchmark matrix: a system that runs a workload under a fault. */
 export type Cell = {
 	readonly workload: Workload;
 	readonly fault: Fault;
@@ -16,7 +16,7 @@
 	readonly start: StartSystem;
 };
 
-/** What was seen from outside. */
+/** The records of a cell that callers and back ends made. */
 export type CellRecords = {
 	readonly system: string;
 	readonly callers: readonly CallerRecord[];
@@ -28,11 +28,11 @@
 const drainMilliseconds = 500;
 
 /**
-Starts a system, sends the requests at their times, brings the fault about, and gathers what callers and back ends saw.
+Starts a system, sends the requests on schedule, injects the fault, and collects the records of callers and back ends.
 
 @param cell The system, the fault and the requests.
-@returns What was seen.
-@throws Where the system does not start.
+@returns The records.
+@throws If the system does not start.
 @example
 ```ts
 const records = await runCell({workload, fault, requests, seconds: 10, folder, start: startNaive});
@@ -50,26 +50,26 @@
 async function observeCell(cell: Cell, system: System): Promise<CellRecords> {
 	const {workload, requests} = cell;
 	const runs: RecordedRun[] = [];
-	const bad = new Set<string>();
+	const degradedVersions = new Set<string>();
 	const rater = startRater(system, workload);
-	const faulty = runFault(cell, {
+	const faultRun = runFault(cell, {
 		system,
 		workload,
 		async keepRuns(backend) {
 			runs.push(...await readRuns(backend));
 		},
 		turnBad(version) {
-			bad.add(version);
+			degradedVersions.add(version);
 		},
 	});
 	const entries = system.entries.map(({callers}) => callers);
 	const callers = await Promise.all(requests.map(async request => {
 		await delay(request.atMilliseconds);
-		const record = await callAsCaller(request, {workload, entries, isBad: version => bad.has(version)});
+		const record = await callAsCaller(request, {workload, entries, isBad: version => degradedVersions.has(version)});
 		rater.rate(record);
 		return record;
 	}));
-	await faulty;
+	await faultRun;
 	rater.stop();
 	await delay(drainMilliseconds);
 	const recorded = await Promise.all(system.backends.map(async backend => readRuns(backend)));
@@ -78,10 +78,10 @@
 	};
 }
 
-async function runFault({fault, seconds}: Cell, stage: Parameters<Fault['begin']>[0]): Promise<void> {
-	const third = seconds * millisecondsPerSecond / 3;
-	await delay(third);
-	await fault.begin(stage);
-	await delay(third);
-	await fault.end?.(stage);
+async function runFault({fault, seconds}: Cell, context: Parameters<Fault['begin']>[0]): Promise<void> {
+	const thirdMilliseconds = seconds * millisecondsPerSecond / 3;
+	await delay(thirdMilliseconds);
+	await fault.begin(context);
+	await delay(thirdMilliseconds);
+	await fault.end?.(context);
 }
--- a/packages/testing/src/measure/schedule.ts
+++ b/packages/testing/src/measure/schedule.ts
@@ -3,20 +3,20 @@
 
 /** One request of a run. */
 export type PlannedRequest = {
-	/** Names it over all its sends; the idempotency key of a call. */
+	/** Identifies the request over all its attempts; also its idempotency key. */
 	readonly id: string;
-	/** Milliseconds after the start of the run. */
+	/** The send time, in milliseconds after the start of the run. */
 	readonly atMilliseconds: number;
 	readonly kind: RequestKind;
 	readonly workspace: WorkloadWorkspace;
 	readonly messages: readonly ChatMessage[];
-	/** Chooses the entry instance. */
+	/** A random integer that selects the entry instance. */
 	readonly turn: number;
-	/** Decides whether and how the answer is rated, from 0 to 1. */
+	/** A random number from 0 to 1 that determines whether and how the response is rated. */
 	readonly ratingDraw: number;
 };
 
-/** What a schedule depends on besides the workload. */
+/** Options of `planRequests`. */
 export type ScheduleOptions = {
 	readonly seconds: number;
 	readonly seed: number;
@@ -27,11 +27,11 @@
 const modulus = (2 ** 31) - 1;
 
 /**
-Plans the requests of a run: arrivals of a Poisson process, independent of the answers.
+Plans the requests of a run as an open-loop Poisson arrival process: arrivals do not depend on responses.
 
 @param workload The workload.
-@param options How long, and the seed; the same seed gives the same requests.
-@returns The requests in the order of their arrival.
+@param options The duration and the seed; the same seed gives the same requests.
+@returns The requests in order of arrival.
 @example
 ```ts
 planRequests(workload, {seconds: 10, seed: 1});
@@ -48,12 +48,12 @@
 		}
 
 		const number = planned.length;
-		const kind = drawn(workload.kinds, random());
+		const kind = drawByShare(workload.kinds, random());
 		planned.push({
 			id: `${workload.name}-${seed}-${number}`,
 			atMilliseconds: at,
 			kind,
-			workspace: drawn(workload.workspaces, random()),
+			workspace: drawByShare(workload.workspaces, random()),
 			messages: [{role: 'user', content: `Request ${number} ${'word '.repeat(kind.promptWords)}`}],
 			turn: Math.floor(random() * modulus),
 			ratingDraw: random(),
@@ -61,31 +61,31 @@
 	}
 }
 
-function drawn<Item extends {readonly share: number}>(items: readonly [Item, ...Item[]] | readonly Item[], draw: number): Item {
-	let rest = draw;
+function drawByShare<Item extends {readonly share: number}>(items: readonly [Item, ...Item[]] | readonly Item[], draw: number): Item {
+	let remaining = draw;
 	for (const item of items) {
-		rest -= item.share;
-		if (rest < 0) {
+		remaining -= item.share;
+		if (remaining < 0) {
 			return item;
 		}
 	}
 
 	const last = items.at(-1);
 	if (last === undefined) {
-		throw new RangeError('Got no items, wanted at least one');
+		throw new RangeError('cannot draw from an empty list');
 	}
 
 	return last;
 }
 
 /**
-Makes a seeded source of numbers above 0 and below 1: the generator of Park and Miller (1988).
+Creates a seeded generator of random numbers between 0 and 1, both exclusive, after Park and Miller (1988).
 
-@param seed A whole number; its remainder decides.
-@returns The source.
+@param seed An integer; it is reduced modulo 2^31 - 2.
+@returns The generator.
 @example
 ```ts
-const random = randomFrom(1);
+const random = parkMillerRandom(1);
 ```
 */
 export function randomFrom(seed: number): () => number {
--- a/packages/testing/src/measure/workload.ts
+++ b/packages/testing/src/measure/workload.ts
@@ -1,17 +1,17 @@
 import {type BackendPlan, type DaemonPlan} from '../deployment.js';
 
-/** One kind of request of a workload. */
+/** A kind of request in a workload. */
 export type RequestKind = {
-	/** The class that the caller gives. */
+	/** The request class that the caller sends. */
 	readonly class: string;
-	/** Its share of the requests, from 0 to 1. */
+	/** The share of all requests, from 0 to 1. */
 	readonly share: number;
-	/** A streamed chat, a chat in one piece, or a call of a plain service that may not be repeated. */
+	/** A streamed chat, a chat with a complete response, or a non-repeatable call of a plain service. */
 	readonly form: 'streamed' | 'whole' | 'call';
 	readonly promptWords: number;
 	readonly maxTokens: number;
 	readonly qualityTarget: number;
-	/** From the first send to the last byte. */
+	/** The time allowed from the first attempt to the last byte. */
 	readonly deadlineMilliseconds: number;
 };
 
@@ -22,16 +22,16 @@
 	readonly share: number;
 };
 
-/** How an engine of the workload works. */
+/** The speed of a fake engine. */
 export type EngineSpeed = {
 	readonly firstTokenMilliseconds: number;
 	readonly tokenMilliseconds: number;
 	readonly answerTokens: number;
-	/** Requests it works on at full speed; with more, each gets slower. */
+	/** The number of concurrent requests up to which the engine runs at full speed; beyond it, each request slows down. */
 	readonly fullSpeedRequests: number;
 };
 
-/** A workload of the brief, scaled down. */
+/** A workload with the deployment that it runs on, scaled down to one machine. */
 export type Workload = {
 	readonly name: string;
 	readonly daemons: readonly DaemonPlan[];
@@ -40,15 +40,15 @@
 	readonly kinds: readonly RequestKind[];
 	readonly workspaces: readonly WorkloadWorkspace[];
 	readonly requestsPerSecond: number;
-	/** The plain service of its calls, and the path called. */
+	/** The plain service that calls go to; the path is `servicePath`. */
 	readonly service: string;
 	readonly servicePath: string;
 	readonly smallModel: string;
-	/** The version that turns bad in that fault, as `MODEL@VERSION`. */
+	/** The version that the fault `version-bad` degrades, as `MODEL@VERSION`. */
 	readonly fragileVersion: string;
 	/** The true quality of each version. */
 	readonly qualities: Readonly<Record<string, number>>;
-	/** Prices in units of account for a million tokens. */
+	/** The prices of each version per million tokens, in units of account. */
 	readonly prices: Readonly<Record<string, {readonly input: number; readonly output: number}>>;
 	readonly speeds: Readonly<Record<string, EngineSpeed>>;
 };
--- a/packages/testing/src/measure/workloads.ts
+++ b/packages/testing/src/measure/workloads.ts
@@ -4,8 +4,8 @@
 	type EngineSpeed, type RequestKind, type Workload, type WorkloadWorkspace,
 } from './workload.js';
 
-/** The members of a workload that the others follow from. */
-type WorkloadSketch = {
+/** The parameters from which a workload is derived. */
+type WorkloadParameters = {
 	readonly name: string;
 	readonly zones: readonly string[];
 	readonly small: string;
@@ -21,10 +21,10 @@
 const serviceInstances = 3;
 const daemonCount = 7;
 const controlCount = 3;
-const smallTarget = 0.8;
-const largeTarget = 0.9;
+const smallQualityTarget = 0.8;
+const largeQualityTarget = 0.9;
 // Ten workspaces, three of them large.
-const shares = [0.3, 0.2, 0.15, 0.05, 0.05, 0.05, 0.05, 0.05, 0.05, 0.05] as const;
+const workspaceShares = [0.3, 0.2, 0.15, 0.05, 0.05, 0.05, 0.05, 0.05, 0.05, 0.05] as const;
 const smallPrices = {input: 0.1, output: 0.4} as const;
 const largePrices = {input: 3, output: 12} as const;
 const smallSpeed: EngineSpeed = {
@@ -45,13 +45,13 @@
 	servicePath: '/labels',
 	kinds: [
 		{
-			class: 'lookup', share: 0.6, form: 'streamed', promptWords: 40, maxTokens: 24, qualityTarget: smallTarget, deadlineMilliseconds: 2000,
+			class: 'lookup', share: 0.6, form: 'streamed', promptWords: 40, maxTokens: 24, qualityTarget: smallQualityTarget, deadlineMilliseconds: 2000,
 		},
 		{
-			class: 'history', share: 0.1, form: 'streamed', promptWords: 200, maxTokens: 48, qualityTarget: largeTarget, deadlineMilliseconds: 6000,
+			class: 'history', share: 0.1, form: 'streamed', promptWords: 200, maxTokens: 48, qualityTarget: largeQualityTarget, deadlineMilliseconds: 6000,
 		},
 		{
-			class: 'reconcile', share: 0.15, form: 'whole', promptWords: 300, maxTokens: 48, qualityTarget: largeTarget, deadlineMilliseconds: 6000,
+			class: 'reconcile', share: 0.15, form: 'whole', promptWords: 300, maxTokens: 48, qualityTarget: largeQualityTarget, deadlineMilliseconds: 6000,
 		},
 		{
 			class: 'label', share: 0.15, form: 'call', promptWords: 10, maxTokens: 1, qualityTarget: 0, deadlineMilliseconds: 1000,
@@ -71,13 +71,13 @@
 	servicePath: '/acknowledgements',
 	kinds: [
 		{
-			class: 'annotation', share: 0.55, form: 'whole', promptWords: 60, maxTokens: 24, qualityTarget: smallTarget, deadlineMilliseconds: 2000,
+			class: 'annotation', share: 0.55, form: 'whole', promptWords: 60, maxTokens: 24, qualityTarget: smallQualityTarget, deadlineMilliseconds: 2000,
 		},
 		{
-			class: 'explanation', share: 0.1, form: 'streamed', promptWords: 200, maxTokens: 48, qualityTarget: largeTarget, deadlineMilliseconds: 6000,
+			class: 'explanation', share: 0.1, form: 'streamed', promptWords: 200, maxTokens: 48, qualityTarget: largeQualityTarget, deadlineMilliseconds: 6000,
 		},
 		{
-			class: 'summary', share: 0.1, form: 'whole', promptWords: 400, maxTokens: 48, qualityTarget: largeTarget, deadlineMilliseconds: 8000,
+			class: 'summary', share: 0.1, form: 'whole', promptWords: 400, maxTokens: 48, qualityTarget: largeQualityTarget, deadlineMilliseconds: 8000,
 		},
 		{
 			class: 'acknowledgement', share: 0.25, form: 'call', promptWords: 10, maxTokens: 1, qualityTarget: 0, deadlineMilliseconds: 1000,
@@ -86,17 +86,17 @@
 	requestsPerSecond: 35,
 });
 
-/** The two workloads of the brief, at rates that suit one machine. */
+/** The workloads to measure, at request rates that one machine can run. */
 export const workloads: readonly Workload[] = [couleeFlats, glasblik];
 
-function workloadOf(sketch: WorkloadSketch): Workload {
+function workloadOf(parameters: WorkloadParameters): Workload {
 	const {
 		name, small, large, service, servicePath, kinds, requestsPerSecond,
-	} = sketch;
+	} = parameters;
 	const settled = `${small}@1.0`;
 	const fragile = `${small}@1.1`;
 	const best = `${large}@2.0`;
-	const workspaces = shares.map((share, index) => ({name: `desk-${index + 1}`, key: `${name}-key-${index + 1}`, share}));
+	const workspaces = workspaceShares.map((share, index) => ({name: `desk-${index + 1}`, key: `${name}-key-${index + 1}`, share}));
 	return {
 		name,
 		service,
@@ -106,16 +106,16 @@
 		requestsPerSecond,
 		smallModel: small,
 		fragileVersion: fragile,
-		daemons: daemonsOf(sketch),
-		backends: backendsOf(sketch),
-		configuration: configurationOf(sketch, workspaces),
+		daemons: daemonsOf(parameters),
+		backends: backendsOf(parameters),
+		configuration: configurationOf(parameters, workspaces),
 		qualities: {[settled]: 0.83, [fragile]: 0.86, [best]: 0.95},
 		prices: {[settled]: smallPrices, [fragile]: smallPrices, [best]: largePrices},
 		speeds: {[small]: smallSpeed, [large]: largeSpeed},
 	};
 }
 
-function daemonsOf({zones}: WorkloadSketch): readonly DaemonPlan[] {
+function daemonsOf({zones}: WorkloadParameters): readonly DaemonPlan[] {
 	return Array.from({length: daemonCount}, (_, index) => ({
 		instance: `entry-${index + 1}`,
 		zone: zones[index % zones.length] ?? '',
@@ -123,7 +123,7 @@
 	}));
 }
 
-function backendsOf({zones, small, large, smallEngines, largeEngines, service}: WorkloadSketch): readonly BackendPlan[] {
+function backendsOf({zones, small, large, smallEngines, largeEngines, service}: WorkloadParameters): readonly BackendPlan[] {
 	const zoneOf = (index: number) => zones[index % zones.length] ?? '';
 	return [
 		...Array.from({length: smallEngines}, (_, index) => ({
@@ -136,18 +136,18 @@
 	];
 }
 
-function configurationOf({small, large, service, kinds}: WorkloadSketch, workspaces: readonly WorkloadWorkspace[]): unknown {
+function configurationOf({small, large, service, kinds}: WorkloadParameters, workspaces: readonly WorkloadWorkspace[]): unknown {
 	const policy = kinds.filter(({form}) => form !== 'call').map(kind => ({
 		name: kind.class,
 		when: `request.class == "${kind.class}"`,
 		models: [small, large],
 		qualityTarget: kind.qualityTarget,
 		deadlineMilliseconds: kind.deadlineMilliseconds,
-		priority: kind.qualityTarget > smallTarget ? 5 : 2,
+		priority: kind.qualityTarget > smallQualityTarget ? 5 : 2,
 	}));
 	return {
 		models: {
-			// Both versions are settled, so that a version turns bad with all of its traffic; the newer one is listed first.
+			// Both versions are settled, so the degraded version already has all of its traffic when it degrades. The newer version is listed first.
 			[small]: {
 				versions: {
 					1.1: {
--- a/packages/testing/src/measure/zone-cut-file.ts
+++ b/packages/testing/src/measure/zone-cut-file.ts
@@ -1,9 +1,9 @@
-/** What the processes of a measurement read when the cut between zones changes. */
+/** The content of the file that configures the simulated partition between zones. */
 export type ZoneCut = {
 	readonly zoneOfPort: Readonly<Record<string, string>>;
-	/** Zones that reach no other and that no other reaches. */
+	/** The zones that are partitioned from all other zones. */
 	readonly cutZones: readonly string[];
 };
 
-/** The environment variable that names the file. */
+/** The environment variable with the path of the file. */
 export const zoneCutVariable = 'VALEHITCH_ZONE_CUT_FILE';
