--- a/packages/testing/src/emulator/customers.ts
+++ b/packages/testing/src/emulator/customers.ts
@@ -6,7 +6,7 @@
 	{id: 'large', pace: 1.8, ability: 0.97},
 ] as const;
 
-/** Figures in the manner of the three customers' sheets: engines, rates, kinds of prompts and how often their subjects repeat. */
+/** Synthetic profiles modeled on the data sheets of the three customers: engines, request rates, kinds of prompts and how often prompt prefixes repeat. */
 export const customerSheets: Readonly<Record<'coilTraceability' | 'qualityLogs' | 'railcarLeasing', CustomerSheet>> = {
 	coilTraceability: {
 		zones: 3, entries: 7, engines: 13, models, calmRequestsPerSecond: 45,
--- a/packages/testing/src/emulator/decision-policy.ts
+++ b/packages/testing/src/emulator/decision-policy.ts
@@ -1,16 +1,16 @@
 import {type chooseHomeScope} from '@valehitch/routing';
 
-/** What a play is decided by; each member is one mechanism. */
+/** The mechanisms by which a simulation routes requests; each can be switched on its own. */
 export type DecisionPolicy = {
 	readonly name: string;
-	/** Where prompts have their homes; undefined where they have none. */
+	/** Chooses the scope of prompt-cache affinity; undefined disables affinity. */
 	readonly homeScope: typeof chooseHomeScope | undefined;
-	/** Whose loads an entry instance knows beside its own: nobody's, those of the instances near it, or those of all. */
+	/** The other entry instances whose loads an instance knows: none, its load-sharing peers, or all. */
 	readonly knownLoads: 'none' | 'near' | 'all';
-	/** Whether times are taken in proportion to the prompt. */
+	/** Whether latencies are estimated in proportion to the prompt length. */
 	readonly countsTokens: boolean;
-	/** Whether a server without a word is given up for another. */
+	/** Whether a request is moved to another server if its server stays silent. */
 	readonly givesUp: boolean;
-	/** Whether an unsure answer is asked for again of the largest model. */
+	/** Whether a low-confidence response escalates to a larger model. */
 	readonly steps: boolean;
 };
--- a/packages/testing/src/emulator/draw-request.ts
+++ b/packages/testing/src/emulator/draw-request.ts
@@ -2,26 +2,26 @@
 import {exponential} from '../_bench-tools.js';
 import {type LoadShape, type RequestKind} from './load-shape.js';
 
-/** A request as its caller sends it. */
+/** A request as sent by its caller. */
 export type CallerRequest = {
 	readonly kind: RequestKind;
-	/** The number of the entry instance that takes it. */
+	/** The index of the entry instance that receives the request. */
 	readonly entry: number;
 	readonly subject: string;
 	readonly ownTokens: number;
-	/** From 0 to 1; a model whose ability is below it gives no right answer. */
+	/** From 0 to 1; a model gives a correct response if its capability is at least this. */
 	readonly hardness: number;
-	/** What models add to their opinions of their answers to it, the same for each: a model asked twice says the same. */
+	/** An error added to the confidence of every model in its response, fixed for each request so that a model reports the same confidence every time. */
 	readonly doubt: number;
 };
 
-/** How far a model's opinion of itself scatters, from 0 to 1. */
-const opinionScatter = 0.15;
+/** The maximum error of a model's confidence, on a scale from 0 to 1. */
+const maximumConfidenceError = 0.15;
 
 /**
-Draws a request of a load.
+Draws a random request.
 
-@param shape The load.
+@param scenario The kinds of requests and the number of entry instances.
 @param random The random source.
 @returns The request.
 */
@@ -33,15 +33,15 @@
 		subject: `${kind.name} ${Math.floor(random() * kind.subjects)}`,
 		ownTokens: Math.ceil(exponential(kind.ownTokens, random)),
 		hardness: random(),
-		doubt: (random() - 0.5) * 2 * opinionScatter,
+		doubt: (random() - 0.5) * 2 * maximumConfidenceError,
 	};
 }
 
 function drawKind(kinds: readonly RequestKind[], random: RandomSource): RequestKind {
-	let left = random() * kinds.reduce((sum, {weight}) => sum + weight, 0);
+	let remaining = random() * kinds.reduce((sum, {weight}) => sum + weight, 0);
 	for (const kind of kinds) {
-		left -= kind.weight;
-		if (left < 0) {
+		remaining -= kind.weight;
+		if (remaining < 0) {
 			return kind;
 		}
 	}
--- a/packages/testing/src/emulator/emulated-engine.ts
+++ b/packages/testing/src/emulator/emulated-engine.ts
@@ -1,184 +1,191 @@
 import {type EmulatedPart, PromptCache} from './prompt-cache.js';
 
-/** A model as an engine runs it. */
+/** A model that an engine runs. */
 export type EmulatedModel = {
 	readonly id: string;
-	/** How much longer a step and a prompt take than with the smallest model. */
+	/** The factor by which a step and the prefill take longer than with the smallest model. */
 	readonly pace: number;
-	/** The hardness, from 0 to 1, up to which its answers are right. */
+	/** The maximum difficulty, from 0 to 1, at which the responses are correct. */
 	readonly ability: number;
 };
 
-/** The figures of an engine. */
+/** The performance parameters of an engine. */
 export type EngineSheet = {
-	/** Requests that it works on at once. */
+	/** The maximum number of requests in the running batch. */
 	readonly slots: number;
-	/** Requests that may wait beside them; further ones are turned away. */
+	/** The maximum number of queued requests; further requests are rejected while all slots are in use. */
 	readonly queue: number;
-	/** Tokens of prompts that it keeps. */
+	/** The capacity of the prompt cache, in tokens. */
 	readonly memoryTokens: number;
-	/** Prompt tokens of the smallest model that are read in a millisecond. */
+	/** The prefill rate of the smallest model, in prompt tokens per millisecond. */
 	readonly readTokens: number;
-	/** The time of a step with the smallest model, in milliseconds. */
+	/** The duration of a step with the smallest model. */
 	readonly stepMilliseconds: number;
-	/** The most prompt tokens that are read in one step, so that a long prompt does not stop the answers beside it. */
+	/** The maximum number of prompt tokens prefilled in one step, so that a long prompt does not stall decoding of the other requests. */
 	readonly chunkTokens: number;
 };
 
-/** A request as an engine sees it. */
+/** A request to an engine. */
 export type EngineWork = {
 	readonly id: number;
 	readonly model: EmulatedModel;
-	/** The parts that other prompts may share, in their order. */
+	/** The leading segments of the prompt, which other prompts may share, in order. */
 	readonly parts: readonly EmulatedPart[];
-	/** The tokens of the prompt after them. */
+	/** The number of prompt tokens after the shared segments. */
 	readonly ownTokens: number;
 	readonly outputTokens: number;
 };
 
-/** Told of the progress of requests. */
+/** The prompt tokens of a request. */
+export type PromptTokens = {
+	/** Tokens found in the prompt cache. */
+	readonly cached: number;
+	readonly prefilled: number;
+};
+
+/** Callbacks for the progress of requests. */
 export type EngineEvents = {
-	/** The first token of an answer; with the prompt tokens that were kept, and those that were read. */
-	readonly onFirst: (id: number, prompt: {readonly kept: number; readonly read: number}) => void;
-	/** The last token of an answer. */
+	/** Called at the first output token. */
+	readonly onFirst: (id: number, prompt: PromptTokens) => void;
+	/** Called at the last output token. */
 	readonly onDone: (id: number) => void;
 };
 
-type Running = {
-	readonly work: EngineWork;
-	readonly kept: number;
-	readonly toRead: number;
-	unread: number;
-	/** Tokens that are still to be generated. */
-	left: number;
+type RunningRequest = {
+	readonly request: EngineWork;
+	readonly cachedTokens: number;
+	readonly prefillTokens: number;
+	remainingPrefillTokens: number;
+	/** Output tokens that are still to be generated. */
+	remainingOutputTokens: number;
 };
 
 /**
-An engine in simulated time: batches, reads prompts in chunks beside the answers in progress, keeps parts of prompts, bounds its queue.
+An inference engine in simulated time, with continuous batching, chunked prefill, a prompt cache and a bounded queue.
 
-Calibrated to the figures of a sheet, not to a real engine; it does not put requests back for want of memory.
+It is calibrated to the parameters of a data sheet, not to a real engine, and it does not preempt requests when memory runs out.
 
 @example
 ```ts
-const engine = new EmulatedEngine(sheet, {onFirst, onDone});
-engine.offer(work);
+const engine = new EmulatedEngine(parameters, {onFirstToken, onComplete});
+engine.tryEnqueue(request);
 const milliseconds = engine.step();
 ```
 */
 export class EmulatedEngine {
-	readonly #sheet: EngineSheet;
+	readonly #parameters: EngineSheet;
 	readonly #events: EngineEvents;
 	readonly #cache: PromptCache;
-	readonly #waiting: EngineWork[] = [];
-	readonly #running = new Map<number, Running>();
+	readonly #queue: EngineWork[] = [];
+	readonly #running = new Map<number, RunningRequest>();
 
-	constructor(sheet: EngineSheet, events: EngineEvents) {
-		this.#sheet = sheet;
+	constructor(parameters: EngineSheet, events: EngineEvents) {
+		this.#parameters = parameters;
 		this.#events = events;
-		this.#cache = new PromptCache(sheet.memoryTokens);
+		this.#cache = new PromptCache(parameters.memoryTokens);
 	}
 
-	/** Whether there is anything to do. */
+	/** Whether any request is running or queued. */
 	get isBusy(): boolean {
-		return this.#running.size > 0 || this.#waiting.length > 0;
+		return this.#running.size > 0 || this.#queue.length > 0;
 	}
 
 	/**
-	Offers a request.
+	Queues a request.
 
-	@param work The request.
-	@returns Whether it is taken; false where the queue is full.
+	@param request The request.
+	@returns Whether the request was queued; false if all slots and the queue are full.
 	*/
-	offer(work: EngineWork): boolean {
-		if (this.#waiting.length >= this.#sheet.queue && this.#running.size >= this.#sheet.slots) {
+	offer(request: EngineWork): boolean {
+		if (this.#queue.length >= this.#parameters.queue && this.#running.size >= this.#parameters.slots) {
 			return false;
 		}
 
-		this.#waiting.push(work);
+		this.#queue.push(request);
 		return true;
 	}
 
 	/**
-	Ends a request whose caller has left.
+	Removes a request that its caller has cancelled.
 
-	@param id The request.
+	@param id The id of the request.
 	*/
 	cancel(id: number): void {
 		this.#running.delete(id);
-		const index = this.#waiting.findIndex(work => work.id === id);
+		const index = this.#queue.findIndex(request => request.id === id);
 		if (index !== -1) {
-			this.#waiting.splice(index, 1);
+			this.#queue.splice(index, 1);
 		}
 	}
 
 	/**
-	Drops all requests and all that is kept, as a crash does.
+	Drops all requests, as a crash does; the prompt cache is kept.
 
-	@returns The requests that were dropped.
+	@returns The ids of the dropped requests.
 	*/
 	crash(): readonly number[] {
-		const dropped = [...this.#running.keys(), ...this.#waiting.map(({id}) => id)];
+		const dropped = [...this.#running.keys(), ...this.#queue.map(({id}) => id)];
 		this.#running.clear();
-		this.#waiting.length = 0;
+		this.#queue.length = 0;
 		return dropped;
 	}
 
 	/**
-	Works for one step: a chunk of the prompts in the order of their arrival, and a token of each answer in progress.
+	Runs one step: prefills a chunk of the prompts in order of arrival, and decodes one token of each prefilled request.
 
-	@returns How long the step takes, in milliseconds; call `finishStep` after it.
+	@returns The duration of the step in milliseconds; call `finishStep` when it has passed.
 	*/
 	step(): number {
 		this.#admit();
-		const {stepMilliseconds, readTokens, chunkTokens} = this.#sheet;
+		const {stepMilliseconds, readTokens, chunkTokens} = this.#parameters;
 		let pace = 1;
-		let chunk = chunkTokens;
-		let reading = 0;
+		let remainingChunk = chunkTokens;
+		let prefillMilliseconds = 0;
 		for (const running of this.#running.values()) {
-			pace = Math.max(pace, running.work.model.pace);
-			const read = Math.min(chunk, running.unread);
-			chunk -= read;
-			running.unread -= read;
-			reading += read * running.work.model.pace / readTokens;
+			pace = Math.max(pace, running.request.model.pace);
+			const prefilled = Math.min(remainingChunk, running.remainingPrefillTokens);
+			remainingChunk -= prefilled;
+			running.remainingPrefillTokens -= prefilled;
+			prefillMilliseconds += prefilled * running.request.model.pace / readTokens;
 		}
 
-		return (stepMilliseconds * pace) + reading;
+		return (stepMilliseconds * pace) + prefillMilliseconds;
 	}
 
-	/** Hands out the tokens of the step that has passed. */
+	/** Emits the tokens of the step that `step` started. */
 	finishStep(): void {
 		for (const [id, running] of this.#running) {
-			if (running.unread > 0) {
+			if (running.remainingPrefillTokens > 0) {
 				continue;
 			}
 
-			if (running.left === running.work.outputTokens) {
-				this.#events.onFirst(id, {kept: running.kept, read: running.toRead});
+			if (running.remainingOutputTokens === running.request.outputTokens) {
+				this.#events.onFirst(id, {cached: running.cachedTokens, prefilled: running.prefillTokens});
 			}
 
-			running.left--;
-			if (running.left <= 0 && this.#running.delete(id)) {
+			running.remainingOutputTokens--;
+			if (running.remainingOutputTokens <= 0 && this.#running.delete(id)) {
 				this.#events.onDone(id);
 			}
 		}
 	}
 
 	#admit(): void {
-		while (this.#running.size < this.#sheet.slots) {
-			const work = this.#waiting.shift();
-			if (work === undefined) {
+		while (this.#running.size < this.#parameters.slots) {
+			const request = this.#queue.shift();
+			if (request === undefined) {
 				return;
 			}
 
-			let shared = 0;
-			for (const {tokens} of work.parts) {
-				shared += tokens;
+			let sharedTokens = 0;
+			for (const {tokens} of request.parts) {
+				sharedTokens += tokens;
 			}
 
-			const kept = this.#cache.read(work.model.id, work.parts);
-			const toRead = shared + work.ownTokens - kept;
-			this.#running.set(work.id, {
-				work, kept, toRead, unread: toRead, left: work.outputTokens,
+			const cachedTokens = this.#cache.read(request.model.id, request.parts);
+			const prefillTokens = sharedTokens + request.ownTokens - cachedTokens;
+			this.#running.set(request.id, {
+				request, cachedTokens, prefillTokens, remainingPrefillTokens: prefillTokens, remainingOutputTokens: request.outputTokens,
 			});
 		}
 	}
--- a/packages/testing/src/emulator/emulated-entry.ts
+++ b/packages/testing/src/emulator/emulated-entry.ts
@@ -5,7 +5,7 @@
 	EntryServers, LatencyBook, RepeatBook, type ServerRecord,
 } from '@valehitch/gateway';
 
-/** What an entry instance knows. */
+/** The routing state of an emulated entry instance. */
 export type EmulatedEntry = {
 	readonly zone: ZoneId;
 	readonly servers: EntryServers;
@@ -13,27 +13,27 @@
 	readonly repeats: RepeatBook;
 };
 
-/** What an entry instance is made of. */
+/** Options of `createEmulatedEntry`. */
 export type EmulatedEntryOptions = {
 	readonly zone: ZoneId;
 	readonly clock: Pick<Clock, 'monotonic'>;
 	readonly random: RandomSource;
-	/** The engines, and the requests that each works on at once. */
+	/** The engines; each can run `slots` requests at once. */
 	readonly engines: ReadonlyArray<{readonly id: ServerId; readonly zone: ZoneId}>;
 	readonly slots: number;
-	/** The work of the other instances at a server. */
+	/** Returns the load of a server that other instances reported to this one. */
 	readonly othersOn: (server: ServerId, servers: EntryServers) => number;
 };
 
-/** The one service of an emulation. */
+/** The only service of an emulation. */
 export const emulatedService = toId<ServerRecord['service']>('models');
 
 const source = toId<InstanceId>('control');
 
 /**
-Makes an entry instance that knows all engines.
+Creates an entry instance that knows all engines.
 
-@param options What it is made of.
+@param options The instance's zone, engines and sources of time and randomness.
 @returns The instance.
 */
 export function makeEntry({zone, clock, random, engines, slots, othersOn}: EmulatedEntryOptions): EmulatedEntry {
@@ -43,14 +43,14 @@
 		share: {
 			othersOn: server => othersOn(server, servers),
 			noteChange() {
-				// All loads are told together.
+				// `SharedLoads` publishes all loads at once.
 			},
 			forget() {
-				// Emulated engines do not start again under their ids.
+				// Emulated engines never restart under the same id.
 			},
 		},
 		onReplaced() {
-			// Emulated engines have no connections.
+			// Emulated engines have no connections to close.
 		},
 	});
 	const records = engines.map((engine): ServerRecord => ({
--- a/packages/testing/src/emulator/event-queue.ts
+++ b/packages/testing/src/emulator/event-queue.ts
@@ -1,68 +1,68 @@
-/** What happens at a moment. */
+/** A scheduled event. */
 type QueuedEvent = {
-	/** Milliseconds of simulated time. */
+	/** The simulated time of the event, in milliseconds. */
 	readonly at: number;
-	/** Events of one moment happen in the order in which they were added. */
+	/** Breaks ties: events of the same time run in the order in which they were scheduled. */
 	readonly order: number;
 	readonly run: () => void;
 };
 
 /**
-Simulated time: runs what was planned in the order of its moments.
+A discrete-event simulation clock that runs scheduled events in order of simulated time.
 
 @example
 ```ts
 const queue = new EventQueue();
-queue.add(20, () => console.log(queue.now));
+queue.schedule(20, () => console.log(queue.now));
 queue.runUntil(1000);
 ```
 */
 export class EventQueue {
-	/** A binary heap, the earliest first. */
+	/** A binary min-heap by time. */
 	readonly #heap: QueuedEvent[] = [];
 	#now = 0;
 	#order = 0;
 
-	/** Milliseconds of simulated time. */
+	/** The current simulated time, in milliseconds. */
 	get now(): number {
 		return this.#now;
 	}
 
 	/**
-	Plans an event.
+	Schedules an event.
 
-	@param delay Milliseconds from now.
-	@param run What happens.
+	@param delay The delay from now, in milliseconds; a negative delay counts as 0.
+	@param run Runs the event.
 	*/
 	add(delay: number, run: () => void): void {
 		this.#heap.push({at: this.#now + Math.max(0, delay), order: this.#order++, run});
-		this.#rise(this.#heap.length - 1);
+		this.#siftUp(this.#heap.length - 1);
 	}
 
 	/**
-	Runs events up to a moment; those after it are dropped.
+	Runs events up to and including a time. Do not continue afterwards: the first later event is discarded.
 
-	@param end Milliseconds of simulated time.
+	@param end The simulated time, in milliseconds.
 	*/
 	runUntil(end: number): void {
-		for (let next = this.#takeFirst(); next !== undefined && next.at <= end; next = this.#takeFirst()) {
+		for (let next = this.#pop(); next !== undefined && next.at <= end; next = this.#pop()) {
 			this.#now = next.at;
 			next.run();
 		}
 	}
 
-	#takeFirst(): QueuedEvent | undefined {
+	#pop(): QueuedEvent | undefined {
 		const first = this.#heap[0];
 		const last = this.#heap.pop();
 		if (last !== undefined && first !== last) {
 			this.#heap[0] = last;
-			this.#sink();
+			this.#siftDown();
 		}
 
 		return first;
 	}
 
-	#rise(from: number): void {
+	#siftUp(from: number): void {
 		let index = from;
 		while (index > 0) {
 			const parent = Math.floor((index - 1) / 2);
@@ -75,7 +75,7 @@
 		}
 	}
 
-	#sink(): void {
+	#siftDown(): void {
 		let index = 0;
 		for (;;) {
 			const left = (2 * index) + 1;
@@ -97,8 +97,8 @@
 	}
 
 	#swap(index: number, other: number): void {
-		const kept = this.#heap[index]!;
+		const previous = this.#heap[index]!;
 		this.#heap[index] = this.#heap[other]!;
-		this.#heap[other] = kept;
+		this.#heap[other] = previous;
 	}
 }
--- a/packages/testing/src/emulator/load-result.ts
+++ b/packages/testing/src/emulator/load-result.ts
@@ -1,23 +1,23 @@
-/** What callers got of a load, and what it took. */
+/** The outcomes of the requests of a simulation, and their cost. */
 export type LoadResult = {
 	readonly requests: number;
-	/** Answers whose first token was on time and whose model was able to give them. */
+	/** Correct responses whose first token was on time. */
 	readonly good: number;
 	readonly late: number;
-	/** Answers on time of a model that was not able to give them. */
+	/** Responses on time from a model whose capability is below the difficulty of the request. */
 	readonly tooHard: number;
-	/** Requests without an answer. */
+	/** Requests without a response. */
 	readonly lost: number;
 	readonly sends: number;
-	/** Prompt tokens that engines read, and those that they had kept. */
+	/** Prompt tokens that engines prefilled; `tokensCached` counts those found in a prompt cache. */
 	readonly tokensRead: number;
 	readonly tokensKept: number;
 };
 
-/** A result that is being counted. */
+/** A result to accumulate counts in. */
 export type CountedResult = {-readonly [Name in keyof LoadResult]: number};
 
-/** Nothing counted yet. */
+/** Returns a result with all counts at 0. */
 export function emptyResult(): CountedResult {
 	return {
 		requests: 0, good: 0, late: 0, tooHard: 0, lost: 0, sends: 0, tokensRead: 0, tokensKept: 0,
@@ -25,10 +25,10 @@
 }
 
 /**
-Adds results up.
+Sums results.
 
-@param results The results of some loads.
-@returns Their sum.
+@param results The results of several simulations.
+@returns The sum of each count.
 */
 export function addResults(results: readonly LoadResult[]): LoadResult {
 	const sum = emptyResult();
--- a/packages/testing/src/emulator/load-shape.ts
+++ b/packages/testing/src/emulator/load-shape.ts
@@ -1,87 +1,87 @@
 import {type RandomSource} from '@valehitch/core';
 import {type EmulatedModel, type EngineSheet} from './emulated-engine.js';
 
-/** Requests of one kind. */
+/** A kind of request. */
 export type RequestKind = {
 	readonly name: string;
-	/** Its part of all requests. */
+	/** The relative frequency among all kinds. */
 	readonly weight: number;
-	/** Tokens of the parts that others about the same subject share. */
+	/** The number of prompt tokens that all requests with the same prefix share. */
 	readonly sharedTokens: number;
-	/** The mean of the tokens of its own; drawn from an exponential distribution. */
+	/** The mean of the number of unique prompt tokens, which is exponentially distributed. */
 	readonly ownTokens: number;
 	readonly outputTokens: number;
-	/** The subjects that requests are about, each as often as the others. */
+	/** The number of different prefixes, which are equally frequent. */
 	readonly subjects: number;
-	/** Milliseconds to the first token that are on time. */
+	/** The target time to the first token, in milliseconds; a response that exceeds it is late. */
 	readonly targetLatency: number;
 };
 
-/** An engine that stops, or is slower, for a while. */
+/** A temporary fault of an engine. */
 export type EngineFault = {
-	/** The number of the engine. */
+	/** The index of the engine. */
 	readonly engine: number;
-	/** Milliseconds from the start. */
+	/** The start of the fault, in milliseconds from the start of the load. */
 	readonly at: number;
 	readonly milliseconds: number;
-	/** How many times longer its steps take; infinity where it stops. */
+	/** The factor by which the steps of the engine take longer; infinity stops the engine. */
 	readonly slower: number;
 };
 
-/** A deployment under load. */
+/** A deployment and the load on it. */
 export type LoadShape = {
 	readonly zones: number;
 	readonly entries: number;
 	readonly engines: number;
 	readonly sheet: EngineSheet;
-	/** Smallest first. */
+	/** The models, from the smallest to the largest. */
 	readonly models: readonly EmulatedModel[];
 	readonly kinds: readonly RequestKind[];
 	readonly requestsPerSecond: number;
 	readonly milliseconds: number;
-	/** One way between two zones, in milliseconds. */
+	/** The one-way network latency between two zones, in milliseconds. */
 	readonly crossing: number;
 	readonly faults: readonly EngineFault[];
 };
 
-/** The figures of a customer's sheet, as far as a load is drawn from them. */
+/** The parameters of a customer's deployment from which load scenarios are drawn. */
 export type CustomerSheet = Pick<LoadShape, 'zones' | 'entries' | 'engines' | 'sheet' | 'models' | 'kinds'> & {
-	/** Requests a second on a calm day. */
+	/** The request rate on a day of low load. */
 	readonly calmRequestsPerSecond: number;
 };
 
-const crossingMilliseconds = 1.4;
-/** A heavy day has up to this many times the requests of a calm one. */
-const heaviest = 1.8;
-const longestFaultMilliseconds = 6000;
-const mostFaults = 4;
-const slowestFactor = 4;
+const interZoneLatencyMilliseconds = 1.4;
+/** The maximum request rate, as a multiple of the rate on a day of low load. */
+const maximumLoadFactor = 1.8;
+const maximumFaultMilliseconds = 6000;
+const maximumFaults = 4;
+const maximumSlowdownFactor = 4;
 
 /**
-Draws a load of a customer: how heavy it is, how its kinds are mixed, and which engines stop or turn slow.
+Draws a random load scenario for a customer: the request rate, the mix of request kinds, and the engine faults.
 
-@param sheet The customer's figures.
-@param options The random source, and how long the load lasts in milliseconds.
-@returns The load; the same for the same random numbers.
+@param profile The customer's parameters.
+@param options The random source, and the duration in milliseconds.
+@returns The scenario; the same random numbers give the same scenario.
 @example
 ```ts
-const shape = drawLoad(sheet, {random: seededRandom(7), milliseconds: 20_000});
+const scenario = drawScenario(profile, {random: seededRandom(7), milliseconds: 20_000});
 ```
 */
-export function drawLoad(sheet: CustomerSheet, {random, milliseconds}: {readonly random: RandomSource; readonly milliseconds: number}): LoadShape {
-	const {calmRequestsPerSecond, kinds, ...rest} = sheet;
-	const faults = Array.from({length: Math.floor(random() * (mostFaults + 1))}, (): EngineFault => ({
-		engine: Math.floor(random() * sheet.engines),
+export function drawLoad(profile: CustomerSheet, {random, milliseconds}: {readonly random: RandomSource; readonly milliseconds: number}): LoadShape {
+	const {calmRequestsPerSecond, kinds, ...rest} = profile;
+	const faults = Array.from({length: Math.floor(random() * (maximumFaults + 1))}, (): EngineFault => ({
+		engine: Math.floor(random() * profile.engines),
 		at: random() * milliseconds,
-		milliseconds: random() * longestFaultMilliseconds,
-		slower: random() < 0.5 ? Number.POSITIVE_INFINITY : 1 + (random() * (slowestFactor - 1)),
+		milliseconds: random() * maximumFaultMilliseconds,
+		slower: random() < 0.5 ? Number.POSITIVE_INFINITY : 1 + (random() * (maximumSlowdownFactor - 1)),
 	}));
 	return {
 		...rest,
 		milliseconds,
-		crossing: crossingMilliseconds,
+		crossing: interZoneLatencyMilliseconds,
 		kinds: kinds.map(kind => ({...kind, weight: kind.weight * (0.5 + random())})),
-		requestsPerSecond: calmRequestsPerSecond * (1 + (random() * (heaviest - 1))),
+		requestsPerSecond: calmRequestsPerSecond * (1 + (random() * (maximumLoadFactor - 1))),
 		faults,
 	};
 }
--- a/packages/testing/src/emulator/play-load.test.ts
+++ b/packages/testing/src/emulator/play-load.test.ts
@@ -10,8 +10,8 @@
 const loads = 12;
 const milliseconds = 8000;
 
-/** What callers got of some loads under a policy, in all. */
-function playAll(sheet: CustomerSheet, policy: DecisionPolicy): LoadResult {
+/** Simulates several loads under a policy and returns the summed results. */
+function simulateAll(sheet: CustomerSheet, policy: DecisionPolicy): LoadResult {
 	const results: LoadResult[] = [];
 	for (let index = 1; index <= loads; index++) {
 		const loadRandom = seededRandom(index);
@@ -26,41 +26,41 @@
 }
 
 const {railcarLeasing} = customerSheets;
-const product = playAll(railcarLeasing, productPolicy);
+const product = simulateAll(railcarLeasing, productPolicy);
 
-test('the same random numbers give the same load, and every request comes to an end', t => {
-	t.deepEqual(playAll(railcarLeasing, productPolicy), product);
+test('the same random numbers give the same result, and every request has an outcome', t => {
+	t.deepEqual(simulateAll(railcarLeasing, productPolicy), product);
 	t.is(product.good + product.late + product.tooHard + product.lost, product.requests);
 });
 
-test('long prompts whose subjects repeat are read less often where they have homes over all zones, and answers come no later', t => {
-	// With every load known: what a home costs where it is not, the decisions at size tell.
-	const informed: DecisionPolicy = {...productPolicy, knownLoads: 'all'};
-	const without = playAll(railcarLeasing, {...informed, homeScope: undefined});
-	const withHomes = playAll(railcarLeasing, {...informed, homeScope: () => 'all'});
-	t.log(`tokens kept: ${without.tokensKept} without homes, ${withHomes.tokensKept} with homes for all`);
-	t.log(`late: ${shareOf(without.late, without)} % and ${shareOf(withHomes.late, withHomes)} %`);
-	t.true(withHomes.tokensKept > 3 * without.tokensKept);
-	t.true(withHomes.late <= without.late);
+test('with repeating long prefixes, prompt affinity over all zones increases cache hits without more late responses', t => {
+	// All loads are shared here, so that the test measures affinity alone; bench-decisions measures its cost with partial load knowledge.
+	const withAllLoads: DecisionPolicy = {...productPolicy, knownLoads: 'all'};
+	const withoutAffinity = simulateAll(railcarLeasing, {...withAllLoads, homeScope: undefined});
+	const withAffinity = simulateAll(railcarLeasing, {...withAllLoads, homeScope: () => 'all'});
+	t.log(`cached tokens: ${withoutAffinity.tokensKept} without affinity, ${withAffinity.tokensKept} with affinity over all zones`);
+	t.log(`late: ${shareOf(withoutAffinity.late, withoutAffinity)} % and ${shareOf(withAffinity.late, withAffinity)} %`);
+	t.true(withAffinity.tokensKept > 3 * withoutAffinity.tokensKept);
+	t.true(withAffinity.late <= withoutAffinity.late);
 });
 
-test('where subjects seldom repeat, fewer answers are late than with a home in each zone', t => {
+test('with rarely repeating prefixes, fewer responses are late than with prompt affinity per zone', t => {
 	const {coilTraceability} = customerSheets;
-	const decided = playAll(coilTraceability, productPolicy);
-	const inZones = playAll(coilTraceability, {...productPolicy, homeScope: () => 'zone'});
-	t.log(`late: ${shareOf(inZones.late, inZones)} % with homes in each zone, ${shareOf(decided.late, decided)} % as the product decides`);
-	t.log(`good: ${shareOf(inZones.good, inZones)} % and ${shareOf(decided.good, decided)} %`);
-	t.true(decided.late < inZones.late);
+	const withProductPolicy = simulateAll(coilTraceability, productPolicy);
+	const withZoneAffinity = simulateAll(coilTraceability, {...productPolicy, homeScope: () => 'zone'});
+	t.log(`late: ${shareOf(withZoneAffinity.late, withZoneAffinity)} % with affinity per zone, ${shareOf(withProductPolicy.late, withProductPolicy)} % with the product policy`);
+	t.log(`good: ${shareOf(withZoneAffinity.good, withZoneAffinity)} % and ${shareOf(withProductPolicy.good, withProductPolicy)} %`);
+	t.true(withProductPolicy.late < withZoneAffinity.late);
 });
 
-test('fewer answers are late where entry instances tell each other their loads', t => {
-	const without = playAll(railcarLeasing, {...productPolicy, knownLoads: 'none'});
+test('fewer responses are late when entry instances share their loads', t => {
+	const without = simulateAll(railcarLeasing, {...productPolicy, knownLoads: 'none'});
 	t.log(`late: ${shareOf(without.late, without)} % without, ${shareOf(product.late, product)} % with`);
 	t.true(product.late < without.late);
 });
 
-test('a step to the larger model halves the answers that are too hard, at least', t => {
-	const without = playAll(railcarLeasing, {...productPolicy, steps: false});
-	t.log(`too hard: ${shareOf(without.tooHard, without)} % without, ${shareOf(product.tooHard, product)} % with`);
+test('escalation to a larger model at least halves the incorrect responses', t => {
+	const without = simulateAll(railcarLeasing, {...productPolicy, steps: false});
+	t.log(`incorrect: ${shareOf(without.tooHard, without)} % without, ${shareOf(product.tooHard, product)} % with`);
 	t.true(product.tooHard < without.tooHard / 2);
 });
--- a/packages/testing/src/emulator/play-load.ts
+++ b/packages/testing/src/emulator/play-load.ts
@@ -8,7 +8,7 @@
 import {exponential} from '../_bench-tools.js';
 import {type DecisionPolicy} from './decision-policy.js';
 import {type CallerRequest, drawRequest} from './draw-request.js';
-import {type EmulatedModel} from './emulated-engine.js';
+import {type EmulatedModel, type PromptTokens} from './emulated-engine.js';
 import {type EmulatedEntry, emulatedService, makeEntry} from './emulated-entry.js';
 import {EventQueue} from './event-queue.js';
 import {emptyResult, type LoadResult} from './load-result.js';
@@ -16,12 +16,12 @@
 import {SteppingEngine} from './stepping-engine.js';
 import {ToldLoads} from './told-loads.js';
 
-/** What a load is decided by, and the random numbers. */
+/** Options of `simulateLoad`. */
 export type PlayLoadOptions = {
 	readonly policy: DecisionPolicy;
-	/** For the callers alone, so that the same numbers give the same requests under each policy. */
+	/** The random source of the requests, separate so that every policy gets the same requests. */
 	readonly loadRandom: RandomSource;
-	/** For the decisions. */
+	/** The random source of routing decisions. */
 	readonly decisionRandom: RandomSource;
 };
 
@@ -40,40 +40,40 @@
 	readonly engine: SteppingEngine;
 	readonly load: SendLoad;
 	readonly sentAt: number;
-	/** Whether its answer has begun, with which it counts: what ends later is not played. */
+	/** Whether the response has started. The outcome is counted then, and later failures are not simulated. */
 	hasBegun: boolean;
 };
 
 const maximumSends = 3;
-const leastConfidence = 50;
-/** Loads are told this long after they changed, in milliseconds. */
-const tellMilliseconds = 40;
-/** The bounds of the product's own silence: a server is given up after eight times its expected time, 500 ms at least. */
-const silentFactor = 8;
-const quietMilliseconds = 500;
+const minimumConfidence = 50;
+/** The interval at which loads are published. */
+const publishIntervalMilliseconds = 40;
+/** The product's silence timeout: a server is abandoned after 8 times its expected latency, and after 500 ms at the earliest. */
+const silenceFactor = 8;
+const minimumSilenceMilliseconds = 500;
 const bytesPerToken = 4;
-/** The time after the last request in which answers are still counted, in milliseconds. */
-const lastAnswersMilliseconds = 10_000;
-/** The time of one unit of work, in milliseconds. */
-const workUnitMilliseconds = 100;
+/** The time after the last request during which responses are still counted. */
+const drainMilliseconds = 10_000;
+/** The expected latency that corresponds to one unit of load. */
+const loadUnitMilliseconds = 100;
 
 /**
-Plays a load in simulated time: callers, entry instances that decide by the product's own modules, and emulated engines.
+Simulates a load with callers, entry instances that route with the product's own modules, and emulated engines.
 
-@param shape The load.
-@param options What it is decided by, and the random numbers.
-@returns What callers got.
+@param scenario The load scenario.
+@param options The policy and the random sources.
+@returns The outcomes of the requests.
 @example
 ```ts
-const {good, requests} = playLoad(shape, {policy: productPolicy, loadRandom: seededRandom(7), decisionRandom: seededRandom(8)});
+const {good, requests} = simulateLoad(scenario, {policy: productPolicy, loadRandom: seededRandom(7), decisionRandom: seededRandom(8)});
 ```
 */
-export function playLoad(shape: LoadShape, options: PlayLoadOptions): LoadResult {
-	return new LoadPlay(shape, options).play();
+export function playLoad(scenario: LoadShape, options: PlayLoadOptions): LoadResult {
+	return new LoadSimulation(scenario, options).run();
 }
 
-class LoadPlay {
-	readonly #shape: LoadShape;
+class LoadSimulation {
+	readonly #scenario: LoadShape;
 	readonly #policy: DecisionPolicy;
 	readonly #loadRandom: RandomSource;
 	readonly #decisionRandom: RandomSource;
@@ -81,26 +81,26 @@
 	readonly #engines: readonly SteppingEngine[];
 	readonly #entries: readonly EmulatedEntry[];
 	readonly #sends = new Map<number, Send>();
-	readonly #told: ToldLoads | undefined;
-	#lastSend = 0;
+	readonly #sharedLoads: ToldLoads | undefined;
+	#lastSendId = 0;
 	readonly #result = emptyResult();
 
-	constructor(shape: LoadShape, {policy, loadRandom, decisionRandom}: PlayLoadOptions) {
-		this.#shape = shape;
+	constructor(scenario: LoadShape, {policy, loadRandom, decisionRandom}: PlayLoadOptions) {
+		this.#scenario = scenario;
 		this.#policy = policy;
 		this.#loadRandom = loadRandom;
 		this.#decisionRandom = decisionRandom;
-		this.#engines = Array.from({length: shape.engines}, (_, index) => this.#makeEngine(index));
-		this.#entries = Array.from({length: shape.entries}, (_, index) => this.#makeEntry(index));
-		this.#told = policy.knownLoads === 'none' ? undefined : new ToldLoads(this.#entries, policy.knownLoads);
+		this.#engines = Array.from({length: scenario.engines}, (_, index) => this.#makeEngine(index));
+		this.#entries = Array.from({length: scenario.entries}, (_, index) => this.#makeEntry(index));
+		this.#sharedLoads = policy.knownLoads === 'none' ? undefined : new ToldLoads(this.#entries, policy.knownLoads);
 	}
 
-	play(): LoadResult {
-		for (const fault of this.#shape.faults) {
+	run(): LoadResult {
+		for (const fault of this.#scenario.faults) {
 			const engine = this.#engines[fault.engine]!;
 			this.#queue.add(fault.at, () => {
 				for (const id of engine.slowDown(fault.slower)) {
-					this.#sendElsewhere(id);
+					this.#retryElsewhere(id);
 				}
 			});
 			this.#queue.add(fault.at + fault.milliseconds, () => {
@@ -108,12 +108,12 @@
 			});
 		}
 
-		if (this.#told !== undefined) {
-			this.#tell(this.#told);
+		if (this.#sharedLoads !== undefined) {
+			this.#publishLoads(this.#sharedLoads);
 		}
 
-		this.#arrive();
-		this.#queue.runUntil(this.#shape.milliseconds + lastAnswersMilliseconds);
+		this.#scheduleArrivals();
+		this.#queue.runUntil(this.#scenario.milliseconds + drainMilliseconds);
 		return this.#result;
 	}
 
@@ -121,14 +121,14 @@
 		return new SteppingEngine({
 			id: toId<ServerId>(`engine-${index}`),
 			zone: this.#zoneOf(index),
-			sheet: this.#shape.sheet,
+			sheet: this.#scenario.sheet,
 			queue: this.#queue,
 			events: {
 				onFirst: (id, prompt) => {
-					this.#takeFirst(id, prompt);
+					this.#handleFirstToken(id, prompt);
 				},
 				onDone: id => {
-					this.#end(id);
+					this.#endSend(id);
 				},
 			},
 		});
@@ -140,40 +140,40 @@
 			clock: {monotonic: () => this.#queue.now},
 			random: this.#decisionRandom,
 			engines: this.#engines,
-			slots: this.#shape.sheet.slots,
-			othersOn: (server, servers) => this.#told?.othersOn(server, servers) ?? 0,
+			slots: this.#scenario.sheet.slots,
+			othersOn: (server, servers) => this.#sharedLoads?.othersOn(server, servers) ?? 0,
 		});
 	}
 
 	#zoneOf(index: number): ZoneId {
-		return toId<ZoneId>(`zone-${index % this.#shape.zones}`);
+		return toId<ZoneId>(`zone-${index % this.#scenario.zones}`);
 	}
 
-	#tell(told: ToldLoads): void {
-		told.tell();
-		this.#queue.add(tellMilliseconds, () => {
-			this.#tell(told);
+	#publishLoads(sharedLoads: ToldLoads): void {
+		sharedLoads.tell();
+		this.#queue.add(publishIntervalMilliseconds, () => {
+			this.#publishLoads(sharedLoads);
 		});
 	}
 
-	#arrive(): void {
-		if (this.#queue.now > this.#shape.milliseconds) {
+	#scheduleArrivals(): void {
+		if (this.#queue.now > this.#scenario.milliseconds) {
 			return;
 		}
 
-		this.#send(this.#takeRequest());
+		this.#send(this.#createRequest());
 		this.#result.requests++;
-		this.#queue.add(exponential(1000 / this.#shape.requestsPerSecond, this.#loadRandom), () => {
-			this.#arrive();
+		this.#queue.add(exponential(1000 / this.#scenario.requestsPerSecond, this.#loadRandom), () => {
+			this.#scheduleArrivals();
 		});
 	}
 
-	#takeRequest(): Request {
-		const request = drawRequest(this.#shape, this.#loadRandom);
+	#createRequest(): Request {
+		const request = drawRequest(this.#scenario, this.#loadRandom);
 		const entry = this.#entries[request.entry]!;
 		const route = toId<Route['id']>(request.kind.name);
 		return {
-			...request, entry, route, homeScope: this.#homeScope(entry, request), arrivedAt: this.#queue.now, excluded: new Set(), model: this.#shape.models[0]!, sends: 0,
+			...request, entry, route, homeScope: this.#homeScope(entry, request), arrivedAt: this.#queue.now, excluded: new Set(), model: this.#scenario.models[0]!, sends: 0,
 		};
 	}
 
@@ -183,9 +183,9 @@
 			return undefined;
 		}
 
-		const repeatsOnRoute = repeats.of(toId<Route['id']>(kind.name));
-		repeatsOnRoute.note(subject, this.#queue.now);
-		return homeScope({sharedTokens: kind.sharedTokens, repeatShare: repeatsOnRoute.share, bytes: bytesPerToken * (kind.sharedTokens + ownTokens)});
+		const routeRepeats = repeats.of(toId<Route['id']>(kind.name));
+		routeRepeats.note(subject, this.#queue.now);
+		return homeScope({sharedTokens: kind.sharedTokens, repeatShare: routeRepeats.share, bytes: bytesPerToken * (kind.sharedTokens + ownTokens)});
 	}
 
 	#send(request: Request): void {
@@ -207,29 +207,29 @@
 
 		request.sends++;
 		this.#result.sends++;
-		const id = ++this.#lastSend;
-		const way = engine.zone === zone ? 0 : this.#shape.crossing;
+		const id = ++this.#lastSendId;
+		const networkLatency = engine.zone === zone ? 0 : this.#scenario.crossing;
 		this.#sends.set(id, {
-			request, engine, load: servers.begin(engine.id, Math.max(1, this.#expected(request) / workUnitMilliseconds)), sentAt: now, hasBegun: false,
+			request, engine, load: servers.begin(engine.id, Math.max(1, this.#expectedLatency(request) / loadUnitMilliseconds)), sentAt: now, hasBegun: false,
 		});
-		this.#queue.add(way, () => {
-			this.#reach(id, engine);
+		this.#queue.add(networkLatency, () => {
+			this.#deliver(id, engine);
 		});
 		if (this.#policy.givesUp && request.sends < maximumSends) {
-			this.#queue.add(Math.max(quietMilliseconds, silentFactor * this.#expected(request)), () => {
-				this.#giveUp(id);
+			this.#queue.add(Math.max(minimumSilenceMilliseconds, silenceFactor * this.#expectedLatency(request)), () => {
+				this.#abandon(id);
 			});
 		}
 	}
 
-	#expected({entry: {latencies}, route, model, kind, ownTokens}: Request): number {
-		const fallback = kind.targetLatency / silentFactor;
+	#expectedLatency({entry: {latencies}, route, model, kind, ownTokens}: Request): number {
+		const fallback = kind.targetLatency / silenceFactor;
 		const tokens = kind.sharedTokens + ownTokens;
 		return latencies.expected(`${route} ${model.id}`, this.#policy.countsTokens ? {tokens, fallback} : {fallback});
 	}
 
-	/** The request arrives at the engine, which may be stopped or full. */
-	#reach(id: number, engine: SteppingEngine): void {
+	/** Delivers a request to its engine, which may be stopped or full. */
+	#deliver(id: number, engine: SteppingEngine): void {
 		const send = this.#sends.get(id);
 		if (send === undefined) {
 			return;
@@ -247,29 +247,29 @@
 			entry.servers.record(engine.id, 'unreachable', this.#queue.now);
 		}
 
-		this.#sendElsewhere(id);
+		this.#retryElsewhere(id);
 	}
 
-	#sendElsewhere(id: number): void {
+	#retryElsewhere(id: number): void {
 		const send = this.#sends.get(id);
-		this.#end(id);
+		this.#endSend(id);
 		if (send?.hasBegun === false) {
 			send.request.excluded.add(send.engine.id);
 			this.#send(send.request);
 		}
 	}
 
-	#giveUp(id: number): void {
+	#abandon(id: number): void {
 		const send = this.#sends.get(id);
 		if (send?.hasBegun === false) {
 			send.engine.cancel(id);
-			this.#sendElsewhere(id);
+			this.#retryElsewhere(id);
 		}
 	}
 
-	#takeFirst(id: number, {kept, read}: {readonly kept: number; readonly read: number}): void {
-		this.#result.tokensRead += read;
-		this.#result.tokensKept += kept;
+	#handleFirstToken(id: number, {cached, prefilled}: PromptTokens): void {
+		this.#result.tokensRead += prefilled;
+		this.#result.tokensKept += cached;
 		const send = this.#sends.get(id);
 		if (send === undefined) {
 			return;
@@ -283,42 +283,46 @@
 		load.answerBegins();
 		send.hasBegun = true;
 		latencies.note(`${route} ${model.id}`, {milliseconds: now - sentAt, tokens: this.#policy.countsTokens ? kind.sharedTokens + ownTokens : 0});
-		const larger = this.#larger(request);
-		if (larger !== undefined) {
-			request.model = larger;
+		const largerModel = this.#chooseLargerModel(request);
+		if (largerModel !== undefined) {
+			request.model = largerModel;
 			request.excluded.clear();
 			engine.cancel(id);
-			this.#end(id);
+			this.#endSend(id);
 			this.#send(request);
 			return;
 		}
 
-		const isLate = now - arrivedAt > kind.targetLatency;
-		const isTooHard = hardness > model.ability;
-		this.#result[isLate ? 'late' : (isTooHard ? 'tooHard' : 'good')]++;
+		if (now - arrivedAt > kind.targetLatency) {
+			this.#result.late++;
+		} else if (hardness > model.ability) {
+			this.#result.tooHard++;
+		} else {
+			this.#result.good++;
+		}
 	}
 
-	/** The model that should answer in place of the one that did, by its opinion of itself. */
-	#larger({entry: {latencies}, kind, route, model, hardness, doubt, arrivedAt, sends}: Request): EmulatedModel | undefined {
+	/** Chooses a larger model to escalate to, depending on the confidence of the model that responded. */
+	#chooseLargerModel({entry: {latencies}, kind, route, model, hardness, doubt, arrivedAt, sends}: Request): EmulatedModel | undefined {
 		if (!this.#policy.steps || sends >= maximumSends) {
 			return undefined;
 		}
 
-		const {models} = this.#shape;
+		const {models} = this.#scenario;
 		const largest = models.at(-1)!;
-		const opinion = 0.5 + model.ability - hardness + doubt;
+		const confidence = 0.5 + model.ability - hardness + doubt;
 		const next = chooseNextModel({
 			sizes: models.map(({id}) => toId<ModelId>(id)),
 			current: toId<ModelId>(model.id),
-			confidence: 100 * Math.min(1, Math.max(0, opinion)),
-			leastConfidence,
+			confidence: 100 * Math.min(1, Math.max(0, confidence)),
+			leastConfidence: minimumConfidence,
 			timeLeft: kind.targetLatency - (this.#queue.now - arrivedAt),
 			expectedTime: latencies.expected(`${route} ${largest.id}`, {fallback: 0.35 * kind.targetLatency}),
 		});
 		return models.find(({id}) => id === next);
 	}
 
-	#end(id: number): void {
+	#endSend(id: number): void {
 		this.#sends.get(id)?.load.end();
 		this.#sends.delete(id);
 	}
--- a/packages/testing/src/emulator/policies.ts
+++ b/packages/testing/src/emulator/policies.ts
@@ -1,26 +1,26 @@
 import {chooseHomeScope} from '@valehitch/routing';
 import {type DecisionPolicy} from './decision-policy.js';
 
-/** What the product does. */
+/** The policy that the product implements. */
 export const productPolicy: DecisionPolicy = {
-	name: 'as the product decides', homeScope: chooseHomeScope, knownLoads: 'near', countsTokens: true, givesUp: true, steps: true,
+	name: 'product policy', homeScope: chooseHomeScope, knownLoads: 'near', countsTokens: true, givesUp: true, steps: true,
 };
 
-/** The product with one mechanism taken out each, and some with another in its place. */
+/** The product's policy, and variants of it with mechanisms disabled or replaced. */
 export const comparedPolicies: readonly DecisionPolicy[] = [
 	productPolicy,
-	{...productPolicy, name: 'without homes of prompts', homeScope: undefined},
-	{...productPolicy, name: 'homes in each zone', homeScope: () => 'zone'},
-	{...productPolicy, name: 'homes over all zones', homeScope: () => 'all'},
-	{...productPolicy, name: 'without shared loads', knownLoads: 'none'},
-	{...productPolicy, name: 'with the loads of all', knownLoads: 'all'},
+	{...productPolicy, name: 'no prompt affinity', homeScope: undefined},
+	{...productPolicy, name: 'prompt affinity per zone', homeScope: () => 'zone'},
+	{...productPolicy, name: 'prompt affinity over all zones', homeScope: () => 'all'},
+	{...productPolicy, name: 'no shared loads', knownLoads: 'none'},
+	{...productPolicy, name: 'loads shared by all', knownLoads: 'all'},
 	{
-		...productPolicy, name: 'homes over all zones, loads of all', homeScope: () => 'all', knownLoads: 'all',
+		...productPolicy, name: 'affinity over zones, all loads', homeScope: () => 'all', knownLoads: 'all',
 	},
 	{
-		...productPolicy, name: 'without homes, loads of all', homeScope: undefined, knownLoads: 'all',
+		...productPolicy, name: 'no affinity, all loads', homeScope: undefined, knownLoads: 'all',
 	},
-	{...productPolicy, name: 'times blind to the prompt', countsTokens: false},
-	{...productPolicy, name: 'without giving servers up', givesUp: false},
-	{...productPolicy, name: 'without steps to a larger model', steps: false},
+	{...productPolicy, name: 'no prompt-length scaling', countsTokens: false},
+	{...productPolicy, name: 'no retry on silent servers', givesUp: false},
+	{...productPolicy, name: 'no escalation', steps: false},
 ];
--- a/packages/testing/src/emulator/prompt-cache.ts
+++ b/packages/testing/src/emulator/prompt-cache.ts
@@ -1,66 +1,66 @@
-/** A part of a prompt that other prompts may have too. */
+/** A segment of a prompt that other prompts may share. */
 export type EmulatedPart = {
 	readonly id: string;
 	readonly tokens: number;
 };
 
 /**
-The parts of prompts that an engine keeps, by model, the least recently used going first.
+The prompt cache of an engine: prompt prefixes by model, with eviction of the least recently used segments.
 
 @example
 ```ts
 const cache = new PromptCache(600_000);
-cache.read('large', parts); // the tokens that were kept
+cache.access('large', segments); // the number of cached tokens
 ```
 */
 export class PromptCache {
 	readonly #capacity: number;
-	/** In the order of their last use. */
-	readonly #parts = new Map<string, number>();
+	/** The cached segments and their tokens, least recently used first. */
+	readonly #segments = new Map<string, number>();
 	#tokens = 0;
 
 	/**
-	@param capacity The most tokens that are kept.
+	@param capacity The maximum number of cached tokens.
 	*/
 	constructor(capacity: number) {
 		this.#capacity = capacity;
 	}
 
-	/** The tokens that are kept. */
+	/** The number of cached tokens. */
 	get tokens(): number {
 		return this.#tokens;
 	}
 
 	/**
-	Uses the beginning of a prompt: what was kept of it, up to the first part that was not, need not be read again.
+	Looks up the longest cached prefix of a prompt, and caches all its segments.
 
-	@param model The model; each has a cache of its own.
-	@param parts The parts, in the order of the prompt.
-	@returns The tokens that were kept.
+	@param model The model; prefixes are not shared between models.
+	@param segments The segments, in prompt order.
+	@returns The number of tokens in the cached prefix.
 	*/
-	read(model: string, parts: readonly EmulatedPart[]): number {
-		let kept = 0;
-		let isKept = true;
+	read(model: string, segments: readonly EmulatedPart[]): number {
+		let cachedTokens = 0;
+		let isCached = true;
 		let key = model;
-		for (const {id, tokens} of parts) {
+		for (const {id, tokens} of segments) {
 			key = `${key} ${id}`;
-			isKept &&= this.#parts.has(key);
-			kept += isKept ? tokens : 0;
-			this.#keep(key, tokens);
+			isCached &&= this.#segments.has(key);
+			cachedTokens += isCached ? tokens : 0;
+			this.#insert(key, tokens);
 		}
 
-		return kept;
+		return cachedTokens;
 	}
 
-	#keep(key: string, tokens: number): void {
-		this.#tokens += this.#parts.delete(key) ? 0 : tokens;
-		this.#parts.set(key, tokens);
-		for (const [oldest, oldestTokens] of this.#parts) {
+	#insert(key: string, tokens: number): void {
+		this.#tokens += this.#segments.delete(key) ? 0 : tokens;
+		this.#segments.set(key, tokens);
+		for (const [oldestKey, oldestTokens] of this.#segments) {
 			if (this.#tokens <= this.#capacity) {
 				return;
 			}
 
-			this.#parts.delete(oldest);
+			this.#segments.delete(oldestKey);
 			this.#tokens -= oldestTokens;
 		}
 	}
--- a/packages/testing/src/emulator/stepping-engine.ts
+++ b/packages/testing/src/emulator/stepping-engine.ts
@@ -4,7 +4,7 @@
 } from './emulated-engine.js';
 import {type EventQueue} from './event-queue.js';
 
-/** What an engine needs to run in simulated time. */
+/** Options of `ScheduledEngine`. */
 export type SteppingEngineOptions = {
 	readonly id: ServerId;
 	readonly zone: ZoneId;
@@ -14,13 +14,13 @@
 };
 
 /**
-An engine that takes its steps in simulated time, and can be slower or stopped for a while.
+An emulated engine that schedules its steps in simulated time and can be slowed down or stopped temporarily.
 
 @example
 ```ts
-const engine = new SteppingEngine({id, zone, sheet, queue, events});
-engine.offer(work);
-engine.slowDown(Number.POSITIVE_INFINITY); // what it dropped
+const engine = new ScheduledEngine({id, zone, parameters, queue, callbacks});
+engine.tryEnqueue(request);
+engine.slowDown(Number.POSITIVE_INFINITY); // the ids of the dropped requests
 engine.recover();
 ```
 */
@@ -30,7 +30,7 @@
 	readonly #engine: EmulatedEngine;
 	readonly #queue: EventQueue;
 	#isStepping = false;
-	#slower = 1;
+	#slowdownFactor = 1;
 
 	constructor({id, zone, sheet, queue, events}: SteppingEngineOptions) {
 		this.id = id;
@@ -39,59 +39,59 @@
 		this.#engine = new EmulatedEngine(sheet, events);
 	}
 
-	/** Whether it takes no connection. */
+	/** Whether the engine is stopped and accepts no connections. */
 	get isStopped(): boolean {
-		return this.#slower === Number.POSITIVE_INFINITY;
+		return this.#slowdownFactor === Number.POSITIVE_INFINITY;
 	}
 
 	/**
-	Offers a request.
+	Queues a request.
 
-	@param work The request.
-	@returns Whether it is taken.
+	@param request The request.
+	@returns Whether the request was queued.
 	*/
-	offer(work: EngineWork): boolean {
-		const isTaken = !this.isStopped && this.#engine.offer(work);
-		this.#step();
-		return isTaken;
+	offer(request: EngineWork): boolean {
+		const isQueued = !this.isStopped && this.#engine.offer(request);
+		this.#scheduleStep();
+		return isQueued;
 	}
 
 	/**
-	Ends a request whose caller has left.
+	Removes a request that its caller has cancelled.
 
-	@param id The request.
+	@param id The id of the request.
 	*/
 	cancel(id: number): void {
 		this.#engine.cancel(id);
 	}
 
 	/**
-	Makes its steps longer; it stops where they would take for ever.
+	Slows the engine down, or stops it.
 
-	@param factor How many times longer.
-	@returns The requests that it dropped.
+	@param factor The factor by which steps take longer; infinity stops the engine.
+	@returns The ids of the requests dropped by the stop; empty for a finite factor.
 	*/
 	slowDown(factor: number): readonly number[] {
-		this.#slower = factor;
+		this.#slowdownFactor = factor;
 		return this.isStopped ? this.#engine.crash() : [];
 	}
 
-	/** Makes its steps as long as they were. */
+	/** Restores the normal speed. */
 	recover(): void {
-		this.#slower = 1;
-		this.#step();
+		this.#slowdownFactor = 1;
+		this.#scheduleStep();
 	}
 
-	#step(): void {
+	#scheduleStep(): void {
 		if (this.#isStepping || this.isStopped || !this.#engine.isBusy) {
 			return;
 		}
 
 		this.#isStepping = true;
-		this.#queue.add(this.#slower * this.#engine.step(), () => {
+		this.#queue.add(this.#slowdownFactor * this.#engine.step(), () => {
 			this.#isStepping = false;
 			this.#engine.finishStep();
-			this.#step();
+			this.#scheduleStep();
 		});
 	}
 }
--- a/packages/testing/src/emulator/told-loads.ts
+++ b/packages/testing/src/emulator/told-loads.ts
@@ -2,67 +2,67 @@
 import {type EntryServers, type KnownEntry, nearEntriesOf} from '@valehitch/gateway';
 import {type EmulatedEntry} from './emulated-entry.js';
 
-type Told = ReadonlyMap<ServerId, number>;
+type PublishedLoads = ReadonlyMap<ServerId, number>;
 
 /**
-The work at each server as the entry instances told it last, all at the same moment.
+The load of each server as last published by the entry instances, which publish all at the same time.
 
 @example
 ```ts
-const told = new ToldLoads(entries, 'near');
-told.tell();
-told.othersOn(server, servers);
+const sharedLoads = new SharedLoads(entries, 'near');
+sharedLoads.publish();
+sharedLoads.peerLoadAt(server, servers);
 ```
 */
 export class ToldLoads {
 	readonly #entries: ReadonlyMap<EntryServers, EmulatedEntry>;
-	/** The other instances whose loads each instance is told. */
-	readonly #tellers = new Map<EntryServers, readonly EntryServers[]>();
-	#sums = new Map<EntryServers, Told>();
+	/** The other instances whose loads each instance receives. */
+	readonly #sources = new Map<EntryServers, readonly EntryServers[]>();
+	#peerLoads = new Map<EntryServers, PublishedLoads>();
 
 	/**
 	@param entries The entry instances.
-	@param known Whose loads an instance is told: those of the instances near it, as the product does, or those of all.
+	@param known The instances whose loads an instance receives: its load-sharing peers, as in the product, or all others.
 	*/
 	constructor(entries: readonly EmulatedEntry[], known: 'near' | 'all') {
 		this.#entries = new Map(entries.map(entry => [entry.servers, entry]));
 		const names = entries.map(({zone}, index): KnownEntry => ({instance: toId(`entry-${String(index).padStart(4, '0')}`), zone}));
 		const byName = new Map(names.map(({instance}, index) => [instance, entries[index]!.servers]));
 		for (const [index, {servers}] of entries.entries()) {
-			const tellers = known === 'all' ? names.filter((_, other) => other !== index).map(({instance}) => instance) : nearEntriesOf(names[index]!, names);
-			this.#tellers.set(servers, tellers.map(name => byName.get(name)!));
+			const sources = known === 'all' ? names.filter((_, other) => other !== index).map(({instance}) => instance) : nearEntriesOf(names[index]!, names);
+			this.#sources.set(servers, sources.map(name => byName.get(name)!));
 		}
 	}
 
-	/** Takes the loads as they are now. */
+	/** Publishes the current loads. */
 	tell(): void {
-		const own = new Map<EntryServers, Told>();
+		const own = new Map<EntryServers, PublishedLoads>();
 		for (const servers of this.#entries.keys()) {
 			own.set(servers, new Map(servers.loads));
 		}
 
-		this.#sums = new Map();
-		for (const [servers, tellers] of this.#tellers) {
-			this.#sums.set(servers, sumOf(tellers.map(teller => own.get(teller)!)));
+		this.#peerLoads = new Map();
+		for (const [servers, sources] of this.#sources) {
+			this.#peerLoads.set(servers, sumOf(sources.map(source => own.get(source)!)));
 		}
 	}
 
 	/**
-	The work of other instances at a server.
+	Returns the load that other instances last published for a server.
 
 	@param server The server.
-	@param servers Those of the instance that asks.
-	@returns The sum of what the others told it.
+	@param servers The servers of the instance that asks.
+	@returns The sum of the loads published to that instance.
 	*/
 	othersOn(server: ServerId, servers: EntryServers): number {
-		return this.#sums.get(servers)?.get(server) ?? 0;
+		return this.#peerLoads.get(servers)?.get(server) ?? 0;
 	}
 }
 
-function sumOf(all: readonly Told[]): Told {
+function sumOf(all: readonly PublishedLoads[]): PublishedLoads {
 	const sum = new Map<ServerId, number>();
-	for (const told of all) {
-		for (const [server, work] of told) {
+	for (const loads of all) {
+		for (const [server, work] of loads) {
 			sum.set(server, (sum.get(server) ?? 0) + work);
 		}
 	}
--- a/packages/testing/src/measure/fault.ts
+++ b/packages/testing/src/measure/fault.ts
@@ -115,4 +115,3 @@
 function smallEngines({backends}: System, {smallModel}: Workload): readonly SystemBackend[] {
 	return backends.filter(({models}) => models?.some(version => version.startsWith(`${smallModel}@`)));
 }
-
--- a/packages/testing/src/measure/own-cost.ts
+++ b/packages/testing/src/measure/own-cost.ts
@@ -154,4 +154,3 @@
 	await Promise.all(Array.from({length: concurrency}, send));
 	return results.filter(({done}) => done).length;
 }
-
