--- a/packages/testing/src/bin/bench-choice.ts
+++ b/packages/testing/src/bin/bench-choice.ts
@@ -1,5 +1,5 @@
 /**
-Measures the choice of a version and the size of what is kept and sent: `node --expose-gc bench-choice.js`.
+Measures the processor time of choosing a version and the heap size of a quality estimate. Usage: `node --expose-gc bench-choice.js`.
 
 @module
 */
@@ -11,7 +11,7 @@
 
 const rounds = 20_000;
 const sizes = [2, 4, 8, 16] as const;
-const bookSizes = [1000, 2000, 4000, 8000] as const;
+const estimateCounts = [1000, 2000, 4000, 8000] as const;
 const workspace = toId<WorkspaceId>('yard');
 
 function configurationOf(count: number): EffectiveConfiguration {
@@ -65,17 +65,17 @@
 			isServed: () => true,
 			quality: (key: QualityKey, prior: Parameters<typeof book.estimate>[1]['prior']) => book.estimate(key, {prior, now: 0}),
 		};
-		const started = process.cpuUsage();
+		const cpuBefore = process.cpuUsage();
 		for (let round = 0; round < rounds; round += 1) {
 			chooseVersion(request, options);
 		}
 
-		const {user, system} = process.cpuUsage(started);
-		console.log(`${size} versions${withCascades ? ' and their cascades' : ''}: ${((user + system) / rounds).toFixed(1)} microseconds of processor time a choice`);
+		const {user, system} = process.cpuUsage(cpuBefore);
+		console.log(`${size} versions${withCascades ? ' with cascades' : ''}: ${((user + system) / rounds).toFixed(1)} microseconds of processor time per choice`);
 	}
 }
 
-for (const size of bookSizes) {
+for (const size of estimateCounts) {
 	globalThis.gc?.();
 	const before = process.memoryUsage().heapUsed;
 	const book = new QualityBook({instance: toId<InstanceId>('i'), startedAt: 0});
@@ -86,5 +86,5 @@
 	}
 
 	globalThis.gc?.();
-	console.log(`${size} estimates: ${((process.memoryUsage().heapUsed - before) / size).toFixed(0)} bytes each (${book.size} kept)`);
+	console.log(`${size} estimates: ${((process.memoryUsage().heapUsed - before) / size).toFixed(0)} bytes each (${book.size} stored)`);
 }
--- a/packages/testing/src/bin/bench-consensus.ts
+++ b/packages/testing/src/bin/bench-consensus.ts
@@ -5,10 +5,10 @@
 	createReplica, isLeader, type ReplicaEvent, type ReplicaId, type ReplicaState, step, toReplicaId,
 } from '@valehitch/consensus';
 
-/** Measures three replicas in one process, without network or disk: steps and committed proposals a second by batch size. */
+/** Measures three replicas in one process, without network or disk: steps and committed proposals per second by batch size. */
 const proposalsPerRun = 60_000;
 const payloadBytes = 200;
-const snapshotEvery = 5000;
+const entriesPerSnapshot = 5000;
 const batchSizes = [1, 8, 64];
 const voters = ['a', 'b', 'c'].map(instance => toReplicaId(instance, '0'));
 
@@ -19,12 +19,12 @@
 	snapshotIndex: number;
 };
 
-let base = 0;
+let baselineRate = 0;
 for (const batch of batchSizes) {
 	const {steps, committed, seconds} = measure(batch);
 	const rate = committed / seconds;
-	base ||= rate;
-	process.stdout.write(`batch ${batch}: ${Math.round(steps / seconds)} steps/s, ${Math.round(rate)} proposals/s, ${(rate / base).toFixed(2)} times batch 1\n`);
+	baselineRate ||= rate;
+	process.stdout.write(`batch ${batch}: ${Math.round(steps / seconds)} steps/s, ${Math.round(rate)} proposals/s, ${(rate / baselineRate).toFixed(2)} times the rate of batch 1\n`);
 }
 
 function measure(batch: number): {readonly steps: number; readonly committed: number; readonly seconds: number} {
@@ -40,21 +40,21 @@
 
 	const now = 10;
 	const leader = leaderOf(group)!;
-	const start = group.committed;
-	const startSteps = group.steps;
-	const began = performance.now();
-	while (group.committed - start < proposalsPerRun) {
+	const committedBefore = group.committed;
+	const stepsBefore = group.steps;
+	const startedAt = performance.now();
+	while (group.committed - committedBefore < proposalsPerRun) {
 		const proposals = Array.from({length: batch}, (_, position) => ({proposalId: `${position}`, data: new Uint8Array(payloadBytes)}));
 		run(group, {id: leader, event: {type: 'propose', proposals}, now});
-		cut(group, leader);
+		takeSnapshots(group, leader);
 	}
 
-	return {steps: group.steps - startSteps, committed: group.committed - start, seconds: (performance.now() - began) / 1000};
+	return {steps: group.steps - stepsBefore, committed: group.committed - committedBefore, seconds: (performance.now() - startedAt) / 1000};
 }
 
-function cut(group: Group, leader: ReplicaId): void {
+function takeSnapshots(group: Group, leader: ReplicaId): void {
 	const {commitIndex} = group.states.get(leader)!;
-	if (commitIndex < group.snapshotIndex + snapshotEvery) {
+	if (commitIndex < group.snapshotIndex + entriesPerSnapshot) {
 		return;
 	}
 
@@ -69,14 +69,14 @@
 }
 
 function run(group: Group, first: {readonly id: ReplicaId; readonly event: ReplicaEvent; readonly now: number}): void {
-	const waiting = [first];
-	for (const {id, event, now} of waiting) {
+	const queue = [first];
+	for (const {id, event, now} of queue) {
 		const {state, actions} = step(group.states.get(id)!, event, now);
 		group.states.set(id, state);
 		group.steps++;
 		group.committed += isLeader(state) ? actions.committed.length : 0;
 		for (const {to, message} of actions.messages) {
-			waiting.push({id: to, event: {type: 'message', from: id, message}, now});
+			queue.push({id: to, event: {type: 'message', from: id, message}, now});
 		}
 	}
 }
--- a/packages/testing/src/bin/bench-control.ts
+++ b/packages/testing/src/bin/bench-control.ts
@@ -22,48 +22,48 @@
 	instance: `control-${name}`, zone: `prairie-south-${name}`, roles: ['control', 'entry'],
 }));
 const plans: readonly DaemonPlan[] = [...controlPlans, {instance: 'entry-a', zone: 'prairie-south-a', roles: ['entry']}];
-const concurrencies = [1, 8, 64, 256];
-const secondsEach = 5;
+const concurrencyLevels = [1, 8, 64, 256];
+const secondsPerConcurrency = 5;
 const settleMilliseconds = 5000;
 const idleMilliseconds = 20_000;
-// Linux counts a process's time in hundredths of a second.
+// Linux reports the processor time of a process in ticks of 1/100 s (USER_HZ).
 const millisecondsPerTick = 10;
 const logLengths = [1000, 5000, 20_000, 80_000];
 const batchLength = 500;
-// Below the bound on the keys that the state keeps for a workspace.
+// Below the limit on the idempotency keys stored per workspace.
 const claimsPerWorkspace = 4000;
-const noSnapshots = {snapshotEntries: 10_000_000, snapshotBytes: 1_073_741_824, segmentBytes: 1_073_741_824};
+const snapshotsDisabled = {snapshotEntries: 10_000_000, snapshotBytes: 1_073_741_824, segmentBytes: 1_073_741_824};
 const packr = new Packr({useRecords: false});
 
-let claims = 0;
+let claimCount = 0;
 
 type Reply = {readonly result: {readonly ok: boolean}; readonly leader?: string};
 
-say('Commits of claims on 3 daemons of one machine, through the leader\'s peers\' port');
+print('Committing claims on 3 daemons on one machine, through the peer port of the leader');
 const deployment = await startDeployment({
-	daemons: plans, backends: [], configuration: {models: {}, services: {}, workspaces: {}}, settings: {controlLog: noSnapshots},
+	daemons: plans, backends: [], configuration: {models: {}, services: {}, workspaces: {}}, settings: {controlLog: snapshotsDisabled},
 });
 try {
-	await benchIdle(deployment);
-	await benchCommits(deployment);
+	await measureIdleUsage(deployment);
+	await measureCommits(deployment);
 } finally {
 	await deployment.stop();
 	await rm(deployment.folder, {recursive: true});
 }
 
-say('Recovery: open the folder, check and read the log, apply it');
+print('Recovery: open the data folder, verify and read the log, apply it');
 for (const length of logLengths) {
-	await benchRecovery(length);
+	await measureRecovery(length);
 }
 
-/** The share of a core that a daemon takes while nothing but heartbeats goes on. */
-async function benchIdle(running: Deployment): Promise<void> {
+/** Measures the share of a core that a daemon uses while it only sends and receives heartbeats. */
+async function measureIdleUsage(running: Deployment): Promise<void> {
 	await setTimeout(settleMilliseconds);
 	const before = await Promise.all(running.daemons.map(async daemon => processorTicks(daemon.process.pid)));
 	await setTimeout(idleMilliseconds);
 	const after = await Promise.all(running.daemons.map(async daemon => processorTicks(daemon.process.pid)));
 	console.table(running.daemons.map(({instance}, index) => ({
-		instance, percentOfCore: round((((after[index] ?? 0) - (before[index] ?? 0)) * millisecondsPerTick * 100) / idleMilliseconds),
+		instance, percentOfCore: roundToHundredths((((after[index] ?? 0) - (before[index] ?? 0)) * millisecondsPerTick * 100) / idleMilliseconds),
 	})));
 }
 
@@ -73,9 +73,9 @@
 	return user + system;
 }
 
-async function benchCommits(running: Deployment): Promise<void> {
+async function measureCommits(running: Deployment): Promise<void> {
 	const network = await PeerNetwork.listen<unknown>({
-		self: toId<InstanceId>('bench'), key: deploymentKeys.peers, host: '127.0.0.1', port: 0, onMessage: nothing, onRequest: async () => undefined, onFailure: nothing,
+		self: toId<InstanceId>('bench'), key: deploymentKeys.peers, host: '127.0.0.1', port: 0, onMessage: ignoreMessage, onRequest: async () => undefined, onFailure: ignoreMessage,
 	});
 	const ask = async (instance: string, message: unknown): Promise<unknown> => {
 		const daemon = running.daemons.find(candidate => candidate.instance === instance);
@@ -85,10 +85,10 @@
 
 	const {leader = ''} = await ask(plans[0]?.instance ?? '', {scope: 'control', type: 'leader'}) as {leader?: string};
 	const rows = [];
-	for (const concurrency of concurrencies) {
+	for (const concurrency of concurrencyLevels) {
 		const bytesBefore = await segmentBytes(path.join(running.folder, 'data', leader));
 		const started = performance.now();
-		const latencies = await proposeFor(secondsEach, {concurrency, propose: async () => ask(leader, {scope: 'control', type: 'propose', command: claim()})});
+		const latencies = await proposeFor(secondsPerConcurrency, {concurrency, propose: async () => ask(leader, {scope: 'control', type: 'propose', command: createClaim()})});
 		const seconds = (performance.now() - started) / 1000;
 		const bytes = await segmentBytes(path.join(running.folder, 'data', leader)) - bytesBefore;
 		const sorted = latencies.toSorted((left, right) => left - right);
@@ -96,8 +96,8 @@
 			concurrency,
 			commitsPerSecond: Math.round(latencies.length / seconds),
 			bytesPerCommit: Math.round(bytes / latencies.length),
-			medianMilliseconds: round(sorted[Math.floor(sorted.length / 2)]),
-			p99Milliseconds: round(sorted[Math.floor(sorted.length * 0.99)]),
+			medianMilliseconds: roundToHundredths(sorted[Math.floor(sorted.length / 2)]),
+			p99Milliseconds: roundToHundredths(sorted[Math.floor(sorted.length * 0.99)]),
 		});
 	}
 
@@ -113,7 +113,7 @@
 			const started = performance.now();
 			const reply = await propose() as Reply | undefined;
 			if (reply?.result.ok !== true) {
-				throw new Error(`Got ${JSON.stringify(reply)}, wanted a committed claim`);
+				throw new Error(`the claim was not committed; the reply is ${JSON.stringify(reply)}`);
 			}
 
 			latencies.push(performance.now() - started);
@@ -122,7 +122,7 @@
 	return latencies;
 }
 
-async function benchRecovery(length: number): Promise<void> {
+async function measureRecovery(length: number): Promise<void> {
 	const folder = await mkdtemp(path.join(tmpdir(), 'valehitch-bench-'));
 	await fillFolder(folder, length);
 	const logBytes = await segmentBytes(folder);
@@ -140,12 +140,12 @@
 	const applied = performance.now();
 	const snapshot = state.toSnapshot();
 	const ended = performance.now();
-	say(JSON.stringify({
+	print(JSON.stringify({
 		entries: length,
 		logBytes,
-		readMilliseconds: round(read - started),
-		applyMilliseconds: round(applied - read),
-		snapshotMilliseconds: round(ended - applied),
+		readMilliseconds: roundToHundredths(read - started),
+		applyMilliseconds: roundToHundredths(applied - read),
+		snapshotMilliseconds: roundToHundredths(ended - applied),
 		snapshotBytes: snapshot.byteLength,
 	}));
 	await data.close();
@@ -158,7 +158,7 @@
 	const votedFor = toReplicaId('entry-1', data.takeStored().identity);
 	for (let first = 1; first <= length; first += batchLength) {
 		const entries = Array.from({length: Math.min(batchLength, length + 1 - first)}, (_, offset): LogEntry => ({
-			index: first + offset, term: 1, payload: {type: 'command', data: packr.pack(claim())},
+			index: first + offset, term: 1, payload: {type: 'command', data: packr.pack(createClaim())},
 		}));
 		const written = await data.persist({
 			hardState: {term: 1, votedFor}, entries, snapshot: undefined, discardsLog: false,
@@ -169,10 +169,10 @@
 	await data.close();
 }
 
-function claim(): Command {
+function createClaim(): Command {
 	const id = randomUUID();
-	claims++;
-	const workspace = toId<WorkspaceId>(`workspace-${Math.floor(claims / claimsPerWorkspace)}`);
+	claimCount++;
+	const workspace = toId<WorkspaceId>(`workspace-${Math.floor(claimCount / claimsPerWorkspace)}`);
 	return {
 		type: 'take-claim', workspace, key: toId(id), requestDigest: id, request: toId<RequestId>(id), instance: toId<InstanceId>('entry-1'), at: Date.now(),
 	};
@@ -184,14 +184,14 @@
 	return sizes.reduce((sum, {size}) => sum + size, 0);
 }
 
-function round(milliseconds = 0): number {
+function roundToHundredths(milliseconds = 0): number {
 	return Math.round(milliseconds * 100) / 100;
 }
 
-function nothing(): void {
+function ignoreMessage(): void {
 	// No message is expected.
 }
 
-function say(line: string): void {
+function print(line: string): void {
 	process.stdout.write(`${line}\n`);
 }
--- a/packages/testing/src/bin/bench-decisions.ts
+++ b/packages/testing/src/bin/bench-decisions.ts
@@ -1,5 +1,5 @@
 /**
-Compares policies over emulated loads of the three customers, drawn at random: `node bench-decisions.js [LOADS] [SECONDS] [TIMES]`; TIMES multiplies entry instances, engines and requests.
+Compares routing policies on simulated random loads of the three customers. Usage: `node bench-decisions.js [LOADS] [SECONDS] [TIMES]`; TIMES multiplies entry instances, engines and requests.
 
 @module
 */
@@ -15,9 +15,9 @@
 const firstSeed = 20_261_202;
 const seedStep = 104_729;
 
-function grown({entries, engines, calmRequestsPerSecond, ...sheet}: CustomerSheet, factor: number): CustomerSheet {
+function scaleDeployment({entries, engines, calmRequestsPerSecond, ...profile}: CustomerSheet, factor: number): CustomerSheet {
 	return {
-		...sheet, entries: entries * factor, engines: engines * factor, calmRequestsPerSecond: calmRequestsPerSecond * factor,
+		...profile, entries: entries * factor, engines: engines * factor, calmRequestsPerSecond: calmRequestsPerSecond * factor,
 	};
 }
 
@@ -25,34 +25,34 @@
 	return `${(100 * count / requests).toFixed(1)} %`;
 }
 
-/** The share of good answers of single loads: its mean, and how far it scatters. */
-function spread(results: readonly LoadResult[]): string {
+/** Formats the mean and standard deviation, over the loads, of the percentage of good responses. */
+function formatGoodShare(results: readonly LoadResult[]): string {
 	const shares = results.map(({good, requests}) => 100 * good / requests);
 	const mean = shares.reduce((sum, share) => sum + share, 0) / shares.length;
 	const variance = shares.reduce((sum, share) => sum + ((share - mean) ** 2), 0) / shares.length;
 	return `${mean.toFixed(1)} ± ${Math.sqrt(variance).toFixed(1)}`;
 }
 
-for (const [customer, sheet] of Object.entries(customerSheets)) {
-	console.log(`\n${customer}: ${loads} loads of ${seconds} s, ${sheet.entries * times!} entry instances, ${sheet.engines * times!} engines`);
-	console.log(['policy'.padEnd(34), 'good, % of a load'.padEnd(19), 'late'.padEnd(8), 'too hard'.padEnd(10), 'lost'.padEnd(8), 'sends'.padEnd(7), 'tokens read'].join(' '));
+for (const [customer, profile] of Object.entries(customerSheets)) {
+	console.log(`\n${customer}: ${loads} loads of ${seconds} s, ${profile.entries * times!} entry instances, ${profile.engines * times!} engines`);
+	console.log(['policy'.padEnd(34), 'good, % of a load'.padEnd(19), 'late'.padEnd(8), 'incorrect'.padEnd(10), 'failed'.padEnd(8), 'sends'.padEnd(7), 'tokens prefilled'].join(' '));
 	for (const policy of comparedPolicies) {
 		const results: LoadResult[] = [];
 		for (let index = 0; index < loads!; index++) {
 			const loadRandom = seededRandom(firstSeed + (index * seedStep));
-			const shape = drawLoad(grown(sheet, times!), {random: loadRandom, milliseconds: seconds! * 1000});
-			results.push(playLoad(shape, {policy, loadRandom, decisionRandom: seededRandom(firstSeed + index)}));
+			const scenario = drawLoad(scaleDeployment(profile, times!), {random: loadRandom, milliseconds: seconds! * 1000});
+			results.push(playLoad(scenario, {policy, loadRandom, decisionRandom: seededRandom(firstSeed + index)}));
 		}
 
 		const sum = addResults(results);
 		console.log([
 			policy.name.padEnd(34),
-			spread(results).padEnd(19),
+			formatGoodShare(results).padEnd(19),
 			percent(sum.late, sum).padEnd(8),
 			percent(sum.tooHard, sum).padEnd(10),
 			percent(sum.lost, sum).padEnd(8),
 			(sum.sends / sum.requests).toFixed(2).padEnd(7),
-			`${Math.round(sum.tokensRead / sum.requests)} a request, ${Math.round(100 * sum.tokensKept / (sum.tokensRead + sum.tokensKept))} % kept`,
+			`${Math.round(sum.tokensRead / sum.requests)} per request, ${Math.round(100 * sum.tokensKept / (sum.tokensRead + sum.tokensKept))} % cached`,
 		].join(' '));
 	}
 }
--- a/packages/testing/src/bin/bench-distribution.ts
+++ b/packages/testing/src/bin/bench-distribution.ts
@@ -4,15 +4,15 @@
 import {type DistributionFigures, measureDistribution} from '../_distribution-trial.js';
 
 const {values} = parseArgs({options: {sizes: {type: 'string', default: '3,7,14,28'}, seconds: {type: 'string', default: '20'}}});
-const all: DistributionFigures[] = [];
+const results: DistributionFigures[] = [];
 for (const size of values.sizes.split(',')) {
-	all.push(await measureDistribution(Number(size), Number(values.seconds)));
+	results.push(await measureDistribution(Number(size), Number(values.seconds)));
 }
 
-process.stdout.write(`${JSON.stringify(all)}\n`);
+process.stdout.write(`${JSON.stringify(results)}\n`);
 const columns = ['daemons', 'engines', 'sent B/s', 'received B/s', 'largest B/s', 'frames/s', 'CPU %', 'largest CPU %', 'MB', 'held ms', 'in force ms'];
 process.stdout.write(`${columns.map(column => column.padStart(13)).join('')}\n`);
-for (const figures of all) {
+for (const figures of results) {
 	const cells = [
 		figures.daemons,
 		figures.engines,
--- a/packages/testing/src/bin/bench-isolation.ts
+++ b/packages/testing/src/bin/bench-isolation.ts
@@ -2,13 +2,13 @@
 import process from 'node:process';
 import {type IsolationFigures, measureIsolation} from '../_isolation-trial.js';
 
-const all: IsolationFigures[] = [];
+const results: IsolationFigures[] = [];
 for (const serve of ['settled', 'all', 'none'] as const) {
-	all.push(...await measureIsolation(serve));
+	results.push(...await measureIsolation(serve));
 }
 
-process.stdout.write(`${JSON.stringify(all)}\n`);
-for (const {serve, phase, settled, withdrawn, plainService} of all) {
+process.stdout.write(`${JSON.stringify(results)}\n`);
+for (const {serve, phase, settled, withdrawn, plainService} of results) {
 	const cells = [settled, withdrawn, plainService].map(({served, refused}) => `${served} served, ${refused} refused`.padStart(24));
 	process.stdout.write(`${serve.padEnd(8)}${phase.padEnd(18)}${cells.join('')}\n`);
 }
--- a/packages/testing/src/bin/bench-routing.ts
+++ b/packages/testing/src/bin/bench-routing.ts
@@ -6,12 +6,12 @@
 import {benchServerChoice} from '../_bench-server-choice.js';
 
 const seed = Number(process.argv[2] ?? 20_261_202);
-const parts = {
+const benchmarks = {
 	life: benchLife, admission: benchAdmission, server: benchServerChoice, hedge: benchHedge,
 } as const;
 process.stdout.write(`seed ${seed}, Node ${process.version}\n`);
-for (const [name, part] of Object.entries(parts)) {
+for (const [name, runBenchmark] of Object.entries(benchmarks)) {
 	if ((process.argv[3] ?? name) === name) {
-		process.stdout.write(`${part(seed).join('\n')}\n`);
+		process.stdout.write(`${runBenchmark(seed).join('\n')}\n`);
 	}
 }
--- a/packages/testing/src/bin/bench-state.ts
+++ b/packages/testing/src/bin/bench-state.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/* Prints how many bytes a claim, a bill and an order take in memory and in a snapshot. Run with `node --expose-gc`. */
+/* Prints the size of a claim and of a bill in memory and in a snapshot. Run with `node --expose-gc`. */
 import process from 'node:process';
 import {
 	type Command, type ControlLimits, ControlState, defaultControlLimits, type IdempotencyKey,
@@ -11,7 +11,7 @@
 type Subject = {
 	readonly name: string;
 	readonly commands: (index: number) => readonly Command[];
-	/** Whether bills are archived as they come, so that only the memory of duplicates is left. */
+	/** Whether bills are archived immediately, which leaves only the duplicate detection in memory. */
 	readonly archives?: boolean;
 };
 
@@ -31,11 +31,11 @@
 const instanceOf = (index: number) => toId<InstanceId>(`entry-${index % instances}`);
 const keyOf = (index: number) => toId<IdempotencyKey>(`key-${hexadecimal(index, 32)}`);
 
-const take = (index: number): Command => ({
+const takeClaim = (index: number): Command => ({
 	type: 'take-claim', workspace: workspaceOf(index), key: keyOf(index), requestDigest: hexadecimal(index, 64), request: requestOf(index), instance: instanceOf(index), at: index,
 });
 
-const settle = (index: number, body: Uint8Array | undefined): Command => ({
+const settleClaim = (index: number, body: Uint8Array | undefined): Command => ({
 	type: 'settle-claim',
 	workspace: workspaceOf(index),
 	key: keyOf(index),
@@ -63,15 +63,15 @@
 	};
 }
 
-const record = (index: number, hasOrigin: boolean): readonly Command[] => [{type: 'record-bills', bills: [structuredClone(billOf(index, hasOrigin))]}];
+const recordBill = (index: number, hasOrigin: boolean): readonly Command[] => [{type: 'record-bills', bills: [structuredClone(billOf(index, hasOrigin))]}];
 
 const subjects: readonly Subject[] = [
-	{name: 'open claim', commands: index => [take(index)]},
-	{name: 'settled claim, digest only', commands: index => [take(index), settle(index, undefined)]},
-	{name: `settled claim, body of ${bodyBytes} bytes`, commands: index => [take(index), settle(index, new Uint8Array(bodyBytes))]},
-	{name: 'bill kept for reading', commands: index => record(index, true)},
-	{name: 'bill archived, known by its origin', commands: index => record(index, true), archives: true},
-	{name: 'bill archived, known by the window', commands: index => record(index, false), archives: true},
+	{name: 'open claim', commands: index => [takeClaim(index)]},
+	{name: 'settled claim, digest only', commands: index => [takeClaim(index), settleClaim(index, undefined)]},
+	{name: `settled claim, body of ${bodyBytes} bytes`, commands: index => [takeClaim(index), settleClaim(index, new Uint8Array(bodyBytes))]},
+	{name: 'bill kept for reading', commands: index => recordBill(index, true)},
+	{name: 'bill archived, known by its origin', commands: index => recordBill(index, true), archives: true},
+	{name: 'bill archived, known by the window', commands: index => recordBill(index, false), archives: true},
 ];
 
 function measure(subject: Subject, count: number): Sample {
@@ -80,7 +80,7 @@
 	const state = fill(subject, count);
 	globalThis.gc?.();
 	const heapBytes = usedBytes() - before;
-	// The state is used after the measurement, so that it is alive during it.
+	// Using the state after the measurement prevents its garbage collection before.
 	return {count, heapBytes, snapshotBytes: state.toSnapshot().byteLength};
 }
 
@@ -106,22 +106,22 @@
 	return heapUsed + arrayBuffers;
 }
 
-/** The slope of a least-squares line. */
+/** Returns the slope of the least-squares line through the samples. */
 function slopeOf(samples: readonly Sample[], of: (sample: Sample) => number): number {
 	const meanCount = samples.reduce((sum, {count}) => sum + count, 0) / samples.length;
 	const mean = samples.reduce((sum, sample) => sum + of(sample), 0) / samples.length;
-	let above = 0;
-	let below = 0;
+	let covariance = 0;
+	let variance = 0;
 	for (const sample of samples) {
-		above += (sample.count - meanCount) * (of(sample) - mean);
-		below += (sample.count - meanCount) ** 2;
+		covariance += (sample.count - meanCount) * (of(sample) - mean);
+		variance += (sample.count - meanCount) ** 2;
 	}
 
-	return above / below;
+	return covariance / variance;
 }
 
 if (globalThis.gc === undefined) {
-	process.stderr.write('Run with node --expose-gc, or the memory figures mean nothing\n');
+	process.stderr.write('warning: memory figures are unreliable without node --expose-gc\n');
 }
 
 const results = subjects.map(subject => {
--- a/packages/testing/src/bin/capacity.ts
+++ b/packages/testing/src/bin/capacity.ts
@@ -19,24 +19,24 @@
 	},
 });
 const sizes = flags.sizes === '' ? undefined : flags.sizes.split(',').map(Number);
-const wanted = new Set(flags.only.split(','));
-const found: Series[] = [];
+const selectedNames = new Set(flags.only.split(','));
+const allSeries: Series[] = [];
 for (const [name, experiment] of Object.entries(experiments)) {
-	if (wanted.has(name)) {
+	if (selectedNames.has(name)) {
 		const series = await experiment({
-			seconds: Number(flags.seconds), say: sayProgress, ...(sizes && {sizes}),
+			seconds: Number(flags.seconds), say: reportProgress, ...(sizes && {sizes}),
 		});
-		found.push(...series);
+		allSeries.push(...series);
 	}
 }
 
-for (const series of found) {
+for (const series of allSeries) {
 	process.stdout.write(`${formatSeries(series)}\n`);
 }
 
 await mkdir(flags.folder, {recursive: true});
-await writeFile(path.join(flags.folder, 'capacity.json'), `${JSON.stringify({node: process.version, series: found}, undefined, '\t')}\n`);
+await writeFile(path.join(flags.folder, 'capacity.json'), `${JSON.stringify({node: process.version, series: allSeries}, undefined, '\t')}\n`);
 
-function sayProgress(line: string): void {
+function reportProgress(line: string): void {
 	process.stderr.write(`${line}\n`);
 }
--- a/packages/testing/src/bin/demo.ts
+++ b/packages/testing/src/bin/demo.ts
@@ -16,81 +16,81 @@
 const requestCount = 200;
 const concurrency = 16;
 const progressEvery = 25;
-const ledgerMilliseconds = 10_000;
-const interruptedCode = 130;
+const ledgerTimeoutMilliseconds = 10_000;
+const interruptedExitCode = 130;
 const {values: flags} = parseArgs({options: {keep: {type: 'boolean', default: false}}});
 
 process.on('SIGINT', interrupt);
 process.on('SIGTERM', interrupt);
 await rm(folder, {recursive: true, force: true});
-say(`Starting ${demoDaemons.length} daemons and ${demoBackends.length} fakes; logs are in ${folder}/`);
+print(`Starting ${demoDaemons.length} daemons and ${demoBackends.length} fake backend servers; logs are in ${folder}/`);
 const deployment = await startDeployment({
 	daemons: demoDaemons, backends: demoBackends, configuration: demoConfiguration, folder,
 });
-process.exitCode = await runOrStop(deployment);
+process.exitCode = await runUntilInterrupted(deployment);
 
-async function runOrStop(running: Deployment): Promise<number> {
+async function runUntilInterrupted(running: Deployment): Promise<number> {
 	const interrupted = nextSignal();
 	const ended = await Promise.race([run(running), interrupted]);
 	if (flags.keep && typeof ended !== 'number') {
-		showTable(ended);
-		showCalls(running);
+		printReport(ended);
+		printExampleRequests(running);
 		await interrupted;
 	}
 
-	say('Stopping all processes with SIGTERM');
-	const unclean = await running.stop();
-	for (const name of unclean) {
-		say(`${name} did not end with code 0; see ${folder}/${name}.log`);
+	print('Stopping all processes with SIGTERM');
+	const failedNames = await running.stop();
+	for (const name of failedNames) {
+		print(`${name} did not exit with code 0; see ${folder}/${name}.log`);
 	}
 
 	if (typeof ended === 'number') {
 		return ended;
 	}
 
-	showTable(ended);
+	printReport(ended);
 	return ended.isMatch ? 0 : 1;
 }
 
-function showTable({lines}: DemoReport): void {
+function printReport({lines}: DemoReport): void {
 	for (const line of lines) {
-		say(line);
+		print(line);
 	}
 }
 
 async function run(running: Deployment): Promise<DemoReport> {
 	const results: DemoResult[] = [];
-	say(`Sending ${requestCount} requests, ${concurrency} at a time`);
+	print(`Sending ${requestCount} requests, ${concurrency} at a time`);
 	await sendTraffic(planErrands(requestCount), {
 		entries: running.daemons.map(({callers}) => callers),
 		concurrency,
 		onResult(result) {
 			results.push(result);
 			if (results.length % progressEvery === 0) {
-				const whole = results.filter(({isWhole}) => isWhole).length;
-				say(`${results.length} of ${requestCount} requests ended, ${whole} with a whole answer`);
+				const complete = results.filter(({isWhole}) => isWhole).length;
+				print(`${results.length} of ${requestCount} requests finished, ${complete} with a complete response`);
 			}
 		},
 	});
 	return reportOf(results, await readBills(running, results));
 }
 
-/** Reads the ledger until it matches; bills may come a little after the answers. */
+/** Reads the ledger until it matches the responses, since bills can be recorded slightly later. */
 async function readBills(running: Deployment, results: readonly DemoResult[]): Promise<readonly LedgerBill[]> {
 	let bills: readonly LedgerBill[] = [];
 	try {
 		await waitUntil(async () => {
 			bills = await running.ledger(workspace);
 			return matchBills(results, bills).isMatch || undefined;
-		}, {what: 'bills that match the answers', timeoutMilliseconds: ledgerMilliseconds, everyMilliseconds: 200});
+		}, {what: 'bills that match the responses', timeoutMilliseconds: ledgerTimeoutMilliseconds, everyMilliseconds: 200});
 	} catch (error) {
-		say(inspect(error));
+		print(inspect(error));
 	}
 
 	return bills;
 }
 
-function showCalls(running: Deployment): void {
+function printExampleRequests(running: Deployment): void {
 	const [daemon] = running.daemons;
 	if (!daemon) {
 		return;
@@ -99,7 +99,7 @@
 	const callerKey = `-H 'Authorization: Bearer ${workspaceKey}'`;
 	const operatorKey = `-H 'Authorization: Bearer ${deploymentKeys.operators}'`;
 	const body = '{"model":"auto","messages":[{"role":"user","content":"Tag crate 17"}]}';
-	say(`Everything runs until Ctrl-C. Try:
+	print(`The demo runs until Ctrl-C. Try:
 curl ${callerKey} -H 'Content-Type: application/json' -H 'Valehitch-Class: lookup' -d '${body}' ${daemon.callers}/v1/chat/completions
 curl -X POST ${callerKey} -H 'Idempotency-Key: mine-1' -d '{"text":"Crate 17"}' ${daemon.callers}/services/labels/print
 curl ${operatorKey} ${daemon.operators}/v1/status
@@ -110,14 +110,14 @@
 	process.off('SIGINT', interrupt);
 	process.off('SIGTERM', interrupt);
 	await Promise.race([once(process, 'SIGINT'), once(process, 'SIGTERM')]);
-	return interruptedCode;
+	return interruptedExitCode;
 }
 
-// While the processes start: they are killed on exit.
+// Handles signals during startup: exiting kills the processes that have started.
 function interrupt(): void {
-	process.exit(interruptedCode);
+	process.exit(interruptedExitCode);
 }
 
-function say(line: string): void {
+function print(line: string): void {
 	process.stdout.write(`${line}\n`);
 }
--- a/packages/testing/src/bin/fuzz.ts
+++ b/packages/testing/src/bin/fuzz.ts
@@ -3,7 +3,7 @@
 import process from 'node:process';
 import {parseArgs} from 'node:util';
 
-/** Runs the fuzz tests with another seed or more schedules: `npm run fuzz -- --seed 7 --runs 20000`. */
+/** Runs the fuzz tests with the given seed and number of schedules: `npm run fuzz -- --seed 7 --runs 20000`. */
 const {values} = parseArgs({options: {seed: {type: 'string', default: '1'}, runs: {type: 'string', default: '2000'}}});
 const child = spawn('npx', ['ava', '--timeout=60m', 'packages/consensus/dist/fuzz/*.test.js'], {
 	stdio: 'inherit',
--- a/packages/testing/src/bin/measure.ts
+++ b/packages/testing/src/bin/measure.ts
@@ -15,14 +15,14 @@
 import {workloads} from '../measure/workloads.js';
 
 const usageExitCode = 2;
-const all = 'all';
-const none = 'none';
+const allNames = 'all';
+const noFault = 'none';
 
 exitOnSignal();
 const {values: flags} = parseArgs({
 	options: {
-		workload: {type: 'string', default: all},
-		fault: {type: 'string', default: all},
+		workload: {type: 'string', default: allNames},
+		fault: {type: 'string', default: allNames},
 		seconds: {type: 'string', default: '12'},
 		seed: {type: 'string', default: '1'},
 		'own-cost-requests': {type: 'string', default: '1000'},
@@ -31,34 +31,35 @@
 });
 const seconds = Number(flags.seconds);
 const seed = Number(flags.seed);
-const chosenWorkloads = workloads.filter(({name}) => flags.workload === all || flags.workload.split(',').includes(name));
-const chosenFaults = faults.filter(({name}) => flags.fault === all || flags.fault.split(',').includes(name));
-if (chosenWorkloads.length === 0 || (chosenFaults.length === 0 && flags.fault !== none) || !(seconds > 0) || !Number.isSafeInteger(seed)) {
+const chosenWorkloads = workloads.filter(({name}) => flags.workload === allNames || flags.workload.split(',').includes(name));
+const chosenFaults = faults.filter(({name}) => flags.fault === allNames || flags.fault.split(',').includes(name));
+if (chosenWorkloads.length === 0 || (chosenFaults.length === 0 && flags.fault !== noFault) || !(seconds > 0) || !Number.isSafeInteger(seed)) {
 	const names = [...workloads, ...faults].map(({name}) => name).join(', ');
-	say(`Got --workload ${flags.workload} --fault ${flags.fault} --seconds ${flags.seconds} --seed ${flags.seed}, wanted names of ${names}, all, or none for the fault`);
+	print(`invalid options: --workload ${flags.workload} --fault ${flags.fault} --seconds ${flags.seconds} --seed ${flags.seed}`);
+	print(`--workload and --fault take comma-separated names of ${names}, or all; --fault also takes none; --seconds takes a positive number, --seed an integer`);
 	process.exit(usageExitCode);
 }
 
 await rm(flags.folder, {recursive: true, force: true});
 await mkdir(flags.folder, {recursive: true});
-const ownCosts = await ownCostOf(chosenWorkloads);
+const ownCosts = await measureOverhead(chosenWorkloads);
 const comparisons: Comparison[] = [];
 for (const workload of chosenWorkloads) {
 	for (const fault of chosenFaults) {
 		const comparison = await compare(workload, fault);
 		comparisons.push(comparison);
-		await save();
+		await writeReport();
 		for (const line of formatComparison(comparison)) {
-			say(line);
+			print(line);
 		}
 
-		say('');
+		print('');
 	}
 }
 
-await save();
+await writeReport();
 
-async function ownCostOf([workload]: readonly Workload[]): Promise<readonly OwnCost[]> {
+async function measureOverhead([workload]: readonly Workload[]): Promise<readonly OwnCost[]> {
 	const requests = Number(flags['own-cost-requests']);
 	if (workload === undefined || requests === 0) {
 		return [];
@@ -66,22 +67,22 @@
 
 	const costs = await measureOwnCost(workload, {folder: path.join(flags.folder, 'own-cost'), requests});
 	for (const {router, form, cpuMicroseconds, logBytes, answered} of costs) {
-		say(`${router}, ${form}: ${cpuMicroseconds.toFixed(0)} microseconds of processor and ${logBytes.toFixed(0)} bytes of log a request, ${answered} of ${requests} answered`);
+		print(`${router}, ${form}: ${cpuMicroseconds.toFixed(0)} microseconds of processor time and ${logBytes.toFixed(0)} log bytes per request, ${answered} of ${requests} answered`);
 	}
 
-	say('');
+	print('');
 	return costs;
 }
 
 async function compare(workload: Workload, fault: Fault): Promise<Comparison> {
-	const naive = await verdictOn(workload, fault, startNaive);
-	const valehitch = await verdictOn(workload, fault, startValehitch);
+	const naive = await measureSystem(workload, fault, startNaive);
+	const valehitch = await measureSystem(workload, fault, startValehitch);
 	return {
 		workload: workload.name, fault: fault.name, naive, valehitch,
 	};
 }
 
-async function verdictOn(workload: Workload, fault: Fault, start: StartSystem): Promise<Verdict> {
+async function measureSystem(workload: Workload, fault: Fault, start: StartSystem): Promise<Verdict> {
 	const folder = path.join(flags.folder, `${workload.name}-${fault.name}-${start.name}`);
 	const requests = planRequests(workload, {seconds, seed});
 	const records = await runCell({
@@ -90,13 +91,13 @@
 	return judge(records, workload);
 }
 
-async function save(): Promise<void> {
+async function writeReport(): Promise<void> {
 	const report = {
 		node: process.version, seconds, seed, ownCosts, comparisons,
 	};
 	await writeFile(path.join(flags.folder, 'measure.json'), `${JSON.stringify(report, undefined, '\t')}\n`);
 }
 
-function say(line: string): void {
+function print(line: string): void {
 	process.stdout.write(`${line}\n`);
 }
--- a/packages/testing/src/bin/pass-through.ts
+++ b/packages/testing/src/bin/pass-through.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
-A bare pass-through with Node's http, the floor that the routers' own cost is compared with.
+A minimal HTTP proxy on `node:http`, the baseline for the overhead of the routers.
 
 @module
 */
@@ -11,14 +11,14 @@
 const {values: flags} = parseArgs({options: {port: {type: 'string', default: '0'}, to: {type: 'string', default: ''}, model: {type: 'string', default: ''}}});
 const agent = new Agent({keepAlive: true});
 const server = createServer((incoming, outgoing) => {
-	const call = sendRequest(`${flags.to}${incoming.url ?? ''}`, {method: incoming.method, headers: incoming.headers, agent}, answer => {
-		outgoing.writeHead(answer.statusCode ?? 500, answer.headers);
-		answer.pipe(outgoing);
+	const proxied = sendRequest(`${flags.to}${incoming.url ?? ''}`, {method: incoming.method, headers: incoming.headers, agent}, response => {
+		outgoing.writeHead(response.statusCode ?? 500, response.headers);
+		response.pipe(outgoing);
 	});
-	call.on('error', () => {
+	proxied.on('error', () => {
 		outgoing.destroy();
 	});
-	incoming.pipe(call);
+	incoming.pipe(proxied);
 });
 server.listen(Number(flags.port), '127.0.0.1');
 process.once('SIGTERM', () => {
--- a/packages/testing/src/bin/zone-cut.ts
+++ b/packages/testing/src/bin/zone-cut.ts
@@ -1,7 +1,7 @@
 /**
-Cuts a process off from other zones: preloaded by `node --import` into the daemons and fakes of a measurement, it drops outgoing connections by their port when SIGUSR2 comes.
+Simulates a network partition between zones. Preloaded with `node --import` into the daemons and fakes of a measurement, it rereads the partition on SIGUSR2 and blocks outgoing connections to partitioned zones, which it identifies by port.
 
-A cut connection is reset and a new one is never answered, as where a firewall drops its packets.
+An open connection is destroyed and a new one never connects, as when a firewall drops the packets.
 
 @module
 */
@@ -10,42 +10,42 @@
 import process from 'node:process';
 import {type ZoneCut, zoneCutVariable} from '../measure/zone-cut-file.js';
 
-type Reached = {readonly port: number; readonly socket: Socket};
+type OutgoingConnection = {readonly port: number; readonly socket: Socket};
 
 const zoneFlag = '--zone=';
 const ownZone = findZone();
-const reached = new Set<Reached>();
-let current: ZoneCut = {zoneOfPort: {}, cutZones: []};
+const connections = new Set<OutgoingConnection>();
+let partition: ZoneCut = {zoneOfPort: {}, cutZones: []};
 
 if (ownZone !== undefined) {
 	const connect = Reflect.get(Socket.prototype, 'connect') as (...parameters: readonly unknown[]) => Socket;
 	Reflect.set(Socket.prototype, 'connect', function (this: Socket, ...parameters: readonly unknown[]): Socket {
 		const port = portOf(parameters);
-		if (isCut(port)) {
+		if (isPartitioned(port)) {
 			Reflect.set(this, 'connecting', true);
 			return this;
 		}
 
 		const entry = {port, socket: this};
-		reached.add(entry);
+		connections.add(entry);
 		this.once('close', () => {
-			reached.delete(entry);
+			connections.delete(entry);
 		});
 		return Reflect.apply<Socket, readonly unknown[], Socket>(connect, this, parameters);
 	});
 	process.on('SIGUSR2', () => {
-		current = JSON.parse(readFileSync(process.env[zoneCutVariable] ?? '', 'utf8')) as ZoneCut;
-		for (const {port, socket} of reached) {
-			if (isCut(port)) {
-				socket.destroy(new Error('Got a cut between zones'));
+		partition = JSON.parse(readFileSync(process.env[zoneCutVariable] ?? '', 'utf8')) as ZoneCut;
+		for (const {port, socket} of connections) {
+			if (isPartitioned(port)) {
+				socket.destroy(new Error('connection blocked by a simulated zone partition'));
 			}
 		}
 	});
 }
 
-function isCut(port: number): boolean {
-	const other = current.zoneOfPort[String(port)];
-	return other !== undefined && other !== ownZone && (current.cutZones.includes(other) || current.cutZones.includes(ownZone ?? ''));
+function isPartitioned(port: number): boolean {
+	const other = partition.zoneOfPort[String(port)];
+	return other !== undefined && other !== ownZone && (partition.cutZones.includes(other) || partition.cutZones.includes(ownZone ?? ''));
 }
 
 function portOf(parameters: readonly unknown[]): number {
