--- a/packages/testing/src/bin/bench-decisions.ts
+++ b/packages/testing/src/bin/bench-decisions.ts
@@ -15,9 +15,9 @@
 const firstSeed = 20_261_202;
 const seedStep = 104_729;
 
-function scaleDeployment({entries, engines, calmRequestsPerSecond, ...profile}: CustomerSheet, factor: number): CustomerSheet {
+function scaleDeployment({entries, engines, calmRequestsPerSecond: lowRequestsPerSecond, ...profile}: CustomerSheet, factor: number): CustomerSheet {
 	return {
-		...profile, entries: entries * factor, engines: engines * factor, calmRequestsPerSecond: calmRequestsPerSecond * factor,
+		...profile, entries: entries * factor, engines: engines * factor, calmRequestsPerSecond: lowRequestsPerSecond * factor,
 	};
 }
 
--- a/packages/testing/src/capacity/experiments.ts
+++ b/packages/testing/src/capacity/experiments.ts
@@ -87,10 +87,10 @@
 ```
 */
 export async function measureMembers(options: ExperimentOptions): Promise<readonly Series[]> {
-	const {seconds, say, sizes = daemonSizes} = options;
+	const {seconds, say: reportProgress, sizes = daemonSizes} = options;
 	const measured: SizedFigures[] = [];
 	for (const size of sizes) {
-		say(`${size} daemons`);
+		reportProgress(`${size} daemons`);
 		const deployment = await start(daemonPlans(size));
 		try {
 			const stop = await announceServers(deployment, 13);
@@ -111,10 +111,10 @@
 	readonly load: (deployment: Deployment, size: number) => Promise<() => Promise<void>>;
 };
 
-async function measureSingleDaemon(sizes: readonly number[], {per, load, seconds, say}: SingleDaemonOptions): Promise<readonly Series[]> {
+async function measureSingleDaemon(sizes: readonly number[], {per, load, seconds, say: reportProgress}: SingleDaemonOptions): Promise<readonly Series[]> {
 	const measured: SizedFigures[] = [];
 	for (const size of sizes) {
-		say(`${size} × ${per}`);
+		reportProgress(`${size} × ${per}`);
 		const deployment = await start(daemonPlans(1));
 		try {
 			const stop = await load(deployment, size);
--- a/packages/testing/src/capacity/series.ts
+++ b/packages/testing/src/capacity/series.ts
@@ -35,7 +35,7 @@
 */
 export function seriesOf(per: string, measured: readonly SizedFigures[]): readonly Series[] {
 	return Object.entries(measured[0]?.figures ?? {}).map(([quantity, {unit}]) => {
-		const points = measured.map(({size, figures}) => ({size, value: figures[quantity]?.value ?? Number.NaN}));
+		const points = measured.map(({size, figures: quantities}) => ({size, value: quantities[quantity]?.value ?? Number.NaN}));
 		return {
 			quantity, unit, per, points, fit: fitLine(points),
 		};
--- a/packages/testing/src/emulator/customers.ts
+++ b/packages/testing/src/emulator/customers.ts
@@ -1,10 +1,11 @@
+import {type EmulatedModel} from './emulated-engine.js';
 import {type CustomerSheet} from './load-shape.js';
 
-const models = [
+const models: readonly EmulatedModel[] = [
 	{id: 'small', pace: 1, ability: 0.55},
 	{id: 'middle', pace: 1.3, ability: 0.75},
 	{id: 'large', pace: 1.8, ability: 0.97},
-] as const;
+];
 
 /** Synthetic profiles modeled on the data sheets of the three customers: engines, request rates, kinds of prompts and how often prompt prefixes repeat. */
 export const customerSheets: Readonly<Record<'coilTraceability' | 'qualityLogs' | 'railcarLeasing', CustomerSheet>> = {
--- a/packages/testing/src/emulator/emulated-engine.test.ts
+++ b/packages/testing/src/emulator/emulated-engine.test.ts
@@ -1,8 +1,10 @@
 import test from 'ava';
-import {EmulatedEngine, type EngineSheet, type EngineWork} from './emulated-engine.js';
+import {
+	EmulatedEngine, type EmulatedModel, type EngineSheet, type EngineWork,
+} from './emulated-engine.js';
 
-const small = {id: 'small', pace: 1, ability: 0.5};
-const large = {id: 'large', pace: 3, ability: 1};
+const small: EmulatedModel = {id: 'small', pace: 1, ability: 0.5};
+const large: EmulatedModel = {id: 'large', pace: 3, ability: 1};
 const parameters: EngineSheet = {
 	slots: 2, queue: 1, memoryTokens: 10_000, readTokens: 100, stepMilliseconds: 3, chunkTokens: 500,
 };
@@ -64,7 +66,7 @@
 });
 
 test('the least recently used segment is evicted first', t => {
-	const promptOf = (id: string) => ({parts: [{id, tokens: 4000}]});
+	const promptOf = (id: string): Partial<EngineWork> => ({parts: [{id, tokens: 4000}]});
 	const {cached} = runEngine(['a', 'b', 'a', 'c', 'a', 'b'].map((segment, index) => requestOf(index + 1, promptOf(segment))), {slots: 1, queue: 9});
 	t.deepEqual([...cached.values()], [0, 0, 4000, 0, 4000, 0]);
 });
--- a/packages/testing/src/emulator/emulated-engine.ts
+++ b/packages/testing/src/emulator/emulated-engine.ts
@@ -137,16 +137,16 @@
 	*/
 	step(): number {
 		this.#admit();
-		const {stepMilliseconds, readTokens, chunkTokens} = this.#parameters;
+		const {stepMilliseconds, readTokens: prefillTokensPerMillisecond, chunkTokens: prefillChunkTokens} = this.#parameters;
 		let pace = 1;
-		let remainingChunk = chunkTokens;
+		let remainingChunk = prefillChunkTokens;
 		let prefillMilliseconds = 0;
 		for (const running of this.#running.values()) {
 			pace = Math.max(pace, running.request.model.pace);
 			const prefilled = Math.min(remainingChunk, running.remainingPrefillTokens);
 			remainingChunk -= prefilled;
 			running.remainingPrefillTokens -= prefilled;
-			prefillMilliseconds += prefilled * running.request.model.pace / readTokens;
+			prefillMilliseconds += prefilled * running.request.model.pace / prefillTokensPerMillisecond;
 		}
 
 		return (stepMilliseconds * pace) + prefillMilliseconds;
--- a/packages/testing/src/emulator/emulated-entry.ts
+++ b/packages/testing/src/emulator/emulated-entry.ts
@@ -36,12 +36,12 @@
 @param options The instance's zone, engines and sources of time and randomness.
 @returns The instance.
 */
-export function makeEntry({zone, clock, random, engines, slots, othersOn}: EmulatedEntryOptions): EmulatedEntry {
+export function makeEntry({zone, clock, random, engines, slots, othersOn: peerLoadAt}: EmulatedEntryOptions): EmulatedEntry {
 	const servers: EntryServers = new EntryServers({
 		zone,
 		random,
 		share: {
-			othersOn: server => othersOn(server, servers),
+			othersOn: server => peerLoadAt(server, servers),
 			noteChange() {
 				// `SharedLoads` publishes all loads at once.
 			},
--- a/packages/testing/src/emulator/load-shape.ts
+++ b/packages/testing/src/emulator/load-shape.ts
@@ -69,7 +69,7 @@
 ```
 */
 export function drawLoad(profile: CustomerSheet, {random, milliseconds}: {readonly random: RandomSource; readonly milliseconds: number}): LoadShape {
-	const {calmRequestsPerSecond, kinds, ...rest} = profile;
+	const {calmRequestsPerSecond: lowRequestsPerSecond, kinds, ...rest} = profile;
 	const faults = Array.from({length: Math.floor(random() * (maximumFaults + 1))}, (): EngineFault => ({
 		engine: Math.floor(random() * profile.engines),
 		at: random() * milliseconds,
@@ -81,7 +81,7 @@
 		milliseconds,
 		crossing: interZoneLatencyMilliseconds,
 		kinds: kinds.map(kind => ({...kind, weight: kind.weight * (0.5 + random())})),
-		requestsPerSecond: calmRequestsPerSecond * (1 + (random() * (maximumLoadFactor - 1))),
+		requestsPerSecond: lowRequestsPerSecond * (1 + (random() * (maximumLoadFactor - 1))),
 		faults,
 	};
 }
--- a/packages/testing/src/emulator/play-load.test.ts
+++ b/packages/testing/src/emulator/play-load.test.ts
@@ -11,11 +11,11 @@
 const milliseconds = 8000;
 
 /** Simulates several loads under a policy and returns the summed results. */
-function simulateAll(sheet: CustomerSheet, policy: DecisionPolicy): LoadResult {
+function simulateAll(profile: CustomerSheet, policy: DecisionPolicy): LoadResult {
 	const results: LoadResult[] = [];
 	for (let index = 1; index <= loads; index++) {
 		const loadRandom = seededRandom(index);
-		results.push(playLoad(drawLoad(sheet, {random: loadRandom, milliseconds}), {policy, loadRandom, decisionRandom: seededRandom(1000 + index)}));
+		results.push(playLoad(drawLoad(profile, {random: loadRandom, milliseconds}), {policy, loadRandom, decisionRandom: seededRandom(1000 + index)}));
 	}
 
 	return addResults(results);
--- a/packages/testing/src/emulator/play-load.ts
+++ b/packages/testing/src/emulator/play-load.ts
@@ -177,19 +177,19 @@
 		};
 	}
 
-	#homeScope({repeats}: EmulatedEntry, {kind, subject, ownTokens}: CallerRequest): HomeScope | undefined {
-		const {homeScope} = this.#policy;
-		if (homeScope === undefined || kind.sharedTokens === 0) {
+	#homeScope({repeats}: EmulatedEntry, {kind, subject: promptKey, ownTokens: uniqueTokens}: CallerRequest): HomeScope | undefined {
+		const {homeScope: chooseAffinityScope} = this.#policy;
+		if (chooseAffinityScope === undefined || kind.sharedTokens === 0) {
 			return undefined;
 		}
 
 		const routeRepeats = repeats.of(toId<Route['id']>(kind.name));
-		routeRepeats.note(subject, this.#queue.now);
-		return homeScope({sharedTokens: kind.sharedTokens, repeatShare: routeRepeats.share, bytes: bytesPerToken * (kind.sharedTokens + ownTokens)});
+		routeRepeats.note(promptKey, this.#queue.now);
+		return chooseAffinityScope({sharedTokens: kind.sharedTokens, repeatShare: routeRepeats.share, bytes: bytesPerToken * (kind.sharedTokens + uniqueTokens)});
 	}
 
 	#send(request: Request): void {
-		const {entry: {servers, zone}, model, subject, homeScope, excluded} = request;
+		const {entry: {servers, zone}, model, subject: promptKey, homeScope, excluded} = request;
 		const {now} = this.#queue;
 		if (request.sends >= maximumSends) {
 			this.#result.lost++;
@@ -197,7 +197,7 @@
 		}
 
 		const record = servers.find({
-			service: emulatedService, isWanted: () => true, excluded, now, subject: homeScope === undefined ? undefined : {name: `${subject} ${model.id}`, homeScope},
+			service: emulatedService, isWanted: () => true, excluded, now, subject: homeScope === undefined ? undefined : {name: `${promptKey} ${model.id}`, homeScope},
 		});
 		const engine = this.#engines.find(({id}) => id === record?.id);
 		if (engine === undefined) {
@@ -222,9 +222,9 @@
 		}
 	}
 
-	#expectedLatency({entry: {latencies}, route, model, kind, ownTokens}: Request): number {
+	#expectedLatency({entry: {latencies}, route, model, kind, ownTokens: uniqueTokens}: Request): number {
 		const fallback = kind.targetLatency / silenceFactor;
-		const tokens = kind.sharedTokens + ownTokens;
+		const tokens = kind.sharedTokens + uniqueTokens;
 		return latencies.expected(`${route} ${model.id}`, this.#policy.countsTokens ? {tokens, fallback} : {fallback});
 	}
 
@@ -235,10 +235,10 @@
 			return;
 		}
 
-		const {request: {model, kind, subject, ownTokens, entry}} = send;
-		const parts = kind.sharedTokens === 0 ? [] : [{id: subject, tokens: kind.sharedTokens}];
+		const {request: {model, kind, subject: promptKey, ownTokens: uniqueTokens, entry}} = send;
+		const segments = kind.sharedTokens === 0 ? [] : [{id: promptKey, tokens: kind.sharedTokens}];
 		if (engine.offer({
-			id, model, parts, ownTokens, outputTokens: kind.outputTokens,
+			id, model, parts: segments, ownTokens: uniqueTokens, outputTokens: kind.outputTokens,
 		})) {
 			return;
 		}
@@ -276,13 +276,13 @@
 		}
 
 		const {request, engine, load, sentAt} = send;
-		const {entry: {servers, latencies}, kind, route, model, hardness, arrivedAt, ownTokens} = request;
+		const {entry: {servers, latencies}, kind, route, model, hardness: difficulty, arrivedAt, ownTokens: uniqueTokens} = request;
 		const {now} = this.#queue;
 		servers.hear(engine.id, now);
 		servers.record(engine.id, 'answered', now);
 		load.answerBegins();
 		send.hasBegun = true;
-		latencies.note(`${route} ${model.id}`, {milliseconds: now - sentAt, tokens: this.#policy.countsTokens ? kind.sharedTokens + ownTokens : 0});
+		latencies.note(`${route} ${model.id}`, {milliseconds: now - sentAt, tokens: this.#policy.countsTokens ? kind.sharedTokens + uniqueTokens : 0});
 		const largerModel = this.#chooseLargerModel(request);
 		if (largerModel !== undefined) {
 			request.model = largerModel;
@@ -295,7 +295,7 @@
 
 		if (now - arrivedAt > kind.targetLatency) {
 			this.#result.late++;
-		} else if (hardness > model.ability) {
+		} else if (difficulty > model.ability) {
 			this.#result.tooHard++;
 		} else {
 			this.#result.good++;
@@ -303,14 +303,14 @@
 	}
 
 	/** Chooses a larger model to escalate to, depending on the confidence of the model that responded. */
-	#chooseLargerModel({entry: {latencies}, kind, route, model, hardness, doubt, arrivedAt, sends}: Request): EmulatedModel | undefined {
+	#chooseLargerModel({entry: {latencies}, kind, route, model, hardness: difficulty, doubt: confidenceError, arrivedAt, sends}: Request): EmulatedModel | undefined {
 		if (!this.#policy.steps || sends >= maximumSends) {
 			return undefined;
 		}
 
 		const {models} = this.#scenario;
 		const largest = models.at(-1)!;
-		const confidence = 0.5 + model.ability - hardness + doubt;
+		const confidence = 0.5 + model.ability - difficulty + confidenceError;
 		const next = chooseNextModel({
 			sizes: models.map(({id}) => toId<ModelId>(id)),
 			current: toId<ModelId>(model.id),
--- a/packages/testing/src/emulator/stepping-engine.ts
+++ b/packages/testing/src/emulator/stepping-engine.ts
@@ -32,11 +32,11 @@
 	#isStepping = false;
 	#slowdownFactor = 1;
 
-	constructor({id, zone, sheet, queue, events}: SteppingEngineOptions) {
+	constructor({id, zone, sheet: parameters, queue, events: callbacks}: SteppingEngineOptions) {
 		this.id = id;
 		this.zone = zone;
 		this.#queue = queue;
-		this.#engine = new EmulatedEngine(sheet, events);
+		this.#engine = new EmulatedEngine(parameters, callbacks);
 	}
 
 	/** Whether the engine is stopped and accepts no connections. */
--- a/packages/testing/src/measure/caller.ts
+++ b/packages/testing/src/measure/caller.ts
@@ -50,24 +50,24 @@
 */
 export async function callAsCaller(request: PlannedRequest, options: CallerOptions): Promise<CallerRecord> {
 	const startedAt = performance.now();
-	const sends: CallResult[] = [];
+	const attempts: CallResult[] = [];
 	let lastAttemptStartedAt = startedAt;
 	for (let attempt = 0; attempt < maximumAttempts; attempt++) {
 		lastAttemptStartedAt = performance.now();
 		const result = await sendAttempt(request, {...options, entry: options.entries[(request.turn + attempt) % options.entries.length] ?? ''});
-		sends.push(result);
+		attempts.push(result);
 		if (result.connectionError === undefined) {
 			break;
 		}
 	}
 
-	const last = sends.at(-1);
+	const last = attempts.at(-1);
 	const version = `${headerOf(last, 'valehitch-model')}@${headerOf(last, 'valehitch-version')}`;
 	const isExpected = last?.done === true && last.text === expectedText(request, {version, last, workload: options.workload});
 	const totalMilliseconds = performance.now() - startedAt;
 	return {
 		request,
-		sends,
+		sends: attempts,
 		version: version === '@' ? '' : version,
 		isWhole: isExpected,
 		isWrong: last?.done === true && !isExpected,
--- a/packages/testing/src/measure/fault.ts
+++ b/packages/testing/src/measure/fault.ts
@@ -45,9 +45,9 @@
 	},
 	{
 		name: 'engine-killed',
-		async begin({system, workload, keepRuns}) {
+		async begin({system, workload, keepRuns: saveRuns}) {
 			for (const engine of smallEngines(system, workload).slice(0, 1)) {
-				await keepRuns(engine);
+				await saveRuns(engine);
 				await engine.process.kill('SIGKILL');
 			}
 		},
@@ -62,8 +62,8 @@
 	},
 	{
 		name: 'version-bad',
-		async begin({workload, turnBad}) {
-			turnBad(workload.fragileVersion);
+		async begin({workload, turnBad: degradeVersion}) {
+			degradeVersion(workload.fragileVersion);
 		},
 	},
 	{
@@ -77,10 +77,10 @@
 	},
 	{
 		name: 'capacity-third',
-		async begin({system, workload, keepRuns}) {
+		async begin({system, workload, keepRuns: saveRuns}) {
 			const engines = smallEngines(system, workload);
 			await Promise.all(engines.slice(Math.ceil(engines.length / 3)).map(async engine => {
-				await keepRuns(engine);
+				await saveRuns(engine);
 				await engine.process.kill('SIGKILL');
 			}));
 		},
--- a/packages/testing/src/measure/judge.ts
+++ b/packages/testing/src/measure/judge.ts
@@ -60,7 +60,7 @@
 ```
 */
 export function judge({callers, runs, ratings}: CellRecords, workload: Workload): Verdict {
-	const complete = callers.filter(({isWhole}) => isWhole);
+	const complete = callers.filter(({isWhole: isComplete}) => isComplete);
 	const metTarget = complete.filter(record => meetsTarget(record, workload)).length;
 	const runIds = new Set(runs.map(({requestId}) => requestId));
 	const refused = callers.filter(record => !record.isWhole && refusalOf(record) !== undefined);
@@ -72,33 +72,33 @@
 		costPerThousand: costOfRuns(runs, {callers, workload}) * responsesPerCostUnit / Math.max(1, metTarget),
 		firstToken: percentilesOf(complete.filter(({request}) => request.kind.form === 'streamed').map(({firstTokenMilliseconds}) => firstTokenMilliseconds)),
 		wholeAnswer: percentilesOf(complete.map(({totalMilliseconds}) => totalMilliseconds)),
-		badAnswers: complete.filter(({isBad}) => isBad).length,
+		badAnswers: complete.filter(({isBad: isDegraded}) => isDegraded).length,
 		refusals: countBy(refused.map(record => refusalOf(record) ?? '')),
 		failed: callers.length - complete.length - refused.length,
-		resends: sumOf(callers.map(({sends}) => sends.length - 1)),
+		resends: sumOf(callers.map(({sends: attempts}) => attempts.length - 1)),
 		extraRuns: extraRunsOf(runs),
 		doubledCalls: [...runCounts.values()].filter(count => count > 1).length,
 		phantomCalls: complete.filter(({request}) => request.kind.form === 'call' && !runCounts.has(request.id)).length,
-		falseRefusals: refused.filter(({sends}) => sends.some(({requestId, problem}) => problem?.outcome === 'notRun' && runIds.has(requestId))).length,
-		wrongAnswers: callers.filter(({isWrong}) => isWrong).length,
+		falseRefusals: refused.filter(({sends: attempts}) => attempts.some(({requestId, problem}) => problem?.outcome === 'notRun' && runIds.has(requestId))).length,
+		wrongAnswers: callers.filter(({isWrong: isUnexpected}) => isUnexpected).length,
 		ratingsSent: ratings.sent,
 		ratingsTaken: ratings.taken,
 	};
 }
 
-function meetsTarget({request: {kind}, version, isBad, totalMilliseconds}: CallerRecord, {qualities}: Workload): boolean {
-	const isGood = kind.form === 'call' || (!isBad && (qualities[version] ?? 0) >= kind.qualityTarget);
+function meetsTarget({request: {kind}, version, isBad: isDegraded, totalMilliseconds}: CallerRecord, {qualities}: Workload): boolean {
+	const isGood = kind.form === 'call' || (!isDegraded && (qualities[version] ?? 0) >= kind.qualityTarget);
 	return isGood && totalMilliseconds <= kind.deadlineMilliseconds;
 }
 
-function refusalOf({sends}: CallerRecord): string | undefined {
-	const problem = sends.at(-1)?.problem;
+function refusalOf({sends: attempts}: CallerRecord): string | undefined {
+	const problem = attempts.at(-1)?.problem;
 	return problem?.outcome === 'notRun' ? problem.kind : undefined;
 }
 
 /** Each run costs its prompt and, if it completed, its output; runs of unknown requests are charged the mean prompt length. */
 function costOfRuns(runs: readonly RecordedRun[], {callers, workload}: {readonly callers: readonly CallerRecord[]; readonly workload: Workload}): number {
-	const requests = new Map(callers.flatMap(({request, sends}) => sends.map(({requestId}) => [requestId, request] as const)));
+	const requests = new Map(callers.flatMap(({request, sends: attempts}) => attempts.map(({requestId}) => [requestId, request] as const)));
 	const meanWords = sumOf(callers.map(({request}) => request.kind.promptWords)) / Math.max(1, callers.length);
 	let cost = 0;
 	for (const {requestId, model = '', version = '', completed} of runs) {
--- a/packages/testing/src/measure/rater.ts
+++ b/packages/testing/src/measure/rater.ts
@@ -49,8 +49,8 @@
 	return {
 		count,
 		rate(record) {
-			const {request: {ratingDraw}, isWhole, version} = record;
-			if (!isWhole || version === '' || ratingDraw >= sampledShare) {
+			const {request: {ratingDraw}, isWhole: isComplete, version} = record;
+			if (!isComplete || version === '' || ratingDraw >= sampledShare) {
 				return;
 			}
 
@@ -72,16 +72,16 @@
 };
 
 async function sendRating(record: CallerRecord, {system, workload, count, signal}: SendRatingOptions): Promise<void> {
-	const {request: {turn, workspace, kind, ratingDraw}, version, isBad, sends} = record;
+	const {request: {turn: entryDraw, workspace, kind, ratingDraw}, version, isBad: isDegraded, sends: attempts} = record;
 	// Uniform from 0 to 1 among the sampled responses.
 	const draw = ratingDraw / sampledShare;
-	const entry = system.entries[turn % system.entries.length];
+	const entry = system.entries[entryDraw % system.entries.length];
 	if (entry?.ratings === undefined) {
 		return;
 	}
 
 	const [model, name] = version.split('@');
-	const quality = (isBad ? degradedQuality : workload.qualities[version] ?? 0) + ((draw - 0.5) * noiseRange);
+	const quality = (isDegraded ? degradedQuality : workload.qualities[version] ?? 0) + ((draw - 0.5) * noiseRange);
 	try {
 		await delay(minimumDelayMilliseconds + (draw * delayRangeMilliseconds), undefined, {signal});
 		count.sent++;
@@ -89,7 +89,7 @@
 			method: 'POST',
 			headers: {authorization: `Bearer ${deploymentKeys.backends}`},
 			body: JSON.stringify({
-				requestId: sends.at(-1)?.requestId, model, version: name, workspace: workspace.name, class: kind.class, rating: Math.min(1, Math.max(0, quality)), ratedAt: Date.now(),
+				requestId: attempts.at(-1)?.requestId, model, version: name, workspace: workspace.name, class: kind.class, rating: Math.min(1, Math.max(0, quality)), ratedAt: Date.now(),
 			}),
 			signal,
 			timeoutMilliseconds: responseTimeoutMilliseconds,
--- a/packages/testing/src/platform/backend-stand-in.ts
+++ b/packages/testing/src/platform/backend-stand-in.ts
@@ -136,8 +136,8 @@
 	}
 
 	async #respond(run: StandInRun, response: ServerResponse): Promise<void> {
-		const {status = 200, confidence, events = ['done'], firstAfter, gap = 0, breakAfter, isNotRun = false} = this.#options.answer(run);
-		if (isNotRun) {
+		const {status = 200, confidence, events = ['done'], firstAfter: firstEventDelay, gap = 0, breakAfter, isNotRun: isNotExecuted = false} = this.#options.answer(run);
+		if (isNotExecuted) {
 			response.writeHead(503, {'Not-Executed': '1'});
 			response.end();
 			return;
@@ -155,9 +155,9 @@
 			'Response-Signature': `signed-${this.#options.id}`,
 			'Content-Type': isStream ? 'text/event-stream' : 'text/plain', ...(confidence !== undefined && {Confidence: String(confidence)}),
 		});
-		if (firstAfter !== undefined) {
+		if (firstEventDelay !== undefined) {
 			response.flushHeaders();
-			await delay(firstAfter);
+			await delay(firstEventDelay);
 		}
 
 		const first = Number(run.lastEventId ?? 0);
--- a/packages/testing/src/platform/platform-deployment.ts
+++ b/packages/testing/src/platform/platform-deployment.ts
@@ -16,7 +16,7 @@
 	/** The time within which a revoked key must stop working, in milliseconds; 5000 by default. */
 	readonly revocation?: number;
 	/** Additional environment variables of each process; none by default. */
-	readonly environment?: (member: {readonly ip: string; readonly folder: string}) => Readonly<Record<string, string>>;
+	readonly environment?: (instance: {readonly ip: string; readonly folder: string}) => Readonly<Record<string, string>>;
 };
 
 /** An instance of the deployment, which is one process. */
@@ -59,8 +59,8 @@
 	*/
 	static async start(options: PlatformDeploymentOptions = {}): Promise<PlatformDeployment> {
 		const deployment = await PlatformDeployment.prepare(options);
-		for (const member of deployment.members) {
-			member.process.start();
+		for (const instance of deployment.members) {
+			instance.process.start();
 		}
 
 		return deployment;
@@ -72,19 +72,20 @@
 	@param options The size and settings of the deployment.
 	@returns The deployment.
 	*/
-	static async prepare({controls = 3, entries = 2, revocation = 5000, environment = () => ({})}: PlatformDeploymentOptions = {}): Promise<PlatformDeployment> {
+	static async prepare(options: PlatformDeploymentOptions = {}): Promise<PlatformDeployment> {
+		const {controls: controlCount = 3, entries: entryCount = 2, revocation: revocationMilliseconds = 5000, environment = () => ({})} = options;
 		const folder = await mkdtemp(path.join(tmpdir(), 'valehitch-platform-'));
 		// All instances use the same ports, so each deployment needs its own subnet.
 		const network = await reserveNetwork();
 		const deployment = new PlatformDeployment(folder, network);
-		const seeds = Array.from({length: Math.min(3, controls)}, (_, index) => `${network.prefix}.${index + 1}:${ports.control}`);
-		for (let index = 0; index < controls + entries; index++) {
-			const isControl = index < controls;
+		const seeds = Array.from({length: Math.min(3, controlCount)}, (_, index) => `${network.prefix}.${index + 1}:${ports.control}`);
+		for (let index = 0; index < controlCount + entryCount; index++) {
+			const isControl = index < controlCount;
 			const ip = `${network.prefix}.${index + 1}`;
-			const member = await deployment.#add({
-				name: `${isControl ? 'core' : 'front'}-${index + 1}`, ip, isControl, seeds, revocation, environment,
+			const instance = await deployment.#add({
+				name: `${isControl ? 'core' : 'front'}-${index + 1}`, ip, isControl, seeds, revocationMilliseconds, environment,
 			});
-			(isControl ? deployment.controls : deployment.entries).push(member);
+			(isControl ? deployment.controls : deployment.entries).push(instance);
 		}
 
 		return deployment;
@@ -108,12 +109,12 @@
 
 	/** Kills all processes and deletes their files. */
 	async stop(): Promise<void> {
-		await Promise.all(this.members.map(async member => member.process.kill('SIGKILL')));
+		await Promise.all(this.members.map(async instance => instance.process.kill('SIGKILL')));
 		await rm(this.#folder, {recursive: true, force: true});
 		this.#network.release();
 	}
 
-	async #add({name, ip, isControl, seeds, revocation, environment}: InstanceOptions): Promise<PlatformMember> {
+	async #add({name, ip, isControl, seeds, revocationMilliseconds, environment}: InstanceOptions): Promise<PlatformMember> {
 		const file = path.join(this.#folder, `${name}.yaml`);
 		const dataFolder = path.join(this.#folder, name);
 		await mkdir(dataFolder, {recursive: true});
@@ -130,7 +131,7 @@
 				dataDir: isControl ? dataFolder : null,
 				heartbeatMs: 1200,
 				bounds: {
-					graceS: 5, revokeMs: revocation, canaryShare: 0.15, retryBudgetRatio: 0.9, sessionS: 5,
+					graceS: 5, revokeMs: revocationMilliseconds, canaryShare: 0.15, retryBudgetRatio: 0.9, sessionS: 5,
 				},
 			}));
 		};
@@ -156,6 +157,6 @@
 	readonly ip: string;
 	readonly isControl: boolean;
 	readonly seeds: readonly string[];
-	readonly revocation: number;
+	readonly revocationMilliseconds: number;
 	readonly environment: NonNullable<PlatformDeploymentOptions['environment']>;
 };
--- a/packages/testing/src/platform/slow-disk.ts
+++ b/packages/testing/src/platform/slow-disk.ts
@@ -18,11 +18,11 @@
 await PlatformDeployment.start({environment: () => slowDiskEnvironment({syncMilliseconds: 400})});
 ```
 */
-export function slowDisk({syncMilliseconds = 0, file = '', fileMilliseconds = 0}: SlowDiskOptions): Readonly<Record<string, string>> {
+export function slowDisk({syncMilliseconds = 0, file: delayedFile = '', fileMilliseconds: replaceMilliseconds = 0}: SlowDiskOptions): Readonly<Record<string, string>> {
 	return {
 		NODE_OPTIONS: `--import ${new URL('slow-saves.js', import.meta.url).href}`,
 		SLOW_SYNC_MILLISECONDS: String(syncMilliseconds),
-		SLOW_FILE: file,
-		SLOW_FILE_MILLISECONDS: String(fileMilliseconds),
+		SLOW_FILE: delayedFile,
+		SLOW_FILE_MILLISECONDS: String(replaceMilliseconds),
 	};
 }
