--- a/packages/testing/src/measure/fault.ts
+++ b/packages/testing/src/measure/fault.ts
@@ -16,7 +16,7 @@
 export type FaultStage = {
 	readonly system: System;
 	readonly workload: Workload;
-	/** Saves the run records of a back end before it is killed, since they are lost with its process. */
+	/** Saves the run records of a backend server before it is killed, since they are lost with its process. */
 	readonly keepRuns: (backend: SystemBackend) => Promise<void>;
 	/** Degrades the responses of a version from now on. */
 	readonly turnBad: (version: string) => void;
--- a/packages/testing/src/measure/judge.ts
+++ b/packages/testing/src/measure/judge.ts
@@ -11,7 +11,7 @@
 	readonly p99: number;
 };
 
-/** The metrics of one cell, computed from the records of callers and back ends. */
+/** The metrics of one cell, computed from the records of callers and backend servers. */
 export type Verdict = {
 	readonly requests: number;
 	/** Complete and expected responses. */
@@ -49,7 +49,7 @@
 const microsecondsInMillisecond = 1000;
 
 /**
-Computes the metrics of a cell from the records of callers and back ends alone.
+Computes the metrics of a cell from the records of callers and backend servers alone.
 
 @param records The records.
 @param workload The prices, targets and true qualities.
--- a/packages/testing/src/measure/own-cost.ts
+++ b/packages/testing/src/measure/own-cost.ts
@@ -46,7 +46,7 @@
 /**
 Measures the processor time and log volume per request of each router and, as a baseline, of a bare HTTP proxy, with one engine that responds immediately.
 
-@param workload The workload; its daemons and back ends are replaced by one of each.
+@param workload The workload; its daemons and backend servers are replaced by one of each.
 @param options The output folder and the number of requests.
 @returns The overhead of each router, for complete and for streamed responses.
 @throws If a process does not start.
--- a/packages/testing/src/measure/run-cell.ts
+++ b/packages/testing/src/measure/run-cell.ts
@@ -16,7 +16,7 @@
 	readonly start: StartSystem;
 };
 
-/** The records of a cell that callers and back ends made. */
+/** The records of a cell that callers and backend servers made. */
 export type CellRecords = {
 	readonly system: string;
 	readonly callers: readonly CallerRecord[];
@@ -28,7 +28,7 @@
 const drainMilliseconds = 500;
 
 /**
-Starts a system, sends the requests on schedule, injects the fault, and collects the records of callers and back ends.
+Starts a system, sends the requests on schedule, injects the fault, and collects the records of callers and backend servers.
 
 @param cell The system, the fault and the requests.
 @returns The records.
--- a/packages/testing/src/measure/system.ts
+++ b/packages/testing/src/measure/system.ts
@@ -25,7 +25,7 @@
 	readonly process: ManagedProcess;
 };
 
-/** A running router and its back ends. */
+/** A running router and its backend servers. */
 export type System = {
 	readonly name: string;
 	readonly entries: readonly SystemEntry[];
--- a/packages/testing/src/measure/workloads.ts
+++ b/packages/testing/src/measure/workloads.ts
@@ -94,7 +94,7 @@
 		name, small, large, service, servicePath, kinds, requestsPerSecond,
 	} = parameters;
 	const settled = `${small}@1.0`;
-	const fragile = `${small}@1.1`;
+	const degraded = `${small}@1.1`;
 	const best = `${large}@2.0`;
 	const workspaces = workspaceShares.map((share, index) => ({name: `desk-${index + 1}`, key: `${name}-key-${index + 1}`, share}));
 	return {
@@ -105,12 +105,12 @@
 		workspaces,
 		requestsPerSecond,
 		smallModel: small,
-		fragileVersion: fragile,
+		fragileVersion: degraded,
 		daemons: daemonsOf(parameters),
 		backends: backendsOf(parameters),
 		configuration: configurationOf(parameters, workspaces),
-		qualities: {[settled]: 0.83, [fragile]: 0.86, [best]: 0.95},
-		prices: {[settled]: smallPrices, [fragile]: smallPrices, [best]: largePrices},
+		qualities: {[settled]: 0.83, [degraded]: 0.86, [best]: 0.95},
+		prices: {[settled]: smallPrices, [degraded]: smallPrices, [best]: largePrices},
 		speeds: {[small]: smallSpeed, [large]: largeSpeed},
 	};
 }
--- a/packages/testing/src/platform/backend-stand-in.ts
+++ b/packages/testing/src/platform/backend-stand-in.ts
@@ -43,7 +43,7 @@
 	readonly port?: number;
 	/** The process start time to announce, in milliseconds since the epoch; not announced by default. */
 	readonly startedAt?: number;
-	/** Gives the port to announce instead of its own, such as that of a proxy in front of the server. */
+	/** Returns the port to announce instead of its own, such as that of a proxy in front of the server. */
 	readonly announcedPort?: () => number;
 };
 
