--- a/packages/testing/src/emulator/customers.ts
+++ b/packages/testing/src/emulator/customers.ts
@@ -1,12 +1,13 @@
+import {type EmulatedModel} from './emulated-engine.js';
 import {type CustomerSheet} from './load-shape.js';
 
-const models = [
+const models: readonly EmulatedModel[] = [
 	{id: 'small', pace: 1, ability: 0.55},
 	{id: 'middle', pace: 1.3, ability: 0.75},
 	{id: 'large', pace: 1.8, ability: 0.97},
-] as const;
+];
 
-/** Figures in the manner of the three customers' sheets: engines, rates, kinds of prompts and how often their subjects repeat. */
+/** Synthetic profiles modeled on the data sheets of the three customers: engines, request rates, kinds of prompts and how often prompt prefixes repeat. */
 export const customerSheets: Readonly<Record<'coilTraceability' | 'qualityLogs' | 'railcarLeasing', CustomerSheet>> = {
 	coilTraceability: {
 		zones: 3, entries: 7, engines: 13, models, calmRequestsPerSecond: 45,
--- a/packages/testing/src/measure/fault.ts
+++ b/packages/testing/src/measure/fault.ts
@@ -3,26 +3,26 @@
 import {type System, type SystemBackend} from './system.js';
 import {type Workload} from './workload.js';
 
-/** What happens to a system a third into a run. */
+/** A fault that is injected after one third of a run. */
 export type Fault = {
 	readonly name: string;
-	/** Brings it about. */
+	/** Injects the fault. */
 	readonly begin: (stage: FaultStage) => Promise<void>;
-	/** Ends it at two thirds; a fault without this stays. */
+	/** Reverts the fault after two thirds of the run; without this, the fault persists. */
 	readonly end?: (stage: FaultStage) => Promise<void>;
 };
 
-/** Where a fault happens. */
+/** What a fault acts on. */
 export type FaultStage = {
 	readonly system: System;
 	readonly workload: Workload;
-	/** Keeps the runs of a back end that is about to be killed. */
+	/** Saves the run records of a backend server before it is killed, since they are lost with its process. */
 	readonly keepRuns: (backend: SystemBackend) => Promise<void>;
-	/** Makes answers of a version bad from now on. */
+	/** Degrades the responses of a version from now on. */
 	readonly turnBad: (version: string) => void;
 };
 
-/** One run as a fake recorded it. */
+/** A run of a request, as recorded by a fake engine or service. */
 export type RecordedRun = z.infer<typeof runSchema> & {readonly server: string};
 
 const runSchema = z.looseObject({
@@ -35,19 +35,19 @@
 	cancelled: z.boolean(),
 });
 
-/** Calm, and each fault that the brief names, by name. */
+/** The faults to measure under; the first is a run without a fault. */
 export const faults: readonly Fault[] = [
 	{
 		name: 'calm',
 		async begin() {
-			// Nothing happens.
+			// No fault is injected.
 		},
 	},
 	{
 		name: 'engine-killed',
-		async begin({system, workload, keepRuns}) {
+		async begin({system, workload, keepRuns: saveRuns}) {
 			for (const engine of smallEngines(system, workload).slice(0, 1)) {
-				await keepRuns(engine);
+				await saveRuns(engine);
 				await engine.process.kill('SIGKILL');
 			}
 		},
@@ -62,8 +62,8 @@
 	},
 	{
 		name: 'version-bad',
-		async begin({workload, turnBad}) {
-			turnBad(workload.fragileVersion);
+		async begin({workload, turnBad: degradeVersion}) {
+			degradeVersion(workload.fragileVersion);
 		},
 	},
 	{
@@ -77,10 +77,10 @@
 	},
 	{
 		name: 'capacity-third',
-		async begin({system, workload, keepRuns}) {
+		async begin({system, workload, keepRuns: saveRuns}) {
 			const engines = smallEngines(system, workload);
 			await Promise.all(engines.slice(Math.ceil(engines.length / 3)).map(async engine => {
-				await keepRuns(engine);
+				await saveRuns(engine);
 				await engine.process.kill('SIGKILL');
 			}));
 		},
@@ -94,10 +94,10 @@
 ];
 
 /**
-Reads what a fake ran.
+Reads the run records of a fake engine or service.
 
 @param backend The engine or service.
-@returns Its runs, or none where it does not answer.
+@returns Its runs; empty if it does not respond.
 @example
 ```ts
 const runs = await readRuns(system.backends[0]);
