--- a/packages/cli/src/_change-document.ts
+++ b/packages/cli/src/_change-document.ts
@@ -4,11 +4,11 @@
 } from '@valehitch/core';
 import {type Either, Left, Right} from 'purify-ts';
 import {
-	type Committed, getConfiguration, putConfiguration, type Target,
+	type CommittedChange, getConfiguration, putConfiguration, type Target,
 } from './_operator-client.js';
 
 /** Options for a read-modify-write update of the configuration in force. */
-export type DocumentChange = {
+export type ConfigurationUpdate = {
 	/** Returns the edited document, or the failure if the edit isn't possible. */
 	readonly edit: (document: Configuration) => Either<Failure, Configuration>;
 	/** How many times to reapply the edit to the newer document after a revision conflict; 0 by default. */
@@ -18,7 +18,7 @@
 };
 
 /** Reads the configuration in force, edits it, and submits the result on condition that the revision has not changed since. */
-export async function changeDocument(target: Target, change: DocumentChange): Promise<Either<Failure, Committed>> {
+export async function updateConfiguration(target: Target, change: ConfigurationUpdate): Promise<Either<Failure, CommittedChange>> {
 	const current = await getConfiguration(target);
 	if (current.isLeft()) {
 		return current;
@@ -34,7 +34,7 @@
 	change.onSend({id, revision});
 	const result = await putConfiguration(target, {id, revision, document: edited.unsafeCoerce()});
 	const retries = change.retries ?? 0;
-	return retries > 0 && isConflict(result) ? changeDocument(target, {...change, retries: retries - 1}) : result;
+	return retries > 0 && isConflict(result) ? updateConfiguration(target, {...change, retries: retries - 1}) : result;
 }
 
 function readDocument(document: unknown): Either<Failure, Configuration> {
--- a/packages/cli/src/_check-file.ts
+++ b/packages/cli/src/_check-file.ts
@@ -2,7 +2,7 @@
 import {type Configuration} from '@valehitch/core';
 import {compileCondition} from '@valehitch/policy';
 import {
-	documentKind, parseConfiguration, parseSettings, type DocumentProblem,
+	detectDocumentKind, parseConfiguration, parseSettings, type DocumentProblem,
 } from '@valehitch/settings';
 import {EitherAsync, Left, type Either} from 'purify-ts';
 import {match} from 'ts-pattern';
@@ -12,7 +12,7 @@
 /** Reads and validates a settings file or a configuration; the top-level keys tell which of the two it is. */
 export async function checkFile(file: string): Promise<Either<Problems, unknown>> {
 	const text = await readText(file);
-	return text.chain(content => match(documentKind(content))
+	return text.chain(content => match(detectDocumentKind(content))
 		.returnType<Either<Problems, unknown>>()
 		.with('settings', () => parseSettings(content, file))
 		.with('configuration', () => checkConfiguration(content, file))
--- a/packages/cli/src/_operator-client.ts
+++ b/packages/cli/src/_operator-client.ts
@@ -3,7 +3,7 @@
 import {request, type IncomingMessage} from 'node:http';
 import {setTimeout as sleep} from 'node:timers/promises';
 import {
-	errorAnswers, failure, outcomeOf, type Configuration, type ErrorKind, type Failure,
+	errorResponses, failure, outcomeOf, type Configuration, type ErrorKind, type Failure,
 } from '@valehitch/core';
 import {
 	Either, EitherAsync, Left, Right,
@@ -24,7 +24,7 @@
 };
 
 /** A replacement of the configuration, conditional on a revision. */
-export type Change = {
+export type ConfigurationChange = {
 	readonly id: string;
 	/** The revision that the change is based on. */
 	readonly revision: number;
@@ -32,7 +32,7 @@
 };
 
 /** The response of an instance to a committed change. */
-export type Committed = {
+export type CommittedChange = {
 	readonly revision: number;
 	readonly inForce: {readonly complete: boolean; readonly waitingFor: readonly string[]};
 };
@@ -45,7 +45,7 @@
 };
 
 /** The timeline events that an instance still keeps in memory. */
-export type LiveEvents = {
+export type RetainedEvents = {
 	readonly events: readonly unknown[];
 	readonly next: number;
 	readonly dropped: number;
@@ -107,7 +107,7 @@
 }
 
 /** Fetches the timeline events that an instance still keeps. */
-export async function getEvents(target: Target, after: number): Promise<Either<Failure, LiveEvents>> {
+export async function getEvents(target: Target, after: number): Promise<Either<Failure, RetainedEvents>> {
 	const response = await call(target, {method: 'GET', path: `/v1/timeline?after=${after}`});
 	return response.chain(value => isLiveEvents(value) ? Right(value) : Left(unexpectedResponse('a page of events')));
 }
@@ -127,11 +127,11 @@
 }
 
 /** Submits a change. Resends it under the same id while it is unknown whether it was committed; the id makes this idempotent. */
-export async function putConfiguration(target: Target, change: Change): Promise<Either<Failure, Committed>> {
+export async function putConfiguration(target: Target, change: ConfigurationChange): Promise<Either<Failure, CommittedChange>> {
 	return putWithResends(maximumSends, {target, change});
 }
 
-async function putWithResends(remainingSends: number, options: {target: Target; change: Change}): Promise<Either<Failure, Committed>> {
+async function putWithResends(remainingSends: number, options: {target: Target; change: ConfigurationChange}): Promise<Either<Failure, CommittedChange>> {
 	const result = await putOnce(options.target, options.change);
 	if (remainingSends <= 1 || !isOutcomeUnknown(result)) {
 		return result;
@@ -145,7 +145,7 @@
 	return result.swap().map(failed => outcomeOf(failed) === 'unknown').orDefault(false);
 }
 
-async function putOnce(target: Target, {id, revision, document}: Change): Promise<Either<Failure, Committed>> {
+async function putOnce(target: Target, {id, revision, document}: ConfigurationChange): Promise<Either<Failure, CommittedChange>> {
 	const response = await call(target, {
 		method: 'PUT',
 		path: '/v1/configuration',
@@ -193,7 +193,7 @@
 }
 
 function isErrorKind(kind: string): kind is ErrorKind {
-	return Object.hasOwn(errorAnswers, kind);
+	return Object.hasOwn(errorResponses, kind);
 }
 
 function statusFailure(status: number): Failure {
--- a/packages/cli/src/commands/apply.ts
+++ b/packages/cli/src/commands/apply.ts
@@ -7,7 +7,7 @@
 import {Left, Right, type Either} from 'purify-ts';
 import {readConfiguration} from '../_check-file.js';
 import {
-	getConfiguration, putConfiguration, type Change, type Committed, type Target,
+	getConfiguration, putConfiguration, type ConfigurationChange, type CommittedChange, type Target,
 } from '../_operator-client.js';
 import {OperatorCommand, targetFlags} from '../_operator-command.js';
 
@@ -16,11 +16,11 @@
 const defaultWaitSeconds = 60;
 
 /** What `apply --json` prints. */
-export type ApplyResult = Committed & {readonly changeId: string};
+export type ApplyResult = CommittedChange & {readonly changeId: string};
 
 type WaitOptions = {
 	readonly target: Target;
-	readonly change: Change;
+	readonly change: ConfigurationChange;
 	/** When to stop waiting, on the monotonic clock. */
 	readonly deadline: number;
 };
@@ -49,7 +49,7 @@
 		const {args, flags} = await this.parse(Apply);
 		const document = await this.#read(args.file);
 		const revision = flags.revision ?? await this.#currentRevision(flags);
-		const change: Change = {id: flags['change-id'] ?? randomUUID(), revision, document};
+		const change: ConfigurationChange = {id: flags['change-id'] ?? randomUUID(), revision, document};
 		this.logToStderr(`Change ${change.id} against revision ${revision}`);
 		const result = await putConfiguration(flags, change);
 		const committed = this.unwrap(result.mapLeft(failed => addChangeDetails(failed, change)));
@@ -74,7 +74,7 @@
 	}
 }
 
-function addChangeDetails(failed: Failure, {id, revision}: Change): Failure {
+function addChangeDetails(failed: Failure, {id, revision}: ConfigurationChange): Failure {
 	const details = {...failed.details, changeId: id, revision};
 	if (failed.kind === 'revision-conflict') {
 		return {...failed, details, message: conflictMessage(failed, revision)};
@@ -94,7 +94,7 @@
 }
 
 /** Polls by resending the same change, which is idempotent, until the response says that it is in force in every zone. */
-async function waitUntilInForce(last: Committed, wait: WaitOptions): Promise<Either<Failure, Committed>> {
+async function waitUntilInForce(last: CommittedChange, wait: WaitOptions): Promise<Either<Failure, CommittedChange>> {
 	if (last.inForce.complete) {
 		return Right(last);
 	}
--- a/packages/cli/src/commands/losses.ts
+++ b/packages/cli/src/commands/losses.ts
@@ -2,7 +2,7 @@
 import {OperatorCommand} from '../_operator-command.js';
 import {formatTable} from '../_table.js';
 import {readDecisionFiles} from '../trace/_read-decision-files.js';
-import {type LossSummary, sumLosses} from '../trace/_sum-losses.js';
+import {type LossSummary, summarizeLosses} from '../trace/_sum-losses.js';
 
 const lossColumns: readonly string[] = ['cause', 'requests', 'percent', 'meaning', 'routes', 'examples'];
 const modelColumns: readonly string[] = ['route', 'model', 'answered', 'confidence', 'steppedOn'];
@@ -32,7 +32,7 @@
 		const decisions = await readDecisionFiles(argv.map(String), (file, lines) => {
 			this.logToStderr(`${file}: ${lines} lines could not be read`);
 		});
-		const summary = sumLosses(this.unwrap(decisions), flags);
+		const summary = summarizeLosses(this.unwrap(decisions), flags);
 		this.log(`${summary.requests} requests`);
 		for (const line of [...formatTable(summary.losses, lossColumns), '', ...formatTable(summary.models, modelColumns)]) {
 			this.log(line);
--- a/packages/cli/src/commands/timeline.ts
+++ b/packages/cli/src/commands/timeline.ts
@@ -5,10 +5,10 @@
 import {getEvents} from '../_operator-client.js';
 import {OperatorCommand} from '../_operator-command.js';
 import {formatTable} from '../_table.js';
-import {describeSubject, describeTime} from '../timeline/_describe-event.js';
+import {formatSubject, formatTimestamp} from '../timeline/_describe-event.js';
 import {filterEvents} from '../timeline/_filter-events.js';
-import {mergeEvents, readLog, toEvent} from '../timeline/_read-events.js';
-import {timelinePage} from '../timeline/_timeline-page.js';
+import {mergeEvents, parseLog, toEvent} from '../timeline/_read-events.js';
+import {renderTimelinePage} from '../timeline/_timeline-page.js';
 
 const columns: readonly string[] = ['time', 'instance', 'zone', 'event', 'subject'];
 
@@ -55,12 +55,12 @@
 		];
 		const events = filterEvents(mergeEvents(eventGroups.flat()), flags);
 		if (flags.html !== undefined) {
-			await writeFile(flags.html, timelinePage(events));
+			await writeFile(flags.html, renderTimelinePage(events));
 			this.logToStderr(`${events.length} events in ${flags.html}`);
 			return events;
 		}
 
-		const rows = events.map(event => ({...event, time: describeTime(event), subject: describeSubject(event)}));
+		const rows = events.map(event => ({...event, time: formatTimestamp(event), subject: formatSubject(event)}));
 		for (const line of formatTable(rows, columns)) {
 			this.log(line);
 		}
@@ -70,7 +70,7 @@
 
 	async #readFile(file: string): Promise<readonly TimelineEvent[]> {
 		const text = await EitherAsync<Error, string>(async () => readFile(file, 'utf8')).run();
-		const {events, unreadable} = readLog(this.unwrap(text.mapLeft(({message}) => failure('not-found', `Got an error (${message}), wanted a readable log file`))));
+		const {events, unreadable} = parseLog(this.unwrap(text.mapLeft(({message}) => failure('not-found', `Got an error (${message}), wanted a readable log file`))));
 		if (unreadable > 0) {
 			this.logToStderr(`${file}: ${unreadable} events could not be read`);
 		}
--- a/packages/cli/src/commands/trace.ts
+++ b/packages/cli/src/commands/trace.ts
@@ -2,7 +2,7 @@
 import {failure} from '@valehitch/core';
 import {OperatorCommand} from '../_operator-command.js';
 import {readDecisionFiles} from '../trace/_read-decision-files.js';
-import {tellRequest} from '../trace/_trace-request.js';
+import {traceRequest} from '../trace/_trace-request.js';
 
 /** Reconstructs what happened to one request of a gateway from the logs of its instances. */
 export class Trace extends OperatorCommand {
@@ -27,7 +27,7 @@
 			this.logToStderr(`${file}: ${lines} lines could not be read`);
 		});
 		const decisions = this.unwrap(read);
-		const report = tellRequest(args.request, decisions);
+		const report = traceRequest(args.request, decisions);
 		if (report.length === 0) {
 			this.fail(failure('not-found', `Got no line about request ${args.request} in ${argv.length - 1} files, wanted the logs of the instance that handled it`));
 		}
--- a/packages/cli/src/commands/withdraw.ts
+++ b/packages/cli/src/commands/withdraw.ts
@@ -3,8 +3,8 @@
 	type Configuration, failure, type Failure, type ModelId, toId, type VersionId,
 } from '@valehitch/core';
 import {type Either, Left, Right} from 'purify-ts';
-import {changeDocument} from '../_change-document.js';
-import {type Committed} from '../_operator-client.js';
+import {updateConfiguration} from '../_change-document.js';
+import {type CommittedChange} from '../_operator-client.js';
 import {OperatorCommand, targetFlags} from '../_operator-command.js';
 
 const conflictRetries = 5;
@@ -30,9 +30,9 @@
 
 	@returns The committed revision, and whether it is in force in every zone.
 	*/
-	async run(): Promise<Committed> {
+	async run(): Promise<CommittedChange> {
 		const {args, flags} = await this.parse(Withdraw);
-		const committed = this.unwrap(await changeDocument(flags, {
+		const committed = this.unwrap(await updateConfiguration(flags, {
 			edit: document => withdrawVersion(document, {model: toId<ModelId>(args.model), version: toId<VersionId>(args.version)}),
 			retries: flags.retry ? conflictRetries : 0,
 			onSend: ({id, revision}) => {
--- a/packages/cli/src/timeline/_describe-event.ts
+++ b/packages/cli/src/timeline/_describe-event.ts
@@ -3,7 +3,7 @@
 const subjectNames = ['requestId', 'changeId', 'workspace', 'model', 'version', 'server', 'revision', 'term'] as const;
 
 /** Formats the subject of an event as NAME=VALUE pairs, followed by its details. */
-export function describeSubject(event: TimelineEvent): string {
+export function formatSubject(event: TimelineEvent): string {
 	const subject = subjectNames.map(name => [name, event[name]] as const);
 	return [...subject, ...Object.entries(event.details ?? {})]
 		.filter(([, value]) => value !== undefined)
@@ -12,6 +12,6 @@
 }
 
 /** Formats the hybrid timestamp of an event: the wall clock in UTC, followed by the counter if it is above 0. */
-export function describeTime({stamp: {wall, counter}}: TimelineEvent): string {
+export function formatTimestamp({stamp: {wall, counter}}: TimelineEvent): string {
 	return `${new Date(wall).toISOString()}${counter === 0 ? '' : `+${counter}`}`;
 }
--- a/packages/cli/src/timeline/_read-events.ts
+++ b/packages/cli/src/timeline/_read-events.ts
@@ -7,14 +7,14 @@
 const isLogRecord = isMatching({timeline: P.nonNullable});
 
 /** The timeline events of a log. */
-export type ReadLog = {
+export type ParsedLog = {
 	readonly events: readonly TimelineEvent[];
 	/** The number of lines with an event that can't be parsed, such as the truncated last line of a killed process. */
 	readonly unreadable: number;
 };
 
 /** Parses the timeline events of a bunyan log, with one record per line; other records are skipped. */
-export function readLog(text: string): ReadLog {
+export function parseLog(text: string): ParsedLog {
 	const events: TimelineEvent[] = [];
 	let unreadable = 0;
 	for (const line of text.split('\n')) {
--- a/packages/cli/src/timeline/_timeline-page.ts
+++ b/packages/cli/src/timeline/_timeline-page.ts
@@ -1,5 +1,5 @@
 import {type TimelineEvent} from '@valehitch/core';
-import {describeSubject, describeTime} from './_describe-event.js';
+import {formatSubject, formatTimestamp} from './_describe-event.js';
 import {pageScript} from './_page-script.js';
 import {pageStyle} from './_page-style.js';
 
@@ -22,7 +22,7 @@
 };
 
 /** Renders a self-contained HTML page that loads nothing from the network: a lane for each process, with events spaced evenly from left to right, and a searchable table. */
-export function timelinePage(events: readonly TimelineEvent[]): string {
+export function renderTimelinePage(events: readonly TimelineEvent[]): string {
 	const lanes = listLanes(events);
 	const placedEvents = events.map((event, index) => ({
 		event, index, x: labelWidth + (stepWidth * (index + 0.5)), y: headerHeight + (laneHeight * lanes.indexOf(laneKey(event))) + markerOffset,
@@ -71,7 +71,7 @@
 function formatTimeRange(events: readonly TimelineEvent[]): string {
 	const [first] = events;
 	const last = events.at(-1);
-	return first === undefined || last === undefined ? '' : `, from ${describeTime(first)} to ${describeTime(last)}`;
+	return first === undefined || last === undefined ? '' : `, from ${formatTimestamp(first)} to ${formatTimestamp(last)}`;
 }
 
 function renderLane(lane: string, {index, width}: {readonly index: number; readonly width: number}): string {
@@ -92,14 +92,14 @@
 }
 
 function renderEvent({event, index, x, y}: PlacedEvent): string {
-	const title = `${describeTime(event)} ${event.event} ${describeSubject(event)}`;
+	const title = `${formatTimestamp(event)} ${event.event} ${formatSubject(event)}`;
 	return `<g class="event ${eventCategory(event)}" data-index="${index}" data-x="${x}" data-y="${y}" data-key="${escapeText(correlationKey(event))}">`
 		+ `<title>${escapeText(title)}</title><circle cx="${x}" cy="${y}" r="${markerRadius}"></circle>`
 		+ `<text transform="translate(${x + 3} ${y - 9}) rotate(-42)">${escapeText(eventLabel(event))}</text></g>`;
 }
 
 function renderRow({event, index}: PlacedEvent): string {
-	const cells = [describeTime(event), event.instance, event.event, describeSubject(event)];
+	const cells = [formatTimestamp(event), event.instance, event.event, formatSubject(event)];
 	return `<tr data-index="${index}" data-key="${escapeText(correlationKey(event))}" class="${eventCategory(event)}">${cells.map(cell => `<td>${escapeText(cell)}</td>`).join('')}</tr>`;
 }
 
--- a/packages/cli/src/timeline/timeline.test.ts
+++ b/packages/cli/src/timeline/timeline.test.ts
@@ -4,8 +4,8 @@
 import {fc, testProp} from '@fast-check/ava';
 import test from 'ava';
 import {filterEvents} from './_filter-events.js';
-import {mergeEvents, readLog} from './_read-events.js';
-import {timelinePage} from './_timeline-page.js';
+import {mergeEvents, parseLog} from './_read-events.js';
+import {renderTimelinePage} from './_timeline-page.js';
 
 const names = ['left', 'right', 'third'] as const;
 
@@ -43,7 +43,7 @@
 test('a log is parsed into its events, skipping other records and counting a truncated line', t => {
 	const event = eventOf('left', {stamp: {wall: 1, counter: 0}, requestId: 'r1'});
 	const text = `${JSON.stringify({msg: 'x', timeline: event})}\n${JSON.stringify({msg: 'other'})}\nnot JSON\n{"timeline": {"eve`;
-	t.deepEqual(readLog(text), {events: [event], unreadable: 1});
+	t.deepEqual(parseLog(text), {events: [event], unreadable: 1});
 });
 
 test('an event read from both a log and a running instance is kept once', t => {
@@ -67,7 +67,7 @@
 });
 
 test('the page escapes event data and loads nothing from the network', t => {
-	const page = timelinePage([eventOf('left', {stamp: {wall: 1, counter: 0}, requestId: '"><script>alert(1)</script>', details: {message: '</table>'}})]);
+	const page = renderTimelinePage([eventOf('left', {stamp: {wall: 1, counter: 0}, requestId: '"><script>alert(1)</script>', details: {message: '</table>'}})]);
 	t.is(page.split('<script>').length, 2);
 	t.false(page.includes('</table></td>'));
 	t.notRegex(page, /(?:src|href)=|https?:/v);
--- a/packages/cli/src/trace/_decision.ts
+++ b/packages/cli/src/trace/_decision.ts
@@ -14,7 +14,7 @@
 };
 
 /** The decisions of a log, and the number of unreadable lines. */
-export type DecisionsRead = {
+export type ParsedDecisions = {
 	readonly decisions: readonly Decision[];
 	/** The number of lines that begin like a record but can't be parsed, such as the truncated last line of a killed process. */
 	readonly unreadable: number;
@@ -32,7 +32,7 @@
 @param text The contents of the log.
 @returns The decisions in the order of the log.
 */
-export function readDecisions(text: string): DecisionsRead {
+export function parseDecisions(text: string): ParsedDecisions {
 	const decisions: Decision[] = [];
 	let unreadable = 0;
 	for (const line of text.split('\n')) {
--- a/packages/cli/src/trace/_loss-cause.ts
+++ b/packages/cli/src/trace/_loss-cause.ts
@@ -19,11 +19,11 @@
 export type LossCause = keyof typeof lossCauses;
 
 /** The log records about one request, and how to classify it. */
-export type LossOptions = {
+export type ClassifyLossOptions = {
 	/** The decisions about the request, in chronological order. */
-	readonly own: readonly Decision[];
+	readonly decisions: readonly Decision[];
 	/** The start times of each instance on its wall clock, in milliseconds. */
-	readonly starts: ReadonlyMap<string, readonly number[]>;
+	readonly startsByInstance: ReadonlyMap<string, readonly number[]>;
 	/** The time to the response, or to the first event of a stream, after which the request counts as late, in milliseconds. */
 	readonly late: number;
 };
@@ -36,7 +36,7 @@
 @param options The log records about the request.
 @returns The cause; undefined if the request was answered in time.
 */
-export function lossCause({own: sortedDecisions, starts: startTimes, late}: LossOptions): LossCause | undefined {
+export function classifyLoss({decisions: sortedDecisions, startsByInstance: startTimes, late}: ClassifyLossOptions): LossCause | undefined {
 	const end = sortedDecisions.findLast(({kind}) => kind === 'request-ended');
 	if (end === undefined) {
 		return causeWithoutEnd(sortedDecisions.at(-1), startTimes);
@@ -59,7 +59,7 @@
 	return numericField(end, 'sends') === 0 && outcome !== 'answered' && !sortedDecisions.some(({kind}) => kind === 'request-attempt-ended') ? 'never-tried' : causeOfAttempts(sortedDecisions);
 }
 
-function causeWithoutEnd(last: Decision | undefined, starts: LossOptions['starts']): LossCause {
+function causeWithoutEnd(last: Decision | undefined, starts: ClassifyLossOptions['startsByInstance']): LossCause {
 	const hasRestarted = last !== undefined && (starts.get(last.instance) ?? []).some(at => at > last.at);
 	return hasRestarted ? 'instance-ended' : 'no-end';
 }
--- a/packages/cli/src/trace/_read-decision-files.ts
+++ b/packages/cli/src/trace/_read-decision-files.ts
@@ -1,7 +1,7 @@
 import {readFile} from 'node:fs/promises';
 import {type Failure, failure} from '@valehitch/core';
 import {type Either, EitherAsync} from 'purify-ts';
-import {type Decision, readDecisions} from './_decision.js';
+import {type Decision, parseDecisions} from './_decision.js';
 
 /** Called for each file with unreadable lines. */
 export type OnUnreadable = (file: string, lines: number) => void;
@@ -18,7 +18,7 @@
 		const allDecisions: Decision[] = [];
 		for (const file of files) {
 			const text = await fromPromise(readText(file));
-			const {decisions, unreadable} = readDecisions(text);
+			const {decisions, unreadable} = parseDecisions(text);
 			for (const decision of decisions) {
 				allDecisions.push(decision);
 			}
--- a/packages/cli/src/trace/_sum-losses.ts
+++ b/packages/cli/src/trace/_sum-losses.ts
@@ -1,6 +1,6 @@
 import {type Decision} from './_decision.js';
 import {groupBy} from './_group-by.js';
-import {type LossCause, lossCause, lossCauses} from './_loss-cause.js';
+import {type LossCause, classifyLoss, lossCauses} from './_loss-cause.js';
 
 /** The requests that were lost or late for the same cause. */
 export type LossRow = {
@@ -44,7 +44,7 @@
 @param options `late`: the time after which a response counts as late, in milliseconds.
 @returns The counts, with the most frequent cause first.
 */
-export function sumLosses(decisions: readonly Decision[], {late}: {readonly late: number}): LossSummary {
+export function summarizeLosses(decisions: readonly Decision[], {late}: {readonly late: number}): LossSummary {
 	const byRequest = groupBy(decisions.filter(({request}) => request !== undefined), ({request}) => request);
 	const startTimes = startTimesByInstance(decisions);
 	const lastLineByCause = new Map<LossCause, Decision[]>();
@@ -57,7 +57,7 @@
 		}
 
 		requests++;
-		const cause = lossCause({own: sortedLines, starts: startTimes, late});
+		const cause = classifyLoss({decisions: sortedLines, startsByInstance: startTimes, late});
 		if (cause !== undefined) {
 			lastLineByCause.set(cause, [...lastLineByCause.get(cause) ?? [], sortedLines.at(-1)!]);
 		}
--- a/packages/cli/src/trace/_trace-request.ts
+++ b/packages/cli/src/trace/_trace-request.ts
@@ -13,7 +13,7 @@
 @param decisions The decisions of all instances.
 @returns The lines of the report; empty if no log has the request.
 */
-export function tellRequest(request: string, decisions: readonly Decision[]): readonly string[] {
+export function traceRequest(request: string, decisions: readonly Decision[]): readonly string[] {
 	const requestDecisions = decisions.filter(decision => decision.request === request).toSorted((left, right) => left.at - right.at);
 	const [first] = requestDecisions;
 	const last = requestDecisions.at(-1);
--- a/packages/cli/src/trace/losses.test.ts
+++ b/packages/cli/src/trace/losses.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import {type Decision} from './_decision.js';
 import {type LossCause} from './_loss-cause.js';
-import {sumLosses} from './_sum-losses.js';
+import {summarizeLosses} from './_sum-losses.js';
 
 type Line = {
 	readonly kind: string;
@@ -38,21 +38,21 @@
 
 for (const [cause, lines] of cases) {
 	test(`a request with ${lines.map(({kind, fields}) => `${kind} ${fields?.result ?? ''}`.trim()).join(', ')} (${JSON.stringify(lines.at(-1)?.fields ?? {})}) counts as ${cause ?? 'served'}`, t => {
-		const {requests, losses} = sumLosses(linesOf('a1', lines), {late: 2000});
+		const {requests, losses} = summarizeLosses(linesOf('a1', lines), {late: 2000});
 		t.is(requests, 1);
 		t.deepEqual(losses.map(row => row.cause), cause === undefined ? [] : [cause]);
 	});
 }
 
 test('a request whose instance restarted after its last record counts as lost with the instance', t => {
-	const {losses} = sumLosses([...linesOf('a1', [{kind: 'request-dispatched', at: 1000}]), ...linesOf(undefined, [{kind: 'process-started', at: 1500}])], {late: 2000});
+	const {losses} = summarizeLosses([...linesOf('a1', [{kind: 'request-dispatched', at: 1000}]), ...linesOf(undefined, [{kind: 'process-started', at: 1500}])], {late: 2000});
 	t.like(losses, [{cause: 'instance-ended', requests: 1, percent: 100}]);
 });
 
 test('causes are sorted by frequency and list routes and example requests; a refused request is not counted', t => {
 	const lostRequest = (request: string, route: string): readonly Decision[] => linesOf(request, [{kind: 'request-ended', fields: {...refused, route, sends: '0'}}]);
 	const late = linesOf('late', [{kind: 'request-ended', fields: {...answered, headAfter: '2500'}}]);
-	const {requests, losses} = sumLosses([
+	const {requests, losses} = summarizeLosses([
 		...late, ...lostRequest('a1', 'drafts'), ...lostRequest('a2', 'notes'), ...lostRequest('a3', 'notes'), ...lostRequest('a4', 'notes'), ...linesOf('key', [{kind: 'request-refused'}]),
 	], {late: 2000});
 	t.is(requests, 5);
@@ -63,7 +63,7 @@
 
 test('models are counted by route, with the answers that were replaced by a larger model', t => {
 	const endLine = (model: string, confidence: string): Line => ({kind: 'request-ended', fields: {...answered, model, confidence}});
-	const {models} = sumLosses([
+	const {models} = summarizeLosses([
 		...linesOf('a1', [endLine('small', '80')]),
 		...linesOf('a2', [endLine('small', '60')]),
 		...linesOf('a3', [{kind: 'request-escalated', fields: {from: 'small', to: 'large', confidence: '20'}}, endLine('large', '90')]),
--- a/packages/cli/src/trace/trace.test.ts
+++ b/packages/cli/src/trace/trace.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
-import {readDecisions} from './_decision.js';
-import {tellRequest} from './_trace-request.js';
+import {parseDecisions} from './_decision.js';
+import {traceRequest} from './_trace-request.js';
 
 function line(time: number, fields: Readonly<Record<string, unknown>>): string {
 	return JSON.stringify({
@@ -28,9 +28,9 @@
 ].join('\n');
 
 test('a report starts with the cause, and leaves out other requests and unrelated servers', t => {
-	const {decisions, unreadable} = readDecisions(log);
+	const {decisions, unreadable} = parseDecisions(log);
 	t.is(unreadable, 1);
-	const report = tellRequest('a1', decisions);
+	const report = traceRequest('a1', decisions);
 	t.is(report[0], 'Cause: refused: Got no answer of i-2 (read ECONNRESET)');
 	const text = report.join('\n');
 	t.regex(text, /0 ms {2}10\.1\.0\.40 {2}request-dispatched {2}server=i-2 send=1/v);
@@ -39,15 +39,15 @@
 });
 
 test('a request whose instance restarted before it answered is reported as such', t => {
-	const {decisions} = readDecisions([
+	const {decisions} = parseDecisions([
 		line(2000, {
 			kind: 'request-dispatched', request: 'c3', server: 'i-2', send: 1,
 		}),
 		line(6000, {kind: 'process-started', process: 'front-1'}),
 	].join('\n'));
-	t.is(tellRequest('c3', decisions)[0], 'Cause: its instance ended before it answered, and started again 4000 ms after the last line about it');
+	t.is(traceRequest('c3', decisions)[0], 'Cause: its instance ended before it answered, and started again 4000 ms after the last line about it');
 });
 
 test('a request that no log has gives an empty report', t => {
-	t.deepEqual(tellRequest('none', readDecisions(log).decisions), []);
+	t.deepEqual(traceRequest('none', parseDecisions(log).decisions), []);
 });
--- a/packages/consensus/src/_commit.ts
+++ b/packages/consensus/src/_commit.ts
@@ -30,7 +30,7 @@
 	}
 
 	commitUpTo(draft, index);
-	if (state.replicasIndex <= state.commitIndex && !isVoter(state)) {
+	if (state.replicaSetIndex <= state.commitIndex && !isVoter(state)) {
 		becomeFollower(draft, state.hardState.term);
 	}
 }
--- a/packages/consensus/src/_draft.ts
+++ b/packages/consensus/src/_draft.ts
@@ -70,7 +70,7 @@
 		return;
 	}
 
-	const truncatesReplicaSet = first.index <= state.replicasIndex;
+	const truncatesReplicaSet = first.index <= state.replicaSetIndex;
 	state.log = withEntries(state.log, added);
 	draft.persistedEntries = added;
 	if (truncatesReplicaSet || added.some(({payload}) => payload.type === 'replica-set')) {
@@ -82,7 +82,7 @@
 export function refreshReplicas({state}: Draft): void {
 	const current = replicaSetAt(state.log, lastIndexOf(state.log));
 	state.replicas = current.replicas;
-	state.replicasIndex = current.index;
+	state.replicaSetIndex = current.index;
 }
 
 /** Sets the election deadline to a random timeout from now, doubled `doublings` times. */
--- a/packages/consensus/src/_election.ts
+++ b/packages/consensus/src/_election.ts
@@ -108,7 +108,7 @@
 	state.role = {
 		type: 'leader',
 		since: now,
-		electedIn: now - since,
+		electionMilliseconds: now - since,
 		termStartIndex: nextIndex,
 		progress: createProgress(state, new Map()),
 		rounds: [{round: 0, sentAt: now}],
--- a/packages/consensus/src/_quorum.ts
+++ b/packages/consensus/src/_quorum.ts
@@ -35,7 +35,7 @@
 /** Returns when the newest round that a quorum has acknowledged was sent, in milliseconds. The leader counts with `ownTime`. */
 export function quorumContact(state: ReplicaState, role: LeaderRole, ownTime: number): number {
 	return quorumValue(state, voter =>
-		voter === state.id ? ownTime : role.progress.get(voter)?.ackedAt ?? Number.NEGATIVE_INFINITY);
+		voter === state.id ? ownTime : role.progress.get(voter)?.ackedRoundSentAt ?? Number.NEGATIVE_INFINITY);
 }
 
 function quorumSize(count: number): number {
--- a/packages/consensus/src/_replication.ts
+++ b/packages/consensus/src/_replication.ts
@@ -20,7 +20,7 @@
 		matchIndex: 0,
 		nextIndex: lastIndexOf(state.log) + 1,
 		inFlight: 0,
-		ackedAt: undefined,
+		ackedRoundSentAt: undefined,
 		isActive: false,
 		snapshotSentAt: undefined,
 	};
@@ -77,7 +77,7 @@
 		return;
 	}
 
-	const ackedAt = maximumDefined(progress.ackedAt, role.rounds.find(({round}) => round === reply.round)?.sentAt);
+	const ackedAt = maximumDefined(progress.ackedRoundSentAt, role.rounds.find(({round}) => round === reply.round)?.sentAt);
 	const updated = {...progress, ackedAt, inFlight: Math.max(0, progress.inFlight - 1)};
 	setProgress(draft, from, reply.success ? advanceProgress(updated, reply) : rewindProgress(updated, reply));
 	if (reply.success) {
--- a/packages/consensus/src/_snapshot.ts
+++ b/packages/consensus/src/_snapshot.ts
@@ -42,7 +42,7 @@
 		lastIndex, lastTerm, replicas, data,
 	};
 	draft.persistedSnapshot = snapshot;
-	const baseIndex = Math.max(state.log.baseIndex, lastIndex - state.options.tailEntries);
+	const baseIndex = Math.max(state.log.baseIndex, lastIndex - state.options.trailingEntries);
 	state.log = {
 		baseIndex,
 		baseTerm: termAt(state.log, baseIndex) ?? lastTerm,
--- a/packages/consensus/src/create-replica.ts
+++ b/packages/consensus/src/create-replica.ts
@@ -62,7 +62,7 @@
 		log,
 		commitIndex: snapshot?.lastIndex ?? 0,
 		replicas: current.replicas,
-		replicasIndex: current.index,
+		replicaSetIndex: current.index,
 		role: {type: 'follower'},
 		leader: undefined,
 		lastContact: lastAcknowledgedAt,
--- a/packages/consensus/src/fuzz/_node.ts
+++ b/packages/consensus/src/fuzz/_node.ts
@@ -10,12 +10,12 @@
 import {type ReplicaId, toReplicaId} from '../replica-id.js';
 import {type ReplicaOptions} from '../replica-options.js';
 import {type ReplicaState} from '../replica-state.js';
-import {step} from '../replica.js';
+import {step} from '../step.js';
 import {commandsOf, type Oracle} from './_oracle.js';
 
 /** Times are units of virtual time. The drift margin covers the clock rates below. */
 export const options: ReplicaOptions = {
-	minimumElectionTimeout: 100, maximumElectionTimeout: 150, heartbeatInterval: 20, driftMargin: 10, maximumAppendBytes: 40, maximumInFlight: 2, tailEntries: 3,
+	minimumElectionTimeout: 100, maximumElectionTimeout: 150, heartbeatInterval: 20, driftMargin: 10, maximumAppendBytes: 40, maximumInFlight: 2, trailingEntries: 3,
 };
 const clockRates = [0.956, 1, 1.044, 0.97, 1.03];
 
--- a/packages/consensus/src/mod.ts
+++ b/packages/consensus/src/mod.ts
@@ -18,4 +18,4 @@
 export type * from './replica-message.js';
 export * from './replica-options.js';
 export type * from './replica-state.js';
-export * from './replica.js';
+export * from './step.js';
--- a/packages/consensus/src/plan-membership.test.ts
+++ b/packages/consensus/src/plan-membership.test.ts
@@ -24,13 +24,13 @@
 	const progress = new Map<ReplicaId, FollowerProgress>();
 	for (const replica of [...voters, ...learners]) {
 		progress.set(replica, {
-			matchIndex: lagging.includes(replica) ? 3 : 9, nextIndex: 10, inFlight: 0, ackedAt: unresponsive.includes(replica) ? 1000 : now - 50, isActive: true, snapshotSentAt: undefined,
+			matchIndex: lagging.includes(replica) ? 3 : 9, nextIndex: 10, inFlight: 0, ackedRoundSentAt: unresponsive.includes(replica) ? 1000 : now - 50, isActive: true, snapshotSentAt: undefined,
 		});
 	}
 
 	return {
 		...base, replicas, commitIndex: 9, role: {
-			type: 'leader', since: 500, electedIn: 0, termStartIndex: 1, progress, rounds: [{round: 7, sentAt: now - 50}], roundCommitIndex: 9,
+			type: 'leader', since: 500, electionMilliseconds: 0, termStartIndex: 1, progress, rounds: [{round: 7, sentAt: now - 50}], roundCommitIndex: 9,
 		},
 	};
 }
--- a/packages/consensus/src/plan-membership.ts
+++ b/packages/consensus/src/plan-membership.ts
@@ -19,9 +19,9 @@
 	/** Milliseconds of the monotonic clock. */
 	readonly now: number;
 	/** The time without contact after which a voter may be replaced, in milliseconds. Default 6,000. */
-	readonly silentMilliseconds?: number;
+	readonly unresponsiveMilliseconds?: number;
 	/** The waiting time after which a joining replica becomes a voter although no voter is unresponsive, in milliseconds. Default 10,000. */
-	readonly patienceMilliseconds?: number;
+	readonly promotionDelayMilliseconds?: number;
 };
 
 const defaultUnresponsiveMilliseconds = 6000;
@@ -51,13 +51,13 @@
 	const members = [...replicas.voters, ...replicas.learners];
 	const isReplacement = (replica: ReplicaId): boolean => members.some(member => member !== replica && instanceOf(member) === instanceOf(replica));
 	const replacements = options.joining.map(({replica}) => replica).filter(replica => isReplacement(replica));
-	const replacementChange = planReplacement(state, {present: replacements});
+	const replacementChange = planReplacement(state, {active: replacements});
 	if (replacementChange !== undefined) {
 		return replacementChange;
 	}
 
 	const unresponsive = unresponsiveVoter(state, options);
-	const {patienceMilliseconds: promotionDelayMilliseconds = defaultPromotionDelayMilliseconds} = options;
+	const {promotionDelayMilliseconds: promotionDelayMilliseconds = defaultPromotionDelayMilliseconds} = options;
 	for (const joining of options.joining) {
 		const change = isReplacement(joining.replica) ? undefined : planJoining(state, {joining, unresponsive, promotionDelayMilliseconds});
 		if (change !== undefined) {
@@ -98,13 +98,13 @@
 }
 
 /** Returns a voter without contact for `unresponsiveMilliseconds`. */
-function unresponsiveVoter({id, role, replicas}: ReplicaState, {now, silentMilliseconds: unresponsiveMilliseconds = defaultUnresponsiveMilliseconds}: PlanMembershipOptions): ReplicaId | undefined {
+function unresponsiveVoter({id, role, replicas}: ReplicaState, {now, unresponsiveMilliseconds: unresponsiveMilliseconds = defaultUnresponsiveMilliseconds}: PlanMembershipOptions): ReplicaId | undefined {
 	if (role.type !== 'leader') {
 		return undefined;
 	}
 
 	for (const voter of replicas!.voters) {
-		const lastContact = role.progress.get(voter)?.ackedAt ?? role.since;
+		const lastContact = role.progress.get(voter)?.ackedRoundSentAt ?? role.since;
 		if (voter !== id && now - Math.max(lastContact, role.since) >= unresponsiveMilliseconds) {
 			return voter;
 		}
--- a/packages/consensus/src/plan-replacement.test.ts
+++ b/packages/consensus/src/plan-replacement.test.ts
@@ -5,7 +5,7 @@
 import {type ReplicaId, toReplicaId} from './replica-id.js';
 import {type ReplicaMessage} from './replica-message.js';
 import {type ReplicaState} from './replica-state.js';
-import {step} from './replica.js';
+import {step} from './step.js';
 
 const leader = toReplicaId('a', '0');
 const other = toReplicaId('b', '0');
@@ -42,17 +42,17 @@
 
 test('a replacement adds the new replica as a learner, waits until it has caught up, removes the old one and promotes the new one', t => {
 	let state = acknowledge(electLeader(), other, 1);
-	t.deepEqual(planReplacement(state, {present: activeReplicas}), {type: 'add-learner', replica: newReplica});
+	t.deepEqual(planReplacement(state, {active: activeReplicas}), {type: 'add-learner', replica: newReplica});
 	state = changeReplicas(state, {type: 'add-learner', replica: newReplica});
-	t.is(planReplacement(state, {present: activeReplicas}), undefined, 'the change is not committed');
+	t.is(planReplacement(state, {active: activeReplicas}), undefined, 'the change is not committed');
 	state = acknowledge(state, other, 2);
-	t.is(planReplacement(state, {present: activeReplicas}), undefined, 'the learner has no entries');
+	t.is(planReplacement(state, {active: activeReplicas}), undefined, 'the learner has no entries');
 	t.deepEqual(changeReplicas(state, {type: 'promote', replica: newReplica}).replicas?.learners, [newReplica], 'a lagging learner is not promoted');
 	state = acknowledge(state, newReplica, 2);
-	t.deepEqual(planReplacement(state, {present: activeReplicas}), {type: 'remove', replica: oldReplica});
+	t.deepEqual(planReplacement(state, {active: activeReplicas}), {type: 'remove', replica: oldReplica});
 	state = acknowledge(changeReplicas(state, {type: 'remove', replica: oldReplica}), other, 3);
-	t.deepEqual(planReplacement(state, {present: activeReplicas}), {type: 'promote', replica: newReplica});
+	t.deepEqual(planReplacement(state, {active: activeReplicas}), {type: 'promote', replica: newReplica});
 	state = acknowledge(changeReplicas(state, {type: 'promote', replica: newReplica}), other, 4);
 	t.deepEqual(state.replicas, {voters: [leader, other, newReplica], learners: []});
-	t.is(planReplacement(state, {present: activeReplicas}), undefined);
+	t.is(planReplacement(state, {active: activeReplicas}), undefined);
 });
--- a/packages/consensus/src/plan-replacement.ts
+++ b/packages/consensus/src/plan-replacement.ts
@@ -7,7 +7,7 @@
 /** The inputs of `planReplacement`. */
 export type PlanReplacementOptions = {
 	/** The current replica of each reachable instance, by the identity of its data folder. */
-	readonly present: readonly ReplicaId[];
+	readonly active: readonly ReplicaId[];
 };
 
 /**
@@ -23,7 +23,7 @@
 const change = planReplacement(state, {active});
 ```
 */
-export function planReplacement(state: ReplicaState, {present: active}: PlanReplacementOptions): ReplicaChange | undefined {
+export function planReplacement(state: ReplicaState, {active: active}: PlanReplacementOptions): ReplicaChange | undefined {
 	const {replicas} = state;
 	if (!replicas || !canChangeReplicas(state)) {
 		return undefined;
--- a/packages/consensus/src/replica-options.ts
+++ b/packages/consensus/src/replica-options.ts
@@ -13,7 +13,7 @@
 	/** The maximum number of append requests in flight per follower. Default 4. */
 	readonly maximumInFlight?: number;
 	/** The number of entries kept in the log up to a snapshot's last index, for followers that are slightly behind. Default 1,000. */
-	readonly tailEntries?: number;
+	readonly trailingEntries?: number;
 };
 
 /** The default options of a replica. */
@@ -24,5 +24,5 @@
 	driftMargin: 100,
 	maximumAppendBytes: 65_536,
 	maximumInFlight: 4,
-	tailEntries: 1000,
+	trailingEntries: 1000,
 };
--- a/packages/consensus/src/replica-state.ts
+++ b/packages/consensus/src/replica-state.ts
@@ -24,7 +24,7 @@
 	/** The number of append requests without a reply. */
 	readonly inFlight: number;
 	/** When the newest round that the follower acknowledged was sent, in milliseconds of the leader's clock. */
-	readonly ackedAt: number | undefined;
+	readonly ackedRoundSentAt: number | undefined;
 	/** Whether the match index advanced since the last round started. */
 	readonly isActive: boolean;
 	/** When the unacknowledged snapshot was sent; undefined if there is none. */
@@ -44,7 +44,7 @@
 	/** When the replica became the leader, in milliseconds. */
 	readonly since: number;
 	/** How long the candidate waited for votes, in milliseconds. Followers may need as long to persist entries. */
-	readonly electedIn: number;
+	readonly electionMilliseconds: number;
 	/** The index of the empty entry that started the term. */
 	readonly termStartIndex: number;
 	readonly progress: ReadonlyMap<ReplicaId, FollowerProgress>;
@@ -72,7 +72,7 @@
 	/** The newest replica set in the log, committed or not; undefined on a new replica. */
 	readonly replicas: ReplicaSet | undefined;
 	/** The index of the entry with the replica set in effect, or the base index if the log has no such entry. */
-	readonly replicasIndex: number;
+	readonly replicaSetIndex: number;
 	readonly role: ReplicaRole;
 	readonly leader: ReplicaId | undefined;
 	/** The last contact with a leader, possibly by a previous run of the replica, in milliseconds. */
--- a/packages/consensus/src/replica.test.ts
+++ b/packages/consensus/src/step.test.ts
@@ -7,7 +7,7 @@
 import {type ReplicaId, toReplicaId} from './replica-id.js';
 import {defaultReplicaOptions} from './replica-options.js';
 import {type ReplicaState} from './replica-state.js';
-import {step} from './replica.js';
+import {step} from './step.js';
 
 const first = toReplicaId('a', '0');
 const second = toReplicaId('b', '0');
--- a/packages/control/src/_claims.ts
+++ b/packages/control/src/_claims.ts
@@ -2,7 +2,7 @@
 	type Failure, failure, type InstanceId, type RequestId, type WorkspaceId,
 } from '@valehitch/core';
 import {type Either, Left, Right} from 'purify-ts';
-import {type ClaimOutcome, type ClaimSettlement, type KeptAnswer} from './claim.js';
+import {type ClaimOutcome, type ClaimSettlement, type StoredResponse} from './claim.js';
 import {type SettleClaimCommand, type TakeClaimCommand} from './command.js';
 import {type ControlLimits} from './control-limits.js';
 import {type CommandContext} from './_command-context.js';
@@ -50,7 +50,7 @@
 const maximumReleasedBy = 8;
 const maximumInternedHeaders = 64;
 /** Equal header objects share one instance to save memory. Sharing is not observable. */
-const internedHeaders = new Map<string, KeptAnswer['headers']>();
+const internedHeaders = new Map<string, StoredResponse['headers']>();
 
 /** The claims on idempotency keys, by workspace. */
 export class Claims {
@@ -238,7 +238,7 @@
 	}
 }
 
-function withoutBody({status, headers, digest, bytes}: KeptAnswer): KeptAnswer {
+function withoutBody({status, headers, digest, bytes}: StoredResponse): StoredResponse {
 	return {
 		status, headers, digest, bytes,
 	};
--- a/packages/control/src/_ledger.ts
+++ b/packages/control/src/_ledger.ts
@@ -3,7 +3,7 @@
 import {type CommandContext} from './_command-context.js';
 import {type RecordBillsCommand} from './command.js';
 import {type ControlLimits} from './control-limits.js';
-import {type LedgerPage, type LedgerQuestion, type WorkspaceTotal} from './ledger-page.js';
+import {type LedgerPage, type LedgerQuery, type WorkspaceTotal} from './ledger-page.js';
 import {RefusedBills} from './_refused-bills.js';
 import {type InsertResult} from './_sequence-ranges.js';
 
@@ -80,7 +80,7 @@
 		return {recorded, expired};
 	}
 
-	read({workspace, after, limit, isRefused = false}: LedgerQuestion): LedgerPage {
+	read({workspace, after, limit, isRefused = false}: LedgerQuery): LedgerPage {
 		if (isRefused) {
 			return {bills: this.refused.filter(bill => workspace === undefined || bill.workspace === workspace), archivedUpTo: 0};
 		}
--- a/packages/control/src/_orders.ts
+++ b/packages/control/src/_orders.ts
@@ -1,7 +1,7 @@
 import {type Failure, failure, type ServerId} from '@valehitch/core';
 import {type Either, Left, Right} from 'purify-ts';
 import {type CompleteOrderCommand, type IssueOrderCommand} from './command.js';
-import {type LogPosition} from './command-answer.js';
+import {type LogPosition} from './command-response.js';
 import {type ControlLimits} from './control-limits.js';
 import {type OrderId} from './ids.js';
 import {type EngineOrder, type OrderRecord} from './order.js';
--- a/packages/control/src/_replicated-clock.ts
+++ b/packages/control/src/_replicated-clock.ts
@@ -1,4 +1,4 @@
-import {clockReadingMilliseconds} from './clock-reading.js';
+import {clockReadIntervalMilliseconds} from './clock-read-interval.js';
 
 /** The snapshot form of `ReplicatedClock`. */
 export type ReplicatedClockData = {
@@ -8,7 +8,7 @@
 };
 
 /** Two intervals, to allow for a change of leader between readings. */
-const maximumAdvanceMilliseconds = 2 * clockReadingMilliseconds;
+const maximumAdvanceMilliseconds = 2 * clockReadIntervalMilliseconds;
 
 /**
 A monotonic clock that is part of the replicated state, in milliseconds, advanced by the leaders' clock readings in the log.
@@ -31,7 +31,7 @@
 
 	/** The time at the next reading: an upper bound of the current time. Minimum retention times are counted from this value. */
 	get upperBound(): number {
-		return this.#elapsed + clockReadingMilliseconds;
+		return this.#elapsed + clockReadIntervalMilliseconds;
 	}
 
 	/** Advances by a reading of the leader's clock, in milliseconds since 1970. */
--- a/packages/control/src/claim.ts
+++ b/packages/control/src/claim.ts
@@ -1,7 +1,7 @@
 import {type RequestId} from '@valehitch/core';
 
 /** The stored response to a request with an idempotency key. */
-export type KeptAnswer = {
+export type StoredResponse = {
 	/** The HTTP status code. */
 	readonly status: number;
 	/** The headers to replay, such as `content-type`. */
@@ -28,7 +28,7 @@
 export type ClaimOutcome
 	= | {readonly type: 'taken'; readonly request: RequestId}
 		| {readonly type: 'in-progress'; readonly request: RequestId}
-		| {readonly type: 'done'; readonly request: RequestId; readonly answer: KeptAnswer}
+		| {readonly type: 'done'; readonly request: RequestId; readonly answer: StoredResponse}
 		| {readonly type: 'unknown'; readonly request: RequestId}
 		| {readonly type: 'released'; readonly request: RequestId}
 		| {readonly type: 'key-reused'; readonly request: RequestId}
@@ -36,7 +36,7 @@
 
 /** How the owner settles its claim. */
 export type ClaimSettlement
-	= | {readonly type: 'done'; readonly answer: KeptAnswer}
+	= | {readonly type: 'done'; readonly answer: StoredResponse}
 	/** The request provably did not run, so the next one may take the claim. */
 		| {readonly type: 'released'}
 		| {readonly type: 'unknown'};
--- a/packages/control/src/control-state.test.ts
+++ b/packages/control/src/control-state.test.ts
@@ -3,7 +3,7 @@
 	type Bill, type ChangeId, emptyConfiguration, type InstanceId, type Micros, type RequestId, toId, toRevision, type WorkspaceId,
 } from '@valehitch/core';
 import {Packr} from 'msgpackr';
-import {clockReadingMilliseconds} from './clock-reading.js';
+import {clockReadIntervalMilliseconds} from './clock-read-interval.js';
 import {type Command} from './command.js';
 import {defaultControlLimits} from './control-limits.js';
 import {ControlState} from './control-state.js';
@@ -32,7 +32,7 @@
 
 /** Records readings of a leader's clock at the longest interval that advances the replicated clock in full. `error` is added to each reading. */
 function passTime(state: ControlState, {from, to, error = 0}: {readonly from: number; readonly to: number; readonly error?: number}): void {
-	for (let at = from; at <= to; at += 2 * clockReadingMilliseconds) {
+	for (let at = from; at <= to; at += 2 * clockReadIntervalMilliseconds) {
 		state.apply({type: 'expire', at: at + error}, position);
 	}
 }
@@ -45,7 +45,7 @@
 	passTime(state, {from: 29 * day, to: 60 * day});
 	t.deepEqual(record(state, billOf(1, 1000), billOf(2, 1000)), {recorded: 0, expired: 2});
 	t.deepEqual(record(state, billOf(1, 2000)), {recorded: 1, expired: 0});
-	t.deepEqual(state.totalOf(workspace), {bills: 2, micros: 2});
+	t.deepEqual(state.workspaceTotal(workspace), {bills: 2, micros: 2});
 });
 
 /*
--- a/packages/control/src/control-state.ts
+++ b/packages/control/src/control-state.ts
@@ -13,13 +13,13 @@
 	type Command, type ExpireCommand, type InstanceLostCommand, type SetLimitsCommand,
 } from './command.js';
 import {
-	type CommandAnswer, type CommandResult, type LogPosition, type RevisionAnswer,
-} from './command-answer.js';
+	type CommandResponse, type CommandResult, type LogPosition, type RevisionResponse,
+} from './command-response.js';
 import {resetSnapshotTimes} from './_reset-snapshot-times.js';
 import {type ConfigurationChange} from './configuration-change.js';
 import {type ControlLimits, defaultControlLimits} from './control-limits.js';
 import {
-	type ArchivableBills, type LedgerPage, type LedgerQuestion, type WorkspaceTotal,
+	type ArchivableBills, type LedgerPage, type LedgerQuery, type WorkspaceTotal,
 } from './ledger-page.js';
 import {type OrderRecord} from './order.js';
 
@@ -129,7 +129,7 @@
 	@param query The workspace, the starting position and the page size.
 	@returns The page.
 	*/
-	readLedger(query: LedgerQuestion): LedgerPage {
+	readLedger(query: LedgerQuery): LedgerPage {
 		return this.#ledger.read(query);
 	}
 
@@ -139,7 +139,7 @@
 	@param workspace The workspace.
 	@returns The number of its bills and their sum.
 	*/
-	totalOf(workspace: WorkspaceId): WorkspaceTotal {
+	workspaceTotal(workspace: WorkspaceId): WorkspaceTotal {
 		return this.#ledger.total(workspace);
 	}
 
@@ -190,7 +190,7 @@
 		return new Uint8Array(packr.pack(data));
 	}
 
-	#execute(command: Command, position: LogPosition): Either<Failure, CommandAnswer> {
+	#execute(command: Command, position: LogPosition): Either<Failure, CommandResponse> {
 		const limits = this.#limits;
 		const context = {limits, clock: this.#clock};
 		return match(command)
@@ -208,12 +208,12 @@
 			.exhaustive();
 	}
 
-	#handleInstanceLost({instance}: InstanceLostCommand): RevisionAnswer {
+	#handleInstanceLost({instance}: InstanceLostCommand): RevisionResponse {
 		this.#claims.handleInstanceLost(instance, this.#clock);
 		return this.#withRevision({});
 	}
 
-	#expire({at}: ExpireCommand): RevisionAnswer {
+	#expire({at}: ExpireCommand): RevisionResponse {
 		this.#clock.advance(at);
 		const context = {limits: this.#limits, clock: this.#clock};
 		this.#configuration.expire(context);
@@ -222,12 +222,12 @@
 		return this.#withRevision({});
 	}
 
-	#setLimits({limits}: SetLimitsCommand): RevisionAnswer {
+	#setLimits({limits}: SetLimitsCommand): RevisionResponse {
 		this.#limits = limits;
 		return this.#withRevision({});
 	}
 
-	#withRevision<Members extends Record<string, unknown>>(members: Members): Members & RevisionAnswer {
+	#withRevision<Members extends Record<string, unknown>>(members: Members): Members & RevisionResponse {
 		return {...members, revision: this.effective.revision};
 	}
 }
--- a/packages/control/src/engine-state.ts
+++ b/packages/control/src/engine-state.ts
@@ -11,7 +11,7 @@
 };
 
 /** The status of an order by the state of its engine: executed, superseded by the execution of a newer order, or neither. */
-export type OrderStanding = 'executed' | 'superseded' | 'pending';
+export type OrderStatus = 'executed' | 'superseded' | 'pending';
 
 /**
 Compares two fencing numbers.
@@ -39,7 +39,7 @@
 orderStatus(record, {models: []}); // 'pending'
 ```
 */
-export function orderStanding({order, fencing}: OrderRecord, {models, role, lastOrder}: EngineState): OrderStanding {
+export function orderStatus({order, fencing}: OrderRecord, {models, role, lastOrder}: EngineState): OrderStatus {
 	if (lastOrder !== undefined && compareFencing(lastOrder, fencing) > 0) {
 		return 'superseded';
 	}
--- a/packages/control/src/ledger-page.ts
+++ b/packages/control/src/ledger-page.ts
@@ -1,7 +1,7 @@
 import {type Bill} from '@valehitch/core';
 
 /** A query for a page of the bills that are not archived, or for the refused bills. */
-export type LedgerQuestion = {
+export type LedgerQuery = {
 	/** Limits the result to one workspace. */
 	readonly workspace?: string | undefined;
 	/** The position after which the page starts. Positions start at 1. */
--- a/packages/control/src/order-run.test.ts
+++ b/packages/control/src/order-delivery.test.ts
@@ -6,19 +6,19 @@
 import {type OrderId} from './ids.js';
 import {type OrderRecord} from './order.js';
 import {
-	defaultOrderTiming, idleOrderRun, type OrderAction, type OrderEvent, type OrderRun, stepOrder,
-} from './order-run.js';
+	defaultOrderDeliveryTiming, idleOrderDelivery, type OrderDeliveryAction, type OrderDeliveryEvent, type OrderDelivery, stepOrderDelivery,
+} from './order-delivery.js';
 
 const seed = Number(process.env.VALEHITCH_FUZZ_SEED ?? 20_261_203);
 const runs = Number(process.env.VALEHITCH_FUZZ_RUNS ?? 2000);
-const timing = {...defaultOrderTiming, resendMilliseconds: 10_000, giveUpMilliseconds: Number.MAX_SAFE_INTEGER};
+const timing = {...defaultOrderDeliveryTiming, resendMilliseconds: 10_000, giveUpMilliseconds: Number.MAX_SAFE_INTEGER};
 const tickMilliseconds = 100;
 const leaseMilliseconds = 1000;
 /** The connection of a call breaks after the request was sent if the delay is a multiple of this number. */
 const brokenConnectionDivisor = 3;
 
 type Leader = {
-	delivery: OrderRun;
+	delivery: OrderDelivery;
 	/** The open orders by the log that this replica has applied. Those of a previous leader are not updated. */
 	open: readonly OrderRecord[];
 	since: number;
@@ -37,7 +37,7 @@
 	#leading = 0;
 	#pending: Array<{readonly at: number; readonly act: () => void}> = [];
 	readonly #leaders: readonly Leader[] = [0, 1].map(() => ({
-		delivery: idleOrderRun, open: [], since: 0, leaseValidUntil: 0, frozenUntil: 0,
+		delivery: idleOrderDelivery, open: [], since: 0, leaseValidUntil: 0, frozenUntil: 0,
 	}));
 
 	readonly #checksFencing: boolean;
@@ -97,7 +97,7 @@
 		}
 	}
 
-	#step(index: number, event: OrderEvent): void {
+	#step(index: number, event: OrderDeliveryEvent): void {
 		const leader = this.#leaders[index];
 		if (leader === undefined) {
 			return;
@@ -113,7 +113,7 @@
 			return;
 		}
 
-		const {run: delivery, action} = stepOrder(leader.delivery, {
+		const {delivery: delivery, action} = stepOrderDelivery(leader.delivery, {
 			event,
 			context: {
 				now: this.now, wallClock: 0, leadership: {since: leader.since, leaseValidUntil: leader.leaseValidUntil}, order: leader.open[0], engine: {checksFencing: this.#checksFencing}, timing,
@@ -125,7 +125,7 @@
 		}
 	}
 
-	#carryOut(index: number, action: OrderAction): void {
+	#carryOut(index: number, action: OrderDeliveryAction): void {
 		const {step} = action;
 		if (action.type === 'read-state') {
 			this.#call(() => ({type: 'state-read', step, state: this.#engine}), {index, lost: {type: 'state-read', step, state: undefined}});
@@ -138,7 +138,7 @@
 	}
 
 	/** Makes a call that arrives after one delay and returns after another. It fails after the send timeout, or after one tick if the connection breaks. */
-	#call(answer: () => OrderEvent, {index, lost}: {readonly index: number; readonly lost: OrderEvent}): void {
+	#call(answer: () => OrderDeliveryEvent, {index, lost}: {readonly index: number; readonly lost: OrderDeliveryEvent}): void {
 		const delay = this.#delay();
 		if (delay % brokenConnectionDivisor === 0) {
 			this.#later(tickMilliseconds, () => {
@@ -152,12 +152,12 @@
 				this.#step(index, event);
 			});
 		});
-		this.#later(timing.flightMilliseconds, () => {
+		this.#later(timing.sendTimeoutMilliseconds, () => {
 			this.#step(index, lost);
 		});
 	}
 
-	#receive({fencing, orderId, order}: OrderRecord, sentAt: number): (OrderEvent & {type: 'sent'})['outcome'] {
+	#receive({fencing, orderId, order}: OrderRecord, sentAt: number): (OrderDeliveryEvent & {type: 'sent'})['outcome'] {
 		const {lastOrder} = this.#engine;
 		const comparison = lastOrder === undefined ? 1 : compareFencing(fencing, lastOrder);
 		if (this.#checksFencing && comparison <= 0) {
@@ -234,7 +234,7 @@
 		const {executed, open} = runSchedule(generated, false);
 		let newest = 0;
 		for (const {sequence, transitMilliseconds} of executed) {
-			if (sequence < newest && transitMilliseconds <= timing.flightMilliseconds) {
+			if (sequence < newest && transitMilliseconds <= timing.sendTimeoutMilliseconds) {
 				return false;
 			}
 
@@ -254,20 +254,20 @@
 	const order: OrderRecord = {
 		orderId: toId<OrderId>('o1'), server: toId<ServerId>('s'), order: {type: 'set-role', role: 'decode'}, fencing: {term: 1, sequence: 1}, issuedAt: 0, outcome: 'open',
 	};
-	const step = (delivery: OrderRun, event: OrderEvent, now: number) => stepOrder(delivery, {
+	const step = (delivery: OrderDelivery, event: OrderDeliveryEvent, now: number) => stepOrderDelivery(delivery, {
 		event,
 		context: {
 			now, wallClock: 0, leadership: {since: 0, leaseValidUntil: 1_000_000}, order, engine: {checksFencing: false}, timing,
 		},
 	});
-	const sending: OrderRun = {
-		step: 5, order, leadingSince: 0, phase: 'sending', dueAt: 0, takenAt: undefined,
+	const sending: OrderDelivery = {
+		step: 5, order, leaderSince: 0, phase: 'sending', dueAt: 0, takenAt: undefined,
 	};
 	const taken = step(sending, {type: 'sent', step: 5, outcome: {type: 'taken'}}, 10_000);
 	t.is(taken.action, undefined);
-	t.is(step(taken.run, {type: 'tick'}, 10_000).action?.type, 'read-state');
+	t.is(step(taken.delivery, {type: 'tick'}, 10_000).action?.type, 'read-state');
 
 	const lost = step(sending, {type: 'sent', step: 5, outcome: {type: 'failed', detail: 'reset'}}, 10_000);
-	t.is(step(lost.run, {type: 'tick'}, 10_000 + timing.flightMilliseconds - 1).action, undefined);
-	t.is(step(lost.run, {type: 'tick'}, 10_000 + timing.flightMilliseconds).action?.type, 'read-state');
+	t.is(step(lost.delivery, {type: 'tick'}, 10_000 + timing.sendTimeoutMilliseconds - 1).action, undefined);
+	t.is(step(lost.delivery, {type: 'tick'}, 10_000 + timing.sendTimeoutMilliseconds).action?.type, 'read-state');
 });
--- a/packages/control/src/order-run.ts
+++ b/packages/control/src/order-delivery.ts
@@ -1,29 +1,29 @@
 import {match} from 'ts-pattern';
 import {type CompleteOrderCommand} from './command.js';
-import {type EngineState, orderStanding} from './engine-state.js';
+import {type EngineState, orderStatus} from './engine-state.js';
 import {type OrderOutcome, type OrderRecord} from './order.js';
 
 /** The timing of order delivery, in milliseconds. */
-export type OrderTiming = {
+export type OrderDeliveryTiming = {
 	/** The maximum time for which a previous leader's lease can remain valid after a new leader starts. */
-	readonly leaseMilliseconds: number;
+	readonly previousLeaseMilliseconds: number;
 	/** The maximum time from the lease check until the engine receives the order; sends are aborted after it. */
-	readonly flightMilliseconds: number;
+	readonly sendTimeoutMilliseconds: number;
 	/** The delay before a failed step is retried, and between polls of an engine that is executing an order. */
-	readonly retryMilliseconds: number;
+	readonly retryDelayMilliseconds: number;
 	/** How long an engine may work on an order that it accepted before the order is sent again. */
-	readonly resendMilliseconds: number;
+	readonly resendDelayMilliseconds: number;
 	/** The time after issue at which an order that was not executed fails. */
-	readonly giveUpMilliseconds: number;
+	readonly orderTimeoutMilliseconds: number;
 };
 
 /** The default timing. */
-export const defaultOrderTiming: OrderTiming = {
-	leaseMilliseconds: 2000, flightMilliseconds: 2000, retryMilliseconds: 500, resendMilliseconds: 60_000, giveUpMilliseconds: 600_000,
+export const defaultOrderDeliveryTiming: OrderDeliveryTiming = {
+	previousLeaseMilliseconds: 2000, sendTimeoutMilliseconds: 2000, retryDelayMilliseconds: 500, resendDelayMilliseconds: 60_000, orderTimeoutMilliseconds: 600_000,
 };
 
 /** The inputs of a step besides the event. Times are monotonic milliseconds unless stated otherwise. */
-export type OrderContext = {
+export type OrderDeliveryContext = {
 	readonly now: number;
 	/** The current time in milliseconds since 1970. */
 	readonly wallClock: number;
@@ -33,16 +33,16 @@
 	readonly order: OrderRecord | undefined;
 	/** The engine; undefined if it is not announced. */
 	readonly engine: {readonly checksFencing: boolean} | undefined;
-	readonly timing: OrderTiming;
+	readonly timing: OrderDeliveryTiming;
 };
 
 /** The state of a leader's delivery of the oldest open order to one engine. */
-export type OrderRun = {
+export type OrderDelivery = {
 	/** The number of the step in progress. Events of earlier steps are ignored. */
 	readonly step: number;
 	readonly order: OrderRecord | undefined;
 	/** The start of the leadership in which the delivery started. A new leadership restarts it. */
-	readonly leadingSince: number;
+	readonly leaderSince: number;
 	readonly phase: 'due' | 'reading' | 'sending' | 'completing';
 	/** When the delivery continues. */
 	readonly dueAt: number;
@@ -54,7 +54,7 @@
 export type SendOutcome = {readonly type: 'taken'} | {readonly type: 'refused'; readonly detail: string} | {readonly type: 'failed'; readonly detail: string};
 
 /** An event of a delivery. `step` is that of the action that led to it. */
-export type OrderEvent
+export type OrderDeliveryEvent
 	= | {readonly type: 'tick'}
 		| {readonly type: 'state-read'; readonly step: number; readonly state: EngineState | undefined}
 		| {readonly type: 'sent'; readonly step: number; readonly outcome: SendOutcome}
@@ -62,17 +62,17 @@
 		| {readonly type: 'completed'; readonly step: number};
 
 /** An action for the host, which must check the lease again immediately before `send`. */
-export type OrderAction
+export type OrderDeliveryAction
 	= | {readonly type: 'read-state'; readonly step: number}
 		| {readonly type: 'send'; readonly step: number; readonly order: OrderRecord}
 		| {readonly type: 'complete'; readonly step: number; readonly command: CompleteOrderCommand};
 
 /** A delivery after a step, and the action for the host. */
-export type OrderStep = {readonly run: OrderRun; readonly action?: OrderAction};
+export type OrderDeliveryStep = {readonly delivery: OrderDelivery; readonly action?: OrderDeliveryAction};
 
 /** A delivery that has not started. */
-export const idleOrderRun: OrderRun = {
-	step: 0, order: undefined, leadingSince: 0, phase: 'due', dueAt: 0, takenAt: undefined,
+export const idleOrderDelivery: OrderDelivery = {
+	step: 0, order: undefined, leaderSince: 0, phase: 'due', dueAt: 0, takenAt: undefined,
 };
 
 /**
@@ -89,17 +89,17 @@
 const {delivery, action} = stepOrderDelivery(idleOrderDelivery, {event: {type: 'tick'}, context});
 ```
 */
-export function stepOrder(delivery: OrderRun, {event, context}: {readonly event: OrderEvent; readonly context: OrderContext}): OrderStep {
+export function stepOrderDelivery(delivery: OrderDelivery, {event, context}: {readonly event: OrderDeliveryEvent; readonly context: OrderDeliveryContext}): OrderDeliveryStep {
 	if (context.leadership === undefined || context.leadership.leaseValidUntil <= context.now || context.order === undefined) {
-		return {run: {...idleOrderRun, step: delivery.step + 1}};
+		return {delivery: {...idleOrderDelivery, step: delivery.step + 1}};
 	}
 
-	if (delivery.order?.orderId !== context.order.orderId || delivery.leadingSince !== context.leadership.since) {
+	if (delivery.order?.orderId !== context.order.orderId || delivery.leaderSince !== context.leadership.since) {
 		return startDelivery(delivery, {...context, order: context.order, since: context.leadership.since});
 	}
 
 	if (event.type !== 'tick' && event.step !== delivery.step) {
-		return {run: delivery};
+		return {delivery: delivery};
 	}
 
 	const input: StepInput = {delivery, context, order: delivery.order};
@@ -107,42 +107,42 @@
 		.with({type: 'tick'}, () => tick(input))
 		.with({type: 'state-read'}, ({state}) => handleState(input, state))
 		.with({type: 'sent'}, ({outcome}) => handleSendOutcome(input, outcome))
-		.with({type: 'completed'}, (): OrderStep => ({run: scheduleRetry(input, context.timing.retryMilliseconds)}))
+		.with({type: 'completed'}, (): OrderDeliveryStep => ({delivery: scheduleRetry(input, context.timing.retryDelayMilliseconds)}))
 		.exhaustive();
 }
 
-type StepInput = {readonly delivery: OrderRun; readonly context: OrderContext; readonly order: OrderRecord};
+type StepInput = {readonly delivery: OrderDelivery; readonly context: OrderDeliveryContext; readonly order: OrderRecord};
 
-function startDelivery(delivery: OrderRun, {order, since, engine, now, timing}: OrderContext & {readonly order: OrderRecord; readonly since: number}): OrderStep {
-	const earliestSendAt = engine?.checksFencing === true ? now : since + timing.leaseMilliseconds + timing.flightMilliseconds;
+function startDelivery(delivery: OrderDelivery, {order, since, engine, now, timing}: OrderDeliveryContext & {readonly order: OrderRecord; readonly since: number}): OrderDeliveryStep {
+	const earliestSendAt = engine?.checksFencing === true ? now : since + timing.previousLeaseMilliseconds + timing.sendTimeoutMilliseconds;
 	return {
-		run: {
-			step: delivery.step + 1, order, leadingSince: since, phase: 'due', dueAt: Math.max(now, earliestSendAt), takenAt: undefined,
+		delivery: {
+			step: delivery.step + 1, order, leaderSince: since, phase: 'due', dueAt: Math.max(now, earliestSendAt), takenAt: undefined,
 		},
 	};
 }
 
-function tick(input: StepInput): OrderStep {
+function tick(input: StepInput): OrderDeliveryStep {
 	const {delivery, context: {now, wallClock, engine, timing}, order} = input;
 	if (delivery.phase !== 'due' || now < delivery.dueAt) {
-		return {run: delivery};
+		return {delivery: delivery};
 	}
 
-	if (wallClock - order.issuedAt > timing.giveUpMilliseconds) {
-		return complete(input, {outcome: 'failed', detail: `Not executed within ${timing.giveUpMilliseconds} ms`});
+	if (wallClock - order.issuedAt > timing.orderTimeoutMilliseconds) {
+		return complete(input, {outcome: 'failed', detail: `Not executed within ${timing.orderTimeoutMilliseconds} ms`});
 	}
 
 	if (engine === undefined) {
-		return {run: scheduleRetry(input, timing.retryMilliseconds)};
+		return {delivery: scheduleRetry(input, timing.retryDelayMilliseconds)};
 	}
 
 	const step = delivery.step + 1;
-	return {run: {...delivery, step, phase: 'reading'}, action: {type: 'read-state', step}};
+	return {delivery: {...delivery, step, phase: 'reading'}, action: {type: 'read-state', step}};
 }
 
-function handleState(input: StepInput, state: EngineState | undefined): OrderStep {
+function handleState(input: StepInput, state: EngineState | undefined): OrderDeliveryStep {
 	const {delivery, context: {now, timing}, order} = input;
-	const status = state === undefined ? undefined : orderStanding(order, state);
+	const status = state === undefined ? undefined : orderStatus(order, state);
 	if (status === 'executed') {
 		return complete(input, {outcome: 'done'});
 	}
@@ -151,36 +151,36 @@
 		return complete(input, {outcome: 'refused', detail: 'The engine has executed a newer order'});
 	}
 
-	const isInProgress = delivery.takenAt !== undefined && now - delivery.takenAt < timing.resendMilliseconds;
+	const isInProgress = delivery.takenAt !== undefined && now - delivery.takenAt < timing.resendDelayMilliseconds;
 	if (status === undefined || isInProgress) {
-		return {run: scheduleRetry(input, timing.retryMilliseconds)};
+		return {delivery: scheduleRetry(input, timing.retryDelayMilliseconds)};
 	}
 
 	const step = delivery.step + 1;
-	return {run: {...delivery, step, phase: 'sending'}, action: {type: 'send', step, order}};
+	return {delivery: {...delivery, step, phase: 'sending'}, action: {type: 'send', step, order}};
 }
 
-function handleSendOutcome(input: StepInput, outcome: SendOutcome): OrderStep {
+function handleSendOutcome(input: StepInput, outcome: SendOutcome): OrderDeliveryStep {
 	const {delivery, context: {now, engine, timing}} = input;
 	return match(outcome)
-		.with({type: 'taken'}, (): OrderStep => ({run: {...scheduleRetry(input, 0), takenAt: now}}))
+		.with({type: 'taken'}, (): OrderDeliveryStep => ({delivery: {...scheduleRetry(input, 0), takenAt: now}}))
 		.with({type: 'refused'}, ({detail}) => complete(input, {outcome: 'refused', detail}))
-		.with({type: 'failed'}, (): OrderStep => ({
-			run: {...delivery, ...scheduleRetry(input, engine?.checksFencing === true ? timing.retryMilliseconds : timing.flightMilliseconds)},
+		.with({type: 'failed'}, (): OrderDeliveryStep => ({
+			delivery: {...delivery, ...scheduleRetry(input, engine?.checksFencing === true ? timing.retryDelayMilliseconds : timing.sendTimeoutMilliseconds)},
 		}))
 		.exhaustive();
 }
 
-function scheduleRetry({delivery, context: {now}}: StepInput, milliseconds: number): OrderRun {
+function scheduleRetry({delivery, context: {now}}: StepInput, milliseconds: number): OrderDelivery {
 	return {
 		...delivery, step: delivery.step + 1, phase: 'due', dueAt: now + milliseconds,
 	};
 }
 
-function complete({delivery, context: {wallClock}, order: {orderId, fencing}}: StepInput, {outcome, detail}: {readonly outcome: OrderOutcome; readonly detail?: string}): OrderStep {
+function complete({delivery, context: {wallClock}, order: {orderId, fencing}}: StepInput, {outcome, detail}: {readonly outcome: OrderOutcome; readonly detail?: string}): OrderDeliveryStep {
 	const step = delivery.step + 1;
 	const command: CompleteOrderCommand = {
 		type: 'complete-order', orderId, fencing, outcome, detail, at: wallClock,
 	};
-	return {run: {...delivery, step, phase: 'completing'}, action: {type: 'complete', step, command}};
+	return {delivery: {...delivery, step, phase: 'completing'}, action: {type: 'complete', step, command}};
 }
--- a/packages/core/src/error-kinds.ts
+++ b/packages/core/src/error-kinds.ts
@@ -2,7 +2,7 @@
 export type Outcome = 'notRun' | 'ran' | 'unknown';
 
 /** The response to one kind of error. */
-export type ErrorAnswer = {
+export type ErrorResponse = {
 	/** The HTTP status code. */
 	readonly status: number;
 	/** Whether the request ran. */
@@ -12,7 +12,7 @@
 };
 
 /** All error kinds and their responses. The table in docs/API.md is generated from this. */
-export const errorAnswers = {
+export const errorResponses = {
 	'malformed-request': {status: 400, outcome: 'notRun', title: 'The request is malformed'},
 	'request-quarantined': {status: 400, outcome: 'unknown', title: 'Backend servers end when they run the request'},
 	unauthenticated: {status: 401, outcome: 'notRun', title: 'The key is missing or not known'},
@@ -41,7 +41,7 @@
 	'shutting-down': {status: 503, outcome: 'notRun', title: 'The instance is shutting down'},
 	'deadline-exceeded': {status: 504, outcome: 'notRun', title: 'The deadline passed before the request was sent'},
 	'deadline-exceeded-after-dispatch': {status: 504, outcome: 'unknown', title: 'The deadline passed after the request was sent'},
-} as const satisfies Record<string, ErrorAnswer>;
+} as const satisfies Record<string, ErrorResponse>;
 
 /** An error kind. */
-export type ErrorKind = keyof typeof errorAnswers;
+export type ErrorKind = keyof typeof errorResponses;
--- a/packages/core/src/failure.test.ts
+++ b/packages/core/src/failure.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import {errorAnswers} from './error-kinds.js';
+import {errorResponses} from './error-kinds.js';
 import {failure, outcomeOf} from './failure.js';
 
 test('a failure has the outcome of its kind unless it specifies another', t => {
@@ -8,7 +8,7 @@
 });
 
 test('every kind has an error status and a title without a full stop', t => {
-	for (const [kind, {status, title}] of Object.entries(errorAnswers)) {
+	for (const [kind, {status, title}] of Object.entries(errorResponses)) {
 		t.true(status >= 400 && status < 600, `The kind is ${kind}`);
 		t.regex(title, /^[A-Z].*[^.]$/v, `The kind is ${kind}`);
 	}
--- a/packages/core/src/failure.ts
+++ b/packages/core/src/failure.ts
@@ -1,4 +1,4 @@
-import {errorAnswers, type ErrorKind, type Outcome} from './error-kinds.js';
+import {errorResponses, type ErrorKind, type Outcome} from './error-kinds.js';
 
 /** A failure with its kind, a message, and an optional retry delay. */
 export type Failure = {
@@ -43,5 +43,5 @@
 ```
 */
 export function outcomeOf(failed: Failure): Outcome {
-	return failed.outcome ?? errorAnswers[failed.kind].outcome;
+	return failed.outcome ?? errorResponses[failed.kind].outcome;
 }
--- a/packages/core/src/recent-map.ts
+++ b/packages/core/src/lru-map.ts
@@ -7,7 +7,7 @@
 cache.getOrCreate('a', () => 1);
 ```
 */
-export class RecentMap<Key, Value> {
+export class LruMap<Key, Value> {
 	readonly #maximumSize: number;
 	readonly #entries = new Map<Key, Value>();
 
@@ -55,7 +55,7 @@
 	@param create Creates the value.
 	@returns The value.
 	*/
-	touch(key: Key, create: () => Value): Value {
+	getOrCreate(key: Key, create: () => Value): Value {
 		const value = this.#entries.get(key) ?? create();
 		this.set(key, value);
 		return value;
--- a/packages/core/src/money.test.ts
+++ b/packages/core/src/money.test.ts
@@ -1,11 +1,11 @@
 import {fc, testProp} from '@fast-check/ava';
 import test from 'ava';
-import {costOf, type Micros, sumOf} from './money.js';
+import {calculateCost, type Micros, sumAmounts} from './money.js';
 
 test('a cost is rounded up to a whole millionth', t => {
-	t.is(costOf({input: 0.5, output: 2}, {input: 100, output: 10}), 70 as Micros);
-	t.is(costOf({input: 0.1, output: 0}, {input: 1, output: 0}), 1 as Micros);
-	t.is(costOf({input: 0, output: 0}, {input: 1_000_000, output: 1_000_000}), 0 as Micros);
+	t.is(calculateCost({input: 0.5, output: 2}, {input: 100, output: 10}), 70 as Micros);
+	t.is(calculateCost({input: 0.1, output: 0}, {input: 1, output: 0}), 1 as Micros);
+	t.is(calculateCost({input: 0, output: 0}, {input: 1_000_000, output: 1_000_000}), 0 as Micros);
 });
 
 testProp(
@@ -13,7 +13,7 @@
 	[fc.array(fc.nat({max: 1_000_000_000}))],
 	(t, amounts) => {
 		const micros = amounts as Micros[];
-		t.is(sumOf(micros), sumOf(micros.toReversed()));
+		t.is(sumAmounts(micros), sumAmounts(micros.toReversed()));
 	},
 	{seed: 1, numRuns: 200},
 );
--- a/packages/core/src/money.ts
+++ b/packages/core/src/money.ts
@@ -30,7 +30,7 @@
 calculateCost({input: 0.5, output: 2}, {input: 100, output: 10}); // 70
 ```
 */
-export function costOf(prices: Prices, usage: TokenUsage): Micros {
+export function calculateCost(prices: Prices, usage: TokenUsage): Micros {
 	const micros = ((prices.input * usage.input) + (prices.output * usage.output)) * 1_000_000 / tokensPerPriceUnit;
 	return Math.max(0, Math.ceil(micros - roundingTolerance)) as Micros;
 }
@@ -45,7 +45,7 @@
 sumAmounts([calculateCost(prices, first), calculateCost(prices, second)]);
 ```
 */
-export function sumOf(amounts: Iterable<Micros>): Micros {
+export function sumAmounts(amounts: Iterable<Micros>): Micros {
 	let total = 0;
 	for (const amount of amounts) {
 		total += amount;
--- a/packages/core/src/suspension-watch.test.ts
+++ b/packages/core/src/suspension-detector.test.ts
@@ -1,10 +1,10 @@
 import test from 'ava';
-import {SuspensionWatch} from './suspension-watch.js';
+import {SuspensionDetector} from './suspension-detector.js';
 
 /** Creates clocks that the test advances, and a detector that uses them. */
 function createManualClocks() {
 	const time = {wallClock: 1_700_000_000_000, monotonic: 500};
-	const detector = new SuspensionWatch({now: () => new Date(time.wallClock), monotonic: () => time.monotonic});
+	const detector = new SuspensionDetector({now: () => new Date(time.wallClock), monotonic: () => time.monotonic});
 	const advance = (milliseconds: number): void => {
 		time.wallClock += milliseconds;
 		time.monotonic += milliseconds;
@@ -43,7 +43,7 @@
 test('a process that is delayed between reading its two clocks was not suspended', t => {
 	let monotonic = 0;
 	let delay = 0;
-	const detector = new SuspensionWatch({
+	const detector = new SuspensionDetector({
 		monotonic: () => monotonic,
 		now() {
 			const time = new Date(1_700_000_000_000 + monotonic);
--- a/packages/core/src/suspension-watch.ts
+++ b/packages/core/src/suspension-detector.ts
@@ -1,7 +1,7 @@
 import {type Clock} from './clock.js';
 
 /** Options of `SuspensionDetector`. */
-export type SuspensionWatchOptions = {
+export type SuspensionDetectorOptions = {
 	/** How far the wall clock must run ahead of the monotonic clock between two calls, in milliseconds. Defaults to 20, which is below the drift margin of a leader's lease (30) and above the difference of the two clocks while the machine runs (a few milliseconds). */
 	readonly threshold?: number;
 };
@@ -23,13 +23,13 @@
 suspension.lastWake(); // -Infinity until the machine has been suspended
 ```
 */
-export class SuspensionWatch {
+export class SuspensionDetector {
 	readonly #clock: Clock;
 	readonly #threshold: number;
 	#offset = 0;
 	#lastWakeTime = Number.NEGATIVE_INFINITY;
 
-	constructor(clock: Clock, {threshold = defaultThreshold}: SuspensionWatchOptions = {}) {
+	constructor(clock: Clock, {threshold = defaultThreshold}: SuspensionDetectorOptions = {}) {
 		this.#clock = clock;
 		this.#threshold = threshold;
 		this.#offset = this.#measureOffset();
--- a/packages/daemon/src/backends/handle-backend.ts
+++ b/packages/daemon/src/backends/handle-backend.ts
@@ -1,11 +1,11 @@
 import {type IncomingMessage, type ServerResponse} from 'node:http';
 import {type Announcement, announcementSchema, failure} from '@valehitch/core';
 import {type Settings} from '@valehitch/settings';
-import {answerProblem, parseJsonBody, readBody} from '@valehitch/transport';
+import {sendProblem, parseJsonBody, readBody} from '@valehitch/transport';
 import {answerJson} from '../answer-json.js';
 import {bearerDigest} from '../bearer.js';
 import {handleRatings, ratingsPath} from '../ratings/handle-ratings.js';
-import {type IntakeCount} from '../ratings/rating-intake.js';
+import {type RatingCounts} from '../ratings/record-ratings.js';
 import {type Rating} from '../ratings/rating.js';
 
 const maximumAnnouncementBytes = 65_536;
@@ -16,7 +16,7 @@
 	/** Called with each valid announcement. */
 	readonly onAnnouncement: (announcement: Announcement) => void;
 	/** Called with the ratings of each valid request; returns how many were accepted, duplicated and unknown. */
-	readonly onRatings: (ratings: readonly Rating[]) => IntakeCount;
+	readonly onRatings: (ratings: readonly Rating[]) => RatingCounts;
 };
 
 /**
@@ -33,12 +33,12 @@
 export async function handleBackend(request: IncomingMessage, response: ServerResponse, {settings, onAnnouncement, onRatings}: BackendContext): Promise<void> {
 	const isRatings = request.url === ratingsPath;
 	if (request.method !== 'POST' || (request.url !== '/v1/announcements' && !isRatings)) {
-		answerProblem(response, failure('not-found', `No route for ${request.method ?? ''} ${request.url ?? ''}; use POST /v1/announcements or POST ${ratingsPath}`));
+		sendProblem(response, failure('not-found', `No route for ${request.method ?? ''} ${request.url ?? ''}; use POST /v1/announcements or POST ${ratingsPath}`));
 		return;
 	}
 
 	if (!settings.keys.backends.includes(bearerDigest(request) ?? '')) {
-		answerProblem(response, failure('unauthenticated', 'Missing or unknown back-end key; send Authorization: Bearer KEY'));
+		sendProblem(response, failure('unauthenticated', 'Missing or unknown back-end key; send Authorization: Bearer KEY'));
 		return;
 	}
 
@@ -49,13 +49,13 @@
 
 	const body = await readBody(request, maximumAnnouncementBytes);
 	if (body.isLeft()) {
-		answerProblem(response, failure('malformed-request', `The announcement is incomplete or larger than ${maximumAnnouncementBytes} bytes`));
+		sendProblem(response, failure('malformed-request', `The announcement is incomplete or larger than ${maximumAnnouncementBytes} bytes`));
 		return;
 	}
 
 	parseJsonBody({bytes: body.extract() as Uint8Array, schema: announcementSchema}).caseOf({
 		Left(failed) {
-			answerProblem(response, failed);
+			sendProblem(response, failed);
 		},
 		Right(announcement) {
 			onAnnouncement(announcement);
--- a/packages/daemon/src/bin/valehitchd.ts
+++ b/packages/daemon/src/bin/valehitchd.ts
@@ -4,7 +4,7 @@
 import {parseArgs} from 'node:util';
 import {formatProblem, parseSettings, type Settings} from '@valehitch/settings';
 import bunyan from 'bunyan';
-import {startDaemon} from '../wire.js';
+import {startDaemon} from '../start-daemon.js';
 
 const usage = 'Usage: valehitchd --settings FILE.yaml';
 const usageExitCode = 2;
--- a/packages/daemon/src/control/archive/archive-bills.ts
+++ b/packages/daemon/src/control/archive/archive-bills.ts
@@ -2,7 +2,7 @@
 import {type BillArchive} from './bill-archive.js';
 
 /** The members of the control state that the archive uses. */
-export type ArchivedState = Pick<ControlState, 'archivableBills' | 'billPositions' | 'dropArchived' | 'readLedger'>;
+export type ArchivableState = Pick<ControlState, 'archivableBills' | 'billPositions' | 'dropArchived' | 'readLedger'>;
 
 const minimumBatchSize = 500;
 
@@ -17,7 +17,7 @@
 await archiveBills(state, archive);
 ```
 */
-export async function archiveBills(state: ArchivedState, archive: BillArchive): Promise<void> {
+export async function archiveBills(state: ArchivableState, archive: BillArchive): Promise<void> {
 	const page = state.archivableBills();
 	if (page.bills.length < minimumBatchSize) {
 		return;
--- a/packages/daemon/src/control/archive/bill-archive.test.ts
+++ b/packages/daemon/src/control/archive/bill-archive.test.ts
@@ -8,7 +8,7 @@
 	type Bill, type InstanceId, type Micros, type RequestId, toId, type WorkspaceId,
 } from '@valehitch/core';
 import {Right} from 'purify-ts';
-import {sealPiece} from './archived-piece.js';
+import {createBillChunk} from './bill-chunk.js';
 import {BillArchive} from './bill-archive.js';
 import {fillGap, type FillGapOptions} from './fill-gap.js';
 
@@ -58,9 +58,9 @@
 		before: 101,
 		sources: [
 			async () => Right({lines: '{"position":1,"bill":{}}\n', digest: 'wrong'}),
-			async (first: number) => Right(sealPiece(await source.readLines({first, bytes: 2000}))),
+			async (first: number) => Right(createBillChunk(await source.readLines({first, bytes: 2000}))),
 		],
-		onDamage(error: Error) {
+		onInvalidChunk(error: Error) {
 			errors.push(error.message);
 		},
 	};
--- a/packages/daemon/src/control/archive/bill-archive.ts
+++ b/packages/daemon/src/control/archive/bill-archive.ts
@@ -5,7 +5,7 @@
 } from 'node:fs/promises';
 import path from 'node:path';
 import {createInterface} from 'node:readline';
-import {type ArchivableBills, type LedgerPage, type LedgerQuestion} from '@valehitch/control';
+import {type ArchivableBills, type LedgerPage, type LedgerQuery} from '@valehitch/control';
 import {type Bill} from '@valehitch/core';
 
 type Segment = {readonly first: number; last: number};
@@ -137,7 +137,7 @@
 	@param query The workspace, the position after which to read, and the page size.
 	@returns The page. At the end of the archive, `next` is the position after which to continue in the replicated state.
 	*/
-	async read({workspace, after, limit}: LedgerQuestion): Promise<LedgerPage> {
+	async read({workspace, after, limit}: LedgerQuery): Promise<LedgerPage> {
 		// Bills that are archived during the read belong to the next page.
 		const {last} = this;
 		const bills: Bill[] = [];
--- a/packages/daemon/src/control/archive/archived-piece.ts
+++ b/packages/daemon/src/control/archive/bill-chunk.ts
@@ -3,7 +3,7 @@
 import {sha256} from '../../digest.js';
 
 /** A chunk of consecutive bills that one replica sends to another. */
-export type ArchivedPiece = {
+export type BillChunk = {
 	/** One line of JSON per bill, for consecutive positions; empty if the sender does not have the first one. */
 	readonly lines: string;
 	/** The SHA-256 digest of the lines. */
@@ -22,7 +22,7 @@
 const chunk = createBillChunk(await archive.readLines({first: 1, bytes: 65_536}));
 ```
 */
-export function sealPiece(lines: string): ArchivedPiece {
+export function createBillChunk(lines: string): BillChunk {
 	return {lines, digest: sha256(lines)};
 }
 
@@ -37,7 +37,7 @@
 const bills = parseBillChunk(chunk, 1);
 ```
 */
-export function openPiece({lines, digest}: ArchivedPiece, first: number): Either<Error, readonly Bill[]> {
+export function parseBillChunk({lines, digest}: BillChunk, first: number): Either<Error, readonly Bill[]> {
 	const actualDigest = sha256(lines);
 	if (actualDigest !== digest) {
 		return Left(new RangeError(`The lines have the digest ${actualDigest}; expected ${digest}`));
--- a/packages/daemon/src/control/archive/fill-gap.ts
+++ b/packages/daemon/src/control/archive/fill-gap.ts
@@ -1,5 +1,5 @@
 import {type Either} from 'purify-ts';
-import {type ArchivedPiece, openPiece} from './archived-piece.js';
+import {type BillChunk, parseBillChunk} from './bill-chunk.js';
 import {type BillArchive} from './bill-archive.js';
 
 /** The options of `fillGap`. */
@@ -7,9 +7,9 @@
 	/** The position of the first bill in the replicated state. */
 	readonly before: number;
 	/** Functions that request a chunk from another replica, starting at a position; tried in order. */
-	readonly sources: ReadonlyArray<(first: number) => Promise<Either<unknown, ArchivedPiece>>>;
+	readonly sources: ReadonlyArray<(first: number) => Promise<Either<unknown, BillChunk>>>;
 	/** Called with the error of each chunk that fails verification. */
-	readonly onDamage: (error: Error) => void;
+	readonly onInvalidChunk: (error: Error) => void;
 };
 
 /** The result of one step: `complete` if no bills are missing, `progress` if a chunk was written, and `stuck` if no replica returned a valid one. */
@@ -27,7 +27,7 @@
 const result = await fillGap(archive, {before: 5001, sources, onInvalidChunk});
 ```
 */
-export async function fillGap(archive: BillArchive, {before, sources, onDamage: onInvalidChunk}: FillGapOptions): Promise<FillResult> {
+export async function fillGap(archive: BillArchive, {before, sources, onInvalidChunk: onInvalidChunk}: FillGapOptions): Promise<FillResult> {
 	const gap = archive.gapBefore(before);
 	if (gap === undefined) {
 		return 'complete';
@@ -35,7 +35,7 @@
 
 	for (const requestChunk of sources) {
 		const reply = await requestChunk(gap.first);
-		const parsed = reply.chain(chunk => openPiece(chunk, gap.first)).ifLeft(error => {
+		const parsed = reply.chain(chunk => parseBillChunk(chunk, gap.first)).ifLeft(error => {
 			if (error instanceof RangeError) {
 				onInvalidChunk(error);
 			}
--- a/packages/daemon/src/control/archive/read-held-lines.ts
+++ b/packages/daemon/src/control/archive/read-bill-lines.ts
@@ -1,10 +1,10 @@
-import {type ArchivedState} from './archive-bills.js';
+import {type ArchivableState} from './archive-bills.js';
 import {type BillArchive, type ReadLinesOptions} from './bill-archive.js';
 
 /** The places where a replica stores bills. */
-export type HeldBills = {
+export type BillStores = {
 	readonly archive: BillArchive;
-	readonly state: ArchivedState;
+	readonly state: ArchivableState;
 };
 
 const maximumBills = 500;
@@ -20,7 +20,7 @@
 const lines = await readBillLines({first: 1, bytes: 65_536}, {archive, state});
 ```
 */
-export async function readHeldLines({first, bytes}: ReadLinesOptions, {archive, state}: HeldBills): Promise<string> {
+export async function readBillLines({first, bytes}: ReadLinesOptions, {archive, state}: BillStores): Promise<string> {
 	const archived = await archive.readLines({first, bytes});
 	if (archived !== '' || first < state.billPositions.first) {
 		return archived;
--- a/packages/daemon/src/control/archive/start-archive.ts
+++ b/packages/daemon/src/control/archive/start-archive.ts
@@ -1,13 +1,13 @@
 import path from 'node:path';
-import {type LedgerPage, type LedgerQuestion} from '@valehitch/control';
+import {type LedgerPage, type LedgerQuery} from '@valehitch/control';
 import {type Failure} from '@valehitch/core';
 import {type Either} from 'purify-ts';
 import {type DaemonBase} from '../../daemon-base.js';
-import {type ArchivedState, archiveBills} from './archive-bills.js';
-import {type ArchivedPiece, sealPiece} from './archived-piece.js';
+import {type ArchivableState, archiveBills} from './archive-bills.js';
+import {type BillChunk, createBillChunk} from './bill-chunk.js';
 import {BillArchive} from './bill-archive.js';
 import {fillGap} from './fill-gap.js';
-import {readHeldLines} from './read-held-lines.js';
+import {readBillLines} from './read-bill-lines.js';
 
 /** The dependencies of the archive. */
 export type StartArchiveOptions = {
@@ -15,16 +15,16 @@
 	/** The position of the first bill that the archive must contain. */
 	readonly firstBill: number;
 	/** Returns the replicated state as applied on this replica. */
-	readonly state: () => ArchivedState;
+	readonly state: () => ArchivableState;
 	/** Functions that request a chunk of bills, one per other replica. */
-	readonly sources: ReadonlyArray<(first: number) => Promise<Either<Failure, ArchivedPiece>>>;
+	readonly sources: ReadonlyArray<(first: number) => Promise<Either<Failure, BillChunk>>>;
 };
 
 /** The running archive of a control replica. */
 export type RunningArchive = {
-	readonly read: (question: LedgerQuestion) => Promise<LedgerPage>;
+	readonly read: (question: LedgerQuery) => Promise<LedgerPage>;
 	/** Reads a chunk of bills for another replica that lacks them. */
-	readonly piece: (first: number) => Promise<ArchivedPiece>;
+	readonly readChunk: (first: number) => Promise<BillChunk>;
 	/** Returns the position up to which this replica has all bills, in the archive or in the state. */
 	readonly heldUpTo: () => number;
 	readonly stop: () => Promise<void>;
@@ -69,7 +69,7 @@
 
 		const archiveAndFillGaps = async (): Promise<void> => {
 			await archiveBills(state(), archive);
-			const result = await fillGap(archive, {before: state().billPositions.first, sources, onDamage: onInvalidChunk});
+			const result = await fillGap(archive, {before: state().billPositions.first, sources, onInvalidChunk: onInvalidChunk});
 			if (result === 'stuck') {
 				metrics.increment('archive.incomplete');
 				log.warn({folder, gap: archive.gapBefore(state().billPositions.first)}, 'No other replica returned the bills that are missing in the archive; retrying');
@@ -92,7 +92,7 @@
 		}, archiveIntervalMilliseconds);
 		return {
 			read: async question => archive.read(question),
-			piece: async first => sealPiece(await readHeldLines({first, bytes: chunkBytes}, {archive, state: state()})),
+			readChunk: async first => createBillChunk(await readBillLines({first, bytes: chunkBytes}, {archive, state: state()})),
 			heldUpTo() {
 				const {first, last} = state().billPositions;
 				const gap = archive.gapBefore(first);
--- a/packages/daemon/src/control/control-client.ts
+++ b/packages/daemon/src/control/control-client.ts
@@ -1,4 +1,4 @@
-import {type AnswerOf, type Command} from '@valehitch/control';
+import {type ResponseOf, type Command} from '@valehitch/control';
 import {
 	type Clock, type Failure, failure, type InstanceId,
 } from '@valehitch/core';
@@ -6,24 +6,24 @@
 import {type Either, Left} from 'purify-ts';
 import {fromResultReply} from '../result-reply.js';
 import {
-	type ControlReply, type LeaderMessage, type LeaderQuestion, type LeaderReply, type LedgerMessage, type LedgerPage, type OrderList,
+	type ControlReply, type LeaderMessage, type LeaderRequest, type LeaderReply, type LedgerMessage, type LedgerPage, type OrderList,
 } from './messages.js';
 
 /** The dependencies of a `ControlClient`. */
 export type ControlClientOptions = {
 	readonly clock: Clock;
 	/** Sends a request to one control instance. Returns a failure if no reply arrives in time, with the outcome `notRun` if nothing was sent. */
-	readonly ask: (to: PeerAddress, message: LeaderQuestion | LeaderMessage) => Promise<Either<Failure, unknown>>;
+	readonly ask: (to: PeerAddress, message: LeaderRequest | LeaderMessage) => Promise<Either<Failure, unknown>>;
 	/** The instances with the control role. */
 	readonly control: readonly PeerAddress[];
 	/** The instance to query first while no leader is known: this one if it has the control role, otherwise one in the same zone. */
-	readonly first?: InstanceId | undefined;
+	readonly preferred?: InstanceId | undefined;
 	/** Waits for a number of milliseconds. */
 	readonly wait: (milliseconds: number) => Promise<void>;
 };
 
 /** The options of a request. */
-export type AskOptions = {
+export type ControlRequestOptions = {
 	/** The time after which the client stops retrying; 5000 ms by default. */
 	readonly timeoutMilliseconds?: number;
 };
@@ -62,9 +62,9 @@
 	@param options The timeout.
 	@returns The result of the command; or `no-quorum`, with the outcome `notRun` if the command definitely did not run and `unknown` if it may have run.
 	*/
-	async propose<Kind extends Command>(command: Kind, options: AskOptions = {}): Promise<Either<Failure, AnswerOf<Kind>>> {
+	async propose<Kind extends Command>(command: Kind, options: ControlRequestOptions = {}): Promise<Either<Failure, ResponseOf<Kind>>> {
 		const result = await this.#request({scope: 'control', type: 'propose', command}, options);
-		return result.map(body => body as AnswerOf<Kind>);
+		return result.map(body => body as ResponseOf<Kind>);
 	}
 
 	/**
@@ -84,7 +84,7 @@
 		return result.map(body => body as OrderList);
 	}
 
-	async #request(message: LeaderQuestion, {timeoutMilliseconds = defaultTimeoutMilliseconds}: AskOptions): Promise<Either<Failure, unknown>> {
+	async #request(message: LeaderRequest, {timeoutMilliseconds = defaultTimeoutMilliseconds}: ControlRequestOptions): Promise<Either<Failure, unknown>> {
 		const {clock, wait} = this.#options;
 		const deadline = clock.monotonic() + timeoutMilliseconds;
 		let mayHaveRun = false;
@@ -112,7 +112,7 @@
 			return cached;
 		}
 
-		const {control, first: preferred, ask} = this.#options;
+		const {control, preferred: preferred, ask} = this.#options;
 		const instances = control.toSorted((left, right) => Number(right.instance === preferred) - Number(left.instance === preferred));
 		for (const instance of instances) {
 			const reply = await ask(instance, {scope: 'control', type: 'leader'});
@@ -125,7 +125,7 @@
 		return undefined;
 	}
 
-	async #send(target: PeerAddress, message: LeaderQuestion): Promise<Either<Failure, unknown>> {
+	async #send(target: PeerAddress, message: LeaderRequest): Promise<Either<Failure, unknown>> {
 		const reply = await this.#options.ask(target, message);
 		if (reply.isLeft()) {
 			this.#leader = undefined;
--- a/packages/daemon/src/control/control-host.ts
+++ b/packages/daemon/src/control/control-host.ts
@@ -1,20 +1,20 @@
 import {
 	instanceOf, isLeader, knownLeader, leaseValidUntil, planReplacement, readIndex, type ReplicaId, type ReplicaSet, type ReplicaState, toReplicaId,
 } from '@valehitch/consensus';
-import {type Command, type CommandAnswer, ControlState} from '@valehitch/control';
+import {type Command, type CommandResponse, ControlState} from '@valehitch/control';
 import {
-	type Failure, failure, type InstanceId, SuspensionWatch, toId,
+	type Failure, failure, type InstanceId, SuspensionDetector, toId,
 } from '@valehitch/core';
 import {
-	type ReplicaDelivery, ReplicaDriver, StateMachine, StepWaiters,
+	type AddressedReplicaMessage, ReplicaDriver, StateMachine, StepNotifier,
 } from '@valehitch/replication';
 import {type Either, Left} from 'purify-ts';
 import {decodeCommand, encodeCommand} from './_command-codec.js';
-import {Candidates} from './candidates.js';
+import {NonvotingReplicas} from './nonvoting-replicas.js';
 import {type AppliedListener, type ControlHostOptions} from './control-host-options.js';
-import {searchGroup} from './group-search.js';
+import {discoverGroup} from './discover-group.js';
 import {type JoinMessage, type JoinReply} from './messages.js';
-import {LeadershipWatch} from './leadership-watch.js';
+import {LeadershipRecorder} from './leadership-recorder.js';
 import {replicaTiming} from './replica-timing.js';
 
 /** Shorter than the heartbeat interval, since a heartbeat can be delayed by up to one tick. */
@@ -39,26 +39,26 @@
 export class ControlHost {
 	readonly #options: ControlHostOptions;
 	readonly #self: ReplicaId;
-	readonly #machine: StateMachine<Command, CommandAnswer, ControlState>;
+	readonly #machine: StateMachine<Command, CommandResponse, ControlState>;
 	readonly #driver: ReplicaDriver;
-	readonly #nonvoters: Candidates;
-	readonly #leadership: LeadershipWatch;
-	readonly #suspension: SuspensionWatch;
+	readonly #nonvoters: NonvotingReplicas;
+	readonly #leadership: LeadershipRecorder;
+	readonly #suspension: SuspensionDetector;
 	readonly #listeners = new Set<AppliedListener>();
-	readonly #stepWaiters = new StepWaiters();
+	readonly #stepWaiters = new StepNotifier();
 	#timers: NodeJS.Timeout[] = [];
 	#hasBootstrapped = false;
 	#isStopped = false;
 
 	constructor(options: ControlHostOptions) {
 		const {base, folder} = options;
-		const {identity, hardState, snapshot, entries} = folder.takeStored();
+		const {identity, hardState, snapshot, entries} = folder.takeStoredState();
 		this.#options = options;
 		this.#self = toReplicaId(base.settings.instance, identity);
-		this.#nonvoters = new Candidates({clock: base.clock, control: base.settings.control.map(({instance}) => instance)});
-		this.#leadership = new LeadershipWatch(base);
-		this.#suspension = new SuspensionWatch(base.clock);
-		this.#machine = new StateMachine<Command, CommandAnswer, ControlState>({
+		this.#nonvoters = new NonvotingReplicas({clock: base.clock, control: base.settings.control.map(({instance}) => instance)});
+		this.#leadership = new LeadershipRecorder(base);
+		this.#suspension = new SuspensionDetector(base.clock);
+		this.#machine = new StateMachine<Command, CommandResponse, ControlState>({
 			create: data => data === undefined ? new ControlState() : ControlState.fromSnapshot(data),
 			decode: decodeCommand,
 			onApplied: applied => {
@@ -67,7 +67,7 @@
 				}
 			},
 			onReplicas: replicas => {
-				this.#leadership.noteReplicas(replicas);
+				this.#leadership.updateReplicas(replicas);
 			},
 		});
 		if (snapshot !== undefined) {
@@ -75,8 +75,8 @@
 		}
 
 		this.#driver = new ReplicaDriver({
-			start: {
-				id: this.#self, hardState, snapshot, entries, options: {...replicaTiming, tailEntries}, seed: Math.floor(base.random() * seedRange),
+			replica: {
+				id: this.#self, hardState, snapshot, entries, options: {...replicaTiming, trailingEntries: tailEntries}, seed: Math.floor(base.random() * seedRange),
 			},
 			folder,
 			clock: base.clock,
@@ -86,7 +86,7 @@
 			apply: actions => {
 				this.#machine.apply(actions);
 			},
-			onStepped: state => {
+			onStepsCompleted: state => {
 				this.#onStepped(state);
 			},
 			onFailure: failed => {
@@ -138,7 +138,7 @@
 		}
 
 		await this.#driver.stop();
-		this.#stepWaiters.wake();
+		this.#stepWaiters.notifyAll();
 		await this.#options.folder.close();
 	}
 
@@ -148,20 +148,20 @@
 	@param command The command.
 	@returns The result of the command. The outcome of a `no-quorum` failure says whether the command may still be committed.
 	*/
-	async propose(command: Command): Promise<Either<Failure, CommandAnswer>> {
+	async propose(command: Command): Promise<Either<Failure, CommandResponse>> {
 		if (!this.isLeader) {
 			return Left(failure('no-quorum', 'This replica has no valid lease; send the command to the leader', {retryAfterMilliseconds}));
 		}
 
-		if (this.#machine.waitingCount >= maximumPendingProposals) {
+		if (this.#machine.pendingCount >= maximumPendingProposals) {
 			return Left(failure('overloaded', `${maximumPendingProposals} commands are already waiting to be committed`, {retryAfterMilliseconds}));
 		}
 
 		const proposalId = this.#options.base.newId();
-		const result = this.#machine.resultOf(proposalId);
+		const result = this.#machine.waitForResult(proposalId);
 		this.#driver.push({type: 'propose', proposals: [{proposalId, data: encodeCommand(command)}]});
 		const timer = setTimeout(() => {
-			this.#machine.giveUp(proposalId, failure('no-quorum', `The command was not committed within ${commitTimeoutMilliseconds} ms`, {
+			this.#machine.cancelWait(proposalId, failure('no-quorum', `The command was not committed within ${commitTimeoutMilliseconds} ms`, {
 				outcome: 'unknown', retryAfterMilliseconds,
 			}));
 		}, commitTimeoutMilliseconds);
@@ -182,7 +182,7 @@
 		}
 
 		while (!this.#isStopped && this.#machine.appliedIndex < index) {
-			await this.#stepWaiters.next();
+			await this.#stepWaiters.waitForNext();
 		}
 
 		return !this.#isStopped;
@@ -206,7 +206,7 @@
 
 	@param envelope The message with its sender and receiver.
 	*/
-	receive({from, to, message}: ReplicaDelivery): void {
+	receive({from, to, message}: AddressedReplicaMessage): void {
 		if (to === this.#self && !this.#isStopped) {
 			this.#driver.push({type: 'message', from, message});
 		}
@@ -219,7 +219,7 @@
 	@returns The status of this replica.
 	*/
 	join({replica, billsHeldUpTo}: JoinMessage): JoinReply {
-		this.#nonvoters.note(replica, billsHeldUpTo);
+		this.#nonvoters.recordJoin(replica, billsHeldUpTo);
 		const {log: {snapshot}} = this.#driver.state;
 		return {
 			replica: this.#self,
@@ -241,10 +241,10 @@
 	#tick(): void {
 		const {state} = this.#driver;
 		this.#driver.push({type: 'tick'});
-		this.#leadership.note(state);
+		this.#leadership.update(state);
 		const learners = state.replicas?.learners ?? [];
-		const present = this.#nonvoters.ready(learners, this.#machine.state.billPositions.first - 1);
-		const change = isLeader(state) ? planReplacement(state, {present}) : undefined;
+		const present = this.#nonvoters.eligible(learners, this.#machine.state.billPositions.first - 1);
+		const change = isLeader(state) ? planReplacement(state, {active: present}) : undefined;
 		if (change !== undefined) {
 			this.#driver.push({type: 'change-replicas', change});
 		}
@@ -259,7 +259,7 @@
 
 		const mayBootstrap = this.#isEmpty();
 		const {base: {settings}, ask, billsHeldUpTo} = this.#options;
-		const initial = await searchGroup({
+		const initial = await discoverGroup({
 			self: this.#self,
 			control: settings.control,
 			ask: async ({instance}) => ask(instance, {
@@ -283,19 +283,19 @@
 	}
 
 	#onStepped(state: ReplicaState): void {
-		this.#leadership.note(state);
-		this.#stepWaiters.wake();
+		this.#leadership.update(state);
+		this.#stepWaiters.notifyAll();
 		const {base: {settings: {controlLog}}} = this.#options;
 		const {entries, bytes} = this.#machine.sinceSnapshot;
 		if (entries >= controlLog.snapshotEntries || bytes >= controlLog.snapshotBytes) {
-			this.#machine.snapshotTaken();
+			this.#machine.resetSnapshotCounters();
 			this.#driver.push({type: 'snapshot-taken', lastIndex: this.#machine.appliedIndex, data: this.#machine.state.toSnapshot()});
 		}
 	}
 
 	#fail(failed: Failure): void {
 		this.#isStopped = true;
-		this.#stepWaiters.wake();
+		this.#stepWaiters.notifyAll();
 		for (const timer of this.#timers) {
 			clearInterval(timer);
 		}
--- a/packages/daemon/src/control/control-answers.ts
+++ b/packages/daemon/src/control/control-request-handler.ts
@@ -1,20 +1,20 @@
-import {type CommandAnswer} from '@valehitch/control';
+import {type CommandResponse} from '@valehitch/control';
 import {type Failure, failure} from '@valehitch/core';
 import {type PeerAddress} from '@valehitch/transport';
 import {type Either, Left, Right} from 'purify-ts';
 import {match} from 'ts-pattern';
-import {readReplicaMessage} from '@valehitch/replication';
+import {decodeReplicaMessage} from '@valehitch/replication';
 import {type DaemonBase} from '../daemon-base.js';
 import {toResultReply} from '../result-reply.js';
 import {type RunningArchive} from './archive/start-archive.js';
 import {type ControlHost} from './control-host.js';
 import {
-	type ControlMessage, type ControlReply, type LeaderQuestion, type LeaderReply, type LedgerMessage, type LedgerPage, type OrderList, type SnapshotPieceReply,
+	type ControlMessage, type ControlReply, type LeaderRequest, type LeaderReply, type LedgerMessage, type LedgerPage, type OrderList, type SnapshotChunkReply,
 } from './messages.js';
-import {SnapshotPieces} from './snapshot-pieces.js';
+import {SnapshotAssembler} from './snapshot-chunks.js';
 
 /** The dependencies of a `ControlRequestHandler`. */
-export type ControlAnswersOptions = {
+export type ControlRequestHandlerOptions = {
 	readonly base: DaemonBase;
 	readonly host: ControlHost;
 	/** The bills that were removed from the state; undefined if the archive could not be opened. */
@@ -34,11 +34,11 @@
 const handler = new ControlRequestHandler({base, host, archive, ask});
 ```
 */
-export class ControlAnswers {
-	readonly #options: ControlAnswersOptions;
-	readonly #snapshots = new SnapshotPieces();
+export class ControlRequestHandler {
+	readonly #options: ControlRequestHandlerOptions;
+	readonly #snapshots = new SnapshotAssembler();
 
-	constructor(options: ControlAnswersOptions) {
+	constructor(options: ControlRequestHandlerOptions) {
 		this.#options = options;
 	}
 
@@ -48,15 +48,15 @@
 	@param message The message.
 	@returns The reply; undefined for messages between replicas.
 	*/
-	async answer(message: ControlMessage): Promise<unknown> {
+	async handle(message: ControlMessage): Promise<unknown> {
 		const {host} = this.#options;
 		return match(message)
 			.with({type: 'replica'}, envelope => {
-				host.receive({...envelope, message: readReplicaMessage(envelope.message)});
+				host.receive({...envelope, message: decodeReplicaMessage(envelope.message)});
 				return undefined;
 			})
-			.with({type: 'snapshot-piece'}, (chunk): SnapshotPieceReply => {
-				const envelope = this.#snapshots.take(chunk);
+			.with({type: 'snapshot-piece'}, (chunk): SnapshotChunkReply => {
+				const envelope = this.#snapshots.add(chunk);
 				if (envelope !== undefined) {
 					host.receive(envelope);
 				}
@@ -64,13 +64,13 @@
 				return {isTaken: true};
 			})
 			.with({type: 'join'}, request => host.join(request))
-			.with({type: 'archived-bills'}, async ({first}) => this.#options.archive?.piece(first))
+			.with({type: 'archived-bills'}, async ({first}) => this.#options.archive?.readChunk(first))
 			.with({type: 'leader'}, (): LeaderReply => ({leader: host.leader}))
 			.with({type: 'propose'}, {type: 'ledger'}, {type: 'orders'}, async request => this.#answerOrForward(request))
 			.exhaustive();
 	}
 
-	async #answerOrForward(request: LeaderQuestion): Promise<ControlReply<unknown>> {
+	async #answerOrForward(request: LeaderRequest): Promise<ControlReply<unknown>> {
 		const {host} = this.#options;
 		const {leader} = host;
 		if (host.isLeader || request.isForwarded === true || leader === undefined || leader === this.#options.base.settings.instance) {
@@ -81,7 +81,7 @@
 		return this.#forward(request, leader);
 	}
 
-	async #forward(request: LeaderQuestion, leader: string): Promise<ControlReply<unknown>> {
+	async #forward(request: LeaderRequest, leader: string): Promise<ControlReply<unknown>> {
 		const {base: {settings}, ask} = this.#options;
 		const address = settings.control.find(({instance}) => instance === leader);
 		const reply = address === undefined
@@ -93,7 +93,7 @@
 		});
 	}
 
-	async #answerAsLeader(request: LeaderQuestion): Promise<Either<Failure, CommandAnswer | LedgerPage | OrderList>> {
+	async #answerAsLeader(request: LeaderRequest): Promise<Either<Failure, CommandResponse | LedgerPage | OrderList>> {
 		const {host} = this.#options;
 		if (request.type === 'propose') {
 			return host.propose(request.command);
--- a/packages/daemon/src/control/group-search.test.ts
+++ b/packages/daemon/src/control/discover-group.test.ts
@@ -2,7 +2,7 @@
 import {type InstanceId, toId} from '@valehitch/core';
 import test from 'ava';
 import {Left, Right} from 'purify-ts';
-import {searchGroup} from './group-search.js';
+import {discoverGroup} from './discover-group.js';
 import {type JoinReply} from './messages.js';
 
 const [a, b, c] = ['a', 'b', 'c'].map(name => toReplicaId(name, `disk-${name}`)) as [ReturnType<typeof toReplicaId>, ReturnType<typeof toReplicaId>, ReturnType<typeof toReplicaId>];
@@ -13,7 +13,7 @@
 };
 
 async function discover(self: typeof a, replies: Readonly<Record<string, JoinReply>>, isEmpty = true): Promise<ReplicaSet | undefined> {
-	return searchGroup({
+	return discoverGroup({
 		self,
 		control,
 		async ask({instance}) {
--- a/packages/daemon/src/control/group-search.ts
+++ b/packages/daemon/src/control/discover-group.ts
@@ -5,7 +5,7 @@
 import {type JoinReply} from './messages.js';
 
 /** The options of `discoverGroup`. */
-export type GroupSearchOptions = {
+export type DiscoverGroupOptions = {
 	readonly self: ReplicaId;
 	/** All control instances, including this one. */
 	readonly control: readonly PeerAddress[];
@@ -27,7 +27,7 @@
 const replicas = await discoverGroup({self, control, ask, isEmpty});
 ```
 */
-export async function searchGroup({self, control, ask, isEmpty}: GroupSearchOptions): Promise<ReplicaSet | undefined> {
+export async function discoverGroup({self, control, ask, isEmpty}: DiscoverGroupOptions): Promise<ReplicaSet | undefined> {
 	const others = control.filter(({instance}) => instance !== instanceOf(self));
 	const results = await Promise.all(others.map(async other => ask(other)));
 	if (!isEmpty()) {
--- a/packages/daemon/src/control/leader-tasks.ts
+++ b/packages/daemon/src/control/leader-tasks.ts
@@ -1,8 +1,8 @@
-import {clockReadingMilliseconds, type ControlLimits} from '@valehitch/control';
+import {clockReadIntervalMilliseconds, type ControlLimits} from '@valehitch/control';
 import {type DaemonBase} from '../daemon-base.js';
 import {type DistributionPart} from '../distribution/start-distribution.js';
 import {type RatingSummary, type RatingSummaryReply} from '../ratings/rating-summary.js';
-import {httpEngineCalls} from './orders/engine-calls.js';
+import {httpEngineClient} from './orders/engine-client.js';
 import {OrderExecutor} from './orders/order-executor.js';
 import {LeaderEvidence} from './rollouts/leader-evidence.js';
 import {RolloutController} from './rollouts/rollout-controller.js';
@@ -17,7 +17,7 @@
 /** The running tasks; they have no effect while this instance is not the leader. */
 export type LeaderTasks = {
 	/** Merges a summary of ratings and evidence; returns undefined if this instance is not the leader. */
-	readonly takeSummary: (summary: RatingSummary) => RatingSummaryReply | undefined;
+	readonly mergeSummary: (summary: RatingSummary) => RatingSummaryReply | undefined;
 	/** Sends the summary of this instance to the leader and returns the reply. */
 	readonly exchange: (summary: RatingSummary) => Promise<RatingSummaryReply | undefined>;
 	readonly stop: () => void;
@@ -58,11 +58,11 @@
 		clock,
 		timeline,
 		control,
-		calls: httpEngineCalls,
-		engineOf: server => distribution.servers.current().find(({announcement}) => announcement.server === server && announcement.kind === 'engine')?.announcement,
+		engineClient: httpEngineClient,
+		findEngine: server => distribution.servers.available().find(({announcement}) => announcement.server === server && announcement.kind === 'engine')?.announcement,
 	});
 	const rollouts = new RolloutController({
-		clock, timeline, control, evidence: (target, progress) => evidence.on(target, progress),
+		clock, timeline, control, evidence: (target, progress) => evidence.forVersion(target, progress),
 	});
 	const every = (milliseconds: number, act: () => Promise<void>) => setInterval(() => {
 		run(act);
@@ -78,21 +78,21 @@
 			}
 		}),
 		every(pruneMilliseconds, async () => {
-			evidence.tidy();
+			evidence.prune();
 		}),
-		every(clockReadingMilliseconds, async () => {
+		every(clockReadIntervalMilliseconds, async () => {
 			if (control.isLeader()) {
 				await control.propose({type: 'expire', at: clock.now().getTime()});
 			}
 		}),
 	];
 	return {
-		takeSummary: summary => evidence.take(summary),
+		mergeSummary: summary => evidence.mergeSummary(summary),
 		async exchange(summary) {
 			const leader = control.leader() ?? control.client.leader;
 			const address = settings.control.find(({instance}) => instance === leader) ?? settings.control[0];
 			if (address === undefined || address.instance === settings.instance) {
-				return evidence.take(summary);
+				return evidence.mergeSummary(summary);
 			}
 
 			const reply = await network.request(address, {scope: 'ratings', type: 'report-evidence', summary});
--- a/packages/daemon/src/control/leadership-watch.ts
+++ b/packages/daemon/src/control/leadership-recorder.ts
@@ -13,7 +13,7 @@
 recorder.update(driver.state);
 ```
 */
-export class LeadershipWatch {
+export class LeadershipRecorder {
 	readonly #base: Pick<DaemonBase, 'clock' | 'timeline' | 'log'>;
 	#ledTerm: number | undefined;
 	#isLeader = false;
@@ -28,7 +28,7 @@
 
 	@param state The current state of the replica.
 	*/
-	note(state: ReplicaState): void {
+	update(state: ReplicaState): void {
 		this.#isLeader = isLeader(state);
 		const until = leaseValidUntil(state);
 		const holdsLease = until !== undefined && this.#base.clock.monotonic() < until;
@@ -49,7 +49,7 @@
 
 	@param replicas The committed replica set.
 	*/
-	noteReplicas({voters}: ReplicaSet): void {
+	updateReplicas({voters}: ReplicaSet): void {
 		this.#record('replica-added', voters.filter(replica => !this.#voters.includes(replica)));
 		this.#record('replica-removed', this.#voters.filter(replica => !voters.includes(replica)));
 		this.#voters = voters;
--- a/packages/daemon/src/control/messages.ts
+++ b/packages/daemon/src/control/messages.ts
@@ -1,7 +1,7 @@
 import {type Command, type OrderRecord} from '@valehitch/control';
 import {type ReplicaId, type ReplicaSet, type SnapshotRequest} from '@valehitch/consensus';
 import {type Bill, type InstanceId} from '@valehitch/core';
-import {type ReplicaWire} from '@valehitch/replication';
+import {type EncodedReplicaMessage} from '@valehitch/replication';
 import {type ResultReply} from '../result-reply.js';
 
 /** Requests that the control role commit a command. */
@@ -60,11 +60,11 @@
 	readonly type: 'replica';
 	readonly from: ReplicaId;
 	readonly to: ReplicaId;
-	readonly message: ReplicaWire;
+	readonly message: EncodedReplicaMessage;
 };
 
 /** A chunk of a snapshot, since a whole snapshot can exceed the maximum frame size. */
-export type SnapshotPieceMessage = {
+export type SnapshotChunkMessage = {
 	readonly scope: 'control';
 	readonly type: 'snapshot-piece';
 	readonly from: ReplicaId;
@@ -79,7 +79,7 @@
 };
 
 /** The acknowledgement of a snapshot chunk. */
-export type SnapshotPieceReply = {
+export type SnapshotChunkReply = {
 	readonly isTaken: boolean;
 };
 
@@ -102,7 +102,7 @@
 };
 
 /** Requests a chunk of the bills of a replica. */
-export type ArchivedBillsMessage = {
+export type BillChunkMessage = {
 	readonly scope: 'control';
 	readonly type: 'archived-bills';
 	/** The position of the first bill to return; positions start at 1. */
@@ -121,7 +121,7 @@
 };
 
 /** The requests that only the leader can handle. */
-export type LeaderQuestion = ProposeMessage | LedgerMessage | OrdersMessage;
+export type LeaderRequest = ProposeMessage | LedgerMessage | OrdersMessage;
 
 /** Any message to the control role. */
-export type ControlMessage = LeaderQuestion | ReplicaEnvelope | JoinMessage | LeaderMessage | ArchivedBillsMessage | SnapshotPieceMessage;
+export type ControlMessage = LeaderRequest | ReplicaEnvelope | JoinMessage | LeaderMessage | BillChunkMessage | SnapshotChunkMessage;
--- a/packages/daemon/src/control/candidates.ts
+++ b/packages/daemon/src/control/nonvoting-replicas.ts
@@ -2,7 +2,7 @@
 import {type Clock} from '@valehitch/core';
 
 /** The options of `NonvotingReplicas`. */
-export type CandidatesOptions = {
+export type NonvotingReplicasOptions = {
 	readonly clock: Clock;
 	/** The instances with the control role, according to the settings. */
 	readonly control: readonly string[];
@@ -19,16 +19,16 @@
 nonvoters.recordJoin(replica, billsHeldUpTo);
 ```
 */
-export class Candidates {
-	readonly #options: CandidatesOptions;
+export class NonvotingReplicas {
+	readonly #options: NonvotingReplicasOptions;
 	readonly #joins = new Map<string, {readonly replica: ReplicaId; readonly billsHeldUpTo: number; readonly at: number}>();
 
-	constructor(options: CandidatesOptions) {
+	constructor(options: NonvotingReplicasOptions) {
 		this.#options = options;
 	}
 
 	/** The replicas whose last join request is recent. */
-	get present(): readonly ReplicaId[] {
+	get live(): readonly ReplicaId[] {
 		const oldest = this.#options.clock.monotonic() - livenessMilliseconds;
 		return [...this.#joins.values()].filter(({at}) => at >= oldest).map(({replica}) => replica);
 	}
@@ -40,9 +40,9 @@
 	@param billsArchivedUpTo The position up to which bills were removed from the state of the leader.
 	@returns The replicas that can be added as a learner or promoted.
 	*/
-	ready(learners: readonly ReplicaId[], billsArchivedUpTo: number): readonly ReplicaId[] {
+	eligible(learners: readonly ReplicaId[], billsArchivedUpTo: number): readonly ReplicaId[] {
 		const lacking = new Set([...this.#joins.values()].filter(({billsHeldUpTo}) => billsHeldUpTo < billsArchivedUpTo).map(({replica}) => replica));
-		return this.present.filter(replica => !learners.includes(replica) || !lacking.has(replica));
+		return this.live.filter(replica => !learners.includes(replica) || !lacking.has(replica));
 	}
 
 	/**
@@ -51,7 +51,7 @@
 	@param replica The replica that sent it.
 	@param billsHeldUpTo The position up to which the replica has all bills.
 	*/
-	note(replica: ReplicaId, billsHeldUpTo: number): void {
+	recordJoin(replica: ReplicaId, billsHeldUpTo: number): void {
 		const instance = instanceOf(replica);
 		if (this.#options.control.includes(instance)) {
 			this.#joins.set(instance, {replica, billsHeldUpTo, at: this.#options.clock.monotonic()});
--- a/packages/daemon/src/control/orders/engine-calls.ts
+++ b/packages/daemon/src/control/orders/engine-client.ts
@@ -1,11 +1,11 @@
 import {type EngineState, type OrderRecord, type SendOutcome} from '@valehitch/control';
 import {typedSchema} from '@valehitch/core';
-import {readBody, sendHttp} from '@valehitch/transport';
+import {readBody, sendHttpRequest} from '@valehitch/transport';
 import {type Either} from 'purify-ts';
 import * as z from 'zod';
 
 /** A client for the control endpoints of engines; `address` is the base address of the engine. */
-export type EngineCalls = {
+export type EngineClient = {
 	/** Reads the state of the engine; returns undefined if it does not send a valid one. */
 	readonly readState: (address: string, signal: AbortSignal) => Promise<EngineState | undefined>;
 	/** Sends an order to the engine. */
@@ -24,7 +24,7 @@
 }));
 
 /** Calls engines over HTTP. Each call has its own connection, so that aborting one does not affect a later call. */
-export const httpEngineCalls: EngineCalls = {
+export const httpEngineClient: EngineClient = {
 	async readState(address, signal) {
 		const reply = await call({
 			address, method: 'GET', path: '/v1/state', body: '', signal,
@@ -51,7 +51,7 @@
 };
 
 async function call({body, ...request}: EngineRequest): Promise<Either<string, Reply>> {
-	const response = await sendHttp({
+	const response = await sendHttpRequest({
 		...request, headers: {'content-type': 'application/json'}, body: new TextEncoder().encode(body), reuseConnection: false,
 	});
 	const head = response.mapLeft(({message}) => message);
--- a/packages/daemon/src/control/orders/handle-orders.ts
+++ b/packages/daemon/src/control/orders/handle-orders.ts
@@ -1,10 +1,10 @@
 import {type IncomingMessage, type ServerResponse} from 'node:http';
 import {type Clock, type Failure} from '@valehitch/core';
-import {answerProblem, parseJsonBody, readBody} from '@valehitch/transport';
+import {sendProblem, parseJsonBody, readBody} from '@valehitch/transport';
 import {type Either} from 'purify-ts';
 import {answerJson} from '../../answer-json.js';
 import {type ControlClient} from '../control-client.js';
-import {type OrderRequest, orderRequestSchema} from './order-schema.js';
+import {type OrderRequest, orderRequestSchema} from './order-request.js';
 
 /** The dependencies of the order handlers. */
 export type OrdersContext = {
@@ -30,14 +30,14 @@
 	const body = await readBody(request, maximumBytes);
 	const order = body.chain(bytes => parseOrder(bytes));
 	if (order.isLeft()) {
-		answerProblem(response, order.extract());
+		sendProblem(response, order.extract());
 		return;
 	}
 
 	const result = await control.propose({type: 'issue-order', ...order.unsafeCoerce(), at: clock.now().getTime()});
 	result.caseOf({
 		Left(failed) {
-			answerProblem(response, failed);
+			sendProblem(response, failed);
 		},
 		Right({order: issued}) {
 			answerJson(response, issued, {status: acceptedStatus});
@@ -59,7 +59,7 @@
 	const result = await control.orders();
 	result.caseOf({
 		Left(failed) {
-			answerProblem(response, failed);
+			sendProblem(response, failed);
 		},
 		Right(orders) {
 			answerJson(response, orders);
@@ -68,5 +68,5 @@
 }
 
 function parseOrder(bytes: Uint8Array): Either<Failure, OrderRequest> {
-	return parseJsonBody({bytes, schema: orderRequestSchema}, {notJson: 'The body is not JSON; expected an order'});
+	return parseJsonBody({bytes, schema: orderRequestSchema}, {invalidJsonMessage: 'The body is not JSON; expected an order'});
 }
--- a/packages/daemon/src/control/orders/order-executor.ts
+++ b/packages/daemon/src/control/orders/order-executor.ts
@@ -1,10 +1,10 @@
 import {
-	type ControlState, defaultOrderTiming, idleOrderRun, type OrderAction, type OrderContext, type OrderEvent, type OrderRecord, type OrderRun, type OrderTiming, stepOrder,
+	type ControlState, defaultOrderDeliveryTiming, idleOrderDelivery, type OrderDeliveryAction, type OrderDeliveryContext, type OrderDeliveryEvent, type OrderRecord, type OrderDelivery, type OrderDeliveryTiming, stepOrderDelivery,
 } from '@valehitch/control';
 import {type Clock, type ServerId} from '@valehitch/core';
 import {type Timeline} from '../../timeline.js';
 import {type ControlPart} from '../start-control.js';
-import {type EngineCalls} from './engine-calls.js';
+import {type EngineClient} from './engine-client.js';
 
 /** The properties of an engine that the executor uses. */
 export type OrderTarget = {
@@ -20,10 +20,10 @@
 	readonly timeline: Pick<Timeline, 'record'>;
 	readonly control: Pick<ControlPart, 'isLeader' | 'leaseValidUntil' | 'propose'> & {readonly state: () => Pick<ControlState, 'openOrders'> | undefined};
 	/** Returns an engine that has announced itself, or undefined. */
-	readonly engineOf: (server: ServerId) => OrderTarget | undefined;
-	readonly calls: EngineCalls;
+	readonly findEngine: (server: ServerId) => OrderTarget | undefined;
+	readonly engineClient: EngineClient;
 	/** The timing of order runs; `defaultOrderTiming` by default. */
-	readonly timing?: OrderTiming;
+	readonly timing?: OrderDeliveryTiming;
 };
 
 /**
@@ -37,8 +37,8 @@
 */
 export class OrderExecutor {
 	readonly #options: OrderExecutorOptions;
-	readonly #timing: OrderTiming;
-	readonly #runs = new Map<ServerId, OrderRun>();
+	readonly #timing: OrderDeliveryTiming;
+	readonly #runs = new Map<ServerId, OrderDelivery>();
 	/** Step numbers are unique over all runs, so that a late reply to a step of an earlier run never matches a step of a later one. */
 	#lastStep = 0;
 	#leadingSince = 0;
@@ -46,7 +46,7 @@
 
 	constructor(options: OrderExecutorOptions) {
 		this.#options = options;
-		this.#timing = options.timing ?? defaultOrderTiming;
+		this.#timing = options.timing ?? defaultOrderDeliveryTiming;
 	}
 
 	/** Executes the steps that are due. Call this several times a second. */
@@ -63,13 +63,13 @@
 		}
 	}
 
-	#step(server: ServerId, {event, order}: {readonly event: OrderEvent; readonly order: OrderRecord | undefined}): void {
+	#step(server: ServerId, {event, order}: {readonly event: OrderDeliveryEvent; readonly order: OrderRecord | undefined}): void {
 		const current = this.#runs.get(server);
 		if (current === undefined && event.type !== 'tick') {
 			return;
 		}
 
-		const {run, action} = stepOrder({...current ?? idleOrderRun, ...(current === undefined && {step: this.#lastStep})}, {event, context: this.#context(server, order)});
+		const {delivery: run, action} = stepOrderDelivery({...current ?? idleOrderDelivery, ...(current === undefined && {step: this.#lastStep})}, {event, context: this.#context(server, order)});
 		this.#lastStep = Math.max(this.#lastStep, run.step);
 		if (order === undefined) {
 			this.#runs.delete(server);
@@ -82,13 +82,13 @@
 		}
 	}
 
-	async #perform(server: ServerId, action: OrderAction): Promise<void> {
+	async #perform(server: ServerId, action: OrderDeliveryAction): Promise<void> {
 		const event = await this.#performAction(server, action);
 		this.#step(server, {event, order: this.#oldestOrders().get(server)});
 	}
 
-	async #performAction(server: ServerId, action: OrderAction): Promise<OrderEvent> {
-		const {calls: engineClient, control, engineOf: findEngine} = this.#options;
+	async #performAction(server: ServerId, action: OrderDeliveryAction): Promise<OrderDeliveryEvent> {
+		const {engineClient: engineClient, control, findEngine: findEngine} = this.#options;
 		const {step} = action;
 		if (action.type === 'complete') {
 			const {orderId, outcome, detail} = action.command;
@@ -98,7 +98,7 @@
 		}
 
 		const address = findEngine(server)?.address;
-		const signal = AbortSignal.timeout(this.#timing.flightMilliseconds);
+		const signal = AbortSignal.timeout(this.#timing.sendTimeoutMilliseconds);
 		if (action.type === 'read-state') {
 			return {type: 'state-read', step, state: address === undefined ? undefined : await engineClient.readState(address, signal)};
 		}
@@ -114,8 +114,8 @@
 		return {type: 'sent', step, outcome: await reply};
 	}
 
-	#context(server: ServerId, order: OrderRecord | undefined): OrderContext {
-		const {clock, engineOf: findEngine} = this.#options;
+	#context(server: ServerId, order: OrderRecord | undefined): OrderDeliveryContext {
+		const {clock, findEngine: findEngine} = this.#options;
 		return {
 			now: clock.monotonic(),
 			wallClock: clock.now().getTime(),
--- a/packages/daemon/src/control/expired-bills.test.ts
+++ b/packages/daemon/src/control/report-expired-bills.test.ts
@@ -5,7 +5,7 @@
 } from '@valehitch/core';
 import test from 'ava';
 import bunyan from 'bunyan';
-import {reportExpiredBills} from './expired-bills.js';
+import {reportExpiredBills} from './report-expired-bills.js';
 
 function createBill(settledAt: number): Bill {
 	return {
--- a/packages/daemon/src/control/expired-bills.ts
+++ b/packages/daemon/src/control/report-expired-bills.ts
@@ -1,4 +1,4 @@
-import {type BillsAnswer} from '@valehitch/control';
+import {type RecordBillsResponse} from '@valehitch/control';
 import {type Bill} from '@valehitch/core';
 import {type DaemonBase} from '../daemon-base.js';
 import {type AppliedCommand} from './control-host-options.js';
@@ -21,7 +21,7 @@
 		return [];
 	}
 
-	const {expired} = result.map(answer => answer as BillsAnswer).orDefault({recorded: 0, expired: [], revision: 0});
+	const {expired} = result.map(answer => answer as RecordBillsResponse).orDefault({recorded: 0, expired: [], revision: 0});
 	const rejected = command.bills.filter(({request}) => expired.includes(request));
 	for (const bill of rejected) {
 		metrics.increment('ledger.expired');
--- a/packages/daemon/src/control/rollouts/leader-evidence.ts
+++ b/packages/daemon/src/control/rollouts/leader-evidence.ts
@@ -2,7 +2,7 @@
 import {type RolloutProgress} from '@valehitch/core';
 import {type DaemonBase} from '../../daemon-base.js';
 import {badVersionSettingsOf} from '../../ratings/bad-version-settings-of.js';
-import {EvidenceKeeper} from '../../ratings/evidence-keeper.js';
+import {EvidenceCollector} from '../../ratings/evidence-collector.js';
 import {type RatingSummary, type RatingSummaryReply} from '../../ratings/rating-summary.js';
 import {type ControlPart} from '../start-control.js';
 
@@ -27,7 +27,7 @@
 */
 export class LeaderEvidence {
 	readonly #options: LeaderEvidenceOptions;
-	#aggregator: EvidenceKeeper | undefined;
+	#aggregator: EvidenceCollector | undefined;
 	#prunedAt = 0;
 
 	constructor(options: LeaderEvidenceOptions) {
@@ -40,8 +40,8 @@
 	@param summary The summary.
 	@returns The reply to the instance, or undefined if this instance is not the leader.
 	*/
-	take(summary: RatingSummary): RatingSummaryReply | undefined {
-		return this.#current()?.take(summary);
+	mergeSummary(summary: RatingSummary): RatingSummaryReply | undefined {
+		return this.#current()?.mergeSummary(summary);
 	}
 
 	/**
@@ -51,30 +51,30 @@
 	@param progress The progress of its rollout; ratings count from the start of the current stage.
 	@returns The evidence; empty if this instance is not the leader.
 	*/
-	on(target: RolloutTarget, progress: RolloutProgress | undefined): RolloutEvidence {
+	forVersion(target: RolloutTarget, progress: RolloutProgress | undefined): RolloutEvidence {
 		return this.#current()?.table.evidence(target, progress?.stageStartedAt ?? 0) ?? {ratings: 0};
 	}
 
 	/** Removes decayed entries, and all evidence if this instance is no longer the leader. */
-	tidy(): void {
+	prune(): void {
 		const {base: {clock}, control} = this.#options;
 		const aggregator = this.#current();
 		const effective = control.state()?.effective;
 		const now = clock.monotonic();
 		if (aggregator !== undefined && effective !== undefined && now - this.#prunedAt > pruneMilliseconds) {
 			this.#prunedAt = now;
-			aggregator.tidy(effective);
+			aggregator.prune(effective);
 		}
 	}
 
-	#current(): EvidenceKeeper | undefined {
+	#current(): EvidenceCollector | undefined {
 		const {base: {clock, settings}, control, onAlarm} = this.#options;
 		if (!control.isLeader()) {
 			this.#aggregator = undefined;
 			return undefined;
 		}
 
-		this.#aggregator ??= new EvidenceKeeper({
+		this.#aggregator ??= new EvidenceCollector({
 			instance: settings.instance,
 			startedAt: clock.now().getTime(),
 			now: () => clock.now().getTime(),
--- a/packages/daemon/src/control/rollouts/rollout-controller.ts
+++ b/packages/daemon/src/control/rollouts/rollout-controller.ts
@@ -11,7 +11,7 @@
 	/** Returns the evidence on a version from all instances. */
 	readonly evidence: RolloutCommandsOptions['evidence'];
 	/** How long a new leader waits for the evidence of the instances before its first step; 3,000 by default. */
-	readonly evidenceMilliseconds?: number;
+	readonly evidenceDelayMilliseconds?: number;
 };
 
 const defaultEvidenceDelayMilliseconds = 3000;
@@ -54,7 +54,7 @@
 
 	/** Returns whether the instances had time to send their evidence. Without it, a new leader would treat a bad version as a good one. */
 	#hasEvidence(): boolean {
-		const {control, clock, evidenceMilliseconds: evidenceDelayMilliseconds = defaultEvidenceDelayMilliseconds} = this.#options;
+		const {control, clock, evidenceDelayMilliseconds: evidenceDelayMilliseconds = defaultEvidenceDelayMilliseconds} = this.#options;
 		this.#leadingSince = control.isLeader() ? this.#leadingSince ?? clock.monotonic() : undefined;
 		return this.#leadingSince !== undefined && clock.monotonic() - this.#leadingSince >= evidenceDelayMilliseconds;
 	}
--- a/packages/daemon/src/control/snapshot-pieces.ts
+++ b/packages/daemon/src/control/snapshot-chunks.ts
@@ -1,9 +1,9 @@
 import {type ReplicaId, type SnapshotRequest} from '@valehitch/consensus';
-import {type ReplicaDelivery} from '@valehitch/replication';
-import {type SnapshotPieceMessage} from './messages.js';
+import {type AddressedReplicaMessage} from '@valehitch/replication';
+import {type SnapshotChunkMessage} from './messages.js';
 
 /** A snapshot request with its sender and receiver. */
-export type SnapshotEnvelope = ReplicaDelivery & {readonly message: SnapshotRequest};
+export type SnapshotEnvelope = AddressedReplicaMessage & {readonly message: SnapshotRequest};
 
 const defaultChunkBytes = 1_048_576;
 
@@ -18,7 +18,7 @@
 for (const chunk of splitSnapshot(envelope)) await send(chunk);
 ```
 */
-export function * splitSnapshot({from, to, message}: SnapshotEnvelope, chunkBytes: number = defaultChunkBytes): Generator<SnapshotPieceMessage> {
+export function * splitSnapshot({from, to, message}: SnapshotEnvelope, chunkBytes: number = defaultChunkBytes): Generator<SnapshotChunkMessage> {
 	const {snapshot: {data}} = message;
 	for (let offset = 0; offset < data.byteLength; offset += chunkBytes) {
 		yield {
@@ -42,7 +42,7 @@
 const envelope = assembler.add(chunk);
 ```
 */
-export class SnapshotPieces {
+export class SnapshotAssembler {
 	readonly #pending = new Map<ReplicaId, {readonly key: string; readonly chunks: Uint8Array[]; bytes: number}>();
 
 	/**
@@ -51,7 +51,7 @@
 	@param chunk The chunk.
 	@returns The snapshot if it is complete, otherwise undefined.
 	*/
-	take({from, to, message, offset, totalBytes, data}: SnapshotPieceMessage): SnapshotEnvelope | undefined {
+	add({from, to, message, offset, totalBytes, data}: SnapshotChunkMessage): SnapshotEnvelope | undefined {
 		const {lastIndex, lastTerm} = message.snapshot;
 		const key = `${to}/${message.term}/${lastTerm}/${lastIndex}/${totalBytes}`;
 		if (offset === 0) {
--- a/packages/daemon/src/control/snapshot-sender.ts
+++ b/packages/daemon/src/control/snapshot-sender.ts
@@ -1,14 +1,14 @@
 import {type Failure} from '@valehitch/core';
 import {type Either} from 'purify-ts';
-import {type SnapshotPieceMessage, type SnapshotPieceReply} from './messages.js';
-import {type SnapshotEnvelope, splitSnapshot} from './snapshot-pieces.js';
+import {type SnapshotChunkMessage, type SnapshotChunkReply} from './messages.js';
+import {type SnapshotEnvelope, splitSnapshot} from './snapshot-chunks.js';
 
 /** The dependencies of a `SnapshotSender`. */
 export type SnapshotSenderOptions = {
 	/** Sends a chunk and waits for the acknowledgement. */
-	readonly ask: (chunk: SnapshotPieceMessage) => Promise<Either<Failure, SnapshotPieceReply>>;
+	readonly send: (chunk: SnapshotChunkMessage) => Promise<Either<Failure, SnapshotChunkReply>>;
 	/** The maximum number of bytes of the state in one chunk; the default of `splitSnapshot` if not given. */
-	readonly pieceBytes?: number;
+	readonly chunkBytes?: number;
 };
 
 /**
@@ -49,8 +49,8 @@
 	}
 
 	async #sendChunks(envelope: SnapshotEnvelope): Promise<boolean> {
-		for (const chunk of splitSnapshot(envelope, this.#options.pieceBytes)) {
-			const reply = await this.#options.ask(chunk);
+		for (const chunk of splitSnapshot(envelope, this.#options.chunkBytes)) {
+			const reply = await this.#options.send(chunk);
 			if (!reply.map(({isTaken}) => isTaken).orDefault(false)) {
 				return false;
 			}
--- a/packages/daemon/src/control/start-control.ts
+++ b/packages/daemon/src/control/start-control.ts
@@ -1,4 +1,4 @@
-import {type Command, type CommandAnswer, type ControlState} from '@valehitch/control';
+import {type Command, type CommandResponse, type ControlState} from '@valehitch/control';
 import {instanceOf} from '@valehitch/consensus';
 import {
 	type Failure, failure, type InstanceId, toId,
@@ -6,19 +6,19 @@
 import {type DataFolder, openDataFolder} from '@valehitch/storage';
 import {type PeerAddress} from '@valehitch/transport';
 import {type Either, Left, Right} from 'purify-ts';
-import {type ReplicaDelivery, writeReplicaMessage} from '@valehitch/replication';
+import {type AddressedReplicaMessage, encodeReplicaMessage} from '@valehitch/replication';
 import {type DaemonBase} from '../daemon-base.js';
-import {type ArchivedPiece} from './archive/archived-piece.js';
+import {type BillChunk} from './archive/bill-chunk.js';
 import {type RunningArchive, startArchive} from './archive/start-archive.js';
-import {ControlAnswers} from './control-answers.js';
+import {ControlRequestHandler} from './control-request-handler.js';
 import {ControlClient} from './control-client.js';
 import {ControlHost} from './control-host.js';
 import {type AppliedListener} from './control-host-options.js';
-import {reportExpiredBills} from './expired-bills.js';
+import {reportExpiredBills} from './report-expired-bills.js';
 import {
-	type ControlMessage, type JoinReply, type SnapshotPieceReply,
+	type ControlMessage, type JoinReply, type SnapshotChunkReply,
 } from './messages.js';
-import {type SnapshotEnvelope} from './snapshot-pieces.js';
+import {type SnapshotEnvelope} from './snapshot-chunks.js';
 import {SnapshotSender} from './snapshot-sender.js';
 
 /** The control component of a daemon. */
@@ -39,7 +39,7 @@
 	/** Adds a listener for the commands that this instance applies; returns a function that removes it. */
 	readonly onApplied: (listener: AppliedListener) => () => void;
 	/** Commits a command if this instance is the leader; used by the leader tasks. */
-	readonly propose: (command: Command) => Promise<Either<Failure, CommandAnswer>>;
+	readonly propose: (command: Command) => Promise<Either<Failure, CommandResponse>>;
 	readonly stop: () => Promise<void>;
 };
 
@@ -71,16 +71,16 @@
 	started.archive = archive;
 	const handler = host === undefined
 		? undefined
-		: new ControlAnswers({
+		: new ControlRequestHandler({
 			base, host, archive, ask: async (to, message) => askPeer(base, to, message),
 		});
-	const answer = async (message: ControlMessage): Promise<unknown> => handler?.answer(message);
+	const answer = async (message: ControlMessage): Promise<unknown> => handler?.handle(message);
 	const sameZone = settings.control.find(({zone}) => zone === settings.zone);
 	return {
 		client: new ControlClient({
 			clock,
 			control: settings.control,
-			first: host === undefined ? sameZone?.instance : settings.instance,
+			preferred: host === undefined ? sameZone?.instance : settings.instance,
 			ask: async (to, message) => to.instance === settings.instance
 				? toReply(await answer(message))
 				: askPeer<unknown>(base, to, message),
@@ -126,18 +126,18 @@
 function billSources(base: DaemonBase) {
 	const {instance: self, control} = base.settings;
 	return control.filter(({instance}) => instance !== self).map(address => async (first: number) =>
-		askPeer<ArchivedPiece>(base, address, {scope: 'control', type: 'archived-bills', first}));
+		askPeer<BillChunk>(base, address, {scope: 'control', type: 'archived-bills', first}));
 }
 
 function startHost(base: DaemonBase, {folder, billsHeldUpTo}: {readonly folder: DataFolder; readonly billsHeldUpTo: () => number}): ControlHost {
 	const {settings: {control}, network, log, metrics, timeline} = base;
 	const addresses = new Map(control.map(address => [address.instance, address]));
 	const snapshots = new SnapshotSender({
-		async ask(chunk) {
+		async send(chunk) {
 			const address = addresses.get(toId<InstanceId>(instanceOf(chunk.to)));
 			return address === undefined
 				? Left(failure('no-quorum', `${chunk.to} is not a replica of a control instance`))
-				: askPeer<SnapshotPieceReply>(base, address, chunk);
+				: askPeer<SnapshotChunkReply>(base, address, chunk);
 		},
 	});
 	const host = new ControlHost({
@@ -162,7 +162,7 @@
 			}
 
 			network.send(address, {
-				scope: 'control', type: 'replica', from: delivery.from, to: delivery.to, message: writeReplicaMessage(delivery.message),
+				scope: 'control', type: 'replica', from: delivery.from, to: delivery.to, message: encodeReplicaMessage(delivery.message),
 			});
 		},
 		onFailure(failed) {
@@ -189,7 +189,7 @@
 }
 
 /** Returns whether a message must be sent in chunks. The initial snapshot at index 0 contains no state and is sent like any other message. */
-function needsChunks(delivery: ReplicaDelivery): delivery is SnapshotEnvelope {
+function needsChunks(delivery: AddressedReplicaMessage): delivery is SnapshotEnvelope {
 	return delivery.message.type === 'snapshot-request' && delivery.message.snapshot.data.byteLength > 0;
 }
 
--- a/packages/daemon/src/control/state-machine.test.ts
+++ b/packages/daemon/src/control/state-machine.test.ts
@@ -1,5 +1,5 @@
 import {type LogEntry} from '@valehitch/consensus';
-import {type Command, type CommandAnswer, ControlState} from '@valehitch/control';
+import {type Command, type CommandResponse, ControlState} from '@valehitch/control';
 import {
 	type ChangeId, emptyConfiguration, toId, toRevision,
 } from '@valehitch/core';
@@ -15,8 +15,8 @@
 	// Not relevant for these tests.
 }
 
-function createMachine(): StateMachine<Command, CommandAnswer, ControlState> {
-	return new StateMachine<Command, CommandAnswer, ControlState>({
+function createMachine(): StateMachine<Command, CommandResponse, ControlState> {
+	return new StateMachine<Command, CommandResponse, ControlState>({
 		create: data => data === undefined ? new ControlState() : ControlState.fromSnapshot(data), decode: decodeCommand, onApplied: ignore, onReplicas: ignore,
 	});
 }
@@ -30,7 +30,7 @@
 
 test('a proposer receives the result of its own entry', async t => {
 	const machine = createMachine();
-	const result = machine.resultOf('one');
+	const result = machine.waitForResult('one');
 	machine.apply({...noActions, accepted: [{proposalId: 'one', index: 1, term: 4}]});
 	machine.apply({...noActions, committed: [createEntry(1, 4)]});
 	const settled = await result;
@@ -40,8 +40,8 @@
 
 test('a rejected proposal, and one whose log index was overwritten by another leader, did not run', async t => {
 	const machine = createMachine();
-	const rejected = machine.resultOf('rejected');
-	const replaced = machine.resultOf('replaced');
+	const rejected = machine.waitForResult('rejected');
+	const replaced = machine.waitForResult('replaced');
 	machine.apply({...noActions, rejected: ['rejected'], accepted: [{proposalId: 'replaced', index: 1, term: 4}]});
 	machine.apply({...noActions, committed: [createEntry(1, 5)]});
 	for (const settled of await Promise.all([rejected, replaced])) {
@@ -51,8 +51,8 @@
 
 test('a proposal that was only truncated from the local log, or that a snapshot covers, may have run', async t => {
 	const machine = createMachine();
-	const truncated = machine.resultOf('truncated');
-	const covered = machine.resultOf('covered');
+	const truncated = machine.waitForResult('truncated');
+	const covered = machine.waitForResult('covered');
 	machine.apply({...noActions, accepted: [{proposalId: 'truncated', index: 1, term: 4}]});
 	machine.apply({...noActions, accepted: [{proposalId: 'covered', index: 1, term: 6}]});
 	const other = createMachine();
--- a/packages/daemon/src/distribution/child-news.ts
+++ b/packages/daemon/src/distribution/child-notifier.ts
@@ -1,7 +1,7 @@
 import {type Clock, type InstanceId} from '@valehitch/core';
 
 /** Options of a {@linkcode ChildNotifier}. */
-export type ChildNewsOptions = {
+export type ChildNotifierOptions = {
 	readonly clock: Clock;
 	/** How long after its last contact a child is no longer notified, in milliseconds. */
 	readonly forgetMilliseconds: number;
@@ -20,13 +20,13 @@
 notifier.notify({except: child});
 ```
 */
-export class ChildNews {
-	readonly #options: ChildNewsOptions;
+export class ChildNotifier {
+	readonly #options: ChildNotifierOptions;
 	readonly #lastContactAt = new Map<InstanceId, number>();
 	readonly #pending = new Set<InstanceId>();
 	#timer: NodeJS.Timeout | undefined;
 
-	constructor(options: ChildNewsOptions) {
+	constructor(options: ChildNotifierOptions) {
 		this.#options = options;
 	}
 
@@ -35,7 +35,7 @@
 
 	@param child The child.
 	*/
-	heard(child: InstanceId): void {
+	recordContact(child: InstanceId): void {
 		this.#lastContactAt.set(child, this.#options.clock.monotonic());
 	}
 
@@ -44,7 +44,7 @@
 
 	@param options `except`: the child from which the update came.
 	*/
-	tell(options: {readonly except?: InstanceId} = {}): void {
+	notify(options: {readonly except?: InstanceId} = {}): void {
 		for (const child of this.#lastContactAt.keys()) {
 			if (child !== options.except) {
 				this.#pending.add(child);
--- a/packages/daemon/src/distribution/configuration-keeper.ts
+++ b/packages/daemon/src/distribution/configuration-store.ts
@@ -8,7 +8,7 @@
 import {packConfiguration} from './pack-configuration.js';
 
 /** Options of a {@linkcode ConfigurationStore}. */
-export type ConfigurationKeeperOptions = {
+export type ConfigurationStoreOptions = {
 	readonly clock: Clock;
 	readonly log: Logger;
 	readonly timeline: Timeline;
@@ -31,15 +31,15 @@
 configurations.activateNewest({granted: true});
 ```
 */
-export class ConfigurationKeeper {
-	readonly #options: ConfigurationKeeperOptions;
+export class ConfigurationStore {
+	readonly #options: ConfigurationStoreOptions;
 	readonly #startedAt: number;
 	#newest: EffectiveConfiguration = {revision: toRevision(0), document: emptyConfiguration, rollouts: {}};
 	#packed: Uint8Array | undefined;
 	#activated: Activated | undefined;
 	#failedRevision = toRevision(0);
 
-	constructor(options: ConfigurationKeeperOptions) {
+	constructor(options: ConfigurationStoreOptions) {
 		this.#options = options;
 		this.#startedAt = options.clock.monotonic();
 	}
@@ -88,7 +88,7 @@
 	@param options `granted`: whether a lease of the leader confirms the revision. Without it, the first activation waits for the duration of one lease, so that a newer configuration can arrive.
 	@returns Whether a configuration was activated.
 	*/
-	settle({granted}: {readonly granted: boolean}): boolean {
+	activateNewest({granted}: {readonly granted: boolean}): boolean {
 		const {clock, relay, leaseMilliseconds} = this.#options;
 		const mustWait = !granted && this.#activated === undefined && clock.monotonic() < this.#startedAt + leaseMilliseconds;
 		if (mustWait || this.#newest.revision <= Math.max(relay.revision, this.#failedRevision)) {
--- a/packages/daemon/src/distribution/distribution-node.ts
+++ b/packages/daemon/src/distribution/distribution-node.ts
@@ -1,23 +1,23 @@
 import {type Clock, type InstanceId, type ZoneId} from '@valehitch/core';
 import {type ConfigurationRelay, type MemberRecord} from '@valehitch/membership';
-import {intervalAfterInput, type PeerAddress} from '@valehitch/transport';
+import {setIntervalAfterPoll, type PeerAddress} from '@valehitch/transport';
 import {type ControlPart} from '../control/start-control.js';
 import {type DaemonBase} from '../daemon-base.js';
-import {ChildNews} from './child-news.js';
-import {ConfigurationKeeper} from './configuration-keeper.js';
+import {ChildNotifier} from './child-notifier.js';
+import {ConfigurationStore} from './configuration-store.js';
 import {createRegistry} from './create-registry.js';
 import {ExchangeLoop} from './exchange-loop.js';
 import {LeaderView} from './leader-view.js';
 import {LeaseConfirmations} from './lease-confirmations.js';
-import {LeaseWatch} from './lease-watch.js';
-import {LostInstances} from './lost-instances.js';
-import {MemberWatch} from './member-watch.js';
+import {LeaseMonitor} from './lease-monitor.js';
+import {LostInstanceNotifier} from './lost-instance-notifier.js';
+import {MemberMonitor} from './member-monitor.js';
 import {type Exchange, type ExchangeReply} from './messages.js';
 import {parentAddresses} from './parent-addresses.js';
 import {RelayNode} from './relay-node.js';
 import {type ServerRegistry} from './server-registry.js';
 import {
-	createLoadDigest, createRecordDigest, joinedAmong, memberKey,
+	createLoadDigest, createRecordDigest, joinedMembersAmong, memberKey,
 } from './shared-records.js';
 
 /** Options of a {@linkcode DistributionNode}. */
@@ -47,27 +47,27 @@
 */
 export class DistributionNode {
 	/** The configuration of this instance. */
-	readonly keeper: ConfigurationKeeper;
+	readonly configurations: ConfigurationStore;
 	/** The state that this instance contributes as a control instance or as the leader. */
-	readonly view: LeaderView;
+	readonly leaderView: LeaderView;
 	/** The registry of backend servers. */
 	readonly registry: ServerRegistry;
 	/** The periodic exchanges with the parent. */
-	readonly loop: ExchangeLoop;
+	readonly exchangeLoop: ExchangeLoop;
 	/** The members and their failure detection. */
-	readonly watch: MemberWatch;
+	readonly memberMonitor: MemberMonitor;
 	/** The lease confirmations exchanged with parents and children. */
 	readonly confirmations: LeaseConfirmations;
 	/** Notifies listeners of lost instances. */
-	readonly lost = new LostInstances();
+	readonly lostInstances = new LostInstanceNotifier();
 	readonly #options: DistributionNodeOptions;
 	readonly #clock: Clock;
 	readonly #zone: ZoneId;
 	readonly #periodMilliseconds: number;
 	readonly #records = createRecordDigest();
 	readonly #loads = createLoadDigest();
-	readonly #childNotifier: ChildNews;
-	readonly #leaseMonitor: LeaseWatch;
+	readonly #childNotifier: ChildNotifier;
+	readonly #leaseMonitor: LeaseMonitor;
 	readonly #relayNode: RelayNode;
 	#leaderHint: InstanceId | undefined;
 	#stopTicking: (() => void) | undefined;
@@ -79,24 +79,24 @@
 		this.#clock = clock;
 		this.#zone = zone;
 		this.#periodMilliseconds = timing.configurationLeaseMilliseconds / exchangesPerLease;
-		this.keeper = new ConfigurationKeeper({
+		this.configurations = new ConfigurationStore({
 			clock, log, timeline, relay, leaseMilliseconds: timing.configurationLeaseMilliseconds,
 		});
-		this.view = new LeaderView({
-			base, control, keeper: this.keeper, relay, zones: () => [...new Set([zone, ...this.watch.present.map(member => member.zone)])],
+		this.leaderView = new LeaderView({
+			base, control, configurations: this.configurations, relay, zones: () => [...new Set([zone, ...this.memberMonitor.activeMembers.map(member => member.zone)])],
 		});
-		this.#leaseMonitor = new LeaseWatch({clock, relay, timeline});
+		this.#leaseMonitor = new LeaseMonitor({clock, relay, timeline});
 		this.confirmations = this.#createConfirmations();
 		this.#childNotifier = this.#createChildNotifier();
 		this.registry = this.#createRegistry();
 		this.#relayNode = this.#createRelayNode();
-		this.loop = this.#createExchangeLoop();
-		this.watch = this.#createMemberMonitor();
+		this.exchangeLoop = this.#createExchangeLoop();
+		this.memberMonitor = this.#createMemberMonitor();
 	}
 
 	/** The leader, if known. */
 	get leader(): InstanceId | undefined {
-		return this.view.leader ?? this.#leaderHint;
+		return this.leaderView.leader ?? this.#leaderHint;
 	}
 
 	/** Starts the exchanges and the periodic checks. */
@@ -104,9 +104,9 @@
 		this.#options.control.onApplied(() => {
 			this.#refresh();
 		});
-		this.loop.start();
+		this.exchangeLoop.start();
 		// The tick detects failures by the lack of messages, so it runs after pending input is read.
-		this.#stopTicking = intervalAfterInput(this.#periodMilliseconds, () => {
+		this.#stopTicking = setIntervalAfterPoll(this.#periodMilliseconds, () => {
 			this.#tick();
 		});
 	}
@@ -114,7 +114,7 @@
 	/** Stops the exchanges and the periodic checks. */
 	stop(): void {
 		this.#stopTicking?.();
-		this.loop.stop();
+		this.exchangeLoop.stop();
 		this.#childNotifier.stop();
 	}
 
@@ -129,21 +129,21 @@
 		const now = this.#clock.monotonic();
 		this.#refresh();
 		const reply = this.confirmations.track(() => this.#relayNode.answer(exchange, now));
-		this.watch.heard(child);
-		this.loop.noteAlive([child]);
-		this.#childNotifier.heard(child);
+		this.memberMonitor.recordContact(child);
+		this.exchangeLoop.markAlive([child]);
+		this.#childNotifier.recordContact(child);
 		const {leader} = this;
 		return leader === undefined ? reply : {...reply, leader};
 	}
 
 	#tick(): void {
 		const leads = this.#refresh();
-		this.watch.judge();
-		this.registry.judge();
+		this.memberMonitor.detectFailures();
+		this.registry.expire();
 		this.#relayNode.prune(this.#clock.monotonic());
-		this.#leaseMonitor.note();
+		this.#leaseMonitor.check();
 		if (leads) {
-			this.lost.look(this.watch.members);
+			this.lostInstances.update(this.memberMonitor.members);
 		}
 	}
 
@@ -151,8 +151,8 @@
 	#refresh(): boolean {
 		const {relay} = this.#options;
 		const before = relay.revision;
-		const leads = this.view.refresh();
-		this.keeper.settle({granted: false});
+		const leads = this.leaderView.refresh();
+		this.configurations.activateNewest({granted: false});
 		if (relay.revision !== before) {
 			this.#propagate();
 		}
@@ -162,36 +162,36 @@
 
 	/** Propagates updates: notifies the children and starts an exchange with the parent. */
 	#propagate(from?: InstanceId): void {
-		this.#childNotifier.tell(from === undefined ? {} : {except: from});
-		this.loop.wake();
+		this.#childNotifier.notify(from === undefined ? {} : {except: from});
+		this.exchangeLoop.wake();
 	}
 
 	#applyUpdates(keys: readonly string[], from: InstanceId): void {
-		this.registry.takeRecords(keys);
-		this.loop.noteAlive(joinedAmong(this.#records, keys));
-		this.watch.refute();
+		this.registry.applyRecords(keys);
+		this.exchangeLoop.markAlive(joinedMembersAmong(this.#records, keys));
+		this.memberMonitor.refute();
 		this.#propagate(from);
 	}
 
 	#handleReply(parent: InstanceId, reply: ExchangeReply): void {
 		this.confirmations.releaseFormerParents();
-		this.watch.heard(parent);
+		this.memberMonitor.recordContact(parent);
 		if (reply.leader !== undefined) {
 			this.#leaderHint = reply.leader;
 		} else if (this.#leaderHint === parent) {
 			this.#leaderHint = undefined;
 		}
 
-		if (this.watch.self.parent !== parent && this.#parentCandidates()[0]?.instance === parent) {
-			this.watch.update({parent});
+		if (this.memberMonitor.self.parent !== parent && this.#parentCandidates()[0]?.instance === parent) {
+			this.memberMonitor.updateSelf({parent});
 		}
 
-		this.#leaseMonitor.note();
+		this.#leaseMonitor.check();
 	}
 
 	#parentCandidates(): PeerAddress[] {
 		const {base: {settings}} = this.#options;
-		return this.view.leads ? [] : parentAddresses({watch: this.watch, settings, leader: this.leader});
+		return this.leaderView.leads ? [] : parentAddresses({memberMonitor: this.memberMonitor, settings, leader: this.leader});
 	}
 
 	#memberRecord(instance: InstanceId): MemberRecord | undefined {
@@ -208,13 +208,13 @@
 			// Control instances can be reached by their configured address before they are known as members.
 			addressOf: instance => this.#memberRecord(instance) ?? settings.control.find(seed => seed.instance === instance),
 			onChange: () => {
-				this.loop.wake();
+				this.exchangeLoop.wake();
 			},
 		});
 	}
 
-	#createChildNotifier(): ChildNews {
-		return new ChildNews({
+	#createChildNotifier(): ChildNotifier {
+		return new ChildNotifier({
 			clock: this.#clock,
 			forgetMilliseconds: this.#periodMilliseconds * periodsToForgetChild,
 			send: child => {
@@ -230,7 +230,7 @@
 		return createRegistry(this.#options.base, {
 			records: this.#records,
 			loads: this.#loads,
-			isLost: holder => this.watch.isLost(holder),
+			isLost: holder => this.memberMonitor.isLost(holder),
 			onChange: () => {
 				this.#propagate();
 			},
@@ -240,17 +240,17 @@
 	#createRelayNode(): RelayNode {
 		const {relay, incarnation} = this.#options;
 		return new RelayNode({
-			keeper: this.keeper,
+			configurations: this.configurations,
 			relay,
 			records: this.#records,
 			loads: this.#loads,
 			incarnation,
 			loadIntervalMilliseconds: peer => this.#memberRecord(peer)?.zone === this.#zone ? ownZoneLoadMilliseconds : otherZoneLoadMilliseconds,
-			onNews: (keys, from) => {
+			onRecords: (keys, from) => {
 				this.#applyUpdates(keys, from);
 			},
 			onLoads: servers => {
-				this.registry.takeLoads(servers);
+				this.registry.applyLoads(servers);
 			},
 			onRevision: from => {
 				this.#propagate(from);
@@ -270,7 +270,7 @@
 			onReply: (parent, reply) => {
 				this.#handleReply(parent, reply);
 			},
-			onSilence: parent => {
+			onNoReply: parent => {
 				if (parent === this.#leaderHint) {
 					this.#leaderHint = undefined;
 				}
@@ -281,16 +281,16 @@
 		});
 	}
 
-	#createMemberMonitor(): MemberWatch {
+	#createMemberMonitor(): MemberMonitor {
 		const {base: {self, settings: {region}}, startedAt} = this.#options;
-		return new MemberWatch({
+		return new MemberMonitor({
 			clock: this.#clock,
 			records: this.#records,
 			self: {
 				...self, region, startedAt, sequence: 0, state: 'joined',
 			},
 			periodMilliseconds: this.#periodMilliseconds,
-			isLeader: () => this.view.leads,
+			isLeader: () => this.leaderView.leads,
 			onChange: () => {
 				this.#propagate();
 			},
--- a/packages/daemon/src/distribution/exchange-codec.ts
+++ b/packages/daemon/src/distribution/exchange-codec.ts
@@ -1,5 +1,5 @@
 import {type InstanceId, toRevision, type ZoneId} from '@valehitch/core';
-import {type DigestPart, type LoadRecord} from '@valehitch/membership';
+import {type DigestMessage, type LoadRecord} from '@valehitch/membership';
 import {type Exchange, type ExchangeReply, type SharedRecord} from './messages.js';
 
 type PartTuple<Item> = readonly [
@@ -34,7 +34,7 @@
 network.request(parent, {scope: 'distribution', type: 'exchange', body: encodeExchange(exchange)});
 ```
 */
-export function writeExchange({question: {instance, incarnation, number, confirmed}, ...parts}: Exchange): ExchangeTuple {
+export function encodeExchange({question: {instance, incarnation, number, confirmed}, ...parts}: Exchange): ExchangeTuple {
 	return [instance, incarnation, number, confirmed.map(({zone, revision}) => [zone, revision]), writeParts(parts)];
 }
 
@@ -48,7 +48,7 @@
 node.answer(decodeExchange(message.body));
 ```
 */
-export function readExchange([instance, incarnation, number, confirmed, parts]: ExchangeTuple): Exchange {
+export function decodeExchange([instance, incarnation, number, confirmed, parts]: ExchangeTuple): Exchange {
 	return {
 		question: {
 			instance, incarnation, number, confirmed: confirmed.map(([zone, revision]) => ({zone, revision: toRevision(revision)})),
@@ -67,7 +67,7 @@
 return encodeReply(node.answer(exchange));
 ```
 */
-export function writeReply({grant, leader, ...parts}: ExchangeReply): ReplyTuple {
+export function encodeReply({grant, leader, ...parts}: ExchangeReply): ReplyTuple {
 	return [writeParts(parts), grant?.revision, grant === undefined ? undefined : Math.floor(grant.remainingMilliseconds), leader];
 }
 
@@ -81,7 +81,7 @@
 const reply = decodeReply(tuple);
 ```
 */
-export function readReply([parts, grantRevision, remainingMilliseconds, leader]: ReplyTuple): ExchangeReply {
+export function decodeReply([parts, grantRevision, remainingMilliseconds, leader]: ReplyTuple): ExchangeReply {
 	const grant = isPresent(grantRevision) && isPresent(remainingMilliseconds)
 		? {revision: toRevision(grantRevision), remainingMilliseconds}
 		: undefined;
@@ -101,11 +101,11 @@
 	};
 }
 
-function writePart<Item>({incarnation, since, change, held, hash, records}: DigestPart<Item>): PartTuple<Item> {
+function writePart<Item>({incarnation, since, change, held, hash, records}: DigestMessage<Item>): PartTuple<Item> {
 	return [incarnation, since, change, ...held, hash, records];
 }
 
-function readPart<Item>([incarnation, since, change, heldIncarnation, heldChange, hash, records]: PartTuple<Item>): DigestPart<Item> {
+function readPart<Item>([incarnation, since, change, heldIncarnation, heldChange, hash, records]: PartTuple<Item>): DigestMessage<Item> {
 	return {
 		incarnation, since, change, held: [heldIncarnation, heldChange], hash: hash ?? undefined, records,
 	};
--- a/packages/daemon/src/distribution/exchange-loop.test.ts
+++ b/packages/daemon/src/distribution/exchange-loop.test.ts
@@ -2,18 +2,18 @@
 import {
 	failure, type InstanceId, toId, toRevision,
 } from '@valehitch/core';
-import {type DigestPart} from '@valehitch/membership';
+import {type DigestMessage} from '@valehitch/membership';
 import {type PeerAddress} from '@valehitch/transport';
 import test from 'ava';
 import {Left, Right} from 'purify-ts';
-import {writeReply} from './exchange-codec.js';
+import {encodeReply} from './exchange-codec.js';
 import {ExchangeLoop} from './exchange-loop.js';
 
 const periodMilliseconds = 5;
 const [first, second] = ['first', 'second'].map((name): PeerAddress => ({
 	instance: toId<InstanceId>(name), host: '127.0.0.1', port: 9,
 }));
-const records: DigestPart<never> = {
+const records: DigestMessage<never> = {
 	incarnation: 1, since: 0, change: 0, held: [0, 0], records: [],
 };
 const parts = {revision: toRevision(0), records};
@@ -34,7 +34,7 @@
 		network: {
 			async request({instance}) {
 				asked.push(instance);
-				return instance === first!.instance && isFirstSilent ? Left(failure('no-quorum', 'No reply')) : Right(writeReply(parts));
+				return instance === first!.instance && isFirstSilent ? Left(failure('no-quorum', 'No reply')) : Right(encodeReply(parts));
 			},
 		},
 		node: {
@@ -55,7 +55,7 @@
 		onReply() {
 			isFirstSilent = false;
 		},
-		onSilence(instance) {
+		onNoReply(instance) {
 			t.is(instance, first!.instance);
 		},
 		onError(error) {
@@ -69,7 +69,7 @@
 	await waitForLast(second!.instance);
 	await waitForLast(second!.instance);
 	t.is(asked.filter(instance => instance === first!.instance).length, 1);
-	loop.noteAlive([first!.instance]);
+	loop.markAlive([first!.instance]);
 	await waitForLast(first!.instance);
 	t.is(asked.at(-1), first!.instance);
 });
--- a/packages/daemon/src/distribution/exchange-loop.ts
+++ b/packages/daemon/src/distribution/exchange-loop.ts
@@ -1,7 +1,7 @@
 import {type Clock, type InstanceId} from '@valehitch/core';
 import {type PeerAddress, type PeerNetwork} from '@valehitch/transport';
 import {type PeerMessage} from '../messages.js';
-import {readReply, type ReplyTuple, writeExchange} from './exchange-codec.js';
+import {decodeReply, type ReplyTuple, encodeExchange} from './exchange-codec.js';
 import {type ExchangeReply} from './messages.js';
 import {type RelayNode} from './relay-node.js';
 
@@ -19,7 +19,7 @@
 	/** Called with each reply. */
 	readonly onReply: (parent: InstanceId, reply: ExchangeReply) => void;
 	/** Called with each instance that did not reply. */
-	readonly onSilence: (parent: InstanceId) => void;
+	readonly onNoReply: (parent: InstanceId) => void;
 	/** Called with the error of each reply that could not be processed. */
 	readonly onError: (error: unknown) => void;
 };
@@ -82,7 +82,7 @@
 
 	@param instances The instances.
 	*/
-	noteAlive(instances: readonly InstanceId[]): void {
+	markAlive(instances: readonly InstanceId[]): void {
 		for (const instance of instances) {
 			this.#avoidedUntil.delete(instance);
 		}
@@ -108,12 +108,12 @@
 
 	/** Runs one exchange; returns whether the parent is up to date. */
 	async #exchangeWith(parent: PeerAddress): Promise<boolean> {
-		const {clock, network, node, periodMilliseconds, onReply, onSilence: onNoReply} = this.#options;
+		const {clock, network, node, periodMilliseconds, onReply, onNoReply: onNoReply} = this.#options;
 		const {instance} = parent;
 		const pending = node.begin(instance, clock.monotonic());
 		const answer = await network.request(
 			parent,
-			{scope: 'distribution', type: 'exchange', body: writeExchange(pending.exchange)},
+			{scope: 'distribution', type: 'exchange', body: encodeExchange(pending.exchange)},
 			{timeoutMilliseconds: periodMilliseconds * periodsToTimeout},
 		);
 		const tuple = answer.toMaybe().extractNullable() as ReplyTuple | undefined;
@@ -124,7 +124,7 @@
 		}
 
 		this.#avoidedUntil.delete(instance);
-		const reply = readReply(tuple);
+		const reply = decodeReply(tuple);
 		node.finish(pending, {parent: instance, reply, now: clock.monotonic()});
 		onReply(instance, reply);
 		return node.isSettled(instance);
--- a/packages/daemon/src/distribution/leader-view.ts
+++ b/packages/daemon/src/distribution/leader-view.ts
@@ -1,14 +1,14 @@
 import {type InstanceId, type ZoneId} from '@valehitch/core';
-import {type ConfigurationRelay, InForceTracker, type InForceAnswer} from '@valehitch/membership';
+import {type ConfigurationRelay, InForceTracker, type InForceStatus} from '@valehitch/membership';
 import {type ControlPart} from '../control/start-control.js';
 import {type DaemonBase} from '../daemon-base.js';
-import {type ConfigurationKeeper} from './configuration-keeper.js';
+import {type ConfigurationStore} from './configuration-store.js';
 
 /** Options of a {@linkcode LeaderView}. */
 export type LeaderViewOptions = {
 	readonly base: DaemonBase;
 	readonly control: ControlPart;
-	readonly keeper: ConfigurationKeeper;
+	readonly configurations: ConfigurationStore;
 	readonly relay: ConfigurationRelay;
 	/** Returns the known zones. */
 	readonly zones: () => readonly ZoneId[];
@@ -56,7 +56,7 @@
 	@returns Whether this instance is the leader with a valid leader lease and has applied all earlier commits.
 	*/
 	refresh(): boolean {
-		const {base: {clock, settings}, control, keeper: configurations, relay} = this.#options;
+		const {base: {clock, settings}, control, configurations: configurations, relay} = this.#options;
 		const committed = control.state()?.effective;
 		if (committed === undefined) {
 			return false;
@@ -65,7 +65,7 @@
 		const now = clock.monotonic();
 		const {leads} = this;
 		configurations.offer(committed);
-		configurations.settle({granted: leads && this.#term?.hasCaughtUp === true});
+		configurations.activateNewest({granted: leads && this.#term?.hasCaughtUp === true});
 		if (!leads) {
 			this.#tracker = undefined;
 			this.#term = undefined;
@@ -89,7 +89,7 @@
 
 	@returns The answer, or undefined unless this instance is the leader and has applied all earlier commits.
 	*/
-	inForce(): InForceAnswer | undefined {
+	inForce(): InForceStatus | undefined {
 		if (!this.refresh()) {
 			return undefined;
 		}
@@ -113,10 +113,10 @@
 		return this.#term.hasCaughtUp;
 	}
 
-	#queryInForce(): InForceAnswer | undefined {
+	#queryInForce(): InForceStatus | undefined {
 		const {base: {clock}, control, zones} = this.#options;
 		const revision = control.state()?.effective.revision;
-		return revision === undefined ? undefined : this.#tracker?.look({revision, now: clock.monotonic(), zones: zones()});
+		return revision === undefined ? undefined : this.#tracker?.check({revision, now: clock.monotonic(), zones: zones()});
 	}
 
 	#recordInForce(): void {
--- a/packages/daemon/src/distribution/lease-confirmations.ts
+++ b/packages/daemon/src/distribution/lease-confirmations.ts
@@ -38,9 +38,9 @@
 	track<Result>(change: () => Result): Result {
 		const {clock, relay, onChange} = this.#options;
 		const now = clock.monotonic();
-		const before = JSON.stringify(relay.confirmed(now));
+		const before = JSON.stringify(relay.minimumRevisions(now));
 		const result = change();
-		if (JSON.stringify(relay.confirmed(now)) !== before) {
+		if (JSON.stringify(relay.minimumRevisions(now)) !== before) {
 			onChange();
 		}
 
@@ -54,14 +54,14 @@
 	*/
 	release(release: LeaseRelease): void {
 		this.track(() => {
-			this.#options.relay.release(release);
+			this.#options.relay.releaseChild(release);
 		});
 	}
 
 	/** Informs former parents that the current parent covers the confirmations they still count. If a message is lost, they count them for one more lease duration. */
 	releaseFormerParents(): void {
 		const {relay, addressOf, network} = this.#options;
-		for (const [former, body] of relay.takeReleases()) {
+		for (const [former, body] of relay.drainReleases()) {
 			const address = addressOf(former);
 			if (address !== undefined) {
 				network.send(address, {scope: 'distribution', type: 'release', body});
--- a/packages/daemon/src/distribution/lease-watch.ts
+++ b/packages/daemon/src/distribution/lease-monitor.ts
@@ -3,7 +3,7 @@
 import {type Timeline} from '../timeline.js';
 
 /** Options of a {@linkcode LeaseMonitor}. */
-export type LeaseWatchOptions = {
+export type LeaseMonitorOptions = {
 	readonly clock: Clock;
 	readonly relay: ConfigurationRelay;
 	readonly timeline: Timeline;
@@ -17,16 +17,16 @@
 monitor.check();
 ```
 */
-export class LeaseWatch {
-	readonly #options: LeaseWatchOptions;
+export class LeaseMonitor {
+	readonly #options: LeaseMonitorOptions;
 	#wasValid = false;
 
-	constructor(options: LeaseWatchOptions) {
+	constructor(options: LeaseMonitorOptions) {
 		this.#options = options;
 	}
 
 	/** Checks the lease and records a change. */
-	note(): void {
+	check(): void {
 		const {clock, relay, timeline} = this.#options;
 		const isValid = relay.isLeaseValid(clock.monotonic());
 		if (isValid !== this.#wasValid) {
--- a/packages/daemon/src/distribution/lost-instances.ts
+++ b/packages/daemon/src/distribution/lost-instance-notifier.ts
@@ -18,7 +18,7 @@
 notifier.update(members);
 ```
 */
-export class LostInstances {
+export class LostInstanceNotifier {
 	readonly #listeners: Array<(lost: LostInstance) => void> = [];
 	#notified = new Set<string>();
 
@@ -27,7 +27,7 @@
 
 	@param listener Called with each lost instance from the next update on.
 	*/
-	listen(listener: (lost: LostInstance) => void): void {
+	addListener(listener: (lost: LostInstance) => void): void {
 		this.#listeners.push(listener);
 	}
 
@@ -36,7 +36,7 @@
 
 	@param members All members.
 	*/
-	look(members: readonly MemberRecord[]): void {
+	update(members: readonly MemberRecord[]): void {
 		const lost = new Set<string>();
 		for (const {instance, zone, startedAt, state, sequence} of members) {
 			if (state !== 'lost') {
--- a/packages/daemon/src/distribution/member-watch.ts
+++ b/packages/daemon/src/distribution/member-monitor.ts
@@ -7,7 +7,7 @@
 import {memberKey, membersOf} from './shared-records.js';
 
 /** Options of a {@linkcode MemberMonitor}. */
-export type MemberWatchOptions = {
+export type MemberMonitorOptions = {
 	readonly clock: Clock;
 	readonly records: Digest<SharedRecord>;
 	/** The initial record of this instance. */
@@ -32,13 +32,13 @@
 monitor.detectFailures();
 ```
 */
-export class MemberWatch {
-	readonly #options: MemberWatchOptions;
+export class MemberMonitor {
+	readonly #options: MemberMonitorOptions;
 	readonly #detector: FailureDetector;
 	readonly #lostSince = new Map<InstanceId, number>();
 	#self: MemberRecord;
 
-	constructor(options: MemberWatchOptions) {
+	constructor(options: MemberMonitorOptions) {
 		this.#options = options;
 		this.#self = options.self;
 		this.#detector = new FailureDetector({
@@ -59,7 +59,7 @@
 	}
 
 	/** The active members, including this instance unless it is shutting down. */
-	get present(): Member[] {
+	get activeMembers(): Member[] {
 		return this.members
 			.filter(({state}) => state === 'joined' || state === 'suspect')
 			.map(({instance, zone, host, port}) => ({
@@ -82,8 +82,8 @@
 
 	@param instance The instance.
 	*/
-	heard(instance: InstanceId): void {
-		this.#detector.heard(instance, this.#options.clock.monotonic());
+	recordContact(instance: InstanceId): void {
+		this.#detector.recordMessage(instance, this.#options.clock.monotonic());
 	}
 
 	/**
@@ -91,7 +91,7 @@
 
 	@param change The new parent or state.
 	*/
-	update(change: Partial<Pick<MemberRecord, 'parent' | 'state'>>): void {
+	updateSelf(change: Partial<Pick<MemberRecord, 'parent' | 'state'>>): void {
 		this.#self = {...this.#self, ...change, sequence: this.#self.sequence + 1};
 		this.#publish(this.#self);
 	}
@@ -107,21 +107,21 @@
 		if (startedAt > this.#self.startedAt) {
 			// An earlier process of this instance started with a clock that was ahead.
 			this.#self = {...this.#self, startedAt: startedAt + 1};
-			this.update({});
+			this.updateSelf({});
 		} else if (startedAt === this.#self.startedAt && state !== this.#self.state) {
 			this.#self = {...this.#self, sequence};
-			this.update({});
+			this.updateSelf({});
 		}
 	}
 
 	/** Publishes the members that became suspect, lost or alive again, and forgets members that have been lost for an hour. */
-	judge(): void {
+	detectFailures(): void {
 		const now = this.#options.clock.monotonic();
 		const {members} = this;
 		const watched = members.filter(member => this.#isWatched(member, members)).map(({instance, sequence, zone}) => ({
 			instance, sequence, sameZone: zone === this.#self.zone,
 		}));
-		for (const {instance, state} of this.#detector.judge(watched, now)) {
+		for (const {instance, state} of this.#detector.check(watched, now)) {
 			const member = members.find(candidate => candidate.instance === instance);
 			if (member !== undefined && member.state !== state) {
 				this.#publish({...member, state});
@@ -165,7 +165,7 @@
 			const since = this.#lostSince.get(instance) ?? now;
 			this.#lostSince.set(instance, since);
 			if (now - since > forgetMilliseconds) {
-				this.#options.records.forget(memberKey(instance));
+				this.#options.records.delete(memberKey(instance));
 				this.#lostSince.delete(instance);
 			}
 		}
--- a/packages/daemon/src/distribution/messages.ts
+++ b/packages/daemon/src/distribution/messages.ts
@@ -1,6 +1,6 @@
 import {type InstanceId, type Revision} from '@valehitch/core';
 import {
-	type DigestPart, type LeaseGrant, type LeaseQuestion, type LeaseRelease, type LoadRecord, type MemberRecord, type ServerRecord,
+	type DigestMessage, type LeaseGrant, type LeaseRequest, type LeaseRelease, type LoadRecord, type MemberRecord, type ServerRecord,
 } from '@valehitch/membership';
 import {type ExchangeTuple} from './exchange-codec.js';
 
@@ -15,14 +15,14 @@
 	readonly revision: Revision;
 	/** The sender's compressed configuration, if the receiver has an older one. */
 	readonly configuration?: Uint8Array | undefined;
-	readonly records: DigestPart<SharedRecord>;
+	readonly records: DigestMessage<SharedRecord>;
 	/** The loads of backend servers; included only at longer intervals. */
-	readonly loads?: DigestPart<LoadRecord> | undefined;
+	readonly loads?: DigestMessage<LoadRecord> | undefined;
 };
 
 /** Requests a lease from a parent and reports the updates of the sender's subtree. */
 export type Exchange = ExchangeParts & {
-	readonly question: LeaseQuestion;
+	readonly question: LeaseRequest;
 };
 
 /** Carries an exchange; the reply is a `ReplyTuple`. */
@@ -41,7 +41,7 @@
 };
 
 /** Notifies a child of updates, so that it starts an exchange at once. */
-export type NewsMessage = {
+export type UpdateNotification = {
 	readonly scope: 'distribution';
 	readonly type: 'news';
 };
@@ -54,10 +54,10 @@
 };
 
 /** Asks the leader whether the newest revision is in force on all instances. */
-export type InForceQuestion = {
+export type InForceQuery = {
 	readonly scope: 'distribution';
 	readonly type: 'in-force';
 };
 
 /** All messages that distribute the configuration, leases, members and servers. */
-export type DistributionMessage = ExchangeMessage | NewsMessage | ReleaseMessage | InForceQuestion;
+export type DistributionMessage = ExchangeMessage | UpdateNotification | ReleaseMessage | InForceQuery;
--- a/packages/daemon/src/distribution/parent-addresses.ts
+++ b/packages/daemon/src/distribution/parent-addresses.ts
@@ -2,11 +2,11 @@
 import {parentCandidates} from '@valehitch/membership';
 import {type Settings} from '@valehitch/settings';
 import {type PeerAddress} from '@valehitch/transport';
-import {type MemberWatch} from './member-watch.js';
+import {type MemberMonitor} from './member-monitor.js';
 
 /** Options of {@linkcode parentAddresses}. */
 export type ParentAddressesOptions = {
-	readonly watch: MemberWatch;
+	readonly memberMonitor: MemberMonitor;
 	readonly settings: Settings;
 	readonly leader: InstanceId | undefined;
 };
@@ -21,7 +21,7 @@
 const [parent] = parentAddresses({memberMonitor, settings, leader});
 ```
 */
-export function parentAddresses({watch: memberMonitor, settings: {control}, leader}: ParentAddressesOptions): PeerAddress[] {
+export function parentAddresses({memberMonitor: memberMonitor, settings: {control}, leader}: ParentAddressesOptions): PeerAddress[] {
 	const {self, members} = memberMonitor;
 	const addresses = new Map<InstanceId, PeerAddress>([...members, ...control].map(address => [address.instance, address]));
 	return parentCandidates({
--- a/packages/daemon/src/distribution/ask-in-force.ts
+++ b/packages/daemon/src/distribution/query-in-force.ts
@@ -1,5 +1,5 @@
 import {type InstanceId} from '@valehitch/core';
-import {type InForceAnswer} from '@valehitch/membership';
+import {type InForceStatus} from '@valehitch/membership';
 import {type DaemonBase} from '../daemon-base.js';
 
 /**
@@ -13,7 +13,7 @@
 const answer = await queryInForce(base, leader);
 ```
 */
-export async function askInForce({network, settings: {control, instance}}: DaemonBase, leader: InstanceId | undefined): Promise<InForceAnswer | undefined> {
+export async function queryInForce({network, settings: {control, instance}}: DaemonBase, leader: InstanceId | undefined): Promise<InForceStatus | undefined> {
 	const controlInstances = control
 		.filter(seed => seed.instance !== instance)
 		.toSorted((left, right) => Number(right.instance === leader) - Number(left.instance === leader));
@@ -21,7 +21,7 @@
 		const reply = await network.request(seed, {scope: 'distribution', type: 'in-force'});
 		const answer = reply.toMaybe().extractNullable();
 		if (answer !== null && answer !== undefined) {
-			return answer as InForceAnswer;
+			return answer as InForceStatus;
 		}
 	}
 
--- a/packages/daemon/src/distribution/relay-node.ts
+++ b/packages/daemon/src/distribution/relay-node.ts
@@ -1,8 +1,8 @@
 import {type InstanceId} from '@valehitch/core';
 import {
-	type ConfigurationRelay, type Digest, DigestLink, type DigestPart, type LoadRecord,
+	type ConfigurationRelay, type Digest, DigestExchange, type DigestMessage, type LoadRecord,
 } from '@valehitch/membership';
-import {type ConfigurationKeeper} from './configuration-keeper.js';
+import {type ConfigurationStore} from './configuration-store.js';
 import {
 	type Exchange, type ExchangeParts, type ExchangeReply, type SharedRecord,
 } from './messages.js';
@@ -10,29 +10,29 @@
 
 /** Options of a {@linkcode RelayNode}. */
 export type RelayNodeOptions = {
-	readonly keeper: ConfigurationKeeper;
+	readonly configurations: ConfigurationStore;
 	readonly relay: ConfigurationRelay;
 	readonly records: Digest<SharedRecord>;
 	readonly loads: Digest<LoadRecord>;
 	readonly incarnation: number;
 	/** Returns the interval at which loads are sent to a peer, in milliseconds; longer between zones. */
 	readonly loadIntervalMilliseconds: (peer: InstanceId) => number;
-	readonly onNews: (keys: readonly string[], from: InstanceId) => void;
+	readonly onRecords: (keys: readonly string[], from: InstanceId) => void;
 	readonly onLoads: (servers: readonly string[]) => void;
 	/** Called when an exchange activated a higher revision. */
 	readonly onRevision: (from: InstanceId) => void;
 };
 
 /** An exchange whose reply is pending. */
-export type BegunExchange = {
+export type PendingExchange = {
 	readonly exchange: Exchange;
 	/** When the exchange was sent, in milliseconds of the monotonic clock. */
 	readonly sentAt: number;
 };
 
 type Link = {
-	readonly records: DigestLink<SharedRecord>;
-	readonly loads: DigestLink<LoadRecord>;
+	readonly records: DigestExchange<SharedRecord>;
+	readonly loads: DigestExchange<LoadRecord>;
 	/** When loads were last sent, in milliseconds of the monotonic clock. */
 	loadsAt: number;
 	/** The newest revision reported by the peer. */
@@ -66,10 +66,10 @@
 	@param now The monotonic time.
 	@returns The exchange to send.
 	*/
-	begin(parent: InstanceId, now: number): BegunExchange {
+	begin(parent: InstanceId, now: number): PendingExchange {
 		const link = this.#linkTo(parent, now);
 		const parts = this.#partsFor(link, {now, withLoads: this.#areLoadsDue(parent, link, now)});
-		return {exchange: {question: this.#options.relay.question(now, parent), ...parts}, sentAt: now};
+		return {exchange: {question: this.#options.relay.createRequest(now, parent), ...parts}, sentAt: now};
 	}
 
 	/**
@@ -79,11 +79,11 @@
 	@param answer The parent, its reply, and the monotonic time.
 	@returns Whether the reply granted a lease.
 	*/
-	finish({exchange, sentAt}: BegunExchange, {parent, reply, now}: {readonly parent: InstanceId; readonly reply: ExchangeReply; readonly now: number}): boolean {
+	finish({exchange, sentAt}: PendingExchange, {parent, reply, now}: {readonly parent: InstanceId; readonly reply: ExchangeReply; readonly now: number}): boolean {
 		const {grant} = reply;
 		this.#apply(parent, reply, now);
 		this.#activateNewest(parent, {granted: grant !== undefined});
-		return grant !== undefined && this.#options.relay.take({question: exchange.question, sentAt, grant});
+		return grant !== undefined && this.#options.relay.acceptGrant({request: exchange.question, sentAt, grant});
 	}
 
 	/**
@@ -96,7 +96,7 @@
 	answer(exchange: Exchange, now: number): ExchangeReply {
 		const child = exchange.question.instance;
 		this.#apply(child, exchange, now);
-		const grant = this.#options.relay.answer(exchange.question, now);
+		const grant = this.#options.relay.grantLease(exchange.question, now);
 		const link = this.#linkTo(child, now);
 		const parts = this.#partsFor(link, {now, withLoads: exchange.loads !== undefined});
 		return {...parts, ...(grant !== undefined && {grant})};
@@ -109,7 +109,7 @@
 	*/
 	isSettled(peer: InstanceId): boolean {
 		const link = this.#links.get(peer);
-		return link !== undefined && link.records.isSettled && link.peerRevision >= this.#options.keeper.revision;
+		return link !== undefined && link.records.isSynchronized && link.peerRevision >= this.#options.configurations.revision;
 	}
 
 	/**
@@ -126,7 +126,7 @@
 	}
 
 	#apply(peer: InstanceId, parts: ExchangeParts, now: number): void {
-		const {keeper: configurations, onNews: onRecords, onLoads} = this.#options;
+		const {configurations: configurations, onRecords: onRecords, onLoads} = this.#options;
 		const link = this.#linkTo(peer, now);
 		link.peerRevision = parts.revision;
 		if (parts.configuration !== undefined) {
@@ -134,32 +134,32 @@
 			this.#activateNewest(peer, {granted: false});
 		}
 
-		const news = link.records.incoming(parts.records);
+		const news = link.records.receive(parts.records);
 		if (news.length > 0) {
 			onRecords(news, peer);
 		}
 
 		if (parts.loads !== undefined) {
-			onLoads(link.loads.incoming(parts.loads));
+			onLoads(link.loads.receive(parts.loads));
 		}
 	}
 
 	#activateNewest(from: InstanceId, options: {readonly granted: boolean}): void {
-		if (this.#options.keeper.settle(options)) {
+		if (this.#options.configurations.activateNewest(options)) {
 			this.#options.onRevision(from);
 		}
 	}
 
 	#partsFor(link: Link, {now, withLoads}: {readonly now: number; readonly withLoads: boolean}): ExchangeParts {
-		const {keeper: configurations} = this.#options;
+		const {configurations: configurations} = this.#options;
 		if (withLoads) {
 			link.loadsAt = now;
 		}
 
-		const loads: DigestPart<LoadRecord> | undefined = withLoads ? link.loads.outgoing() : undefined;
+		const loads: DigestMessage<LoadRecord> | undefined = withLoads ? link.loads.createMessage() : undefined;
 		return {
 			revision: configurations.revision,
-			records: link.records.outgoing(),
+			records: link.records.createMessage(),
 			...(configurations.revision > link.peerRevision && {configuration: configurations.packed}),
 			...(loads !== undefined && {loads}),
 		};
@@ -178,8 +178,8 @@
 
 		const {records, loads, incarnation} = this.#options;
 		const link: Link = {
-			records: new DigestLink({digest: records, incarnation, peer}),
-			loads: new DigestLink({digest: loads, incarnation, peer}),
+			records: new DigestExchange({digest: records, incarnation, peer}),
+			loads: new DigestExchange({digest: loads, incarnation, peer}),
 			loadsAt: Number.NEGATIVE_INFINITY,
 			// The configuration is not sent to a peer before the peer has reported its revision.
 			peerRevision: Number.POSITIVE_INFINITY,
--- a/packages/daemon/src/distribution/server-registry.ts
+++ b/packages/daemon/src/distribution/server-registry.ts
@@ -2,7 +2,7 @@
 	type Announcement, type Clock, type InstanceId, type ServerId, toId,
 } from '@valehitch/core';
 import {
-	type Digest, type LoadRecord, saysMore, type ServerRecord, ServerTable, type ServerTableOptions, toLoadStep,
+	type Digest, type LoadRecord, hasSignificantChange, type ServerRecord, ServerTable, type ServerTableOptions, toLoadStep,
 } from '@valehitch/membership';
 import {type Timeline} from '../timeline.js';
 import {type SharedRecord} from './messages.js';
@@ -50,8 +50,8 @@
 	@param announcement The announcement.
 	*/
 	announce(announcement: Announcement): void {
-		const before = this.servers.record(announcement.server);
-		if (this.servers.take(announcement)) {
+		const before = this.servers.getRecord(announcement.server);
+		if (this.servers.announce(announcement)) {
 			this.#recordChange(announcement.server, before);
 			this.#publish(announcement.server);
 		}
@@ -62,7 +62,7 @@
 
 	@param keys The keys of the changed records; keys of members are ignored.
 	*/
-	takeRecords(keys: readonly string[]): void {
+	applyRecords(keys: readonly string[]): void {
 		for (const key of keys) {
 			const record = this.#options.records.get(key);
 			if (record?.kind === 'server') {
@@ -76,7 +76,7 @@
 
 	@param servers The servers.
 	*/
-	takeLoads(servers: readonly string[]): void {
+	applyLoads(servers: readonly string[]): void {
 		for (const server of servers) {
 			const step = (this.#options.loads.get(server) ?? [])[2];
 			if (step !== undefined) {
@@ -86,7 +86,7 @@
 	}
 
 	/** Declares servers lost whose announcements have expired, and periodically publishes the loads of the servers that announce to this instance. */
-	judge(): void {
+	expire(): void {
 		for (const {announcement: {server}} of this.servers.expire()) {
 			this.#options.timeline.record('server-lost', {server});
 			this.#publish(server);
@@ -102,8 +102,8 @@
 
 	#applyRecord(record: ServerRecord): void {
 		const {server} = record.announcement;
-		const before = this.servers.record(server);
-		if (this.servers.put(record)) {
+		const before = this.servers.getRecord(server);
+		if (this.servers.merge(record)) {
 			this.#recordChange(server, before);
 			// The record held here may be newer than the received one.
 			this.#publish(server);
@@ -112,9 +112,9 @@
 
 	#publish(server: ServerId): void {
 		const {records, onChange} = this.#options;
-		const record = this.servers.record(server);
+		const record = this.servers.getRecord(server);
 		const shared = records.get(serverKey(server));
-		if (record === undefined || (shared?.kind === 'server' && !saysMore(shared.server, record))) {
+		if (record === undefined || (shared?.kind === 'server' && !hasSignificantChange(shared.server, record))) {
 			return;
 		}
 
@@ -125,7 +125,7 @@
 
 	#publishLoads(): void {
 		const {loads, table: {instance}} = this.#options;
-		for (const {announcement, holder, state} of this.servers.current()) {
+		for (const {announcement, holder, state} of this.servers.available()) {
 			const {server, startedAt, sequence} = announcement;
 			const step = toLoadStep(announcement);
 			if (holder === instance && state === 'joined' && loads.get(server)?.[2] !== step) {
@@ -137,7 +137,7 @@
 
 	#recordChange(server: ServerId, before: ServerRecord | undefined): void {
 		const {timeline} = this.#options;
-		const after = this.servers.record(server);
+		const after = this.servers.getRecord(server);
 		if (after === undefined) {
 			return;
 		}
@@ -168,9 +168,9 @@
 			const since = this.#lostSince.get(server) ?? now;
 			this.#lostSince.set(server, since);
 			if (now - since > forgetMilliseconds) {
-				records.forget(key);
-				loads.forget(server);
-				this.servers.forget(server);
+				records.delete(key);
+				loads.delete(server);
+				this.servers.delete(server);
 				this.#lostSince.delete(server);
 			}
 		}
--- a/packages/daemon/src/distribution/shared-records.ts
+++ b/packages/daemon/src/distribution/shared-records.ts
@@ -24,7 +24,7 @@
 ```
 */
 export function createRecordDigest(): Digest<SharedRecord> {
-	return new Digest({join: joinShared, print: item => JSON.stringify(item)});
+	return new Digest({join: joinShared, serialize: item => JSON.stringify(item)});
 }
 
 /**
@@ -37,7 +37,7 @@
 ```
 */
 export function createLoadDigest(): Digest<LoadRecord> {
-	return new Digest({join: joinLoads, print: item => item.join('.')});
+	return new Digest({join: joinLoads, serialize: item => item.join('.')});
 }
 
 /**
@@ -72,7 +72,7 @@
 exchangeLoop.markAlive(joinedMembersAmong(digest, keys));
 ```
 */
-export function joinedAmong(digest: Digest<SharedRecord>, keys: readonly string[]): InstanceId[] {
+export function joinedMembersAmong(digest: Digest<SharedRecord>, keys: readonly string[]): InstanceId[] {
 	const joined: InstanceId[] = [];
 	for (const key of keys) {
 		const record = digest.get(key);
--- a/packages/daemon/src/distribution/start-distribution.ts
+++ b/packages/daemon/src/distribution/start-distribution.ts
@@ -1,16 +1,16 @@
 import {
-	type Announcement, type EffectiveConfiguration, type InstanceId, SuspensionWatch,
+	type Announcement, type EffectiveConfiguration, type InstanceId, SuspensionDetector,
 } from '@valehitch/core';
-import {ConfigurationRelay, type InForceAnswer, type ServerTable} from '@valehitch/membership';
+import {ConfigurationRelay, type InForceStatus, type ServerTable} from '@valehitch/membership';
 import {match} from 'ts-pattern';
 import {type ControlPart} from '../control/start-control.js';
 import {type DaemonBase} from '../daemon-base.js';
 import {type Member} from '../member.js';
 import {type ActiveConfiguration} from './active-configuration.js';
-import {askInForce} from './ask-in-force.js';
+import {queryInForce} from './query-in-force.js';
 import {DistributionNode} from './distribution-node.js';
-import {readExchange, writeReply} from './exchange-codec.js';
-import {type LostInstance} from './lost-instances.js';
+import {decodeExchange, encodeReply} from './exchange-codec.js';
+import {type LostInstance} from './lost-instance-notifier.js';
 import {type DistributionMessage} from './messages.js';
 
 /** The part of the daemon that distributes the configuration, the members and the backend servers. */
@@ -23,7 +23,7 @@
 	/** Returns the active daemons, including this one. */
 	readonly members: () => readonly Member[];
 	/** Returns the leader's answer to whether the newest revision is in force on all instances; undefined if no leader replies. */
-	readonly inForce: () => Promise<InForceAnswer | undefined>;
+	readonly inForce: () => Promise<InForceStatus | undefined>;
 	/** Returns the leader, if known. */
 	readonly leader: () => InstanceId | undefined;
 	/** Processes and propagates the announcement of a backend server. */
@@ -55,30 +55,30 @@
 	// A random number is shorter in messages than an id; two processes of an instance are unlikely to choose the same one.
 	const incarnation = 1 + Math.floor(base.random() * incarnationRange);
 	const relay = new ConfigurationRelay({
-		instance, zone, incarnation, leaseMilliseconds, suspension: new SuspensionWatch(clock),
+		instance, zone, incarnation, leaseMilliseconds, suspension: new SuspensionDetector(clock),
 	});
 	const node = new DistributionNode({
 		base, control, relay, incarnation, startedAt: clock.now().getTime(),
 	});
-	node.lost.listen(({instance: lost}) => {
+	node.lostInstances.addListener(({instance: lost}) => {
 		base.log.warn({lost}, 'An instance was declared lost');
 	});
 	node.start();
 	return {
 		servers: node.registry.servers,
-		active: () => node.keeper.active(),
-		effective: () => node.keeper.effective,
-		members: () => node.watch.present,
-		inForce: async () => node.view.inForce() ?? askInForce(base, node.leader),
+		active: () => node.configurations.active(),
+		effective: () => node.configurations.effective,
+		members: () => node.memberMonitor.activeMembers,
+		inForce: async () => node.leaderView.inForce() ?? queryInForce(base, node.leader),
 		leader: () => node.leader,
 		announce(announcement) {
 			node.registry.announce(announcement);
 		},
 		onInstanceLost(listener) {
-			node.lost.listen(listener);
+			node.lostInstances.addListener(listener);
 		},
 		drain() {
-			node.watch.update({state: 'draining'});
+			node.memberMonitor.updateSelf({state: 'draining'});
 		},
 		async answer(message) {
 			try {
@@ -96,15 +96,15 @@
 
 function handleMessage(node: DistributionNode, message: DistributionMessage): unknown {
 	return match(message)
-		.with({type: 'exchange'}, ({body}) => writeReply(node.answer(readExchange(body))))
+		.with({type: 'exchange'}, ({body}) => encodeReply(node.answer(decodeExchange(body))))
 		.with({type: 'news'}, () => {
-			node.loop.wake();
+			node.exchangeLoop.wake();
 			return undefined;
 		})
 		.with({type: 'release'}, ({body}) => {
 			node.confirmations.release(body);
 			return undefined;
 		})
-		.with({type: 'in-force'}, () => node.view.inForce())
+		.with({type: 'in-force'}, () => node.leaderView.inForce())
 		.exhaustive();
 }
--- a/packages/daemon/src/entry/bills/held-bills.ts
+++ b/packages/daemon/src/entry/bills/bill-copy-store.ts
@@ -5,7 +5,7 @@
 import {type BillCopy, mergeCopies} from './bill-copy.js';
 
 /** Options of a {@linkcode BillCopyStore}. */
-export type HeldBillsOptions = {
+export type BillCopyStoreOptions = {
 	readonly clock: Clock;
 	/** The maximum number of copies. */
 	readonly maximumCopies: number;
@@ -38,12 +38,12 @@
 copies.recover(new Set(members.map(({instance}) => instance)));
 ```
 */
-export class HeldBills {
-	readonly #options: HeldBillsOptions;
+export class BillCopyStore {
+	readonly #options: BillCopyStoreOptions;
 	readonly #owners = new Map<InstanceId, Owner>();
 	#stopping = false;
 
-	constructor(options: HeldBillsOptions) {
+	constructor(options: BillCopyStoreOptions) {
 		this.#options = options;
 	}
 
@@ -106,7 +106,7 @@
 	}
 
 	/** Returns the owners that must be asked which copies they still need. */
-	silent(): readonly SilentOwner[] {
+	silentOwners(): readonly SilentOwner[] {
 		const silentSince = this.#options.clock.monotonic() - this.#options.lostAfterMilliseconds;
 		const found: SilentOwner[] = [];
 		for (const [owner, {copies, lastContactAt}] of this.#owners) {
@@ -124,7 +124,7 @@
 	@param asked The owner and the requests it was asked about.
 	@param reply The reply of the owner.
 	*/
-	takeReply({owner: instance, requests}: SilentOwner, reply: OwnedBillsReply): void {
+	handleReply({owner: instance, requests}: SilentOwner, reply: OwnedBillsReply): void {
 		const owner = this.#owners.get(instance);
 		if (owner === undefined) {
 			return;
--- a/packages/daemon/src/entry/bills/bill-copy.ts
+++ b/packages/daemon/src/entry/bills/bill-copy.ts
@@ -7,7 +7,7 @@
 		| {readonly state: 'settled'; readonly bill: Bill};
 
 /** Copies grouped by state, as they are sent to a holder. */
-export type SplitCopies = {
+export type GroupedCopies = {
 	readonly opened: OpenBill[];
 	readonly settled: Bill[];
 };
@@ -22,8 +22,8 @@
 const {opened, settled} = groupCopies(copies.values());
 ```
 */
-export function splitCopies(copies: Iterable<BillCopy>): SplitCopies {
-	const grouped: SplitCopies = {opened: [], settled: []};
+export function groupCopies(copies: Iterable<BillCopy>): GroupedCopies {
+	const grouped: GroupedCopies = {opened: [], settled: []};
 	for (const copy of copies) {
 		if (copy.state === 'open') {
 			grouped.opened.push(copy.bill);
