--- a/packages/daemon/src/entry/bills/bill-keeper.test.ts
+++ b/packages/daemon/src/entry/bills/bill-store.test.ts
@@ -6,8 +6,8 @@
 } from '@valehitch/core';
 import {Left, Right} from 'purify-ts';
 import {type Member} from '../../member.js';
-import {BillKeeper} from './bill-keeper.js';
-import {HeldBills} from './held-bills.js';
+import {BillStore} from './bill-store.js';
+import {BillCopyStore} from './bill-copy-store.js';
 import {LedgerOutbox} from './ledger-outbox.js';
 
 const names = ['a', 'b', 'c'] as const;
@@ -31,7 +31,7 @@
 	isLedgerReachable = true;
 	#now = 0;
 	#lastNumber = 0;
-	readonly #instances = new Map<Name, {store: BillKeeper; copies: HeldBills; outbox: LedgerOutbox}>();
+	readonly #instances = new Map<Name, {store: BillStore; copies: BillCopyStore; outbox: LedgerOutbox}>();
 
 	constructor() {
 		for (const name of names) {
@@ -80,10 +80,10 @@
 		for (const {store, copies} of this.#instances.values()) {
 			store.renew();
 			copies.recover(new Set([...this.#instances.keys()].map(name => toId<InstanceId>(name))));
-			for (const silent of copies.silent()) {
+			for (const silent of copies.silentOwners()) {
 				const owner = this.#instances.get(String(silent.owner) as Name);
 				if (owner !== undefined) {
-					copies.takeReply(silent, owner.store.answerOwned({scope: 'entry', type: 'owned-bills', requests: silent.requests}));
+					copies.handleReply(silent, owner.store.answerOwned({scope: 'entry', type: 'owned-bills', requests: silent.requests}));
 				}
 			}
 		}
@@ -91,7 +91,7 @@
 		await flushEvents();
 	}
 
-	async #settle(store: BillKeeper, request: RequestId, observed: ObservedRequest): Promise<void> {
+	async #settle(store: BillStore, request: RequestId, observed: ObservedRequest): Promise<void> {
 		await store.settle({
 			workspace: toId<WorkspaceId>('yard'), request, instance: toId<InstanceId>(observed.owner), lines: [], total: 7 as Micros, outcome: 'answered', settledAt: 0,
 		});
@@ -116,14 +116,14 @@
 				await nextTurn();
 			},
 		});
-		const copies = new HeldBills({
+		const copies = new BillCopyStore({
 			clock, maximumCopies: 100, lostAfterMilliseconds, onRecovered(bill) {
 				store.adopt(bill);
 			},
 		});
-		const store = new BillKeeper({
+		const store = new BillStore({
 			self: memberOf(name),
-			start: `${name}-${++this.#lastNumber}`,
+			runId: `${name}-${++this.#lastNumber}`,
 			startedAt: this.#lastNumber,
 			clock,
 			outbox,
@@ -283,8 +283,8 @@
 		},
 	});
 	const clock = {now: () => new Date(0), monotonic: () => 0};
-	const store = new BillKeeper({
-		self: memberOf('a'), start: 'a', startedAt: 0, clock, outbox, members: () => [memberOf('a')], request: async () => Left(failure('no-quorum', 'No reply')), maximumBills: 2,
+	const store = new BillStore({
+		self: memberOf('a'), runId: 'a', startedAt: 0, clock, outbox, members: () => [memberOf('a')], request: async () => Left(failure('no-quorum', 'No reply')), maximumBills: 2,
 	});
 	const open = async (request: string) => store.open({workspace: toId<WorkspaceId>('yard'), request: toId<RequestId>(request), openedAt: 0});
 	const opened = await open('r1');
--- a/packages/daemon/src/entry/bills/bill-keeper.ts
+++ b/packages/daemon/src/entry/bills/bill-store.ts
@@ -8,14 +8,14 @@
 } from '../messages.js';
 import {type BillCopy} from './bill-copy.js';
 import {chooseHolder} from './choose-holder.js';
-import {CopyLink} from './copy-link.js';
+import {CopyReplicator} from './copy-replicator.js';
 import {type LedgerOutbox} from './ledger-outbox.js';
 
 /** Options of a {@linkcode BillStore}. */
-export type BillKeeperOptions = {
+export type BillStoreOptions = {
 	readonly self: Member;
 	/** Identifies the process of this instance; a restart changes it. */
-	readonly start: string;
+	readonly runId: string;
 	/** When this instance started, in milliseconds since the Unix epoch. */
 	readonly startedAt: number;
 	readonly clock: Clock;
@@ -33,7 +33,7 @@
 type Entry = {
 	copy: BillCopy;
 	/** The replicator of the copy's holder; undefined if there is no holder. */
-	replicator: CopyLink | undefined;
+	replicator: CopyReplicator | undefined;
 	/** Whether a holder for the copy is being sought. */
 	isSeekingHolder: boolean;
 };
@@ -52,15 +52,15 @@
 await bills.settle(bill);
 ```
 */
-export class BillKeeper {
-	readonly #options: BillKeeperOptions;
+export class BillStore {
+	readonly #options: BillStoreOptions;
 	readonly #entries = new Map<RequestId, Entry>();
-	readonly #replicators = new Map<InstanceId, CopyLink>();
+	readonly #replicators = new Map<InstanceId, CopyReplicator>();
 	/** Until when each instance is not chosen as a holder, in milliseconds of the monotonic clock. */
 	readonly #avoidedUntil = new Map<InstanceId, number>();
 	#lastSequence = 0;
 
-	constructor(options: BillKeeperOptions) {
+	constructor(options: BillStoreOptions) {
 		this.#options = options;
 	}
 
@@ -119,7 +119,7 @@
 		const recorded = this.#record(bill);
 		const isHeld = await Promise.race([this.#storeCopy(entry), recorded.then(() => true)]);
 		if (!isHeld) {
-			this.#options.outbox.hurry();
+			this.#options.outbox.flush();
 			await recorded;
 		}
 	}
@@ -157,7 +157,7 @@
 	@returns The copies that the holder must keep.
 	*/
 	answerOwned({requests}: OwnedBillsMessage): OwnedBillsReply {
-		return {start: this.#options.start, needed: requests.filter(request => this.#entries.has(request))};
+		return {start: this.#options.runId, needed: requests.filter(request => this.#entries.has(request))};
 	}
 
 	async #record(bill: Bill): Promise<void> {
@@ -179,7 +179,7 @@
 		}
 	}
 
-	#isCurrent(replicator: CopyLink): boolean {
+	#isCurrent(replicator: CopyReplicator): boolean {
 		return !replicator.failed && [...this.#replicators.values()].includes(replicator);
 	}
 
@@ -205,7 +205,7 @@
 		return isHeld;
 	}
 
-	#chooseReplicator(): CopyLink | undefined {
+	#chooseReplicator(): CopyReplicator | undefined {
 		const {members, self} = this.#options;
 		const holder = chooseHolder(members(), {self, excluded: this.#excluded()});
 		if (holder === undefined) {
@@ -216,11 +216,11 @@
 		return known === undefined || known.failed ? this.#createReplicator(holder) : known;
 	}
 
-	#createReplicator(holder: Member): CopyLink {
-		const {self, start: runId, request, clock, avoidMilliseconds = defaultAvoidMilliseconds} = this.#options;
-		const replicator = new CopyLink({
+	#createReplicator(holder: Member): CopyReplicator {
+		const {self, runId: runId, request, clock, avoidMilliseconds = defaultAvoidMilliseconds} = this.#options;
+		const replicator = new CopyReplicator({
 			self: self.instance,
-			start: runId,
+			runId: runId,
 			request: async message => request(holder, message),
 			onFailed: () => {
 				this.#avoidedUntil.set(holder.instance, clock.monotonic() + avoidMilliseconds);
--- a/packages/daemon/src/entry/bills/copy-link.ts
+++ b/packages/daemon/src/entry/bills/copy-replicator.ts
@@ -3,13 +3,13 @@
 } from '@valehitch/core';
 import {type Either} from 'purify-ts';
 import {type HoldBillsMessage, type HoldBillsReply, type OpenBill} from '../messages.js';
-import {type BillCopy, splitCopies} from './bill-copy.js';
+import {type BillCopy, groupCopies} from './bill-copy.js';
 
 /** Options of a {@linkcode CopyReplicator}. */
-export type CopyLinkOptions = {
+export type CopyReplicatorOptions = {
 	readonly self: InstanceId;
 	/** Identifies the process of this instance; a restart changes it. */
-	readonly start: string;
+	readonly runId: string;
 	/** Sends a message to the holder and returns its reply. */
 	readonly request: (message: HoldBillsMessage) => Promise<Either<Failure, HoldBillsReply>>;
 	/** Called once, when the holder refused or did not reply. */
@@ -32,15 +32,15 @@
 const isHeld = await replicator.put({state: 'open', bill});
 ```
 */
-export class CopyLink {
-	readonly #options: CopyLinkOptions;
+export class CopyReplicator {
+	readonly #options: CopyReplicatorOptions;
 	readonly #copies = new Map<RequestId, BillCopy>();
 	readonly #changed = new Set<RequestId>();
 	#pendingPuts: Array<{readonly request: RequestId; readonly resolve: (isHeld: boolean) => void}> = [];
 	#sending = false;
 	#failed = false;
 
-	constructor(options: CopyLinkOptions) {
+	constructor(options: CopyReplicatorOptions) {
 		this.#options = options;
 	}
 
@@ -122,7 +122,7 @@
 		const pendingPuts = this.#pendingPuts.filter(({request}) => sent.has(request));
 		this.#pendingPuts = this.#pendingPuts.filter(({request}) => !sent.has(request));
 		const reply = await this.#options.request({
-			scope: 'entry', type: 'hold-bills', owner: this.#options.self, start: this.#options.start, ...this.#changesOf(requests), complete: isComplete,
+			scope: 'entry', type: 'hold-bills', owner: this.#options.self, start: this.#options.runId, ...this.#changesOf(requests), complete: isComplete,
 		});
 		const accepted = reply.toMaybe().filter(body => body.accepted).extract();
 		for (const {resolve} of pendingPuts) {
@@ -144,7 +144,7 @@
 			}
 		}
 
-		return {...splitCopies(copies), dropped};
+		return {...groupCopies(copies), dropped};
 	}
 
 	#fail(): void {
--- a/packages/daemon/src/entry/bills/ledger-outbox.test.ts
+++ b/packages/daemon/src/entry/bills/ledger-outbox.test.ts
@@ -4,7 +4,7 @@
 import test from 'ava';
 import {Left, Right} from 'purify-ts';
 import {type Member} from '../../member.js';
-import {BillKeeper} from './bill-keeper.js';
+import {BillStore} from './bill-store.js';
 import {LedgerOutbox} from './ledger-outbox.js';
 
 const self: Member = {
@@ -20,9 +20,9 @@
 			});
 		},
 	});
-	const keeper = new BillKeeper({
+	const keeper = new BillStore({
 		self,
-		start: 'a',
+		runId: 'a',
 		startedAt: 0,
 		clock: {now: () => new Date(0), monotonic: () => 0},
 		outbox,
--- a/packages/daemon/src/entry/bills/ledger-outbox.ts
+++ b/packages/daemon/src/entry/bills/ledger-outbox.ts
@@ -1,14 +1,14 @@
-import {type Command, type CommandAnswer} from '@valehitch/control';
+import {type Command, type CommandResponse} from '@valehitch/control';
 import {type Bill, type Failure, type RequestId} from '@valehitch/core';
 import {type Either} from 'purify-ts';
 
 /** Options of a {@linkcode LedgerOutbox}. */
 export type LedgerOutboxOptions = {
-	readonly propose: (command: Command) => Promise<Either<Failure, CommandAnswer>>;
+	readonly propose: (command: Command) => Promise<Either<Failure, CommandResponse>>;
 	/** Waits for the batching delay or the retry delay. */
 	readonly wait: (milliseconds: number) => Promise<void>;
 	/** How long bills are collected for one command, in milliseconds; 100 by default. */
-	readonly gatherMilliseconds?: number;
+	readonly batchMilliseconds?: number;
 	/** The retry delay after a failed command, in milliseconds; 250 by default. */
 	readonly retryMilliseconds?: number;
 };
@@ -67,7 +67,7 @@
 	}
 
 	/** Sends the pending batch without the rest of its delay, since a caller is waiting for it. */
-	hurry(): void {
+	flush(): void {
 		this.#endBatchDelay?.();
 	}
 
@@ -91,7 +91,7 @@
 	}
 
 	async #waitForBatch(): Promise<void> {
-		const {wait, gatherMilliseconds: batchMilliseconds = defaultBatchMilliseconds} = this.#options;
+		const {wait, batchMilliseconds: batchMilliseconds = defaultBatchMilliseconds} = this.#options;
 		const flushed = new Promise<void>(resolve => {
 			this.#endBatchDelay = resolve;
 		});
--- a/packages/daemon/src/entry/bills/watch-bills.ts
+++ b/packages/daemon/src/entry/bills/start-bill-maintenance.ts
@@ -1,22 +1,22 @@
-import {intervalAfterInput, type PeerNetwork} from '@valehitch/transport';
+import {setIntervalAfterPoll, type PeerNetwork} from '@valehitch/transport';
 import {type Member} from '../../member.js';
 import {type PeerMessage} from '../../messages.js';
 import {type OwnedBillsReply} from '../messages.js';
-import {type BillKeeper} from './bill-keeper.js';
-import {type HeldBills, type SilentOwner} from './held-bills.js';
+import {type BillStore} from './bill-store.js';
+import {type BillCopyStore, type SilentOwner} from './bill-copy-store.js';
 
 /** Options of {@linkcode startBillMaintenance}. */
-export type WatchBillsOptions = {
-	readonly bills: BillKeeper;
-	readonly held: HeldBills;
+export type BillMaintenanceOptions = {
+	readonly bills: BillStore;
+	readonly held: BillCopyStore;
 	readonly members: () => readonly Member[];
 	readonly network: PeerNetwork<PeerMessage>;
 	/** The interval, in milliseconds; 1000 by default. */
-	readonly everyMilliseconds?: number;
+	readonly intervalMilliseconds?: number;
 };
 
 /** The running maintenance. */
-export type BillsWatch = {
+export type BillMaintenance = {
 	readonly stop: () => void;
 };
 
@@ -33,9 +33,9 @@
 maintenance.stop();
 ```
 */
-export function watchBills(options: WatchBillsOptions): BillsWatch {
+export function startBillMaintenance(options: BillMaintenanceOptions): BillMaintenance {
 	// Runs after pending input is read: an owner whose message has arrived but is unread is not silent, and its open bills must not be settled as unknown.
-	const stop = intervalAfterInput(options.everyMilliseconds ?? defaultIntervalMilliseconds, () => {
+	const stop = setIntervalAfterPoll(options.intervalMilliseconds ?? defaultIntervalMilliseconds, () => {
 		const members = options.members();
 		options.bills.renew();
 		if (members.length > 0) {
@@ -47,8 +47,8 @@
 	return {stop};
 }
 
-async function askOwners({held, network}: WatchBillsOptions, members: readonly Member[]): Promise<void> {
-	await Promise.all(held.silent().map(async silent => {
+async function askOwners({held, network}: BillMaintenanceOptions, members: readonly Member[]): Promise<void> {
+	await Promise.all(held.silentOwners().map(async silent => {
 		const owner = members.find(({instance}) => instance === silent.owner);
 		if (owner !== undefined) {
 			await ask(silent, {held, network, owner});
@@ -56,12 +56,12 @@
 	}));
 }
 
-type AskOptions = Pick<WatchBillsOptions, 'held' | 'network'> & {readonly owner: Member};
+type AskOptions = Pick<BillMaintenanceOptions, 'held' | 'network'> & {readonly owner: Member};
 
 async function ask(silent: SilentOwner, {held, network, owner}: AskOptions): Promise<void> {
 	const reply = await network.request(owner, {scope: 'entry', type: 'owned-bills', requests: silent.requests});
 	const body = reply.toMaybe().extract() as OwnedBillsReply | undefined;
 	if (body !== undefined) {
-		held.takeReply(silent, body);
+		held.handleReply(silent, body);
 	}
 }
--- a/packages/daemon/src/entry/bills/keep-run-known.test.ts
+++ b/packages/daemon/src/entry/bills/start-run-heartbeat.test.ts
@@ -5,15 +5,15 @@
 } from '@valehitch/core';
 import test from 'ava';
 import {Left, Right} from 'purify-ts';
-import {keepRunKnown} from './keep-run-known.js';
+import {startRunHeartbeat} from './start-run-heartbeat.js';
 
 test('a run is reported at once and several times per retention period, and a failed report is signalled', async t => {
 	const running = {instance: toId<InstanceId>('entry-1'), startedAt: 1000};
 	const reports: InstanceRun[] = [];
 	const failures: string[] = [];
-	const stop = keepRunKnown(running, {
-		rememberedMilliseconds: 200,
-		async tell(run) {
+	const stop = startRunHeartbeat(running, {
+		retentionMilliseconds: 200,
+		async report(run) {
 			reports.push(run);
 			return reports.length === 1 ? Left(failure('no-quorum', 'No quorum')) : Right(undefined);
 		},
--- a/packages/daemon/src/entry/bills/keep-run-known.ts
+++ b/packages/daemon/src/entry/bills/start-run-heartbeat.ts
@@ -3,11 +3,11 @@
 import {type Either} from 'purify-ts';
 
 /** Options of {@linkcode startRunHeartbeat}. */
-export type KeepRunKnownOptions = {
+export type RunHeartbeatOptions = {
 	/** How long the ledger remembers a run without a report, in milliseconds. */
-	readonly rememberedMilliseconds: number;
+	readonly retentionMilliseconds: number;
 	/** Reports to the ledger that a run continues. */
-	readonly tell: (running: InstanceRun) => Promise<Either<Failure, unknown>>;
+	readonly report: (running: InstanceRun) => Promise<Either<Failure, unknown>>;
 	/** Called when a report failed; the run is reported again at the next interval. */
 	readonly onFailure: (failed: Failure) => void;
 };
@@ -27,7 +27,7 @@
 const stop = startRunHeartbeat({instance, startedAt}, {retentionMilliseconds, report, onFailure});
 ```
 */
-export function keepRunKnown(running: InstanceRun, {rememberedMilliseconds: retentionMilliseconds, tell: report, onFailure}: KeepRunKnownOptions): () => void {
+export function startRunHeartbeat(running: InstanceRun, {retentionMilliseconds: retentionMilliseconds, report: report, onFailure}: RunHeartbeatOptions): () => void {
 	const reportOnce = async (): Promise<void> => {
 		const result = await report(running);
 		result.ifLeft(onFailure);
--- a/packages/daemon/src/entry/chat-adapter.ts
+++ b/packages/daemon/src/entry/chat-adapter.ts
@@ -1,21 +1,21 @@
 import {
-	costOf, type Failure, type Prices, versionKey,
+	calculateCost, type Failure, type Prices, versionKey,
 } from '@valehitch/core';
-import {escalationSign, mayDispatch} from '@valehitch/policy';
+import {findEscalationSign, checkDispatch} from '@valehitch/policy';
 import {
-	type DispatchDenial, prefixHash, type RequestTarget, stageKey, type StageTime,
+	type DispatchDenialReason, prefixHash, type RequestTarget, stageKey, type StageDuration,
 } from '@valehitch/routing';
 import {type Either} from 'purify-ts';
 import {match} from 'ts-pattern';
 import {type AttemptOutput} from './attempt-output.js';
-import {type JudgedAnswer, readCheckedAnswer} from './checked-answer.js';
+import {type CompleteAnswer, readCheckedAnswer} from './checked-answer.js';
 import {callEngine} from './engine-call.js';
 import {type EntryContext} from './entry-context.js';
 import {attemptEnd} from './attempt-end.js';
-import {promptOf} from './chat-body.js';
+import {promptPrefixOf} from './chat-body.js';
 import {
 	type ChooseServerAction, type DispatchAction, type Judgement, type RequestAdapter, type SendOptions, type ServerChoice,
-} from './life/request-adapter.js';
+} from './lifecycle/request-adapter.js';
 import {type ChatPlan} from './plan-chat.js';
 import {stallMillisecondsOf} from './stall-milliseconds.js';
 import {observeAttempt} from './traffic/observe-attempt.js';
@@ -26,7 +26,7 @@
 	/** When the last byte is due, in milliseconds of the monotonic clock. */
 	readonly deadline: number;
 	/** Plans the request again with the configuration in force. */
-	readonly planAgain: () => Either<Failure, ChatPlan>;
+	readonly replan: () => Either<Failure, ChatPlan>;
 };
 
 type VersionTarget = Extract<RequestTarget, {readonly type: 'version'}>;
@@ -49,7 +49,7 @@
 	constructor(plan: ChatPlan, options: ChatAdapterOptions) {
 		this.#plan = plan;
 		this.#options = options;
-		this.#prefixHash = prefixHash(promptOf(plan.body));
+		this.#prefixHash = prefixHash(promptPrefixOf(plan.body));
 	}
 
 	/** The current plan; replaced when the chosen version became unavailable and the request was planned again. */
@@ -58,14 +58,14 @@
 	}
 
 	chooseServer(action: ChooseServerAction): ServerChoice {
-		const {context: {picker: serverSelector}} = this.#options;
+		const {context: {serverSelector: serverSelector}} = this.#options;
 		const {requestId, workspace} = this.#plan;
 		return serverSelector.choose(action, {
 			requestId, workspace, target: versionKeyOf(action.target), prefix: this.#prefixHash,
 		});
 	}
 
-	denialOf(target: RequestTarget): DispatchDenial | undefined {
+	checkDispatch(target: RequestTarget): DispatchDenialReason | undefined {
 		const {context} = this.#options;
 		const active = context.active();
 		if (active === undefined) {
@@ -73,13 +73,13 @@
 		}
 
 		const {model, version} = asVersion(target);
-		const verdict = mayDispatch(active.effective, {
+		const verdict = checkDispatch(active.effective, {
 			workspace: this.#plan.workspace,
 			model,
 			version,
 			isolated: active.isolated,
 			isolatedServe: context.settings.isolation.serve,
-			isStoppedHere: context.ratings.isStoppedHere,
+			isStoppedLocally: context.ratings.isStoppedHere,
 			belowTarget: this.#plan.belowTarget,
 		});
 		return match(verdict)
@@ -88,7 +88,7 @@
 			.otherwise(denial => denial);
 	}
 
-	send({dispatch, address, signal, before: partialAnswer}: SendOptions): AsyncIterable<AttemptOutput> {
+	send({dispatch, address, signal, partialAnswer: partialAnswer}: SendOptions): AsyncIterable<AttemptOutput> {
 		const {context: {settings, clock}, deadline} = this.#options;
 		const {requestId, body, facts: {stream}, rule} = this.#plan;
 		const outputs = callEngine({
@@ -119,17 +119,17 @@
 	}
 
 	chooseVersion(): ReturnType<RequestAdapter['chooseVersion']> {
-		return this.#options.planAgain().map(plan => {
+		return this.#options.replan().map(plan => {
 			this.#plan = plan;
 			return {target: {type: 'version', model: plan.model, version: plan.version}, judged: plan.escalatesTo !== undefined};
 		});
 	}
 
-	judge(target: RequestTarget, answer: JudgedAnswer): Judgement {
+	judge(target: RequestTarget, answer: CompleteAnswer): Judgement {
 		const {escalatesTo, workspace, rule: {escalation, name}} = this.#plan;
 		const isEscalated = escalatesTo !== undefined && escalation !== undefined
-			&& escalationSign(readCheckedAnswer(answer), escalation) !== undefined;
-		this.#options.context.ratings.noteEscalation({
+			&& findEscalationSign(readCheckedAnswer(answer), escalation) !== undefined;
+		this.#options.context.ratings.recordEscalation({
 			...asVersion(target), workspace, rule: name, ranAt: this.#options.context.clock.now().getTime(),
 		}, isEscalated);
 		return isEscalated
@@ -137,10 +137,10 @@
 			: {verdict: 'accepted'};
 	}
 
-	costOf(target: RequestTarget, usage: Parameters<typeof costOf>[1]): ReturnType<typeof costOf> {
+	costOf(target: RequestTarget, usage: Parameters<typeof calculateCost>[1]): ReturnType<typeof calculateCost> {
 		const {model, version} = asVersion(target);
 		const document = this.#options.context.active()?.effective.document;
-		return costOf(document?.models[model]?.versions[version]?.prices ?? noPrices, usage);
+		return calculateCost(document?.models[model]?.versions[version]?.prices ?? noPrices, usage);
 	}
 
 	headersOf(target: RequestTarget): Readonly<Record<string, string>> {
@@ -153,7 +153,7 @@
 		};
 	}
 
-	#recordStage({target, resumeFrom}: DispatchAction, time: StageTime): void {
+	#recordStage({target, resumeFrom}: DispatchAction, time: StageDuration): void {
 		const {model, version} = asVersion(target);
 		if (time.stage === 'decode') {
 			this.#options.context.history.record(versionKeyOf(target), time);
@@ -163,19 +163,19 @@
 	}
 
 	#recordResult({target, server, attempt, purpose}: DispatchAction, output: AttemptOutput): void {
-		const {context: {picker: serverSelector, ratings, decisions, clock}} = this.#options;
+		const {context: {serverSelector: serverSelector, ratings, decisions, clock}} = this.#options;
 		const {requestId, workspace, rule} = this.#plan;
 		const {outcome, reason, failed} = attemptEnd(output);
-		decisions.attempt(requestId, {
+		decisions.recordAttempt(requestId, {
 			attempt, purpose, servers: decisions.get(requestId)?.attempts.find(known => known.attempt === attempt)?.servers ?? [], server, outcome, reason,
 		});
 		if (output.type !== 'not-run') {
-			serverSelector.record(server, failed);
+			serverSelector.recordOutcome(server, failed);
 		}
 
 		// A lost connection is no evidence for or against the version.
 		if (output.type === 'complete' || output.type === 'failed') {
-			ratings.noteOutcome({
+			ratings.recordOutcome({
 				...asVersion(target), workspace, rule: rule.name, ranAt: clock.now().getTime(),
 			}, failed);
 		}
--- a/packages/daemon/src/entry/chat-body.ts
+++ b/packages/daemon/src/entry/chat-body.ts
@@ -46,7 +46,7 @@
 }
 
 /** Request facts that come from the headers. */
-export type FactOptions = {
+export type HeaderFacts = {
 	readonly class: string;
 	readonly session: boolean;
 };
@@ -62,7 +62,7 @@
 factsOf(body, {class: 'lookup', session: false});
 ```
 */
-export function factsOf(body: ChatBody, options: FactOptions): RequestFacts {
+export function factsOf(body: ChatBody, options: HeaderFacts): RequestFacts {
 	let characters = 0;
 	for (const {content} of body.messages) {
 		characters += typeof content === 'string' ? content.length : JSON.stringify(content ?? '').length;
@@ -88,7 +88,7 @@
 prefixHash(promptPrefixOf(body));
 ```
 */
-export function promptOf(body: ChatBody): string {
+export function promptPrefixOf(body: ChatBody): string {
 	let prompt = '';
 	for (const {role, content} of body.messages) {
 		prompt += `${role}: ${typeof content === 'string' ? content.slice(0, prefixCharacters) : JSON.stringify(content ?? '').slice(0, prefixCharacters)}\n`;
--- a/packages/daemon/src/entry/chat-chunk.ts
+++ b/packages/daemon/src/entry/chat-chunk.ts
@@ -74,7 +74,7 @@
 readCompletionUsage(body)?.output;
 ```
 */
-export function readWholeUsage(body: Uint8Array): TokenUsage | undefined {
+export function readCompletionUsage(body: Uint8Array): TokenUsage | undefined {
 	const parsed = completionSchema.safeParse(parseJson(new TextDecoder().decode(body)));
 	if (!parsed.success) {
 		return undefined;
--- a/packages/daemon/src/entry/checked-answer.ts
+++ b/packages/daemon/src/entry/checked-answer.ts
@@ -3,7 +3,7 @@
 import {type AnswerHead, type AnswerPiece} from './attempt-output.js';
 
 /** A complete answer that a cascade evaluates. */
-export type JudgedAnswer = {
+export type CompleteAnswer = {
 	readonly head: AnswerHead | undefined;
 	readonly pieces: readonly AnswerPiece[];
 };
@@ -25,7 +25,7 @@
 escalationSign(readCheckedAnswer(answer), rule.escalation);
 ```
 */
-export function readCheckedAnswer({head, pieces}: JudgedAnswer): CheckedAnswer {
+export function readCheckedAnswer({head, pieces}: CompleteAnswer): CheckedAnswer {
 	const body = pieces.map(({payload}) => typeof payload === 'string' ? payload : new TextDecoder().decode(payload)).join('');
 	const choice = parse(body)?.choices[0];
 	const confidence = Number(head?.headers['Valehitch-Confidence'] ?? Number.NaN);
--- a/packages/daemon/src/entry/claim-keeper.ts
+++ b/packages/daemon/src/entry/claim-client.ts
@@ -17,13 +17,13 @@
 };
 
 /** Options of a {@linkcode ClaimClient}. */
-export type ClaimKeeperOptions = {
+export type ClaimClientOptions = {
 	readonly instance: InstanceId;
 	readonly clock: Clock;
 	/** Sends a claim command to the control role. */
 	readonly propose: (command: ClaimCommand) => Promise<Either<Failure, {readonly claim: ClaimOutcome}>>;
 	/** Marks the open claims of a lost instance as unknown. */
-	readonly forget: (instance: InstanceId) => Promise<Either<Failure, unknown>>;
+	readonly markLost: (instance: InstanceId) => Promise<Either<Failure, unknown>>;
 	/** Waits before a command is retried. */
 	readonly wait: (milliseconds: number) => Promise<void>;
 	/** Called when the control role refused a settlement; it is not retried. */
@@ -47,19 +47,19 @@
 claims.settle({workspace, key, request}, {type: 'released'});
 ```
 */
-export class ClaimKeeper {
-	readonly #options: ClaimKeeperOptions;
+export class ClaimClient {
+	readonly #options: ClaimClientOptions;
 	readonly #unsettled = new Set<OwnClaim>();
 	#initialization: Promise<void> | undefined;
 	#closed = false;
 
-	constructor(options: ClaimKeeperOptions) {
+	constructor(options: ClaimClientOptions) {
 		this.#options = options;
 	}
 
 	/** Marks the claims that an earlier process of this instance left open as unknown. Taking a claim waits for that, for at most two seconds. */
-	begin(): void {
-		this.#initialization = this.forget(this.#options.instance);
+	initialize(): void {
+		this.#initialization = this.markLost(this.#options.instance);
 	}
 
 	/**
@@ -67,8 +67,8 @@
 
 	@param instance The instance.
 	*/
-	async forget(instance: InstanceId): Promise<void> {
-		const {forget: markLost, wait, retryMilliseconds = defaultRetryMilliseconds} = this.#options;
+	async markLost(instance: InstanceId): Promise<void> {
+		const {markLost: markLost, wait, retryMilliseconds = defaultRetryMilliseconds} = this.#options;
 		while (!this.#closed) {
 			const answer = await markLost(instance);
 			if (answer.isRight()) {
--- a/packages/daemon/src/entry/engine-call.ts
+++ b/packages/daemon/src/entry/engine-call.ts
@@ -1,13 +1,13 @@
 import {type RequestId, type TokenUsage} from '@valehitch/core';
-import {type HttpAnswer, readBody, sendHttp} from '@valehitch/transport';
+import {type HttpResponse, readBody, sendHttpRequest} from '@valehitch/transport';
 import {type AttemptOutput} from './attempt-output.js';
 import {type ChatBody} from './chat-body.js';
-import {readWholeUsage} from './chat-chunk.js';
+import {readCompletionUsage} from './chat-chunk.js';
 import {readEngineEvents} from './engine-events.js';
 import {readNotRun} from './not-run.js';
-import {reportSilence} from './report-silence.js';
+import {reportStalls} from './report-stalls.js';
 import {StallTimer} from './stall-timer.js';
-import {unansweredOutput} from './unanswered-output.js';
+import {failedCallOutput} from './failed-call-output.js';
 
 /** A single attempt to call an engine. */
 export type EngineCall = {
@@ -52,11 +52,11 @@
 */
 export async function * callEngine(call: EngineCall): AsyncGenerator<AttemptOutput, void> {
 	const stall = new StallTimer(call.stallMilliseconds);
-	yield * reportSilence(readOutputs(call, stall), {stall, message: `No data received from the engine for ${call.stallMilliseconds} ms`});
+	yield * reportStalls(readOutputs(call, stall), {stall, message: `No data received from the engine for ${call.stallMilliseconds} ms`});
 }
 
 async function * readOutputs(call: EngineCall, stall: StallTimer): AsyncGenerator<AttemptOutput, void> {
-	const answer = await sendHttp({
+	const answer = await sendHttpRequest({
 		address: call.address,
 		method: 'POST',
 		path: '/v1/chat/completions',
@@ -71,7 +71,7 @@
 		reuseConnection: !call.freshConnection,
 	});
 	if (answer.isLeft()) {
-		yield unansweredOutput(answer.extract(), 'engine');
+		yield failedCallOutput(answer.extract(), 'engine');
 		return;
 	}
 
@@ -90,7 +90,7 @@
 
 type Outputs = AsyncIterable<AttemptOutput> | readonly AttemptOutput[];
 
-function readAnswer(answer: HttpAnswer, call: EngineCall, stall: StallTimer): Outputs | Promise<Outputs> {
+function readAnswer(answer: HttpResponse, call: EngineCall, stall: StallTimer): Outputs | Promise<Outputs> {
 	const notRun = readNotRun(answer);
 	if (notRun !== undefined) {
 		return [notRun];
@@ -116,14 +116,14 @@
 	return readCompletion(answer, call);
 }
 
-async function readCompletion({message, headers}: HttpAnswer, {maximumBytes}: EngineCall): Promise<readonly AttemptOutput[]> {
+async function readCompletion({message, headers}: HttpResponse, {maximumBytes}: EngineCall): Promise<readonly AttemptOutput[]> {
 	const body = await readBody(message, maximumBytes);
 	if (body.isLeft()) {
 		return [{type: 'broken', message: 'Response from the engine is incomplete'}];
 	}
 
 	const payload = body.unsafeCoerce();
-	const usage: TokenUsage | undefined = readWholeUsage(payload);
+	const usage: TokenUsage | undefined = readCompletionUsage(payload);
 	if (usage === undefined) {
 		return [{type: 'failed', message: 'Response from the engine is not a chat completion'}];
 	}
--- a/packages/daemon/src/entry/engine-events.test.ts
+++ b/packages/daemon/src/entry/engine-events.test.ts
@@ -1,7 +1,7 @@
 import {createServer, type RequestListener, type Server} from 'node:http';
 import {type AddressInfo, type Socket} from 'node:net';
 import {once} from 'node:events';
-import {sendHttp} from '@valehitch/transport';
+import {sendHttpRequest} from '@valehitch/transport';
 import test, {type ExecutionContext} from 'ava';
 import {type AttemptOutput} from './attempt-output.js';
 import {readEngineEvents} from './engine-events.js';
@@ -26,7 +26,7 @@
 }
 
 async function call(address: string): Promise<readonly AttemptOutput[]> {
-	const answer = await sendHttp({
+	const answer = await sendHttpRequest({
 		address, method: 'POST', path: '/', headers: {}, body: new Uint8Array(), signal: new AbortController().signal, reuseConnection: true,
 	});
 	const {message} = answer.unsafeCoerce();
--- a/packages/daemon/src/entry/entry-context.ts
+++ b/packages/daemon/src/entry/entry-context.ts
@@ -1,40 +1,40 @@
 import {type ServerTable} from '@valehitch/membership';
-import {type DecisionRing, type StageHistory} from '@valehitch/routing';
+import {type DecisionHistory, type StageHistory} from '@valehitch/routing';
 import {type DaemonBase} from '../daemon-base.js';
 import {type ActiveConfiguration} from '../distribution/active-configuration.js';
-import {type RatingsPart} from '../ratings/ratings-part.js';
-import {type BillKeeper} from './bills/bill-keeper.js';
-import {type HeldBills} from './bills/held-bills.js';
-import {type ClaimKeeper} from './claim-keeper.js';
-import {type InProgress} from './in-progress.js';
-import {type RequestRun} from './life/request-run.js';
+import {type RatingsTracker} from '../ratings/ratings-tracker.js';
+import {type BillStore} from './bills/bill-store.js';
+import {type BillCopyStore} from './bills/bill-copy-store.js';
+import {type ClaimClient} from './claim-client.js';
+import {type InProgressCounts} from './in-progress-counts.js';
+import {type RequestExecution} from './lifecycle/request-execution.js';
 import {type RequestCounter} from './request-counter.js';
 import {type AdmissionPools} from './traffic/admission-pools.js';
-import {type ServerPicker} from './traffic/server-picker.js';
+import {type ServerSelector} from './traffic/server-selector.js';
 
 /** The shared state of the handlers of callers' requests. */
 export type EntryContext = DaemonBase & {
 	readonly servers: ServerTable;
 	/** The bills of this instance. */
-	readonly bills: BillKeeper;
+	readonly bills: BillStore;
 	/** The copies of bills that this instance holds for others. */
-	readonly held: HeldBills;
-	readonly claims: ClaimKeeper;
+	readonly billCopies: BillCopyStore;
+	readonly claims: ClaimClient;
 	readonly requests: RequestCounter;
 	/** The requests in progress. */
-	readonly runs: Set<RequestRun>;
+	readonly executions: Set<RequestExecution>;
 	/** The number of requests in progress for each version. */
-	readonly inProgress: InProgress;
+	readonly inProgress: InProgressCounts;
 	/** Limits requests to the capacity of the servers. */
 	readonly admission: AdmissionPools;
 	/** Selects servers and ejects failing ones. */
-	readonly picker: ServerPicker;
+	readonly serverSelector: ServerSelector;
 	/** The durations of the stages of recent attempts. */
 	readonly history: StageHistory;
 	/** The routing decisions of recent requests. */
-	readonly decisions: DecisionRing;
+	readonly decisions: DecisionHistory;
 	/** The configuration in force; undefined until the first one is activated. */
 	readonly active: () => ActiveConfiguration | undefined;
 	/** Quality estimates, locally stopped versions, and observed outcomes of versions. */
-	readonly ratings: RatingsPart;
+	readonly ratings: RatingsTracker;
 };
--- a/packages/daemon/src/entry/unanswered-output.ts
+++ b/packages/daemon/src/entry/failed-call-output.ts
@@ -1,4 +1,4 @@
-import {type HttpCallFailure} from '@valehitch/transport';
+import {type HttpRequestFailure} from '@valehitch/transport';
 import {type AttemptOutput} from './attempt-output.js';
 
 /**
@@ -12,7 +12,7 @@
 failedCallOutput({neverSent: true, onKeptConnection: false, message: 'connect ECONNREFUSED'}, 'engine').type; // 'never-sent'
 ```
 */
-export function unansweredOutput({neverSent, onKeptConnection, message}: HttpCallFailure, asked: 'engine' | 'service'): AttemptOutput {
+export function failedCallOutput({neverSent, onKeptConnection, message}: HttpRequestFailure, asked: 'engine' | 'service'): AttemptOutput {
 	const type = onKeptConnection ? 'kept-connection-lost' : 'broken';
 	return {type: neverSent ? 'never-sent' : type, message: `No response from the ${asked}: ${message}`};
 }
--- a/packages/daemon/src/entry/find-server.ts
+++ b/packages/daemon/src/entry/find-server.ts
@@ -13,5 +13,5 @@
 ```
 */
 export function findServer(servers: ServerTable, id: ServerId): KnownServer | undefined {
-	return servers.current().find(({announcement}) => announcement.server === id);
+	return servers.available().find(({announcement}) => announcement.server === id);
 }
--- a/packages/daemon/src/entry/handle-caller.ts
+++ b/packages/daemon/src/entry/handle-caller.ts
@@ -10,7 +10,7 @@
 import {type AuthenticatedCall, handleChat} from './handle-chat.js';
 import {handleService} from './handle-service.js';
 import {refuse} from './refuse.js';
-import {requestIdOn} from './request-id.js';
+import {createRequestId} from './request-id.js';
 
 const serviceUnavailableStatus = 503;
 const retryAfterStopMilliseconds = 1000;
@@ -32,7 +32,7 @@
 		return;
 	}
 
-	const requestId = requestIdOn(context.settings.instance, context.newId());
+	const requestId = createRequestId(context.settings.instance, context.newId());
 	const started = context.clock.monotonic();
 	context.requests.begin();
 	response.on('close', () => {
--- a/packages/daemon/src/entry/handle-chat.ts
+++ b/packages/daemon/src/entry/handle-chat.ts
@@ -9,12 +9,12 @@
 import {ChatAdapter} from './chat-adapter.js';
 import {parseChatBody} from './chat-body.js';
 import {type EntryContext} from './entry-context.js';
-import {type RequestKey} from './life/request-claim.js';
-import {RequestRun} from './life/request-run.js';
-import {type ChatPlan, newSession, planChat} from './plan-chat.js';
+import {type RequestKey} from './lifecycle/request-claim.js';
+import {RequestExecution} from './lifecycle/request-execution.js';
+import {type ChatPlan, newSessionValue, planChat} from './plan-chat.js';
 import {readCallerBody} from './read-caller-body.js';
 import {refuse} from './refuse.js';
-import {type Demand} from './traffic/admission-pools.js';
+import {type AdmissionDemand} from './traffic/admission-pools.js';
 
 const expectedOutputTokens = 200;
 /** The interval at which a request that may have run looks for an available server again, since its caller cannot safely resend it. */
@@ -58,11 +58,11 @@
 	const adapter = new ChatAdapter(chat, {
 		context,
 		deadline: plan.deadline,
-		planAgain: () => planChat({...call, active: context.active() ?? call.active, body: chat.body}, context),
+		replan: () => planChat({...call, active: context.active() ?? call.active, body: chat.body}, context),
 	});
 	const end = context.inProgress.begin(chat);
 	const ranAt = context.clock.now().getTime();
-	const answeredBy = await new RequestRun({
+	const answeredBy = await new RequestExecution({
 		...call, plan, adapter, key, demand: demandOf(call, {chat, plan}), context,
 	}).run();
 	end();
@@ -80,13 +80,13 @@
 /** Remembers which version answered, since a rating arrives later and refers to the request by its id only. */
 function rememberForRating({requestId, workspace, rule, escalatesTo, model: first}: ChatPlan, {answeredBy: {model, version}, ranAt, context}: RememberOptions): void {
 	const isAccepted = escalatesTo !== undefined && model === first;
-	context.ratings.remember({
+	context.ratings.addServedRequest({
 		requestId, workspace, rule: rule.name, model, version, ranAt, measure: isAccepted ? 'accepted-rating' : 'rating',
 	});
 }
 
 function recordDecision({requestId, workspace, considered}: ChatPlan, {decisions, clock}: EntryContext): void {
-	decisions.begin({
+	decisions.add({
 		request: requestId, workspace, at: clock.now().getTime(), versions: considered.map(({model, version, verdict}) => ({model, version, verdict})), attempts: [],
 	});
 }
@@ -96,7 +96,7 @@
 	readonly plan: RequestPlan;
 };
 
-function demandOf({requestId, workspace, active}: AuthenticatedCall, {chat: {rule, facts}, plan}: PlannedChat): Demand {
+function demandOf({requestId, workspace, active}: AuthenticatedCall, {chat: {rule, facts}, plan}: PlannedChat): AdmissionDemand {
 	return {
 		id: requestId,
 		workspace,
@@ -133,18 +133,18 @@
 
 function requestPlan({headers, arrivedAt}: AuthenticatedCall, {chat, claimed, hedge}: RequestPlanOptions): RequestPlan {
 	const {model, version, rule, facts, escalatesTo} = chat;
-	const isPinned = headers.session !== '' && headers.session !== newSession;
+	const isPinned = headers.session !== '' && headers.session !== newSessionValue;
 	return {
 		target: {type: 'version', model, version},
 		session: isPinned ? 'token' : 'none',
 		repeatable: true,
-		claimed,
-		finishWithoutCaller: claimed,
+		requiresClaim: claimed,
+		finishAfterCallerLeaves: claimed,
 		streamed: facts.stream,
 		judged: escalatesTo !== undefined,
 		deadline: arrivedAt + Math.min(rule.deadlineMilliseconds, headers.deadlineMilliseconds ?? rule.deadlineMilliseconds),
 		promptTokens: facts.promptTokens,
-		comeBackMilliseconds,
+		serverRetryMilliseconds: comeBackMilliseconds,
 		...(hedge !== undefined && {hedge}),
 	};
 }
--- a/packages/daemon/src/entry/handle-service.ts
+++ b/packages/daemon/src/entry/handle-service.ts
@@ -6,11 +6,11 @@
 import {type Either, Left, Right} from 'purify-ts';
 import {type EntryContext} from './entry-context.js';
 import {type AuthenticatedCall, requestKey} from './handle-chat.js';
-import {RequestRun} from './life/request-run.js';
+import {RequestExecution} from './lifecycle/request-execution.js';
 import {readCallerBody} from './read-caller-body.js';
 import {refuse} from './refuse.js';
 import {serviceAdapter, type ServicePlan} from './service-adapter.js';
-import {type Demand} from './traffic/admission-pools.js';
+import {type AdmissionDemand} from './traffic/admission-pools.js';
 
 const servicePathPattern = /^\/services\/(?<service>[a-z\d][a-z\d._\-]{0,63})(?<path>\/.*)$/v;
 const repeatableMethods: ReadonlySet<string> = new Set(['GET', 'HEAD', 'OPTIONS']);
@@ -40,10 +40,10 @@
 	const plan = requestPlan(service, key !== undefined);
 	const adapter = serviceAdapter(service, {context, deadline: plan.deadline});
 	const {requestId, workspace} = call;
-	context.decisions.begin({
+	context.decisions.add({
 		request: requestId, workspace, at: context.clock.now().getTime(), versions: [], attempts: [],
 	});
-	const demand: Demand = {
+	const demand: AdmissionDemand = {
 		id: requestId,
 		workspace,
 		target: plan.target,
@@ -52,7 +52,7 @@
 		cost: 1,
 		deadline: plan.deadline,
 	};
-	await new RequestRun({
+	await new RequestExecution({
 		...call, plan, adapter, key, demand, context,
 	}).run();
 }
@@ -89,8 +89,8 @@
 		target: {type: 'service', service},
 		session: 'none',
 		repeatable,
-		claimed,
-		finishWithoutCaller: claimed,
+		requiresClaim: claimed,
+		finishAfterCallerLeaves: claimed,
 		streamed: false,
 		judged: false,
 		deadline: arrivedAt + (headers.deadlineMilliseconds ?? defaultDeadlineMilliseconds),
--- a/packages/daemon/src/entry/in-progress.ts
+++ b/packages/daemon/src/entry/in-progress-counts.ts
@@ -10,7 +10,7 @@
 end();
 ```
 */
-export class InProgress {
+export class InProgressCounts {
 	readonly #counts = new Map<string, number>();
 
 	/**
--- a/packages/daemon/src/entry/life/attempt-set.ts
+++ b/packages/daemon/src/entry/lifecycle/attempt-set.ts
@@ -7,7 +7,7 @@
 	/** Called with an error that a call threw; the attempt is reported as broken. */
 	readonly onError: (error: unknown) => void;
 	/** Waits until the caller can receive more data. */
-	readonly drained: () => Promise<void>;
+	readonly waitForDrain: () => Promise<void>;
 };
 
 /** A call to a backend server, which the signal aborts. */
@@ -23,7 +23,7 @@
 	/** The buffered pieces of the answer. */
 	pieces: AnswerPiece[];
 	/** Whether the call has ended, so that there is nothing to cancel. */
-	isOver: boolean;
+	hasEnded: boolean;
 };
 
 /** Options of {@linkcode AttemptSet.start}. */
@@ -68,7 +68,7 @@
 	*/
 	async start({number, resumeFrom, call}: StartAttemptOptions): Promise<void> {
 		const attempt: Attempt = {
-			controller: new AbortController(), resumeFrom, head: undefined, trailer: '', pieces: [], isOver: false,
+			controller: new AbortController(), resumeFrom, head: undefined, trailer: '', pieces: [], hasEnded: false,
 		};
 		this.#attempts.set(number, attempt);
 		try {
@@ -78,7 +78,7 @@
 			this.#forward(number, attempt, {type: 'broken', message: 'Unexpected error in the request adapter'});
 		}
 
-		attempt.isOver = true;
+		attempt.hasEnded = true;
 	}
 
 	/**
@@ -89,7 +89,7 @@
 	cancel(number: number): void {
 		const attempt = this.#attempts.get(number);
 		this.#attempts.delete(number);
-		if (attempt?.isOver === false) {
+		if (attempt?.hasEnded === false) {
 			attempt.controller.abort();
 		}
 	}
@@ -108,7 +108,7 @@
 			}
 
 			this.#forward(number, attempt, output);
-			await this.#options.drained();
+			await this.#options.waitForDrain();
 		}
 	}
 
--- a/packages/daemon/src/entry/life/caller-writer.ts
+++ b/packages/daemon/src/entry/lifecycle/caller-writer.ts
@@ -1,7 +1,7 @@
 import {type ServerResponse} from 'node:http';
-import {type KeptAnswer} from '@valehitch/control';
+import {type StoredResponse} from '@valehitch/control';
 import {type Failure} from '@valehitch/core';
-import {answerProblem, toProblem} from '@valehitch/transport';
+import {sendProblem, toProblemDetails} from '@valehitch/transport';
 import {type AnswerHead} from '../attempt-output.js';
 
 /** Options of a {@linkcode CallerWriter}. */
@@ -72,7 +72,7 @@
 	*/
 	refuse(failed: Failure): void {
 		if (!this.#response.headersSent) {
-			answerProblem(this.#response, failed, {requestId: this.#requestId});
+			sendProblem(this.#response, failed, {requestId: this.#requestId});
 			return;
 		}
 
@@ -81,7 +81,7 @@
 			return;
 		}
 
-		this.#response.write(`data: ${JSON.stringify(toProblem(failed, {requestId: this.#requestId}))}\n\n`, () => {
+		this.#response.write(`data: ${JSON.stringify(toProblemDetails(failed, {requestId: this.#requestId}))}\n\n`, () => {
 			this.#response.destroy();
 		});
 	}
@@ -91,13 +91,13 @@
 
 	@param answer The stored answer, with its body.
 	*/
-	replay(answer: KeptAnswer): void {
+	replay(answer: StoredResponse): void {
 		this.#response.writeHead(answer.status, {...answer.headers, 'Valehitch-Replayed': 'true'});
 		this.#response.end(answer.body);
 	}
 
 	/** Waits until the caller can receive more data or has disconnected. */
-	async drained(): Promise<void> {
+	async waitForDrain(): Promise<void> {
 		const response = this.#response;
 		if (!response.writableNeedDrain || response.destroyed) {
 			return;
--- a/packages/daemon/src/entry/life/dispatch-attempt.ts
+++ b/packages/daemon/src/entry/lifecycle/dispatch-attempt.ts
@@ -1,10 +1,10 @@
 import {type RequestId, type WorkspaceId} from '@valehitch/core';
 import {type KnownServer} from '@valehitch/membership';
-import {type DispatchDenial, type RequestEvent} from '@valehitch/routing';
+import {type DispatchDenialReason, type RequestEvent} from '@valehitch/routing';
 import {type EntryContext} from '../entry-context.js';
 import {findServer} from '../find-server.js';
 import {type AttemptSet} from './attempt-set.js';
-import {type AnswerSoFar, type DispatchAction, type RequestAdapter} from './request-adapter.js';
+import {type PartialAnswer, type DispatchAction, type RequestAdapter} from './request-adapter.js';
 
 /** Options of {@linkcode dispatchAttempt}. */
 export type DispatchAttemptOptions = {
@@ -13,11 +13,11 @@
 	readonly adapter: RequestAdapter;
 	readonly attempts: AttemptSet;
 	/** The part of the answer that the caller has received. */
-	readonly soFar: AnswerSoFar;
+	readonly partialAnswer: PartialAnswer;
 	readonly context: Pick<EntryContext, 'servers' | 'timeline'>;
 };
 
-const emptyAnswer: AnswerSoFar = {text: '', tokens: 0};
+const emptyAnswer: PartialAnswer = {text: '', tokens: 0};
 
 /**
 Sends an attempt, after a final check that the target and the server may still receive requests.
@@ -34,7 +34,7 @@
 	const {context, adapter, workspace, requestId} = options;
 	const {attempt, server, target, purpose, resumeFrom} = dispatch;
 	const known = findServer(context.servers, server);
-	const denial = adapter.denialOf(target) ?? denialOf(known);
+	const denial = adapter.checkDispatch(target) ?? denialOf(known);
 	if (denial !== undefined || known === undefined) {
 		return {type: 'dispatch-denied', attempt, reason: denial ?? 'server-gone'};
 	}
@@ -46,7 +46,7 @@
 	return undefined;
 }
 
-async function send(dispatch: DispatchAction, server: KnownServer, {adapter, attempts, soFar: partialAnswer}: DispatchAttemptOptions): Promise<void> {
+async function send(dispatch: DispatchAction, server: KnownServer, {adapter, attempts, partialAnswer: partialAnswer}: DispatchAttemptOptions): Promise<void> {
 	const {attempt: number, resumeFrom} = dispatch;
 	const resumed = resumeFrom === 0 ? emptyAnswer : partialAnswer;
 	server.inFlight++;
@@ -54,13 +54,13 @@
 		number,
 		resumeFrom,
 		call: signal => adapter.send({
-			dispatch, address: server.announcement.address, signal, before: resumed,
+			dispatch, address: server.announcement.address, signal, partialAnswer: resumed,
 		}),
 	});
 	server.inFlight--;
 }
 
-function denialOf(server: KnownServer | undefined): DispatchDenial | undefined {
+function denialOf(server: KnownServer | undefined): DispatchDenialReason | undefined {
 	if (server === undefined) {
 		return 'server-gone';
 	}
--- a/packages/daemon/src/entry/life/kept-answer.ts
+++ b/packages/daemon/src/entry/lifecycle/kept-answer.ts
@@ -1,5 +1,5 @@
 import {Buffer} from 'node:buffer';
-import {type KeptAnswer} from '@valehitch/control';
+import {type StoredResponse} from '@valehitch/control';
 import {sha256} from '../../digest.js';
 import {type AnswerHead} from '../attempt-output.js';
 
@@ -21,7 +21,7 @@
 toKeptAnswer({head, payloads: [payload], maximumBytes: 16_384}).digest;
 ```
 */
-export function toKeptAnswer({head, payloads, maximumBytes}: KeptAnswerParts): KeptAnswer {
+export function toKeptAnswer({head, payloads, maximumBytes}: KeptAnswerParts): StoredResponse {
 	const body = Buffer.concat(payloads.map(payload => Buffer.from(payload)));
 	return {
 		status: head.status,
--- a/packages/daemon/src/entry/life/request-adapter.ts
+++ b/packages/daemon/src/entry/lifecycle/request-adapter.ts
@@ -1,10 +1,10 @@
 import {
 	type Failure, type Micros, type ServerId, type TokenUsage,
 } from '@valehitch/core';
-import {type AttemptAction, type DispatchDenial, type RequestTarget} from '@valehitch/routing';
+import {type AttemptAction, type DispatchDenialReason, type RequestTarget} from '@valehitch/routing';
 import {type Either} from 'purify-ts';
 import {type AttemptOutput} from '../attempt-output.js';
-import {type JudgedAnswer} from '../checked-answer.js';
+import {type CompleteAnswer} from '../checked-answer.js';
 
 /** The action that requests a server for an attempt. */
 export type ChooseServerAction = Extract<AttemptAction, {readonly type: 'choose-server'}>;
@@ -18,7 +18,7 @@
 		| {readonly type: 'none'; readonly reason: 'none' | 'budget'; readonly retryAfterMilliseconds: number};
 
 /** The part of an answer that a resumed attempt continues. */
-export type AnswerSoFar = {
+export type PartialAnswer = {
 	readonly text: string;
 	readonly tokens: number;
 };
@@ -28,7 +28,7 @@
 	readonly dispatch: DispatchAction;
 	readonly address: string;
 	readonly signal: AbortSignal;
-	readonly before: AnswerSoFar;
+	readonly partialAnswer: PartialAnswer;
 };
 
 /** The decision on an answer of a cascade. */
@@ -41,13 +41,13 @@
 	/** Chooses a server for an attempt. */
 	readonly chooseServer: (action: ChooseServerAction) => ServerChoice;
 	/** Checks a target right before a dispatch; returns why it may not be used, or undefined if it may. */
-	readonly denialOf: (target: RequestTarget) => DispatchDenial | undefined;
+	readonly checkDispatch: (target: RequestTarget) => DispatchDenialReason | undefined;
 	/** Sends an attempt. */
 	readonly send: (options: SendOptions) => AsyncIterable<AttemptOutput>;
 	/** Chooses another target after one became unavailable before any dispatch. */
 	readonly chooseVersion: (lost: RequestTarget) => Either<Failure, {readonly target: RequestTarget; readonly judged: boolean}>;
 	/** Decides whether the answer of a cascade's target is accepted. */
-	readonly judge: (target: RequestTarget, answer: JudgedAnswer) => Judgement;
+	readonly judge: (target: RequestTarget, answer: CompleteAnswer) => Judgement;
 	/** Returns the cost of an attempt on a target. */
 	readonly costOf: (target: RequestTarget, usage: TokenUsage) => Micros;
 	/** Returns the headers that tell the caller which target answered. */
--- a/packages/daemon/src/entry/life/request-answer.ts
+++ b/packages/daemon/src/entry/lifecycle/request-answer.ts
@@ -1,5 +1,5 @@
 import {type ServerResponse} from 'node:http';
-import {type KeptAnswer} from '@valehitch/control';
+import {type StoredResponse} from '@valehitch/control';
 import {
 	type Failure, failure, outcomeOf, type RequestId, type WorkspaceId,
 } from '@valehitch/core';
@@ -9,7 +9,7 @@
 import {type Attempt} from './attempt-set.js';
 import {CallerWriter} from './caller-writer.js';
 import {toKeptAnswer} from './kept-answer.js';
-import {type AnswerSoFar, type RequestAdapter} from './request-adapter.js';
+import {type PartialAnswer, type RequestAdapter} from './request-adapter.js';
 
 /** Options of a {@linkcode RequestAnswer}. */
 export type RequestAnswerOptions = {
@@ -52,7 +52,7 @@
 	}
 
 	/** The part of the answer that the caller has received. */
-	get soFar(): AnswerSoFar {
+	get partialAnswer(): PartialAnswer {
 		return {text: this.#text, tokens: this.#tokens};
 	}
 
@@ -106,7 +106,7 @@
 
 	@param kept The stored answer.
 	*/
-	replay(kept: KeptAnswer | undefined): void {
+	replay(kept: StoredResponse | undefined): void {
 		if (kept?.body !== undefined) {
 			this.#writer.replay(kept);
 			return;
@@ -124,7 +124,7 @@
 	@param target What the attempt ran on.
 	@returns The answer, or undefined if there is none.
 	*/
-	keptAnswer(attempt: Attempt | undefined, target: RequestTarget): KeptAnswer | undefined {
+	keptAnswer(attempt: Attempt | undefined, target: RequestTarget): StoredResponse | undefined {
 		const head = this.#headOf(attempt, target);
 		if (attempt === undefined || head === undefined) {
 			return undefined;
@@ -136,8 +136,8 @@
 	}
 
 	/** Waits until the caller can receive more data or has disconnected. */
-	async drained(): Promise<void> {
-		return this.#writer.drained();
+	async waitForDrain(): Promise<void> {
+		return this.#writer.waitForDrain();
 	}
 
 	#begin(attempt: Attempt | undefined, target: RequestTarget): void {
--- a/packages/daemon/src/entry/life/request-bill.ts
+++ b/packages/daemon/src/entry/lifecycle/request-bill.ts
@@ -1,7 +1,7 @@
 import {
-	type Bill, type BillLine, type RequestId, sumOf, type WorkspaceId,
+	type Bill, type BillLine, type RequestId, sumAmounts, type WorkspaceId,
 } from '@valehitch/core';
-import {type AttemptLine, type PreparationAction, type RequestEvent} from '@valehitch/routing';
+import {type AttemptBillLine, type PreparationAction, type RequestEvent} from '@valehitch/routing';
 import {type EntryContext} from '../entry-context.js';
 import {type RequestAdapter} from './request-adapter.js';
 
@@ -66,7 +66,7 @@
 			request: requestId,
 			instance: settings.instance,
 			lines,
-			total: sumOf(lines.map(({cost}) => cost)),
+			total: sumAmounts(lines.map(({cost}) => cost)),
 			outcome,
 			settledAt: clock.now().getTime(),
 		};
@@ -75,8 +75,8 @@
 	}
 
 	/** An attempt whose outcome is unknown is not charged. */
-	#toLine({target, server, usage, outcome, purpose}: AttemptLine): BillLine {
-		const cost = outcome === 'ran' ? this.#options.adapter.costOf(target, usage) : sumOf([]);
+	#toLine({target, server, usage, outcome, purpose}: AttemptBillLine): BillLine {
+		const cost = outcome === 'ran' ? this.#options.adapter.costOf(target, usage) : sumAmounts([]);
 		const line = {
 			server, usage, cost, purpose,
 		};
--- a/packages/daemon/src/entry/life/request-claim.ts
+++ b/packages/daemon/src/entry/lifecycle/request-claim.ts
@@ -1,5 +1,5 @@
 import {
-	type ClaimOutcome, type ClaimSettlement, type IdempotencyKey, type KeptAnswer,
+	type ClaimOutcome, type ClaimSettlement, type IdempotencyKey, type StoredResponse,
 } from '@valehitch/control';
 import {type RequestId, type WorkspaceId} from '@valehitch/core';
 import {type ClaimOutcome as ClaimEnd, type RequestEvent} from '@valehitch/routing';
@@ -32,14 +32,14 @@
 */
 export class RequestClaim {
 	readonly #options: RequestClaimOptions;
-	#storedAnswer: KeptAnswer | undefined;
+	#storedAnswer: StoredResponse | undefined;
 
 	constructor(options: RequestClaimOptions) {
 		this.#options = options;
 	}
 
 	/** The stored answer of an earlier request with the same key. */
-	get kept(): KeptAnswer | undefined {
+	get keptAnswer(): StoredResponse | undefined {
 		return this.#storedAnswer;
 	}
 
@@ -66,7 +66,7 @@
 	@param end How the request ended.
 	@param answer The complete answer, if there is one.
 	*/
-	settle(end: ClaimEnd, answer: KeptAnswer | undefined): void {
+	settle(end: ClaimEnd, answer: StoredResponse | undefined): void {
 		const {context, workspace, requestId, key} = this.#options;
 		context.timeline.record('claim-settled', {requestId, workspace, details: {outcome: end}});
 		const settlement: ClaimSettlement = end === 'done' && answer !== undefined
--- a/packages/daemon/src/entry/life/request-run.ts
+++ b/packages/daemon/src/entry/lifecycle/request-execution.ts
@@ -8,11 +8,11 @@
 import {match} from 'ts-pattern';
 import {type AnswerPiece, type AttemptOutput} from '../attempt-output.js';
 import {type EntryContext} from '../entry-context.js';
-import {type Demand} from '../traffic/admission-pools.js';
+import {type AdmissionDemand} from '../traffic/admission-pools.js';
 import {type Attempt, AttemptSet} from './attempt-set.js';
 import {chooseServerEvent, chooseVersionEvent} from './choose-events.js';
 import {dispatchAttempt} from './dispatch-attempt.js';
-import {LifeTimers} from './life-timers.js';
+import {RequestTimers} from './request-timers.js';
 import {toRequestEvent} from './output-event.js';
 import {type DispatchAction, type RequestAdapter} from './request-adapter.js';
 import {RequestAnswer} from './request-answer.js';
@@ -20,7 +20,7 @@
 import {RequestClaim, type RequestKey} from './request-claim.js';
 
 /** Options of a {@linkcode RequestExecution}. */
-export type RequestRunOptions = {
+export type RequestExecutionOptions = {
 	readonly response: ServerResponse;
 	readonly requestId: RequestId;
 	readonly workspace: WorkspaceId;
@@ -29,7 +29,7 @@
 	/** The idempotency key; required if the plan takes a claim. */
 	readonly key: RequestKey | undefined;
 	/** The resources that the request needs, for its admission. */
-	readonly demand: Demand;
+	readonly demand: AdmissionDemand;
 	readonly context: EntryContext;
 };
 
@@ -46,13 +46,13 @@
 await new RequestExecution(options).run();
 ```
 */
-export class RequestRun {
-	readonly #options: RequestRunOptions;
+export class RequestExecution {
+	readonly #options: RequestExecutionOptions;
 	readonly #answer: RequestAnswer;
 	readonly #claim: RequestClaim | undefined;
 	readonly #bill: RequestBill;
 	readonly #attempts: AttemptSet;
-	readonly #timers: LifeTimers;
+	readonly #timers: RequestTimers;
 	readonly #queue: QueuedEvent[] = [];
 	#onEnded: (() => void) | undefined;
 	#state: RequestState | undefined;
@@ -62,16 +62,16 @@
 	#tokens = 0;
 	#currentPiece: AnswerPiece | undefined;
 
-	constructor(options: RequestRunOptions) {
+	constructor(options: RequestExecutionOptions) {
 		const {requestId, context, plan, key} = options;
 		this.#options = options;
-		this.#answer = new RequestAnswer({...options, claimed: plan.claimed});
+		this.#answer = new RequestAnswer({...options, claimed: plan.requiresClaim});
 		this.#bill = new RequestBill(options);
 		this.#claim = key && new RequestClaim({...options, ...key});
-		this.#timers = new LifeTimers({
+		this.#timers = new RequestTimers({
 			clock: context.clock,
-			onDue: timer => {
-				this.take({type: 'timer', timer});
+			onExpired: timer => {
+				this.handleEvent({type: 'timer', timer});
 			},
 		});
 		this.#attempts = new AttemptSet({
@@ -81,7 +81,7 @@
 			onError(error) {
 				context.log.error({err: error, requestId}, 'Unexpected error in the request adapter');
 			},
-			drained: async () => this.#answer.drained(),
+			waitForDrain: async () => this.#answer.waitForDrain(),
 		});
 	}
 
@@ -95,19 +95,19 @@
 		const ended = new Promise<void>(resolve => {
 			this.#onEnded = resolve;
 		});
-		context.runs.add(this);
+		context.executions.add(this);
 		response.once('close', () => {
 			if (!response.writableFinished) {
 				context.timeline.record('request-cancelled', {requestId, workspace: this.#options.workspace});
-				this.take({type: 'caller-left'});
+				this.handleEvent({type: 'caller-left'});
 			}
 		});
 		this.#perform(startRequest(plan));
 		this.#processQueue();
 		await ended;
 		context.admission.end(requestId, this.#tokens);
-		context.decisions.end(requestId, this.#isAnswered ? 'answered' : 'not answered completely');
-		context.runs.delete(this);
+		context.decisions.recordEnd(requestId, this.#isAnswered ? 'answered' : 'not answered completely');
+		context.executions.delete(this);
 		return this.#isAnswered ? this.#target : undefined;
 	}
 
@@ -117,7 +117,7 @@
 	@param event The event.
 	@param piece The piece of the answer that belongs to the event.
 	*/
-	take(event: RequestEvent, piece?: AnswerPiece): void {
+	handleEvent(event: RequestEvent, piece?: AnswerPiece): void {
 		this.#queue.push({event, piece});
 		this.#processQueue();
 	}
@@ -166,7 +166,7 @@
 				void this.#admit();
 			})
 			.with({type: 'pin-session'}, ({target}) => {
-				this.take({type: 'session-pinned', target});
+				this.handleEvent({type: 'session-pinned', target});
 			})
 			.with({type: 'take-claim'}, () => {
 				void this.#takeClaim();
@@ -181,10 +181,10 @@
 				void this.#settleBill(settlement);
 			})
 			.with({type: 'choose-version'}, ({lost}) => {
-				this.take(chooseVersionEvent(this.#options.adapter, lost));
+				this.handleEvent(chooseVersionEvent(this.#options.adapter, lost));
 			})
 			.with({type: 'choose-server'}, choice => {
-				this.take(chooseServerEvent(choice, {adapter: this.#options.adapter, isResumable: this.#answer.isResumable}));
+				this.handleEvent(chooseServerEvent(choice, {adapter: this.#options.adapter, isResumable: this.#answer.isResumable}));
 			})
 			.with({type: 'dispatch'}, dispatch => {
 				this.#dispatch(dispatch);
@@ -216,7 +216,7 @@
 				this.#answer.finish(this.#attempts.get(attempt), this.#target);
 			})
 			.with({type: 'replay-answer'}, () => {
-				this.#answer.replay(this.#claim?.kept);
+				this.#answer.replay(this.#claim?.keptAnswer);
 			})
 			.with({type: 'refuse'}, ({failure: failed}) => {
 				this.#answer.refuse(failed);
@@ -226,21 +226,21 @@
 
 	async #admit(): Promise<void> {
 		const {context: {admission}, demand} = this.#options;
-		this.take(await admission.admit(demand));
+		this.handleEvent(await admission.admit(demand));
 	}
 
 	async #takeClaim(): Promise<void> {
-		this.take(await this.#claim?.take() ?? {type: 'claim-answered', answer: 'taken'});
+		this.handleEvent(await this.#claim?.take() ?? {type: 'claim-answered', answer: 'taken'});
 	}
 
 	#settleClaim(end: ClaimOutcome): void {
-		const leader = this.#state?.leader;
+		const leader = this.#state?.answeringAttempt;
 		const attempt: Attempt | undefined = leader === undefined ? undefined : this.#attempts.get(leader);
 		this.#claim?.settle(end, this.#answer.keptAnswer(attempt, this.#target));
 	}
 
 	async #openBill(): Promise<void> {
-		this.take(await this.#bill.open());
+		this.handleEvent(await this.#bill.open());
 	}
 
 	async #settleBill(settlement: SettleBillAction): Promise<void> {
@@ -249,13 +249,13 @@
 		}
 
 		await this.#bill.settle(settlement);
-		this.take({type: 'bill-settled'});
+		this.handleEvent({type: 'bill-settled'});
 	}
 
 	#dispatch(dispatch: DispatchAction): void {
-		const denied = dispatchAttempt(dispatch, {...this.#options, attempts: this.#attempts, soFar: this.#answer.soFar});
+		const denied = dispatchAttempt(dispatch, {...this.#options, attempts: this.#attempts, partialAnswer: this.#answer.partialAnswer});
 		if (denied !== undefined) {
-			this.take(denied);
+			this.handleEvent(denied);
 		}
 	}
 
@@ -271,17 +271,17 @@
 			}, output.type === 'silent' ? 'No data received from the server within the stall timeout; keeping the connection' : 'An attempt ended without a complete answer');
 		}
 
-		this.take(toRequestEvent(number, output), output.type === 'piece' ? output.piece : undefined);
+		this.handleEvent(toRequestEvent(number, output), output.type === 'piece' ? output.piece : undefined);
 	}
 
 	#buffersPieces(): boolean {
 		const {plan} = this.#options;
-		return plan.claimed || !plan.streamed || this.#state?.judged === true;
+		return plan.requiresClaim || !plan.streamed || this.#state?.judged === true;
 	}
 
 	#judge(attempt: number): void {
 		const judged = this.#attempts.get(attempt);
-		this.take({type: 'attempt-judged', attempt, ...this.#options.adapter.judge(this.#target, {head: judged?.head, pieces: judged?.pieces ?? []})});
+		this.handleEvent({type: 'attempt-judged', attempt, ...this.#options.adapter.judge(this.#target, {head: judged?.head, pieces: judged?.pieces ?? []})});
 	}
 
 	#forward(number: number, pieces: readonly AnswerPiece[]): void {
--- a/packages/daemon/src/entry/life/life-timers.ts
+++ b/packages/daemon/src/entry/lifecycle/request-timers.ts
@@ -1,12 +1,12 @@
 import {type Clock} from '@valehitch/core';
 import {type RequestTimer} from '@valehitch/routing';
-import {timeoutAfterInput} from '@valehitch/transport';
+import {setTimeoutAfterPoll} from '@valehitch/transport';
 
 /** Options of {@linkcode RequestTimers}. */
-export type LifeTimersOptions = {
+export type RequestTimersOptions = {
 	readonly clock: Clock;
 	/** Called when a timer expires. */
-	readonly onDue: (timer: RequestTimer) => void;
+	readonly onExpired: (timer: RequestTimer) => void;
 };
 
 /**
@@ -18,11 +18,11 @@
 timers.clearAll();
 ```
 */
-export class LifeTimers {
-	readonly #options: LifeTimersOptions;
+export class RequestTimers {
+	readonly #options: RequestTimersOptions;
 	readonly #timers = new Map<RequestTimer, () => void>();
 
-	constructor(options: LifeTimersOptions) {
+	constructor(options: RequestTimersOptions) {
 		this.#options = options;
 	}
 
@@ -34,10 +34,10 @@
 	*/
 	set(timer: RequestTimer, at: number): void {
 		this.clear(timer);
-		const {clock, onDue: onExpired} = this.#options;
+		const {clock, onExpired: onExpired} = this.#options;
 		const milliseconds = Math.max(0, at - clock.monotonic());
 		// Input that arrived before the deadline is processed first, even if this process was paused.
-		this.#timers.set(timer, timeoutAfterInput(milliseconds, () => {
+		this.#timers.set(timer, setTimeoutAfterPoll(milliseconds, () => {
 			this.#timers.delete(timer);
 			onExpired(timer);
 		}));
--- a/packages/daemon/src/entry/not-run.ts
+++ b/packages/daemon/src/entry/not-run.ts
@@ -1,4 +1,4 @@
-import {type HttpAnswer} from '@valehitch/transport';
+import {type HttpResponse} from '@valehitch/transport';
 import {type AttemptOutput} from './attempt-output.js';
 
 const serviceUnavailable = 503;
@@ -15,7 +15,7 @@
 readNotRun(answer)?.type; // 'not-run'
 ```
 */
-export function readNotRun({status, headers, message}: HttpAnswer): AttemptOutput | undefined {
+export function readNotRun({status, headers, message}: HttpResponse): AttemptOutput | undefined {
 	if (status !== serviceUnavailable || headers['valehitch-outcome'] !== 'notRun') {
 		return undefined;
 	}
--- a/packages/daemon/src/entry/plan-chat.ts
+++ b/packages/daemon/src/entry/plan-chat.ts
@@ -2,7 +2,7 @@
 	type Failure, failure, type ModelId, type PolicyRule, type RequestFacts, type RequestId, toId, type VersionId, type WorkspaceId,
 } from '@valehitch/core';
 import {
-	type Choice, chooseVersion, mayDispatch, type VersionTarget,
+	type VersionChoice, chooseVersion, checkDispatch, type VersionTarget,
 } from '@valehitch/policy';
 import {type Either, Left, Right} from 'purify-ts';
 import {writeSessionToken} from '@valehitch/routing';
@@ -10,7 +10,7 @@
 import {type CallerHeaders} from './caller-headers.js';
 import {type ChatBody, factsOf} from './chat-body.js';
 import {type EntryContext} from './entry-context.js';
-import {sessionOf} from './session-of.js';
+import {verifySession} from './verify-session.js';
 
 /** A chat request with the chosen model and version. */
 export type ChatPlan = {
@@ -28,11 +28,11 @@
 	/** Whether no version met the quality target. */
 	readonly belowTarget: boolean;
 	/** The versions that were considered; empty if the session determined the version. */
-	readonly considered: Choice['considered'];
+	readonly considered: VersionChoice['considered'];
 };
 
 /** An authenticated chat request. */
-export type ChatArrival = {
+export type ChatRequest = {
 	readonly requestId: RequestId;
 	readonly workspace: WorkspaceId;
 	readonly headers: CallerHeaders;
@@ -43,7 +43,7 @@
 const automaticModel = 'auto';
 
 /** The header value with which a caller starts a new session. */
-export const newSession = 'new';
+export const newSessionValue = 'new';
 
 const retryAfterIsolationMilliseconds = 1000;
 
@@ -58,7 +58,7 @@
 planChat(arrival, context).map(plan => plan.version);
 ```
 */
-export function planChat(request: ChatArrival, context: EntryContext): Either<Failure, ChatPlan> {
+export function planChat(request: ChatRequest, context: EntryContext): Either<Failure, ChatPlan> {
 	const {headers, body, workspace, active} = request;
 	const facts = factsOf(body, {class: headers.class, session: headers.session !== ''});
 	const rule = active.policies.get(workspace)?.(facts);
@@ -66,17 +66,17 @@
 		return Left(failure('forbidden', `No policy rule of workspace ${workspace} matches the request`));
 	}
 
-	return headers.session === '' || headers.session === newSession
+	return headers.session === '' || headers.session === newSessionValue
 		? planByPolicy({...request, facts, rule}, context)
 		: planBySession({...request, facts, rule}, context);
 }
 
-type Classified = ChatArrival & {readonly facts: RequestFacts; readonly rule: PolicyRule};
+type Classified = ChatRequest & {readonly facts: RequestFacts; readonly rule: PolicyRule};
 
 function planBySession(request: Classified, context: EntryContext): Either<Failure, ChatPlan> {
 	const {workspace, headers, active} = request;
-	return sessionOf(headers.session, {workspace, keys: context.settings.keys.sessions}).chain(({model, version}) => {
-		const verdict = mayDispatch(active.effective, {
+	return verifySession(headers.session, {workspace, keys: context.settings.keys.sessions}).chain(({model, version}) => {
+		const verdict = checkDispatch(active.effective, {
 			workspace, model, version, isolated: active.isolated, isolatedServe: context.settings.isolation.serve,
 		});
 		if (verdict === 'isolated') {
@@ -104,7 +104,7 @@
 		return Left(failure('unknown-model', `Unknown model ${facts.model}; expected auto or a configured model`));
 	}
 
-	const isSession = headers.session === newSession;
+	const isSession = headers.session === newSessionValue;
 	const choice = chooseVersion(
 		{
 			id: requestId, workspace, facts, ...(named !== undefined && {namedModel: named}),
@@ -117,7 +117,7 @@
 			isolatedServe: context.settings.isolation.serve,
 			inProgress: target => context.inProgress.get(target),
 			quality: context.ratings.quality,
-			isStoppedHere: context.ratings.isStoppedHere,
+			isStoppedLocally: context.ratings.isStoppedHere,
 		},
 	);
 	return choice.map(result => toPlan(result, {request, isSession}, context));
@@ -128,7 +128,7 @@
 	readonly isSession: boolean;
 };
 
-function toPlan({chosen, belowTarget, considered}: Choice, {request, isSession}: ToPlanOptions, {clock, settings}: EntryContext): ChatPlan {
+function toPlan({chosen, belowTarget, considered}: VersionChoice, {request, isSession}: ToPlanOptions, {clock, settings}: EntryContext): ChatPlan {
 	const {model, version} = chosen;
 	const {workspace} = request;
 	return {
--- a/packages/daemon/src/entry/refuse.ts
+++ b/packages/daemon/src/entry/refuse.ts
@@ -1,6 +1,6 @@
 import {type ServerResponse} from 'node:http';
 import {type Failure, outcomeOf, type RequestId} from '@valehitch/core';
-import {answerProblem} from '@valehitch/transport';
+import {sendProblem} from '@valehitch/transport';
 import {type EntryContext} from './entry-context.js';
 
 /** A call to refuse. */
@@ -23,5 +23,5 @@
 export function refuse(call: RefusedCall, failed: Failure, context: EntryContext): void {
 	context.metrics.increment('request.refused', {kind: failed.kind});
 	context.timeline.record('request-refused', {requestId: call.requestId, details: {kind: failed.kind, outcome: outcomeOf(failed), message: failed.message}});
-	answerProblem(call.response, failed, {requestId: call.requestId});
+	sendProblem(call.response, failed, {requestId: call.requestId});
 }
--- a/packages/daemon/src/entry/report-silence.test.ts
+++ b/packages/daemon/src/entry/report-stalls.test.ts
@@ -1,7 +1,7 @@
 import {setTimeout as delay} from 'node:timers/promises';
 import test from 'ava';
 import {type AttemptOutput} from './attempt-output.js';
-import {reportSilence} from './report-silence.js';
+import {reportStalls} from './report-stalls.js';
 import {StallTimer} from './stall-timer.js';
 
 const stallMilliseconds = 40;
@@ -24,7 +24,7 @@
 test('each stall is reported once, and later outputs are forwarded', async t => {
 	const types: string[] = [];
 	const pause = 4 * stallMilliseconds;
-	for await (const {type} of reportSilence(paced([pause, pause, 0]), {stall: new StallTimer(stallMilliseconds), message})) {
+	for await (const {type} of reportStalls(paced([pause, pause, 0]), {stall: new StallTimer(stallMilliseconds), message})) {
 		types.push(type);
 	}
 
@@ -33,7 +33,7 @@
 
 test('a slow consumer does not count as a stall', async t => {
 	const types: string[] = [];
-	for await (const {type} of reportSilence(paced([0, 0, 0]), {stall: new StallTimer(stallMilliseconds), message})) {
+	for await (const {type} of reportStalls(paced([0, 0, 0]), {stall: new StallTimer(stallMilliseconds), message})) {
 		types.push(type);
 		await delay(2 * stallMilliseconds);
 	}
@@ -46,7 +46,7 @@
 	const outputs = paced([0, 0, 0], () => {
 		isEnded = true;
 	});
-	const reader = reportSilence(outputs, {stall: new StallTimer(stallMilliseconds), message});
+	const reader = reportStalls(outputs, {stall: new StallTimer(stallMilliseconds), message});
 	await reader.next();
 	await reader.return();
 	t.true(isEnded);
--- a/packages/daemon/src/entry/report-silence.ts
+++ b/packages/daemon/src/entry/report-stalls.ts
@@ -2,7 +2,7 @@
 import {type StallTimer} from './stall-timer.js';
 
 /** Options for {@linkcode reportStalls}. */
-export type ReportSilenceOptions = {
+export type ReportStallsOptions = {
 	/** The stall timer; restarted for each output, and by the producer when it receives data that yields no output. */
 	readonly stall: StallTimer;
 	/** The message of the `silent` outputs. */
@@ -20,12 +20,12 @@
 yield * reportStalls(outputs, {stall, message: 'No data received from the engine for 1500 ms'});
 ```
 */
-export async function * reportSilence(outputs: AsyncIterable<AttemptOutput>, {stall, message}: ReportSilenceOptions): AsyncGenerator<AttemptOutput, void> {
+export async function * reportStalls(outputs: AsyncIterable<AttemptOutput>, {stall, message}: ReportStallsOptions): AsyncGenerator<AttemptOutput, void> {
 	const iterator = outputs[Symbol.asyncIterator]();
 	try {
 		let next = iterator.next();
 		while (true) {
-			const result = await Promise.race([next, stall.expired()]);
+			const result = await Promise.race([next, stall.waitForExpiry()]);
 			if (result === undefined) {
 				yield {type: 'silent', message};
 				continue;
--- a/packages/daemon/src/entry/request-id.ts
+++ b/packages/daemon/src/entry/request-id.ts
@@ -14,7 +14,7 @@
 createRequestId(settings.instance, randomUUID());
 ```
 */
-export function requestIdOn(instance: InstanceId, unique: string): RequestId {
+export function createRequestId(instance: InstanceId, unique: string): RequestId {
 	return toId<RequestId>(`${unique}-${tagOf(instance)}`);
 }
 
@@ -29,7 +29,7 @@
 members.filter(({instance}) => mayOriginateFrom(request, instance));
 ```
 */
-export function mayBeFrom(request: RequestId, instance: InstanceId): boolean {
+export function mayOriginateFrom(request: RequestId, instance: InstanceId): boolean {
 	return request.endsWith(`-${tagOf(instance)}`);
 }
 
--- a/packages/daemon/src/entry/service-adapter.ts
+++ b/packages/daemon/src/entry/service-adapter.ts
@@ -1,7 +1,7 @@
 import {
 	failure, type Micros, type RequestId, type ServiceId, toId,
 } from '@valehitch/core';
-import {type DispatchDenial, type RequestTarget} from '@valehitch/routing';
+import {type DispatchDenialReason, type RequestTarget} from '@valehitch/routing';
 import {Left} from 'purify-ts';
 import {attemptEnd} from './attempt-end.js';
 import {type AttemptOutput} from './attempt-output.js';
@@ -9,7 +9,7 @@
 import {type AuthenticatedCall} from './handle-chat.js';
 import {
 	type ChooseServerAction, type DispatchAction, type RequestAdapter, type SendOptions, type ServerChoice,
-} from './life/request-adapter.js';
+} from './lifecycle/request-adapter.js';
 import {callService} from './service-call.js';
 import {stallMillisecondsOf} from './stall-milliseconds.js';
 import {observeAttempt} from './traffic/observe-attempt.js';
@@ -47,7 +47,7 @@
 export function serviceAdapter(plan: ServicePlan, {context, deadline}: ServiceAdapterOptions): RequestAdapter {
 	return {
 		chooseServer: action => chooseInstance(action, {plan, context}),
-		denialOf: () => denialOf(plan, context),
+		checkDispatch: () => denialOf(plan, context),
 		send: options => send(options, {plan, context, deadline}),
 		chooseVersion: lost => Left(failure('forbidden', `The workspace is no longer allowed to use service ${serviceOf(lost)}`)),
 		judge: () => ({verdict: 'accepted'}),
@@ -62,10 +62,10 @@
 };
 
 function chooseInstance(action: ChooseServerAction, {plan: {call: {requestId, workspace}, service}, context}: AdapterState): ServerChoice {
-	return context.picker.choose(action, {requestId, workspace, target: service});
+	return context.serverSelector.choose(action, {requestId, workspace, target: service});
 }
 
-function denialOf({call: {workspace}, service}: ServicePlan, context: EntryContext): DispatchDenial | undefined {
+function denialOf({call: {workspace}, service}: ServicePlan, context: EntryContext): DispatchDenialReason | undefined {
 	const document = context.active()?.effective.document;
 	const isAllowed = document?.services[service] !== undefined && document.workspaces[workspace]?.services.includes(service) === true;
 	return isAllowed ? undefined : 'not-allowed';
@@ -107,13 +107,13 @@
 	readonly context: EntryContext;
 };
 
-function recordResult({server, attempt, purpose}: DispatchAction, {output, requestId, context: {picker: serverSelector, decisions}}: RecordResultOptions): void {
+function recordResult({server, attempt, purpose}: DispatchAction, {output, requestId, context: {serverSelector: serverSelector, decisions}}: RecordResultOptions): void {
 	const {outcome, reason, failed} = attemptEnd(output);
-	decisions.attempt(requestId, {
+	decisions.recordAttempt(requestId, {
 		attempt, purpose, servers: decisions.get(requestId)?.attempts.find(known => known.attempt === attempt)?.servers ?? [], server, outcome, reason,
 	});
 	if (output.type !== 'not-run') {
-		serverSelector.record(server, failed);
+		serverSelector.recordOutcome(server, failed);
 	}
 }
 
--- a/packages/daemon/src/entry/service-call.ts
+++ b/packages/daemon/src/entry/service-call.ts
@@ -1,13 +1,13 @@
 import {type IncomingHttpHeaders, type OutgoingHttpHeaders} from 'node:http';
 import {type RequestId} from '@valehitch/core';
 import {
-	type HttpAnswer, type HttpCallFailure, readBody, sendHttp,
+	type HttpResponse, type HttpRequestFailure, readBody, sendHttpRequest,
 } from '@valehitch/transport';
 import {type AnswerHead, type AttemptOutput} from './attempt-output.js';
 import {readNotRun} from './not-run.js';
-import {reportSilence} from './report-silence.js';
+import {reportStalls} from './report-stalls.js';
 import {StallTimer} from './stall-timer.js';
-import {unansweredOutput} from './unanswered-output.js';
+import {failedCallOutput} from './failed-call-output.js';
 
 /** A single attempt to call an instance of a plain service. */
 export type ServiceCall = {
@@ -50,11 +50,11 @@
 */
 export async function * callService(call: ServiceCall): AsyncGenerator<AttemptOutput, void> {
 	const stall = new StallTimer(call.stallMilliseconds);
-	yield * reportSilence(readOutputs(call), {stall, message: `No data received from the service for ${call.stallMilliseconds} ms`});
+	yield * reportStalls(readOutputs(call), {stall, message: `No data received from the service for ${call.stallMilliseconds} ms`});
 }
 
 async function * readOutputs(call: ServiceCall): AsyncGenerator<AttemptOutput, void> {
-	const answer = await sendHttp({
+	const answer = await sendHttpRequest({
 		address: call.address,
 		method: call.method,
 		path: call.path,
@@ -68,10 +68,10 @@
 		return;
 	}
 
-	yield unansweredOutput(answer.extract() as HttpCallFailure, 'service');
+	yield failedCallOutput(answer.extract() as HttpRequestFailure, 'service');
 }
 
-async function * readAnswer(answer: HttpAnswer, call: ServiceCall): AsyncGenerator<AttemptOutput, void> {
+async function * readAnswer(answer: HttpResponse, call: ServiceCall): AsyncGenerator<AttemptOutput, void> {
 	const notRun = readNotRun(answer);
 	if (notRun !== undefined) {
 		yield notRun;
@@ -100,7 +100,7 @@
 	};
 }
 
-function headOf({status, headers}: HttpAnswer, length: number): AnswerHead {
+function headOf({status, headers}: HttpResponse, length: number): AnswerHead {
 	return {status, headers: {...pick(headers, headersToCaller), ...(length > 0 && {'content-length': String(length)})}};
 }
 
--- a/packages/daemon/src/entry/stall-timer.ts
+++ b/packages/daemon/src/entry/stall-timer.ts
@@ -1,4 +1,4 @@
-import {timeoutAfterInput} from '@valehitch/transport';
+import {setTimeoutAfterPoll} from '@valehitch/transport';
 
 /**
 Detects inactivity. Input that arrived while this process was paused is processed before the timer can expire.
@@ -22,7 +22,7 @@
 	}
 
 	/** Waits until the timer expires. A later call replaces an earlier one, which then never resolves. */
-	async expired(): Promise<void> {
+	async waitForExpiry(): Promise<void> {
 		return new Promise(resolve => {
 			this.#onExpired = resolve;
 		});
@@ -31,7 +31,7 @@
 	/** Restarts the timer after activity. */
 	touch(): void {
 		this.clear();
-		this.#stopTimeout = timeoutAfterInput(this.#milliseconds, () => {
+		this.#stopTimeout = setTimeoutAfterPoll(this.#milliseconds, () => {
 			this.#onExpired?.();
 		});
 	}
--- a/packages/daemon/src/entry/start-entry.ts
+++ b/packages/daemon/src/entry/start-entry.ts
@@ -1,31 +1,31 @@
 import {setTimeout as delay} from 'node:timers/promises';
-import {type ClaimAnswer} from '@valehitch/control';
+import {type ClaimResponse} from '@valehitch/control';
 import {type Failure, failure} from '@valehitch/core';
-import {DecisionRing, StageHistory} from '@valehitch/routing';
+import {DecisionHistory, StageHistory} from '@valehitch/routing';
 import {type Either, Left, Right} from 'purify-ts';
 import {match} from 'ts-pattern';
 import {type ControlClient} from '../control/control-client.js';
 import {type DaemonBase} from '../daemon-base.js';
 import {type DistributionPart} from '../distribution/start-distribution.js';
-import {type RatingsPart} from '../ratings/ratings-part.js';
-import {BillKeeper} from './bills/bill-keeper.js';
-import {HeldBills} from './bills/held-bills.js';
-import {keepRunKnown} from './bills/keep-run-known.js';
+import {type RatingsTracker} from '../ratings/ratings-tracker.js';
+import {BillStore} from './bills/bill-store.js';
+import {BillCopyStore} from './bills/bill-copy-store.js';
+import {startRunHeartbeat} from './bills/start-run-heartbeat.js';
 import {LedgerOutbox} from './bills/ledger-outbox.js';
-import {watchBills} from './bills/watch-bills.js';
-import {type ClaimCommand, ClaimKeeper} from './claim-keeper.js';
+import {startBillMaintenance} from './bills/start-bill-maintenance.js';
+import {type ClaimCommand, ClaimClient} from './claim-client.js';
 import {type EntryContext} from './entry-context.js';
-import {InProgress} from './in-progress.js';
+import {InProgressCounts} from './in-progress-counts.js';
 import {type EntryMessage, type HoldBillsReply} from './messages.js';
 import {RequestCounter} from './request-counter.js';
 import {AdmissionPools} from './traffic/admission-pools.js';
-import {ServerPicker} from './traffic/server-picker.js';
+import {ServerSelector} from './traffic/server-selector.js';
 
 /** The other parts of the daemon that the entry part uses. */
 export type StartEntryOptions = {
 	readonly control: ControlClient;
 	readonly distribution: DistributionPart;
-	readonly ratings: RatingsPart;
+	readonly ratings: RatingsTracker;
 };
 
 /** The part of the daemon that serves callers. */
@@ -62,22 +62,22 @@
 	const outbox = new LedgerOutbox({propose: async command => control.propose(command), wait});
 	const startedAt = base.clock.now().getTime();
 	const bills = createBillStore(base, {...options, outbox, startedAt});
-	const stopHeartbeat = keepRunKnown({instance: base.settings.instance, startedAt}, {
-		rememberedMilliseconds: base.settings.controlLimits.originMilliseconds,
-		tell: async running => control.propose({type: 'record-bills', bills: [], running}),
+	const stopHeartbeat = startRunHeartbeat({instance: base.settings.instance, startedAt}, {
+		retentionMilliseconds: base.settings.controlLimits.originMilliseconds,
+		report: async running => control.propose({type: 'record-bills', bills: [], running}),
 		onFailure(failed) {
 			base.log.info({failure: failed}, 'Could not report this run to the ledger; trying again at the next interval');
 		},
 	});
 	const billCopies = createBillCopyStore(base, bills);
 	const claims = createClaimClient(base, control);
-	claims.begin();
+	claims.initialize();
 	distribution.onInstanceLost(({instance}) => {
-		void claims.forget(instance);
+		void claims.markLost(instance);
 	});
 	const requests = new RequestCounter();
-	const decisions = new DecisionRing();
-	const serverSelector = new ServerPicker({
+	const decisions = new DecisionHistory();
+	const serverSelector = new ServerSelector({
 		...base, servers: distribution.servers, zone: base.settings.zone, decisions,
 	});
 	const admission = new AdmissionPools({...base, servers: distribution.servers, members: distribution.members});
@@ -85,7 +85,7 @@
 		admission.refresh();
 	}, admissionMilliseconds);
 	const closing = new AbortController();
-	const maintenance = watchBills({
+	const maintenance = startBillMaintenance({
 		bills, held: billCopies, members: distribution.members, network: base.network,
 	});
 	return {
@@ -95,14 +95,14 @@
 			active: distribution.active,
 			ratings: options.ratings,
 			admission,
-			picker: serverSelector,
+			serverSelector: serverSelector,
 			history: new StageHistory(),
 			decisions,
 			requests,
-			inProgress: new InProgress(),
-			runs: new Set(),
+			inProgress: new InProgressCounts(),
+			executions: new Set(),
 			bills,
-			held: billCopies,
+			billCopies: billCopies,
 			claims,
 		},
 		answer: async message => match(message)
@@ -141,10 +141,10 @@
 	readonly startedAt: number;
 };
 
-function createBillStore({self, clock, network, newId}: DaemonBase, {distribution, outbox, startedAt}: BillStoreParts): BillKeeper {
-	return new BillKeeper({
+function createBillStore({self, clock, network, newId}: DaemonBase, {distribution, outbox, startedAt}: BillStoreParts): BillStore {
+	return new BillStore({
 		self,
-		start: newId(),
+		runId: newId(),
 		startedAt,
 		clock,
 		outbox,
@@ -156,8 +156,8 @@
 	});
 }
 
-function createBillCopyStore({clock, timeline}: DaemonBase, bills: BillKeeper): HeldBills {
-	return new HeldBills({
+function createBillCopyStore({clock, timeline}: DaemonBase, bills: BillStore): BillCopyStore {
+	return new BillCopyStore({
 		clock,
 		maximumCopies,
 		lostAfterMilliseconds,
@@ -168,13 +168,13 @@
 	});
 }
 
-function createClaimClient({clock, log, settings: {instance}}: DaemonBase, control: ControlClient): ClaimKeeper {
-	return new ClaimKeeper({
+function createClaimClient({clock, log, settings: {instance}}: DaemonBase, control: ControlClient): ClaimClient {
+	return new ClaimClient({
 		instance,
 		clock,
 		wait,
-		forget: async lost => control.propose({type: 'instance-lost', instance: lost, at: clock.now().getTime()}),
-		async propose(command: ClaimCommand): Promise<Either<Failure, ClaimAnswer>> {
+		markLost: async lost => control.propose({type: 'instance-lost', instance: lost, at: clock.now().getTime()}),
+		async propose(command: ClaimCommand): Promise<Either<Failure, ClaimResponse>> {
 			const answer = await control.propose(command);
 			return answer.chain(reply => 'claim' in reply
 				? Right(reply)
--- a/packages/daemon/src/entry/traffic/admission-pools.test.ts
+++ b/packages/daemon/src/entry/traffic/admission-pools.test.ts
@@ -5,7 +5,7 @@
 import {ServerTable} from '@valehitch/membership';
 import {type RequestEvent} from '@valehitch/routing';
 import test from 'ava';
-import {AdmissionPools, type Demand} from './admission-pools.js';
+import {AdmissionPools, type AdmissionDemand} from './admission-pools.js';
 
 const zone = toId<ZoneId>('prairie-south-a');
 const model = toId<ModelId>('tag-small');
@@ -19,7 +19,7 @@
 function startPools(clock: Clock): AdmissionPools {
 	const table = new ServerTable({clock, zone, expiryMilliseconds: 60_000});
 	for (let index = 1; index <= servers; index++) {
-		table.take({
+		table.announce({
 			server: toId<ServerId>(`engine-${index}`), zone, kind: 'engine', address: `http://127.0.0.1:${index}`, models: [{model, version}],
 			capacity: slotsPerServer, active: 0, checksFencing: true, shuttingDown: false, sequence: 1, startedAt: 1,
 		});
@@ -33,7 +33,7 @@
 	});
 }
 
-function demandOf(id: number): Demand {
+function demandOf(id: number): AdmissionDemand {
 	return {
 		id: toId<RequestId>(`r${id}`), workspace: toId<WorkspaceId>('yard'), target: {type: 'version', model, version}, weight: 1, priority: 5, cost: estimatedTokens, deadline: 30_000,
 	};
--- a/packages/daemon/src/entry/traffic/admission-pools.ts
+++ b/packages/daemon/src/entry/traffic/admission-pools.ts
@@ -2,7 +2,7 @@
 	type Clock, type RequestId, versionKey, type WorkspaceId,
 } from '@valehitch/core';
 import {type ServerTable} from '@valehitch/membership';
-import {Admission, type RequestEvent, type RequestTarget} from '@valehitch/routing';
+import {AdmissionController, type RequestEvent, type RequestTarget} from '@valehitch/routing';
 import {type Member} from '../../member.js';
 
 /** Options of {@linkcode AdmissionPools}. */
@@ -15,7 +15,7 @@
 };
 
 /** A request for admission. */
-export type Demand = {
+export type AdmissionDemand = {
 	readonly id: RequestId;
 	readonly workspace: WorkspaceId;
 	readonly target: RequestTarget;
@@ -30,7 +30,7 @@
 };
 
 type Pool = {
-	readonly admission: Admission;
+	readonly admission: AdmissionController;
 	readonly target: RequestTarget;
 	/** Exponentially weighted means of the actual cost, the estimated cost and the duration of requests. */
 	meanCost: number;
@@ -86,7 +86,7 @@
 	@param demand The request.
 	@returns The event that admits or refuses the request, once its turn has come. A request that no server can serve is admitted, so that it fails with the reason.
 	*/
-	async admit(demand: Demand): Promise<RequestEvent> {
+	async admit(demand: AdmissionDemand): Promise<RequestEvent> {
 		const pool = this.#poolFor(demand);
 		const now = this.#options.clock.monotonic();
 		if (!this.#refresh(pool, now)) {
@@ -127,7 +127,7 @@
 		const beganAt = pool.beganAt.get(id);
 		if (beganAt === undefined) {
 			this.#waiting.delete(id);
-			this.#markAdmitted(pool, pool.admission.leave(id));
+			this.#markAdmitted(pool, pool.admission.cancel(id));
 			return;
 		}
 
@@ -155,7 +155,7 @@
 		}
 	}
 
-	#poolFor({target, cost}: Demand): Pool {
+	#poolFor({target, cost}: AdmissionDemand): Pool {
 		const key = target.type === 'version' ? versionKey(target.model, target.version) : target.service;
 		const known = this.#pools.get(key);
 		if (known !== undefined) {
@@ -163,7 +163,7 @@
 		}
 
 		const pool: Pool = {
-			admission: new Admission({capacity: 0}), target, meanCost: cost, meanEstimate: cost, meanMilliseconds: 0, sampleCount: 0, refreshedAt: Number.NEGATIVE_INFINITY, beganAt: new Map(),
+			admission: new AdmissionController({capacity: 0}), target, meanCost: cost, meanEstimate: cost, meanMilliseconds: 0, sampleCount: 0, refreshedAt: Number.NEGATIVE_INFINITY, beganAt: new Map(),
 		};
 		this.#pools.set(key, pool);
 		return pool;
@@ -186,7 +186,7 @@
 
 	#capacityOf({target, meanCost}: Pool): number {
 		let slots = 0;
-		for (const {announcement: {capacity, models, service}, state} of this.#options.servers.current()) {
+		for (const {announcement: {capacity, models, service}, state} of this.#options.servers.available()) {
 			const serves = target.type === 'service'
 				? service === target.service
 				: models.some(({model, version}) => model === target.model && version === target.version);
--- a/packages/daemon/src/entry/traffic/attempt-budgets.ts
+++ b/packages/daemon/src/entry/traffic/attempt-budgets.ts
@@ -19,9 +19,9 @@
 ```
 */
 export class AttemptBudgets {
-	readonly #retries = new RetryBudget({share: 0.2, floorPerSecond: 1, burst: 20});
-	readonly #resumes = new RetryBudget({share: 1, floorPerSecond: 1, burst: 256});
-	readonly #hedges = new RetryBudget({share: 0.05, floorPerSecond: 0.1, burst: 5});
+	readonly #retries = new RetryBudget({ratio: 0.2, minimumPerSecond: 1, burst: 20});
+	readonly #resumes = new RetryBudget({ratio: 1, minimumPerSecond: 1, burst: 256});
+	readonly #hedges = new RetryBudget({ratio: 0.05, minimumPerSecond: 0.1, burst: 5});
 
 	/**
 	Withdraws an attempt from its budget; a first attempt is always allowed and deposits into all budgets.
@@ -30,7 +30,7 @@
 	@param now The time, in milliseconds of the monotonic clock.
 	@returns Whether the attempt is allowed.
 	*/
-	allows({purpose, workspace, target}: BudgetedAttempt, now: number): boolean {
+	tryWithdraw({purpose, workspace, target}: BudgetedAttempt, now: number): boolean {
 		const key = `${workspace}/${target}`;
 		return match(purpose)
 			.with('first', () => {
--- a/packages/daemon/src/entry/traffic/server-picker.ts
+++ b/packages/daemon/src/entry/traffic/server-selector.ts
@@ -2,26 +2,26 @@
 	type Clock, type RandomSource, type RequestId, type ServerId, type WorkspaceId, type ZoneId,
 } from '@valehitch/core';
 import {
-	chooseServer, type DecisionRing, OutlierEjection, PrefixShares,
+	chooseServer, type DecisionHistory, OutlierEjection, PrefixFrequencies,
 } from '@valehitch/routing';
 import {type ServerTable} from '@valehitch/membership';
 import {type Timeline} from '../../timeline.js';
-import {type ChooseServerAction, type ServerChoice} from '../life/request-adapter.js';
+import {type ChooseServerAction, type ServerChoice} from '../lifecycle/request-adapter.js';
 import {AttemptBudgets} from './attempt-budgets.js';
 import {ServerViews} from './server-views.js';
 
 /** Options of a {@linkcode ServerSelector}. */
-export type ServerPickerOptions = {
+export type ServerSelectorOptions = {
 	readonly servers: ServerTable;
 	readonly zone: ZoneId;
 	readonly clock: Clock;
 	readonly random: RandomSource;
 	readonly timeline: Timeline;
-	readonly decisions: DecisionRing;
+	readonly decisions: DecisionHistory;
 };
 
 /** The request that needs a server. */
-export type ServerRequest = {
+export type SelectionRequest = {
 	readonly requestId: RequestId;
 	readonly workspace: WorkspaceId;
 	/** The version, as `versionKey` names it, or the service. */
@@ -40,14 +40,14 @@
 const choice = serverSelector.choose(action, {requestId, workspace, target});
 ```
 */
-export class ServerPicker {
-	readonly #options: ServerPickerOptions;
+export class ServerSelector {
+	readonly #options: ServerSelectorOptions;
 	readonly #ejection = new OutlierEjection();
 	readonly #budgets = new AttemptBudgets();
-	readonly #prefixes = new PrefixShares();
+	readonly #prefixes = new PrefixFrequencies();
 	readonly #views: ServerViews;
 
-	constructor(options: ServerPickerOptions) {
+	constructor(options: ServerSelectorOptions) {
 		this.#options = options;
 		this.#views = new ServerViews({...options, ejection: this.#ejection});
 	}
@@ -61,13 +61,13 @@
 	*/
 	choose({
 		attempt, purpose, excluded, budgeted,
-	}: ChooseServerAction, {requestId, workspace, target, prefix}: ServerRequest): ServerChoice {
+	}: ChooseServerAction, {requestId, workspace, target, prefix}: SelectionRequest): ServerChoice {
 		const {clock, zone, random, decisions} = this.#options;
 		const choice = chooseServer(this.#views.current(), {
 			target, excluded: new Set(excluded), zone, random, ...(prefix !== undefined && {prefix, prefixShare: this.#prefixes.count(prefix)}),
 		});
 		const recordDenial = (reason: string) => {
-			decisions.attempt(requestId, {
+			decisions.recordAttempt(requestId, {
 				attempt, purpose, servers: [], outcome: 'notRun', reason,
 			});
 		};
@@ -79,13 +79,13 @@
 		}
 
 		// The budget is checked last, so that an attempt without an available server does not use it up.
-		if (budgeted && !this.#budgets.allows({purpose, workspace, target}, clock.monotonic())) {
+		if (budgeted && !this.#budgets.tryWithdraw({purpose, workspace, target}, clock.monotonic())) {
 			recordDenial('the budget for additional attempts is exhausted');
 			return {type: 'none', reason: 'budget', retryAfterMilliseconds};
 		}
 
 		const {server, considered} = choice.unsafeCoerce();
-		decisions.attempt(requestId, {
+		decisions.recordAttempt(requestId, {
 			attempt, purpose, servers: considered, server,
 		});
 		return {type: 'chosen', server};
@@ -97,9 +97,9 @@
 	@param server The server.
 	@param failed Whether the failure is attributed to the server.
 	*/
-	record(server: ServerId, failed: boolean): void {
+	recordOutcome(server: ServerId, failed: boolean): void {
 		const {clock, servers, timeline} = this.#options;
-		if (this.#ejection.record(server, {failed, now: clock.monotonic(), servers: servers.current().length})) {
+		if (this.#ejection.record(server, {failed, now: clock.monotonic(), servers: servers.available().length})) {
 			timeline.record('server-ejected', {server});
 		}
 	}
--- a/packages/daemon/src/entry/traffic/server-views.ts
+++ b/packages/daemon/src/entry/traffic/server-views.ts
@@ -39,7 +39,7 @@
 		const {servers, clock} = this.#options;
 		const now = clock.monotonic();
 		const wallTime = clock.now().getTime();
-		const current = servers.current();
+		const current = servers.available();
 		this.#removeStale(current);
 		return current.map(known => this.#view(known, {now, wallTime}));
 	}
@@ -52,8 +52,8 @@
 			id: server,
 			zone,
 			capacity,
-			reportedActive: load * capacity,
-			ownAtReport: report.ownAtReport,
+			reportedInFlight: load * capacity,
+			ownInFlightAtReport: report.ownAtReport,
 			reportAge: now - seenAt,
 			ownInFlight: inFlight,
 			draining: state !== 'joined',
--- a/packages/daemon/src/entry/session-of.ts
+++ b/packages/daemon/src/entry/verify-session.ts
@@ -5,7 +5,7 @@
 import {type Either, Left, Right} from 'purify-ts';
 
 /** Options of {@linkcode verifySession}. */
-export type SessionOfOptions = {
+export type VerifySessionOptions = {
 	readonly workspace: WorkspaceId;
 	/** The signing keys; the token may be signed with any of them. */
 	readonly keys: readonly SessionKey[];
@@ -22,7 +22,7 @@
 verifySession(token, {workspace, keys: settings.keys.sessions}).map(session => session.version);
 ```
 */
-export function sessionOf(token: string, {workspace, keys}: SessionOfOptions): Either<Failure, Session> {
+export function verifySession(token: string, {workspace, keys}: VerifySessionOptions): Either<Failure, Session> {
 	return readSessionToken(token, keys).chain(session => session.workspace === workspace
 		? Right(session)
 		: Left(failure('session-invalid', 'The session token belongs to another workspace')));
--- a/packages/daemon/src/event-ring.test.ts
+++ b/packages/daemon/src/event-ring.test.ts
@@ -18,7 +18,7 @@
 
 	const from = after > count ? 0 : after;
 	const first = Math.max(from, count - capacity);
-	const page = ring.after(after);
+	const page = ring.readAfter(after);
 	t.deepEqual(page.events.map(({stamp}) => stamp.wall), Array.from({length: count - first}, (_, index) => first + index));
 	t.deepEqual([page.next, page.dropped], [count, first - from]);
 }, {seed: 8, numRuns: 300});
--- a/packages/daemon/src/event-ring.ts
+++ b/packages/daemon/src/event-ring.ts
@@ -53,7 +53,7 @@
 	@param position The number of events to skip, which is `next` of the previous page. A position beyond the last event stems from before a restart and returns all retained events.
 	@returns The page of events.
 	*/
-	after(position: number): EventPage {
+	readAfter(position: number): EventPage {
 		const start = position > this.#addedCount ? 0 : position;
 		const first = Math.max(start, this.#addedCount - this.#capacity);
 		const events: TimelineEvent[] = [];
--- a/packages/daemon/src/mod.ts
+++ b/packages/daemon/src/mod.ts
@@ -3,4 +3,4 @@
 
 @module
 */
-export * from './wire.js';
+export * from './start-daemon.js';
--- a/packages/daemon/src/operators/apply-configuration.ts
+++ b/packages/daemon/src/operators/apply-configuration.ts
@@ -4,7 +4,7 @@
 } from '@valehitch/core';
 import {compilePolicies} from '@valehitch/policy';
 import {checkReferences} from '@valehitch/settings';
-import {answerProblem, parseJsonBody, readBody} from '@valehitch/transport';
+import {sendProblem, parseJsonBody, readBody} from '@valehitch/transport';
 import {type Either, Left, Right} from 'purify-ts';
 import {answerJson} from '../answer-json.js';
 import {bearerDigest} from '../bearer.js';
@@ -37,7 +37,7 @@
 	const body = await readBody(request, maximumConfigurationBytes);
 	const change = body.chain(bytes => readChange(request, bytes));
 	if (change.isLeft()) {
-		answerProblem(response, change.extract());
+		sendProblem(response, change.extract());
 		return;
 	}
 
@@ -52,7 +52,7 @@
 		at: context.base.clock.now().getTime(),
 	});
 	if (result.isLeft()) {
-		answerProblem(response, result.extract());
+		sendProblem(response, result.extract());
 		return;
 	}
 
@@ -80,7 +80,7 @@
 }
 
 function readDocument(bytes: Uint8Array): Either<Failure, Configuration> {
-	return parseJsonBody({bytes, schema: configurationSchema}, {misfitKind: 'invalid-configuration'}).chain(checkDocument);
+	return parseJsonBody({bytes, schema: configurationSchema}, {schemaMismatchKind: 'invalid-configuration'}).chain(checkDocument);
 }
 
 function checkDocument(document: Configuration): Either<Failure, Configuration> {
--- a/packages/daemon/src/operators/change-rollout.ts
+++ b/packages/daemon/src/operators/change-rollout.ts
@@ -3,7 +3,7 @@
 import {
 	type Failure, type ModelId, toId, type VersionId,
 } from '@valehitch/core';
-import {answerProblem, parseJsonBody, readBody} from '@valehitch/transport';
+import {sendProblem, parseJsonBody, readBody} from '@valehitch/transport';
 import {type Either} from 'purify-ts';
 import * as z from 'zod';
 import {answerJson} from '../answer-json.js';
@@ -37,14 +37,14 @@
 	const body = await readBody(request, maximumBytes);
 	const change = body.chain(bytes => parseChange(bytes));
 	if (change.isLeft()) {
-		answerProblem(response, change.extract());
+		sendProblem(response, change.extract());
 		return;
 	}
 
 	const result = await control.propose(toCommand(change.unsafeCoerce(), base.clock.now().getTime()));
 	result.caseOf({
 		Left(failed) {
-			answerProblem(response, failed);
+			sendProblem(response, failed);
 		},
 		Right({revision}) {
 			answerJson(response, {revision, committed: true});
@@ -65,5 +65,5 @@
 }
 
 function parseChange(bytes: Uint8Array): Either<Failure, RolloutChange> {
-	return parseJsonBody({bytes, schema: changeSchema}, {notJson: 'The body is not JSON; expected a rollout change'});
+	return parseJsonBody({bytes, schema: changeSchema}, {invalidJsonMessage: 'The body is not JSON; expected a rollout change'});
 }
--- a/packages/daemon/src/operators/explain.ts
+++ b/packages/daemon/src/operators/explain.ts
@@ -1,9 +1,9 @@
 import {type ServerResponse} from 'node:http';
 import {type RequestId, toId} from '@valehitch/core';
 import {type DecisionRecord} from '@valehitch/routing';
-import {answerProblem} from '@valehitch/transport';
+import {sendProblem} from '@valehitch/transport';
 import {answerJson} from '../answer-json.js';
-import {mayBeFrom} from '../entry/request-id.js';
+import {mayOriginateFrom} from '../entry/request-id.js';
 import {findDecisions} from './find-decisions.js';
 import {type OperatorContext} from './operator-context.js';
 
@@ -26,11 +26,11 @@
 await respondWithDecisions(response, '/v1/explain/REQUEST_ID', context);
 ```
 */
-export async function answerExplain(response: ServerResponse, pathname: string, {base: {network, self}, distribution, entry}: OperatorContext): Promise<void> {
+export async function respondWithDecisions(response: ServerResponse, pathname: string, {base: {network, self}, distribution, entry}: OperatorContext): Promise<void> {
 	const request = toId<RequestId>(pathname.slice(explainPath.length));
-	const others = distribution.members().filter(({instance}) => instance !== self.instance && mayBeFrom(request, instance));
+	const others = distribution.members().filter(({instance}) => instance !== self.instance && mayOriginateFrom(request, instance));
 	const found = await findDecisions(request, {
-		own: entry.decisions.get(request),
+		local: entry.decisions.get(request),
 		others: others.slice(0, maximumQueriedInstances),
 		async ask(other) {
 			const reply = await network.request(other, {scope: 'entry', type: 'explain', request});
@@ -39,7 +39,7 @@
 	});
 	found.caseOf({
 		Left(failed) {
-			answerProblem(response, failed);
+			sendProblem(response, failed);
 		},
 		Right(record) {
 			answerJson(response, record);
--- a/packages/daemon/src/operators/find-decisions.test.ts
+++ b/packages/daemon/src/operators/find-decisions.test.ts
@@ -17,25 +17,25 @@
 const unreachable = failure('no-quorum', 'No connection to entry-b');
 
 test('a local record is returned without querying other instances', async t => {
-	const found = await findDecisions(request, {own: record, others, ask: async () => t.fail()});
+	const found = await findDecisions(request, {local: record, others, ask: async () => t.fail()});
 	t.deepEqual(found, Right(record));
 });
 
 test('a record is found although another instance is unreachable', async t => {
 	const found = await findDecisions(request, {
-		own: undefined, others, ask: async ({instance}) => instance === 'entry-b' ? Left(unreachable) : Right(record),
+		local: undefined, others, ask: async ({instance}) => instance === 'entry-b' ? Left(unreachable) : Right(record),
 	});
 	t.deepEqual(found, Right(record));
 });
 
 test('an unreachable instance results in its failure, not in not-found', async t => {
 	const found = await findDecisions(request, {
-		own: undefined, others, ask: async ({instance}) => instance === 'entry-b' ? Left(unreachable) : Right(undefined),
+		local: undefined, others, ask: async ({instance}) => instance === 'entry-b' ? Left(unreachable) : Right(undefined),
 	});
 	t.deepEqual(found, Left(unreachable));
 });
 
 test('a request without a record on any instance is not found', async t => {
-	const found = await findDecisions(request, {own: undefined, others, ask: async () => Right(undefined)});
+	const found = await findDecisions(request, {local: undefined, others, ask: async () => Right(undefined)});
 	t.is(found.swap().toMaybe().extractNullable()?.kind, 'not-found');
 });
--- a/packages/daemon/src/operators/find-decisions.ts
+++ b/packages/daemon/src/operators/find-decisions.ts
@@ -6,7 +6,7 @@
 /** Where to look for the decisions of a request. */
 export type FindDecisionsOptions = {
 	/** The record of this instance, if it has one. */
-	readonly own: DecisionRecord | undefined;
+	readonly local: DecisionRecord | undefined;
 	/** The other instances whose tag matches the one in the request id. */
 	readonly others: readonly Member[];
 	/** Queries another instance; the result is undefined if it has no record. */
@@ -26,7 +26,7 @@
 const found = await findDecisions(request, {local: decisions.get(request), others, ask});
 ```
 */
-export async function findDecisions(request: RequestId, {own: local, others, ask}: FindDecisionsOptions): Promise<Either<Failure, DecisionRecord>> {
+export async function findDecisions(request: RequestId, {local: local, others, ask}: FindDecisionsOptions): Promise<Either<Failure, DecisionRecord>> {
 	if (local !== undefined) {
 		return Right(local);
 	}
--- a/packages/daemon/src/operators/handle-operator.ts
+++ b/packages/daemon/src/operators/handle-operator.ts
@@ -1,14 +1,14 @@
 import {type IncomingMessage, type ServerResponse} from 'node:http';
 import process from 'node:process';
 import {failure} from '@valehitch/core';
-import {answerProblem} from '@valehitch/transport';
+import {sendProblem} from '@valehitch/transport';
 import {answerJson} from '../answer-json.js';
 import {bearerDigest} from '../bearer.js';
 import {issueOrder, listOrders} from '../control/orders/handle-orders.js';
 import {applyConfiguration} from './apply-configuration.js';
 import {changeRollout} from './change-rollout.js';
-import {cutLinks} from './cut-links.js';
-import {answerExplain, explainPath} from './explain.js';
+import {injectLinkFaults} from './inject-link-faults.js';
+import {respondWithDecisions, explainPath} from './explain.js';
 import {type OperatorContext} from './operator-context.js';
 
 /**
@@ -24,14 +24,14 @@
 */
 export async function handleOperator(request: IncomingMessage, response: ServerResponse, context: OperatorContext): Promise<void> {
 	if (!context.base.settings.keys.operators.includes(bearerDigest(request) ?? '')) {
-		answerProblem(response, failure('unauthenticated', 'Missing or unknown operator key; send Authorization: Bearer KEY'));
+		sendProblem(response, failure('unauthenticated', 'Missing or unknown operator key; send Authorization: Bearer KEY'));
 		return;
 	}
 
 	const url = new URL(request.url ?? '/', 'http://operators.invalid');
 	const route = `${request.method ?? ''} ${url.pathname}`;
 	if (request.method === 'GET' && url.pathname.startsWith(explainPath)) {
-		await answerExplain(response, url.pathname, context);
+		await respondWithDecisions(response, url.pathname, context);
 		return;
 	}
 
@@ -47,7 +47,7 @@
 		}
 
 		case 'POST /v1/faults/links': {
-			await cutLinks(request, response, context.base);
+			await injectLinkFaults(request, response, context.base);
 			return;
 		}
 
@@ -82,7 +82,7 @@
 		}
 
 		default: {
-			answerProblem(response, failure('not-found', `No route for ${route}; docs/API.md lists the routes`));
+			sendProblem(response, failure('not-found', `No route for ${route}; docs/API.md lists the routes`));
 		}
 	}
 }
@@ -109,7 +109,7 @@
 		members: distribution.members().length,
 		traffic: network.traffic,
 		process: {...toCpuUsage(process.cpuUsage()), residentBytes: process.memoryUsage.rss()},
-		servers: distribution.servers.current().map(({announcement, inFlight, state, load}) => ({
+		servers: distribution.servers.available().map(({announcement, inFlight, state, load}) => ({
 			...announcement, inFlight, state, load,
 		})),
 	});
@@ -130,7 +130,7 @@
 	});
 	page.caseOf({
 		Left(failed) {
-			answerProblem(response, failed);
+			sendProblem(response, failed);
 		},
 		Right(bills) {
 			answerJson(response, bills);
@@ -141,7 +141,7 @@
 function answerTimeline(url: URL, response: ServerResponse, {base: {events}}: OperatorContext): void {
 	const after = readAfter(url, response);
 	if (after !== undefined) {
-		answerJson(response, events.after(after));
+		answerJson(response, events.readAfter(after));
 	}
 }
 
@@ -153,6 +153,6 @@
 		return after;
 	}
 
-	answerProblem(response, failure('malformed-request', `after: got ${text}, expected a non-negative integer`));
+	sendProblem(response, failure('malformed-request', `after: got ${text}, expected a non-negative integer`));
 	return undefined;
 }
--- a/packages/daemon/src/operators/cut-links.ts
+++ b/packages/daemon/src/operators/inject-link-faults.ts
@@ -2,7 +2,7 @@
 import {
 	type Failure, failure, type InstanceId, toId,
 } from '@valehitch/core';
-import {answerProblem, parseJsonBody, readBody} from '@valehitch/transport';
+import {sendProblem, parseJsonBody, readBody} from '@valehitch/transport';
 import {type Either} from 'purify-ts';
 import * as z from 'zod';
 import {answerJson} from '../answer-json.js';
@@ -22,19 +22,19 @@
 await injectLinkFaults(request, response, base);
 ```
 */
-export async function cutLinks(request: IncomingMessage, response: ServerResponse, {settings, network, log}: DaemonBase): Promise<void> {
+export async function injectLinkFaults(request: IncomingMessage, response: ServerResponse, {settings, network, log}: DaemonBase): Promise<void> {
 	if (!settings.faults) {
-		answerProblem(response, failure('not-found', 'No route for POST /v1/faults/links; docs/API.md lists the routes'));
+		sendProblem(response, failure('not-found', 'No route for POST /v1/faults/links; docs/API.md lists the routes'));
 		return;
 	}
 
 	const body = await readBody(request, maximumBytes);
 	body.chain(bytes => parseCut(bytes)).caseOf({
 		Left(failed) {
-			answerProblem(response, failed);
+			sendProblem(response, failed);
 		},
 		Right(cut) {
-			network.cut(new Set(cut));
+			network.setBlockedInstances(new Set(cut));
 			log.warn({cut}, 'Links to other instances are cut for fault injection');
 			answerJson(response, {cut});
 		},
@@ -42,6 +42,6 @@
 }
 
 function parseCut(bytes: Uint8Array): Either<Failure, readonly InstanceId[]> {
-	return parseJsonBody({bytes, schema: cutSchema}, {misfit: 'The body does not match {"cut": [INSTANCE]}'})
+	return parseJsonBody({bytes, schema: cutSchema}, {schemaMismatchMessage: 'The body does not match {"cut": [INSTANCE]}'})
 		.map(({cut}) => cut.map(instance => toId<InstanceId>(instance)));
 }
--- a/packages/daemon/src/ratings/bad-version-settings-of.ts
+++ b/packages/daemon/src/ratings/bad-version-settings-of.ts
@@ -1,5 +1,5 @@
 import {type BadVersionSettingsByMeasure, defaultBadVersionSettings} from '@valehitch/policy';
-import {type BadVersionSettings, type Settings} from '@valehitch/settings';
+import {type BadVersionThresholds, type Settings} from '@valehitch/settings';
 
 /**
 Converts the daemon settings to the settings of the bad-version tests.
@@ -12,7 +12,7 @@
 ```
 */
 export function badVersionSettingsOf({badVersions}: Pick<Settings, 'badVersions'>): BadVersionSettingsByMeasure {
-	const withDefaults = (measure: 'ratings' | 'failures', {tolerance, falseAlarmShare, horizon}: BadVersionSettings) => ({
+	const withDefaults = (measure: 'ratings' | 'failures', {tolerance, falseAlarmShare, horizon}: BadVersionThresholds) => ({
 		...defaultBadVersionSettings[measure],
 		tolerance,
 		detector: {falseAlarmShare, horizon},
--- a/packages/daemon/src/ratings/evidence-keeper.ts
+++ b/packages/daemon/src/ratings/evidence-collector.ts
@@ -1,11 +1,11 @@
 import {type EffectiveConfiguration, type InstanceId, toId} from '@valehitch/core';
 import {
-	type BadVersionAlarm, type BadVersionSettingsByMeasure, EvidenceTable, QualityBook,
+	type BadVersionAlarm, type BadVersionSettingsByMeasure, EvidenceAggregator, QualityStore,
 } from '@valehitch/policy';
 import {type RatingSummary, type RatingSummaryReply} from './rating-summary.js';
 
 /** The dependencies of an `EvidenceAggregator`. */
-export type EvidenceKeeperOptions = {
+export type EvidenceCollectorOptions = {
 	readonly instance: InstanceId;
 	/** When the instance became leader, in milliseconds since the Unix epoch. */
 	readonly startedAt: number;
@@ -28,15 +28,15 @@
 aggregator.table.evidence(target, progress.stageStartedAt).ratings;
 ```
 */
-export class EvidenceKeeper {
-	readonly table: EvidenceTable;
-	readonly #options: EvidenceKeeperOptions;
-	readonly #book: QualityBook;
+export class EvidenceCollector {
+	readonly table: EvidenceAggregator;
+	readonly #options: EvidenceCollectorOptions;
+	readonly #book: QualityStore;
 
-	constructor(options: EvidenceKeeperOptions) {
+	constructor(options: EvidenceCollectorOptions) {
 		this.#options = options;
-		this.#book = new QualityBook({instance: toId<InstanceId>(`${options.instance}/evidence`), startedAt: options.startedAt, maximumEntries});
-		this.table = new EvidenceTable(options.badVersions);
+		this.#book = new QualityStore({instance: toId<InstanceId>(`${options.instance}/evidence`), startedAt: options.startedAt, maximumEntries});
+		this.table = new EvidenceAggregator(options.badVersions);
 	}
 
 	/**
@@ -45,7 +45,7 @@
 	@param summary The summary; merging it again has no effect.
 	@returns The sums over the other instances for the estimates in the summary.
 	*/
-	take(summary: RatingSummary): RatingSummaryReply {
+	mergeSummary(summary: RatingSummary): RatingSummaryReply {
 		const {onAlarm, now} = this.#options;
 		this.#book.merge(summary);
 		for (const report of summary.evidence) {
@@ -55,7 +55,7 @@
 			}
 		}
 
-		return {others: this.#book.others([...summary.entries, ...summary.asked], {except: summary, now: now()})};
+		return {others: this.#book.aggregateExcept([...summary.entries, ...summary.asked], {except: summary, now: now()})};
 	}
 
 	/**
@@ -63,8 +63,8 @@
 
 	@param configuration The current configuration.
 	*/
-	tidy(configuration: EffectiveConfiguration): void {
-		this.#book.forget(this.#options.now());
+	prune(configuration: EffectiveConfiguration): void {
+		this.#book.evictDecayed(this.#options.now());
 		this.table.retain(configuration);
 	}
 }
--- a/packages/daemon/src/ratings/handle-ratings.ts
+++ b/packages/daemon/src/ratings/handle-ratings.ts
@@ -1,9 +1,9 @@
 import {type IncomingMessage, type ServerResponse} from 'node:http';
 import {type Failure} from '@valehitch/core';
-import {answerProblem, parseJsonBody, readBody} from '@valehitch/transport';
+import {sendProblem, parseJsonBody, readBody} from '@valehitch/transport';
 import {type Either} from 'purify-ts';
 import {answerJson} from '../answer-json.js';
-import {type IntakeCount} from './rating-intake.js';
+import {type RatingCounts} from './record-ratings.js';
 import {type Rating, ratingsSchema} from './rating.js';
 
 /** The path to which the rating service posts ratings. */
@@ -22,12 +22,12 @@
 await handleRatings(request, response, ratings => tracker.recordRatings(ratings));
 ```
 */
-export async function handleRatings(request: IncomingMessage, response: ServerResponse, onRatings: (ratings: readonly Rating[]) => IntakeCount): Promise<void> {
+export async function handleRatings(request: IncomingMessage, response: ServerResponse, onRatings: (ratings: readonly Rating[]) => RatingCounts): Promise<void> {
 	const body = await readBody(request, maximumRatingsBytes);
 	const ratings = body.chain(parseRatings);
 	ratings.caseOf({
 		Left(failed) {
-			answerProblem(response, failed);
+			sendProblem(response, failed);
 		},
 		Right(parsed) {
 			answerJson(response, onRatings(parsed));
@@ -37,6 +37,6 @@
 
 function parseRatings(bytes: Uint8Array): Either<Failure, readonly Rating[]> {
 	return parseJsonBody({bytes, schema: ratingsSchema}, {
-		misfit: 'The body does not match {requestId, model, version, workspace, class, rating, ratedAt} or a list of at most 1000 of them',
+		schemaMismatchMessage: 'The body does not match {requestId, model, version, workspace, class, rating, ratedAt} or a list of at most 1000 of them',
 	});
 }
--- a/packages/daemon/src/ratings/ratings-part.test.ts
+++ b/packages/daemon/src/ratings/ratings-tracker.test.ts
@@ -4,10 +4,10 @@
 } from '@valehitch/core';
 import {type BadVersionAlarm} from '@valehitch/policy';
 import {pack} from 'msgpackr';
-import {EvidenceKeeper} from './evidence-keeper.js';
+import {EvidenceCollector} from './evidence-collector.js';
 import {type Rating, ratingsSchema} from './rating.js';
-import {RatingsPart} from './ratings-part.js';
-import {RequestMemory} from './request-memory.js';
+import {RatingsTracker} from './ratings-tracker.js';
+import {ServedRequestCache} from './served-request-cache.js';
 import {SummaryQueue} from './summary-queue.js';
 
 const workspace = toId<WorkspaceId>('yard');
@@ -41,13 +41,13 @@
 };
 
 type TestInstance = {
-	readonly tracker: RatingsPart;
+	readonly tracker: RatingsTracker;
 	readonly alarms: BadVersionAlarm[];
 };
 
 function createInstance(name: string): TestInstance {
 	const alarms: BadVersionAlarm[] = [];
-	const tracker = new RatingsPart({
+	const tracker = new RatingsTracker({
 		instance: toId<InstanceId>(name),
 		startedAt: 1,
 		now: () => 1000,
@@ -70,20 +70,20 @@
 
 test('a rating counts once, for the version that served the request; ratings with unknown ids are counted and ignored', t => {
 	const {tracker} = createInstance('a');
-	tracker.remember({
+	tracker.addServedRequest({
 		requestId: toId<RequestId>('r1'), ...replaced, workspace, rule: 'lookup', measure: 'rating', ranAt: 500,
 	});
-	t.deepEqual(tracker.take([createRating('r1', 0.1)]), {accepted: 1, doubled: 0, unknown: 0});
+	t.deepEqual(tracker.recordRatings([createRating('r1', 0.1)]), {accepted: 1, doubled: 0, unknown: 0});
 	t.is(tracker.quality(key, {value: 0.85}).weight, 0);
 	t.true(tracker.quality({...key, ...replaced}, {value: 0.85}).weight > 0.99);
-	t.deepEqual(tracker.take([createRating('r1', 0.1), createRating('r2', 0.1), createRating('r2', 0.9)]), {accepted: 1, doubled: 2, unknown: 0});
+	t.deepEqual(tracker.recordRatings([createRating('r1', 0.1), createRating('r2', 0.1), createRating('r2', 0.9)]), {accepted: 1, doubled: 2, unknown: 0});
 	const unknownRatings = [
 		createRating('r3', 1, {model: toId<ModelId>('constructor')}),
 		createRating('r4', 1, {version: toId<VersionId>('9')}),
 		createRating('r5', 1, {workspace: toId<WorkspaceId>('nobody')}),
 	];
-	t.deepEqual(tracker.take(unknownRatings), {accepted: 0, doubled: 0, unknown: 3});
-	t.deepEqual(tracker.take([createRating('r6', 1, {class: 'invented'})]), {accepted: 1, doubled: 0, unknown: 0});
+	t.deepEqual(tracker.recordRatings(unknownRatings), {accepted: 0, doubled: 0, unknown: 3});
+	t.deepEqual(tracker.recordRatings([createRating('r6', 1, {class: 'invented'})]), {accepted: 1, doubled: 0, unknown: 0});
 	t.true(tracker.quality(key, {value: 0.85}).weight < 1.01);
 });
 
@@ -91,12 +91,12 @@
 	const {tracker, alarms} = createInstance('a');
 	const request = {workspace, rule: 'lookup', ranAt: 900};
 	for (let index = 0; index < 100; index += 1) {
-		tracker.noteOutcome({...request, ...replaced}, false);
+		tracker.recordOutcome({...request, ...replaced}, false);
 	}
 
 	t.false(tracker.isStoppedHere(rollingOut));
 	for (let index = 0; index < 60; index += 1) {
-		tracker.noteOutcome({...request, ...rollingOut}, index % 2 === 0);
+		tracker.recordOutcome({...request, ...rollingOut}, index % 2 === 0);
 	}
 
 	t.true(tracker.isStoppedHere(rollingOut));
@@ -107,7 +107,7 @@
 
 test('summaries are small, make up for lost ones, and give every instance the sums over all instances', t => {
 	const alarms: BadVersionAlarm[] = [];
-	const aggregator = new EvidenceKeeper({
+	const aggregator = new EvidenceCollector({
 		instance: toId<InstanceId>('a'),
 		startedAt: 1,
 		now: () => 1000,
@@ -119,13 +119,13 @@
 	let largest = 0;
 	for (const [round, {tracker}] of instances.entries()) {
 		const ratings = Array.from({length: 8}, (_, index) => createRating(`r${round}-${index}`, 0.2));
-		tracker.take(ratings);
+		tracker.recordRatings(ratings);
 		for (const target of [replaced, rollingOut]) {
 			for (const name of ['lookup', 'reconcile', 'summary']) {
-				tracker.noteOutcome({
+				tracker.recordOutcome({
 					...target, workspace, rule: name, ranAt: 900,
 				}, false);
-				tracker.noteEscalation({
+				tracker.recordEscalation({
 					...target, workspace, rule: name, ranAt: 900,
 				}, false);
 			}
@@ -139,8 +139,8 @@
 			const summary = tracker.summarize();
 			if (summary !== undefined) {
 				largest = Math.max(largest, pack(summary).byteLength);
-				tracker.takeReply(aggregator.take(structuredClone(summary)));
-				tracker.takeReply(aggregator.take(structuredClone(summary)));
+				tracker.applyReply(aggregator.mergeSummary(structuredClone(summary)));
+				tracker.applyReply(aggregator.mergeSummary(structuredClone(summary)));
 			}
 		}
 	}
@@ -154,43 +154,43 @@
 	t.is(alarms.length, 1);
 	t.is(aggregator.table.evidence(rollingOut, 0).ratings, 0);
 	t.deepEqual(aggregator.table.evidence(rollingOut, 0).alarm, alarms[0]);
-	aggregator.tidy({...configuration, document: {...configuration.document, models: {}}});
+	aggregator.prune({...configuration, document: {...configuration.document, models: {}}});
 	t.is(aggregator.table.evidence(rollingOut, 0).alarm, undefined);
 });
 
 test('evidence on a suspected version is reported immediately, only when it grew, and ahead of earlier changes', t => {
 	const {tracker} = createInstance('a');
 	for (const target of [replaced, rollingOut]) {
-		tracker.noteOutcome({
+		tracker.recordOutcome({
 			...target, workspace, rule: 'lookup', ranAt: 900,
 		}, false);
 	}
 
-	tracker.take([createRating('g1', 0.85, replaced), createRating('g2', 0.85)]);
+	tracker.recordRatings([createRating('g1', 0.85, replaced), createRating('g2', 0.85)]);
 	t.is(tracker.summarizeSuspects(), undefined);
-	tracker.take([createRating('b1', 0.1), createRating('b2', 0.1), createRating('b3', 0.1)]);
+	tracker.recordRatings([createRating('b1', 0.1), createRating('b2', 0.1), createRating('b3', 0.1)]);
 	t.like(tracker.summarizeSuspects()?.evidence, {0: {...rollingOut, measure: 'ratings', count: 4}, length: 1});
 	t.is(tracker.summarizeSuspects(), undefined);
-	tracker.take([createRating('b4', 0.1)]);
+	tracker.recordRatings([createRating('b4', 0.1)]);
 	t.true(tracker.summarize()?.evidence.some(({version, count}) => version === rollingOut.version && count === 5));
 	t.is(tracker.summarizeSuspects(), undefined);
 });
 
 test('the cache of served requests and the summary queue stay within their capacity', t => {
-	const cache = new RequestMemory(10);
+	const cache = new ServedRequestCache(10);
 	const queue = new SummaryQueue<number>({capacity: 10});
 	for (let index = 0; index < 100; index += 1) {
 		const requestId = toId<RequestId>(`r${index}`);
-		cache.remember({
+		cache.add({
 			requestId, ...rollingOut, workspace, rule: 'lookup', measure: 'rating', ranAt: index,
 		});
-		queue.touch(`k${index}`, index);
+		queue.markChanged(`k${index}`, index);
 	}
 
-	t.is(cache.recall(toId<RequestId>('r0')), 'unknown');
-	t.like(cache.recall(toId<RequestId>('r99')), {ranAt: 99});
-	t.is(cache.recall(toId<RequestId>('r99')), 'rated');
-	const taken = new Set([...queue.take(6), ...queue.take(6)]);
+	t.is(cache.markRated(toId<RequestId>('r0')), 'unknown');
+	t.like(cache.markRated(toId<RequestId>('r99')), {ranAt: 99});
+	t.is(cache.markRated(toId<RequestId>('r99')), 'rated');
+	const taken = new Set([...queue.next(6), ...queue.next(6)]);
 	t.deepEqual([...taken].toSorted((left, right) => left - right), [90, 91, 92, 93, 94, 95, 96, 97, 98, 99]);
 });
 
--- a/packages/daemon/src/ratings/ratings-part.ts
+++ b/packages/daemon/src/ratings/ratings-tracker.ts
@@ -3,16 +3,16 @@
 } from '@valehitch/core';
 import {
 	type BadVersionAlarm, BadVersionMonitor, type BadVersionSettingsByMeasure, type EvidenceReport, LocalStops, type VersionTarget,
-	type Estimate, type Prior, QualityBook, qualityClass, type QualityKey, type QualityMeasure, type QualityObservation,
+	type Estimate, type Prior, QualityStore, qualityClass, type QualityKey, type QualityMeasure, type QualityObservation,
 } from '@valehitch/policy';
-import {type IntakeCount, takeRatings} from './rating-intake.js';
+import {type RatingCounts, recordRatings} from './record-ratings.js';
 import {type RatingSummary, type RatingSummaryReply} from './rating-summary.js';
 import {type Rating} from './rating.js';
-import {RequestMemory, type ServedRequest} from './request-memory.js';
+import {ServedRequestCache, type ServedRequest} from './served-request-cache.js';
 import {SummaryQueue} from './summary-queue.js';
 
 /** The dependencies of a `RatingsTracker`. */
-export type RatingsOptions = {
+export type RatingsTrackerOptions = {
 	readonly instance: InstanceId;
 	/** When the instance started, in milliseconds since the Unix epoch. */
 	readonly startedAt: number;
@@ -54,25 +54,25 @@
 chooseVersion(request, {configuration, rule, isServed, quality: ratings.quality, isStoppedHere: ratings.isStoppedHere});
 ```
 */
-export class RatingsPart {
-	readonly #options: RatingsOptions;
-	readonly #book: QualityBook;
+export class RatingsTracker {
+	readonly #options: RatingsTrackerOptions;
+	readonly #book: QualityStore;
 	readonly #monitor: BadVersionMonitor;
 	readonly #stops = new LocalStops();
-	readonly #servedRequests: RequestMemory;
+	readonly #servedRequests: ServedRequestCache;
 	readonly #qualityKeys = new SummaryQueue<QualityKey>({capacity: queueCapacity});
 	/** The number of observations in the last report on each version and measure. */
 	readonly #reportedCounts = new Map<string, number>();
 	readonly #reportQueue = new SummaryQueue<string>({capacity: queueCapacity});
 
-	constructor(options: RatingsOptions) {
+	constructor(options: RatingsTrackerOptions) {
 		const {instance, startedAt, remembered = defaultServedRequestCapacity, badVersions} = options;
 		this.#options = options;
-		this.#book = new QualityBook({instance, startedAt});
+		this.#book = new QualityStore({instance, startedAt});
 		this.#monitor = new BadVersionMonitor({
-			instance, startedAt, book: this.#book, ...(badVersions !== undefined && {settings: badVersions}),
+			instance, startedAt, qualityStore: this.#book, ...(badVersions !== undefined && {settings: badVersions}),
 		});
-		this.#servedRequests = new RequestMemory(remembered);
+		this.#servedRequests = new ServedRequestCache(remembered);
 	}
 
 	/** The versions that this instance has stopped locally. */
@@ -82,7 +82,7 @@
 
 	/** Estimates a quality, failure share or escalation share; passed to `chooseVersion`. */
 	readonly quality = (key: QualityKey, prior: Prior): Estimate => {
-		this.#qualityKeys.use(formatQualityKey(key), key);
+		this.#qualityKeys.addIfAbsent(formatQualityKey(key), key);
 		return this.#book.estimate(key, {prior, now: this.#options.now()});
 	};
 
@@ -94,8 +94,8 @@
 
 	@param request The request and the version that answered it.
 	*/
-	remember(request: ServedRequest): void {
-		this.#servedRequests.remember(request);
+	addServedRequest(request: ServedRequest): void {
+		this.#servedRequests.add(request);
 	}
 
 	/**
@@ -104,7 +104,7 @@
 	@param event The version and the request.
 	@param failed Whether the attempt failed.
 	*/
-	noteOutcome(event: VersionEvent, failed: boolean): void {
+	recordOutcome(event: VersionEvent, failed: boolean): void {
 		this.#observe(toObservation(event, {measure: 'failure', value: Number(failed)}));
 	}
 
@@ -114,7 +114,7 @@
 	@param event The first version and the request.
 	@param escalated Whether it escalated.
 	*/
-	noteEscalation(event: VersionEvent, escalated: boolean): void {
+	recordEscalation(event: VersionEvent, escalated: boolean): void {
 		this.#observe(toObservation(event, {measure: 'escalation', value: Number(escalated)}));
 	}
 
@@ -124,9 +124,9 @@
 	@param ratings The ratings.
 	@returns How many were accepted and ignored.
 	*/
-	take(ratings: readonly Rating[]): IntakeCount {
-		return takeRatings(ratings, {
-			memory: this.#servedRequests,
+	recordRatings(ratings: readonly Rating[]): RatingCounts {
+		return recordRatings(ratings, {
+			servedRequests: this.#servedRequests,
 			configuration: this.#options.configuration(),
 			observe: observation => {
 				this.#observe(observation);
@@ -141,16 +141,16 @@
 	*/
 	summarize(): RatingSummary | undefined {
 		const configuration = this.#options.configuration();
-		for (const target of this.#stops.release({configuration, now: this.#options.now()})) {
+		for (const target of this.#stops.releaseEnded({configuration, now: this.#options.now()})) {
 			this.#monitor.reset(target);
 		}
 
 		this.#monitor.retain(configuration);
 
-		const keys = this.#qualityKeys.take(entriesPerSummary);
+		const keys = this.#qualityKeys.next(entriesPerSummary);
 		const digest = this.#book.digest(keys);
 		const included = new Set(digest.entries.map(entry => formatQualityKey(entry)));
-		const selected = new Set(this.#reportQueue.take(reportsPerSummary));
+		const selected = new Set(this.#reportQueue.next(reportsPerSummary));
 		for (const suspect of this.#monitor.suspects().slice(0, suspectsPerSummary)) {
 			selected.add(formatReportKey(suspect));
 		}
@@ -179,8 +179,8 @@
 
 	@param reply The sums over the other instances.
 	*/
-	takeReply({others}: RatingSummaryReply): void {
-		this.#book.replaceOthers(others, this.#options.now());
+	applyReply({others}: RatingSummaryReply): void {
+		this.#book.replaceAggregate(others, this.#options.now());
 	}
 
 	#markReported(evidence: readonly EvidenceReport[]): void {
@@ -193,12 +193,12 @@
 		const {configuration, now, onAlarm} = this.#options;
 		const time = now();
 		const ranAt = Math.min(observation.ranAt, time);
-		this.#qualityKeys.touch(formatQualityKey(observation), observation);
+		this.#qualityKeys.markChanged(formatQualityKey(observation), observation);
 		const alarm = this.#monitor.observe({...observation, ranAt}, {configuration: configuration(), now: time});
 		if (observation.measure !== 'escalation') {
 			const measure = observation.measure === 'failure' ? 'failures' : 'ratings';
 			const reportKey = formatReportKey({...observation, measure});
-			this.#reportQueue.touch(reportKey, reportKey);
+			this.#reportQueue.markChanged(reportKey, reportKey);
 		}
 
 		if (alarm !== undefined) {
--- a/packages/daemon/src/ratings/rating-intake.ts
+++ b/packages/daemon/src/ratings/record-ratings.ts
@@ -1,10 +1,10 @@
 import {type EffectiveConfiguration} from '@valehitch/core';
 import {qualityClass, type QualityObservation} from '@valehitch/policy';
-import {type RequestMemory} from './request-memory.js';
+import {type ServedRequestCache} from './served-request-cache.js';
 import {type Rating} from './rating.js';
 
 /** How many ratings of a request were accepted and ignored. */
-export type IntakeCount = {
+export type RatingCounts = {
 	accepted: number;
 	/** Ratings of a request that has already been rated. */
 	doubled: number;
@@ -13,8 +13,8 @@
 };
 
 /** The dependencies of `recordRatings`. */
-export type IntakeOptions = {
-	readonly memory: RequestMemory;
+export type RecordRatingsOptions = {
+	readonly servedRequests: ServedRequestCache;
 	readonly configuration: EffectiveConfiguration;
 	readonly observe: (observation: QualityObservation) => void;
 };
@@ -33,15 +33,15 @@
 recordRatings(ratings, {servedRequests, configuration, observe}).accepted;
 ```
 */
-export function takeRatings(ratings: readonly Rating[], {memory: servedRequests, configuration, observe}: IntakeOptions): IntakeCount {
-	const counts: IntakeCount = {accepted: 0, doubled: 0, unknown: 0};
+export function recordRatings(ratings: readonly Rating[], {servedRequests: servedRequests, configuration, observe}: RecordRatingsOptions): RatingCounts {
+	const counts: RatingCounts = {accepted: 0, doubled: 0, unknown: 0};
 	for (const rating of ratings) {
 		if (!isConfigured(rating, configuration)) {
 			counts.unknown += 1;
 			continue;
 		}
 
-		const served = servedRequests.recall(rating.requestId);
+		const served = servedRequests.markRated(rating.requestId);
 		if (served === 'rated') {
 			counts.doubled += 1;
 			continue;
--- a/packages/daemon/src/ratings/request-memory.ts
+++ b/packages/daemon/src/ratings/served-request-cache.ts
@@ -14,7 +14,7 @@
 };
 
 /** The result of looking up a rated request: the request if this instance served it and it was not rated yet, `rated` if it was, and `unknown` otherwise. */
-export type RecalledRequest = ServedRequest | 'rated' | 'unknown';
+export type RatedRequestLookup = ServedRequest | 'rated' | 'unknown';
 
 /**
 A bounded cache of the most recent requests that this instance served and of the most recent request ids that were rated here.
@@ -25,7 +25,7 @@
 cache.markRated(served.requestId); // the request; 'rated' on later calls
 ```
 */
-export class RequestMemory {
+export class ServedRequestCache {
 	readonly #capacity: number;
 	readonly #served = new Map<RequestId, ServedRequest>();
 	readonly #rated = new Set<RequestId>();
@@ -42,7 +42,7 @@
 
 	@param request The request.
 	*/
-	remember(request: ServedRequest): void {
+	add(request: ServedRequest): void {
 		this.#served.set(request.requestId, request);
 		this.#evict(this.#served);
 	}
@@ -53,7 +53,7 @@
 	@param requestId The request id in the rating.
 	@returns The request, `rated` or `unknown`.
 	*/
-	recall(requestId: RequestId): RecalledRequest {
+	markRated(requestId: RequestId): RatedRequestLookup {
 		if (this.#rated.has(requestId)) {
 			return 'rated';
 		}
--- a/packages/daemon/src/ratings/start-ratings.ts
+++ b/packages/daemon/src/ratings/start-ratings.ts
@@ -1,10 +1,10 @@
 import {type EffectiveConfiguration} from '@valehitch/core';
 import {type DaemonBase} from '../daemon-base.js';
 import {badVersionSettingsOf} from './bad-version-settings-of.js';
-import {type IntakeCount} from './rating-intake.js';
+import {type RatingCounts} from './record-ratings.js';
 import {type RatingSummary, type RatingSummaryReply} from './rating-summary.js';
 import {type Rating} from './rating.js';
-import {RatingsPart} from './ratings-part.js';
+import {RatingsTracker} from './ratings-tracker.js';
 
 /** The dependencies of the ratings component. */
 export type StartRatingsOptions = {
@@ -16,9 +16,9 @@
 
 /** The running ratings component. */
 export type RunningRatings = {
-	readonly part: RatingsPart;
+	readonly tracker: RatingsTracker;
 	/** Records received ratings and updates the metrics. */
-	readonly take: (ratings: readonly Rating[]) => IntakeCount;
+	readonly recordRatings: (ratings: readonly Rating[]) => RatingCounts;
 	readonly stop: () => void;
 };
 
@@ -40,7 +40,7 @@
 */
 export function startRatings(base: DaemonBase, {configuration, exchange}: StartRatingsOptions): RunningRatings {
 	const {settings, clock, timeline, metrics, log} = base;
-	const tracker = new RatingsPart({
+	const tracker = new RatingsTracker({
 		instance: settings.instance,
 		startedAt: clock.now().getTime(),
 		now: () => clock.now().getTime(),
@@ -57,7 +57,7 @@
 		},
 	});
 
-	const totals: IntakeCount = {accepted: 0, doubled: 0, unknown: 0};
+	const totals: RatingCounts = {accepted: 0, doubled: 0, unknown: 0};
 	let isExchanging = false;
 	const exchangeSummary = (createSummary: () => RatingSummary | undefined) => {
 		const summary = isExchanging ? undefined : createSummary();
@@ -79,7 +79,7 @@
 		try {
 			const reply = await exchange(summary);
 			if (reply !== undefined) {
-				tracker.takeReply(reply);
+				tracker.applyReply(reply);
 			}
 		} catch (error) {
 			log.warn({err: error}, 'Failed to send a rating summary to the leader');
@@ -89,9 +89,9 @@
 	}
 
 	return {
-		part: tracker,
-		take(ratings) {
-			const counts = tracker.take(ratings);
+		tracker: tracker,
+		recordRatings(ratings) {
+			const counts = tracker.recordRatings(ratings);
 			totals.accepted += counts.accepted;
 			totals.doubled += counts.doubled;
 			totals.unknown += counts.unknown;
--- a/packages/daemon/src/ratings/summary-queue.ts
+++ b/packages/daemon/src/ratings/summary-queue.ts
@@ -28,7 +28,7 @@
 	@param key The key of the item.
 	@param item The item to send.
 	*/
-	touch(key: string, item: Item): void {
+	markChanged(key: string, item: Item): void {
 		this.#unchanged.delete(key);
 		this.#changed.set(key, item);
 		this.#evict();
@@ -40,9 +40,9 @@
 	@param key The key of the item.
 	@param item The item to send.
 	*/
-	use(key: string, item: Item): void {
+	addIfAbsent(key: string, item: Item): void {
 		if (!this.#unchanged.has(key) && !this.#changed.has(key)) {
-			this.touch(key, item);
+			this.markChanged(key, item);
 		}
 	}
 
@@ -52,7 +52,7 @@
 	@param limit The maximum number of items. One place is reserved for unchanged items; the others go to changed ones.
 	@returns The items.
 	*/
-	take(limit: number): readonly Item[] {
+	next(limit: number): readonly Item[] {
 		const taken = [...firstEntries(this.#unchanged, 1), ...firstEntries(this.#changed, limit - 1)];
 		for (const [key, item] of taken) {
 			this.#changed.delete(key);
--- a/packages/daemon/src/wire.ts
+++ b/packages/daemon/src/start-daemon.ts
@@ -55,11 +55,11 @@
 	const tasks = startLeaderTasks(base, {control, distribution});
 	components.tasks = tasks;
 	const ratings = startRatings(base, {configuration: distribution.effective, exchange: tasks.exchange});
-	const entry = startEntry(base, {control: control.client, distribution, ratings: ratings.part});
+	const entry = startEntry(base, {control: control.client, distribution, ratings: ratings.tracker});
 	components.entry = entry;
 	const httpServers = await startHttpServers(settings, log, {
 		callers: async (request, response) => handleCaller(request, response, entry.context),
-		backends: async (request, response) => handleBackend(request, response, {settings, onAnnouncement: distribution.announce, onRatings: ratings.take}),
+		backends: async (request, response) => handleBackend(request, response, {settings, onAnnouncement: distribution.announce, onRatings: ratings.recordRatings}),
 		operators: async (request, response) => handleOperator(request, response, {
 			base, control: control.client, distribution, entry: entry.context,
 		}),
@@ -108,12 +108,12 @@
 		...settings.listen.peers,
 		onMessage: async (_from, message) => handlePeerMessage(message, components),
 		onRequest: async (_from, message) => handlePeerMessage(message, components),
-		onFailure(from, error) {
+		onHandlerError(from, error) {
 			log.error({err: error, from}, 'Failed to handle a peer message');
 		},
-		stamp: () => timeline.stamp(),
-		onStamp(stamp) {
-			timeline.observe(stamp);
+		nextTimestamp: () => timeline.nextTimestamp(),
+		onTimestamp(stamp) {
+			timeline.observeTimestamp(stamp);
 		},
 	});
 	const self = {
@@ -129,7 +129,7 @@
 		.with({scope: 'control'}, async request => control?.answer(request))
 		.with({scope: 'distribution'}, async request => distribution?.answer(request))
 		.with({scope: 'entry'}, async request => entry?.answer(request))
-		.with({scope: 'ratings'}, async ({summary}) => tasks?.takeSummary(summary))
+		.with({scope: 'ratings'}, async ({summary}) => tasks?.mergeSummary(summary))
 		.exhaustive();
 }
 
--- a/packages/daemon/src/timeline.ts
+++ b/packages/daemon/src/timeline.ts
@@ -45,7 +45,7 @@
 	}
 
 	/** Returns a new timestamp to attach to a message to another process. */
-	stamp(): HybridTimestamp {
+	nextTimestamp(): HybridTimestamp {
 		return this.#hybridClock.next();
 	}
 
@@ -54,7 +54,7 @@
 
 	@param stamp The received timestamp.
 	*/
-	observe(stamp: HybridTimestamp): void {
+	observeTimestamp(stamp: HybridTimestamp): void {
 		if (stamp.wall - this.#options.clock.now().getTime() < maximumClockSkewMilliseconds) {
 			this.#hybridClock.observe(stamp);
 		}
--- a/packages/gateway/src/configuration/route-table.test.ts
+++ b/packages/gateway/src/configuration/route-table.test.ts
@@ -5,14 +5,14 @@
 test('the longest prefix of the host wins', t => {
 	const inner = testRoute({id: 'inner' as never, pathPrefix: '/labels/print/'});
 	const table = new RouteTable(testConfiguration({routes: [testRoute(), inner]}));
-	t.is(table.routeOf('desk.example', '/labels/print/7')?.id, inner.id);
-	t.is(table.routeOf('DESK.example', '/labels/7')?.id, testRoute().id);
-	t.is(table.routeOf('desk.example', '/labels'), undefined);
-	t.is(table.routeOf('other.example', '/labels/7'), undefined);
+	t.is(table.findRoute('desk.example', '/labels/print/7')?.id, inner.id);
+	t.is(table.findRoute('DESK.example', '/labels/7')?.id, testRoute().id);
+	t.is(table.findRoute('desk.example', '/labels'), undefined);
+	t.is(table.findRoute('other.example', '/labels/7'), undefined);
 });
 
 test('a key belongs to one workspace', t => {
 	const table = new RouteTable(testConfiguration());
-	t.is(table.holderOf('k2')?.id, 'mills' as never);
-	t.is(table.holderOf('k3'), undefined);
+	t.is(table.findWorkspaceByKey('k2')?.id, 'mills' as never);
+	t.is(table.findWorkspaceByKey('k3'), undefined);
 });
--- a/packages/gateway/src/configuration/route-table.ts
+++ b/packages/gateway/src/configuration/route-table.ts
@@ -53,7 +53,7 @@
 	@param path The path without the query.
 	@returns The route, or `undefined` if none matches.
 	*/
-	routeOf(host: string, path: string): Route | undefined {
+	findRoute(host: string, path: string): Route | undefined {
 		return this.#routes.get(host.toLowerCase())?.find(({pathPrefix}) => path.startsWith(pathPrefix));
 	}
 
@@ -63,7 +63,7 @@
 	@param key The key.
 	@returns The workspace, or `undefined` if the key belongs to none.
 	*/
-	holderOf(key: string): WorkspaceAccess | undefined {
+	findWorkspaceByKey(key: string): WorkspaceAccess | undefined {
 		return this.#workspacesByKey.get(key);
 	}
 
@@ -73,7 +73,7 @@
 	@param id The service.
 	@returns The service, or `undefined` if it is not defined.
 	*/
-	service(id: ServiceId): BackendService | undefined {
+	findService(id: ServiceId): BackendService | undefined {
 		return this.#services.get(id);
 	}
 }
--- a/packages/gateway/src/control/_test-control-node.ts
+++ b/packages/gateway/src/control/_test-control-node.ts
@@ -1,24 +1,24 @@
 import {createGatewayMetrics} from '../logs/gateway-metrics.js';
 import {EntryWatches} from './entry-watches.js';
-import {ServerNews, type ServerNewsOptions} from './server-news.js';
+import {ServerDirectorySync, type ServerDirectorySyncOptions} from './server-directory-sync.js';
 
 const heartbeatMilliseconds = 1200;
 
 /** The services of a control instance that handle backend servers. */
 export type TestControlServices = {
 	readonly run: string;
-	readonly news: ServerNews;
+	readonly news: ServerDirectorySync;
 	readonly watches: EntryWatches;
 };
 
-type StartTestControlOptions = Pick<ServerNewsOptions, 'clock' | 'others' | 'ask' | 'saved'> & {
+type StartTestControlOptions = Pick<ServerDirectorySyncOptions, 'clock' | 'others' | 'ask' | 'saved'> & {
 	/** Identifies the run of the process. */
 	readonly run: string;
 };
 
 /** Starts the services of a control instance without their timers; the test triggers each round. */
 export function startTestControlServices({run, ...options}: StartTestControlOptions): TestControlServices {
-	const news = new ServerNews({
+	const news = new ServerDirectorySync({
 		...options, log: doNothing, metrics: createGatewayMetrics(), heartbeatMilliseconds, onChange: doNothing,
 	});
 	const watches = new EntryWatches({
@@ -26,7 +26,7 @@
 		run,
 		directory: news.directory,
 		suspects: {cursor: 0, changedSince: () => []},
-		news: () => ({
+		currentUpdate: () => ({
 			configuration: undefined, rollouts: [], confirmedAt: undefined, hosts: options.others(),
 		}),
 	});
--- a/packages/gateway/src/control/_test-server-simulation.ts
+++ b/packages/gateway/src/control/_test-server-simulation.ts
@@ -73,7 +73,7 @@
 	addEntry(): number {
 		return this.#entries.push({
 			servers: new EntryServers({
-				zone, random: () => 0.5, share: {othersOn: () => 0, noteChange: doNothing, forget: doNothing}, onReplaced: doNothing,
+				zone, random: () => 0.5, loads: {peerLoadAt: () => 0, recordChange: doNothing, discardServer: doNothing}, onReplaced: doNothing,
 			}),
 			positions: new Map(),
 			loads: new Map(),
@@ -89,8 +89,8 @@
 	/** Whether an entry instance would select a server if it were the only one. */
 	canSelect(entry: number, server: ServerId): boolean {
 		const others = [...this.#homeInstances.keys()].filter(other => other !== server);
-		const found = this.#entries[entry]!.servers.find({
-			service: testServer().service, isWanted: () => true, excluded: new Set(others), subject: undefined, now: this.now,
+		const found = this.#entries[entry]!.servers.choose({
+			service: testServer().service, isAcceptable: () => true, excluded: new Set(others), promptKey: undefined, now: this.now,
 		});
 		return found !== undefined;
 	}
@@ -122,7 +122,7 @@
 		const {servers, loads} = this.#entries[entry]!;
 		const end = loads.get(server);
 		if (end === undefined) {
-			loads.set(server, servers.begin(server, 1).end);
+			loads.set(server, servers.beginSend(server, 1).end);
 		} else {
 			loads.delete(server);
 			end();
@@ -149,7 +149,7 @@
 	async poll(entry: number, control: InstanceId, {isLate = false}: {readonly isLate?: boolean} = {}): Promise<void> {
 		const {servers, positions} = this.#entries[entry]!;
 		if (this.#isPartitioned(`entry-${entry}`, control)) {
-			servers.loseSource(control);
+			servers.markSourceLost(control);
 			return;
 		}
 
@@ -190,7 +190,7 @@
 			}
 
 			for (const {news} of this.#controls.values()) {
-				news.share();
+				news.runSyncRound();
 				await news.save();
 			}
 
@@ -223,7 +223,7 @@
 		const {servers, positions, notifiedServers} = this.#entries[entry]!;
 		const isWhole = positions.get(source)?.run !== reply.run;
 		positions.set(source, {run: reply.run, cursor: reply.cursor});
-		servers.take(reply.records, {source, now: this.now, isWhole});
+		servers.applyRecords(reply.records, {source, now: this.now, isFullState: isWhole});
 		for (const {id, state} of reply.records) {
 			if (state !== 'ready') {
 				notifiedServers.add(id);
@@ -261,11 +261,11 @@
 		}
 
 		if (message.type === 'server-ended') {
-			news.end(message.server);
+			news.markEnded(message.server);
 			return true;
 		}
 
-		return message.type === 'all-servers' ? news.all : undefined;
+		return message.type === 'all-servers' ? news.allServersReply : undefined;
 	}
 
 	#isPartitioned(one: string, other: string): boolean {
--- a/packages/gateway/src/control/found-group.test.ts
+++ b/packages/gateway/src/control/bootstrap-replica-set.test.ts
@@ -1,7 +1,7 @@
 import {type ReplicaId, toReplicaId} from '@valehitch/consensus';
 import {type InstanceId} from '@valehitch/core';
 import test from 'ava';
-import {foundGroup, type FoundGroupOptions} from './found-group.js';
+import {bootstrapReplicaSet, type BootstrapReplicaSetOptions} from './bootstrap-replica-set.js';
 import {type JoinReply} from './peer-message.js';
 
 const founders = ['10.0.0.1', '10.0.0.2', '10.0.0.3'] as InstanceId[];
@@ -13,26 +13,26 @@
 	};
 }
 
-const first: Omit<FoundGroupOptions, 'replies'> = {
-	self: founders[0]!, replica: one, isFounding: true, founders,
+const first: Omit<BootstrapReplicaSetOptions, 'replies'> = {
+	self: founders[0]!, replica: one, isFounding: true, initialMembers: founders,
 };
 
 test('the lowest initial member bootstraps the group once all others have replied that they are empty', t => {
-	t.deepEqual(foundGroup({...first, replies: [reply(three), reply(two)]})?.voters, [one, two, three]);
-	t.is(foundGroup({...first, replies: [reply(two)]}), undefined);
-	t.is(foundGroup({...first, replies: [reply(two), reply(three, {isEmpty: false})]}), undefined);
+	t.deepEqual(bootstrapReplicaSet({...first, replies: [reply(three), reply(two)]})?.voters, [one, two, three]);
+	t.is(bootstrapReplicaSet({...first, replies: [reply(two)]}), undefined);
+	t.is(bootstrapReplicaSet({...first, replies: [reply(two), reply(three, {isEmpty: false})]}), undefined);
 });
 
 test('another initial member adopts the reported replica set, and bootstraps nothing itself', t => {
 	const second = {...first, self: founders[1]!, replica: two};
-	t.is(foundGroup({...second, replies: [reply(one), reply(three)]}), undefined);
+	t.is(bootstrapReplicaSet({...second, replies: [reply(one), reply(three)]}), undefined);
 	const initial = {voters: [one, two, three], learners: []};
-	t.is(foundGroup({...second, replies: [reply(one, {isEmpty: false, initial})]}), initial);
+	t.is(bootstrapReplicaSet({...second, replies: [reply(one, {isEmpty: false, initial})]}), initial);
 });
 
 test('an instance that starts later and one that is not an initial member wait', t => {
-	t.is(foundGroup({...first, isFounding: false, replies: [reply(two), reply(three)]}), undefined);
-	t.is(foundGroup({
+	t.is(bootstrapReplicaSet({...first, isFounding: false, replies: [reply(two), reply(three)]}), undefined);
+	t.is(bootstrapReplicaSet({
 		...first, self: '10.0.0.0' as InstanceId, replica: toReplicaId('10.0.0.0', 'a'), replies: [reply(one), reply(two), reply(three)],
 	}), undefined);
 });
--- a/packages/gateway/src/control/found-group.ts
+++ b/packages/gateway/src/control/bootstrap-replica-set.ts
@@ -3,13 +3,13 @@
 import {type JoinReply} from './peer-message.js';
 
 /** The inputs of the bootstrap decision. */
-export type FoundGroupOptions = {
+export type BootstrapReplicaSetOptions = {
 	readonly self: InstanceId;
 	readonly replica: ReplicaId;
 	/** Whether the whole system starts for the first time. */
 	readonly isFounding: boolean;
 	/** The instances that form the initial group. */
-	readonly founders: readonly InstanceId[];
+	readonly initialMembers: readonly InstanceId[];
 	/** The replies of the other instances. */
 	readonly replies: readonly JoinReply[];
 };
@@ -26,7 +26,7 @@
 bootstrapReplicaSet({self, replica, isFounding: true, initialMembers, replies});
 ```
 */
-export function foundGroup({self, replica, isFounding, founders, replies}: FoundGroupOptions): ReplicaSet | undefined {
+export function bootstrapReplicaSet({self, replica, isFounding, initialMembers: founders, replies}: BootstrapReplicaSetOptions): ReplicaSet | undefined {
 	const reported = replies.find(({initial}) => initial?.voters.includes(replica))?.initial;
 	if (reported !== undefined || !isFounding || !founders.includes(self)) {
 		return reported;
--- a/packages/gateway/src/control/control-instance.test.ts
+++ b/packages/gateway/src/control/control-instance.test.ts
@@ -5,7 +5,7 @@
 import {
 	type InstanceId, type ServiceId, toId, type VersionId, type ZoneId,
 } from '@valehitch/core';
-import {type FileFunctions, openDataFolder, systemFiles} from '@valehitch/storage';
+import {type FileSystem, openDataFolder, nodeFileSystem} from '@valehitch/storage';
 import {type SuspectRecord} from '@valehitch/routing';
 import test, {type ExecutionContext} from 'ava';
 import {Right} from 'purify-ts';
@@ -26,10 +26,10 @@
 /** Starts a deployment with a single control instance, on a disk that can be made full. */
 async function startControl(t: ExecutionContext, {readSuspects = async () => []}: TestControlOptions = {}) {
 	const disk = {isFull: false};
-	const files: FileFunctions = {
-		...systemFiles,
+	const files: FileSystem = {
+		...nodeFileSystem,
 		async create(file) {
-			const open = await systemFiles.create(file);
+			const open = await nodeFileSystem.create(file);
 			return {
 				...open,
 				async append(data) {
@@ -53,7 +53,7 @@
 		processStartedAt: 0,
 		seeds: () => [self],
 		heartbeatMilliseconds: 1200,
-		openFolder: async () => openDataFolder(folder, {files, lock: async () => Right(async () => undefined)}),
+		openFolder: async () => openDataFolder(folder, {fileSystem: files, lock: async () => Right(async () => undefined)}),
 		savedServers: {read: async () => [], write: async () => true},
 		savedSuspects: {read: readSuspects, write: async () => true},
 		send: doNothing,
--- a/packages/gateway/src/control/control-instance.ts
+++ b/packages/gateway/src/control/control-instance.ts
@@ -1,26 +1,26 @@
 import {
-	type InstanceId, type RequestFingerprint, type ServerId, SuspensionWatch,
+	type InstanceId, type RequestFingerprint, type ServerId, SuspensionDetector,
 } from '@valehitch/core';
 import {match, P} from 'ts-pattern';
 import {EvidenceTable} from '../rollouts/evidence-table.js';
 import {isEnded} from '../rollouts/rollout.js';
 import {type VersionEvidence} from '../rollouts/version-evidence.js';
 import {type ServerRecord} from '../servers/server-record.js';
-import {ControlGroup} from './control-group.js';
+import {ControlReplica} from './control-replica.js';
 import {type ControlInstanceOptions} from './control-instance-options.js';
 import {type GatewayCommand} from './gateway-command.js';
-import {type EntryNews, EntryWatches} from './entry-watches.js';
+import {type EntryUpdate, EntryWatches} from './entry-watches.js';
 import {describeResult, LeaderClient} from './leader-client.js';
-import {OperatorCalls} from './operator-calls.js';
+import {OperatorApi} from './operator-api.js';
 import {
 	type ConfirmReply, type JoinReply, type PeerMessage, type ServersReply, type SuspectsMessage,
 } from './peer-message.js';
-import {type OpenedFolder, ReopeningGroup} from './reopening-group.js';
+import {type OpenedDataFolder, ControlReplicaSupervisor} from './control-replica-supervisor.js';
 import {RolloutClock} from './rollout-clock.js';
-import {RolloutJudge} from './rollout-judge.js';
-import {ServerNews} from './server-news.js';
+import {RolloutController} from './rollout-controller.js';
+import {ServerDirectorySync} from './server-directory-sync.js';
 import {StateConfirmation} from './state-confirmation.js';
-import {type LiftedQuarantine, type ListedSuspect, SuspectNews} from './suspect-news.js';
+import {type QuarantineLiftResult, type ListedSuspect, SuspectSync} from './suspect-sync.js';
 
 /** The interval between confirmations of the state by the leader. */
 const confirmMilliseconds = 200;
@@ -40,72 +40,72 @@
 */
 export class ControlInstance {
 	/** Serves the requests of operators. */
-	readonly operators: OperatorCalls;
+	readonly operators: OperatorApi;
 	readonly #options: ControlInstanceOptions;
-	readonly #suspension: SuspensionWatch;
-	readonly #serverSync: ServerNews;
-	readonly #suspectSync: SuspectNews;
+	readonly #suspension: SuspensionDetector;
+	readonly #serverSync: ServerDirectorySync;
+	readonly #suspectSync: SuspectSync;
 	readonly #rolloutClock: RolloutClock;
 	readonly #evidence = new EvidenceTable();
 	readonly #discovered = new Set<InstanceId>();
 	readonly #leader: LeaderClient;
 	readonly #watches: EntryWatches;
-	readonly #rolloutController: RolloutJudge;
-	readonly #supervisor: ReopeningGroup;
+	readonly #rolloutController: RolloutController;
+	readonly #supervisor: ControlReplicaSupervisor;
 	readonly #confirmation: StateConfirmation;
 	#timers: NodeJS.Timeout[] = [];
 
 	constructor(options: ControlInstanceOptions) {
 		this.#options = options;
-		this.#suspension = new SuspensionWatch(options.clock);
-		this.#supervisor = new ReopeningGroup({
+		this.#suspension = new SuspensionDetector(options.clock);
+		this.#supervisor = new ControlReplicaSupervisor({
 			...options,
-			createGroup: opened => this.#createReplica(opened),
+			createReplica: opened => this.#createReplica(opened),
 			onLost: () => {
-				this.#confirmation.forget();
+				this.#confirmation.reset();
 			},
 		});
 		this.#rolloutClock = new RolloutClock(options.clock);
-		this.#serverSync = new ServerNews({
+		this.#serverSync = new ServerDirectorySync({
 			...options,
 			saved: options.savedServers,
 			others: () => this.#peers(),
 			onChange: () => {
-				this.#watches.wake();
+				this.#watches.answerPending();
 			},
 		});
-		this.#suspectSync = new SuspectNews({
+		this.#suspectSync = new SuspectSync({
 			...options,
 			saved: options.savedSuspects,
 			others: () => this.#peers(),
 			onChange: () => {
-				this.#watches.wake();
+				this.#watches.answerPending();
 			},
 		});
-		this.#leader = new LeaderClient({...options, group: () => this.#replica, evidence: () => this.#rolloutEvidence()});
+		this.#leader = new LeaderClient({...options, replica: () => this.#replica, evidence: () => this.#rolloutEvidence()});
 		this.#confirmation = new StateConfirmation({
 			clock: options.clock,
 			suspension: this.#suspension,
-			group: () => this.#replica,
-			newestIndex: async () => this.#leader.newestIndex(),
-			onRegained: () => {
-				this.#watches.wake();
+			replica: () => this.#replica,
+			readIndex: async () => this.#leader.readIndex(),
+			onReconfirmed: () => {
+				this.#watches.answerPending();
 			},
 		});
-		this.operators = new OperatorCalls({...options, leader: this.#leader, confirmation: this.#confirmation});
+		this.operators = new OperatorApi({...options, leader: this.#leader, confirmation: this.#confirmation});
 		this.#watches = new EntryWatches({
-			...options, directory: this.#serverSync.directory, suspects: this.#suspectSync.book, news: () => this.#entryUpdate(),
+			...options, directory: this.#serverSync.directory, suspects: this.#suspectSync.book, currentUpdate: () => this.#entryUpdate(),
 		});
-		this.#rolloutController = new RolloutJudge({
+		this.#rolloutController = new RolloutController({
 			log: options.log,
 			evidence: this.#evidence,
-			rollouts: () => this.#replica?.confirmedIndex() === undefined ? [] : this.#rolloutClock.running(this.#replica.state.rollouts),
-			advance: async command => this.#leader.proposeHere(command),
+			rollouts: () => this.#replica?.readIndex() === undefined ? [] : this.#rolloutClock.withAges(this.#replica.state.rollouts),
+			advance: async command => this.#leader.proposeLocally(command),
 		});
 	}
 
 	/** The running replica, or `undefined` while its disk is failing. */
-	get #replica(): ControlGroup | undefined {
+	get #replica(): ControlReplica | undefined {
 		return this.#supervisor.current;
 	}
 
@@ -117,7 +117,7 @@
 				void this.#confirmation.confirm();
 			}, confirmMilliseconds),
 			setInterval(() => {
-				void this.#rolloutController.look();
+				void this.#rolloutController.evaluateRollouts();
 			}, rolloutMilliseconds),
 		];
 		await Promise.all([...lists, this.#supervisor.start()]);
@@ -131,7 +131,7 @@
 			clearInterval(timer);
 		}
 
-		this.#watches.wake();
+		this.#watches.answerPending();
 		await this.#supervisor.stop();
 	}
 
@@ -176,8 +176,8 @@
 	@param fingerprint The request.
 	@returns Whether the change is saved to disk, or `undefined` if the request is unknown.
 	*/
-	async liftQuarantine(fingerprint: RequestFingerprint): Promise<LiftedQuarantine | undefined> {
-		return this.#suspectSync.lift(fingerprint);
+	async liftQuarantine(fingerprint: RequestFingerprint): Promise<QuarantineLiftResult | undefined> {
+		return this.#suspectSync.liftQuarantine(fingerprint);
 	}
 
 	/**
@@ -195,44 +195,44 @@
 			})
 			.with({type: 'join'}, join => {
 				this.#discovered.add(from);
-				return this.#replica?.join(join);
+				return this.#replica?.handleJoin(join);
 			})
 			.with({type: 'confirm'}, ({evidence}): ConfirmReply => {
-				this.#evidence.take(evidence);
-				return {index: this.#replica?.confirmedIndex()};
+				this.#evidence.merge(evidence);
+				return {index: this.#replica?.readIndex()};
 			})
-			.with({type: 'propose'}, async ({command}) => this.#leader.replyTo(command))
+			.with({type: 'propose'}, async ({command}) => this.#leader.handleProposal(command))
 			.with({type: 'servers'}, (servers): ServersReply => {
 				this.#serverSync.receive(servers);
 				return {run: this.#options.run};
 			})
 			.with({type: 'server-ended'}, ({server}) => {
-				this.#serverSync.end(server);
+				this.#serverSync.markEnded(server);
 				return true;
 			})
-			.with({type: 'all-servers'}, () => this.#serverSync.all)
+			.with({type: 'all-servers'}, () => this.#serverSync.allServersReply)
 			.with({type: 'suspects'}, suspects => {
 				this.#suspectSync.receive(suspects);
 				return true;
 			})
-			.with({type: 'all-suspects'}, (): SuspectsMessage => ({type: 'suspects', records: this.#suspectSync.book.told, isRelayed: true}))
+			.with({type: 'all-suspects'}, (): SuspectsMessage => ({type: 'suspects', records: this.#suspectSync.book.sharedRecords, isRelayed: true}))
 			.with({type: 'watch'}, async watch => {
-				this.#evidence.take(watch.evidence);
+				this.#evidence.merge(watch.evidence);
 				return this.#watches.answer(from, watch);
 			})
 			.with({type: 'load'}, () => undefined)
 			.exhaustive();
 	}
 
-	#createReplica({folder, lastAcknowledgedAt, onFailure}: OpenedFolder): ControlGroup {
+	#createReplica({folder, lastAcknowledgedAt, onFailure}: OpenedDataFolder): ControlReplica {
 		const {log, clock, random, self, isFounding, seeds, send} = this.#options;
-		return new ControlGroup({
+		return new ControlReplica({
 			self, folder, clock, random, log, lastAcknowledgedAt, isFounding, onFailure,
 			suspension: this.#suspension,
-			founders: seeds(),
+			initialMembers: seeds(),
 			peers: () => this.#peers(),
 			send,
-			join: async (to, message) => this.#join(to, message),
+			requestJoin: async (to, message) => this.#join(to, message),
 			onApplied: ({command, result, index}) => {
 				this.#handleApplied({command, index, result: describeResult(result)});
 			},
@@ -269,16 +269,16 @@
 				});
 			})
 			.exhaustive();
-		this.#rolloutClock.running(this.#replica?.state.rollouts ?? []);
-		this.#watches.wake();
+		this.#rolloutClock.withAges(this.#replica?.state.rollouts ?? []);
+		this.#watches.answerPending();
 		void this.#confirmation.confirm();
 	}
 
-	#entryUpdate(): EntryNews {
+	#entryUpdate(): EntryUpdate {
 		const state = this.#replica?.state;
 		return {
 			configuration: state?.configuration,
-			rollouts: this.#rolloutClock.running(state?.rollouts ?? []),
+			rollouts: this.#rolloutClock.withAges(state?.rollouts ?? []),
 			confirmedAt: state === undefined ? undefined : this.#confirmation.confirmedAt,
 			hosts: [this.#options.self, ...this.#peers()],
 		};
@@ -287,6 +287,6 @@
 	/** The counters that the leader needs to evaluate the running rollouts. */
 	#rolloutEvidence(): readonly VersionEvidence[] {
 		const rollouts = this.#replica?.state.rollouts ?? [];
-		return rollouts.filter(rollout => !isEnded(rollout)).flatMap(({service}) => this.#evidence.of(service));
+		return rollouts.filter(rollout => !isEnded(rollout)).flatMap(({service}) => this.#evidence.forService(service));
 	}
 }
--- a/packages/gateway/src/control/reopening-group.ts
+++ b/packages/gateway/src/control/control-replica-supervisor.ts
@@ -2,10 +2,10 @@
 import {type DataFolder} from '@valehitch/storage';
 import {type Either} from 'purify-ts';
 import {type DecisionLog} from '../logs/decision-log.js';
-import {type ControlGroup} from './control-group.js';
+import {type ControlReplica} from './control-replica.js';
 
 /** An opened data folder, with what the replica that uses it needs. */
-export type OpenedFolder = {
+export type OpenedDataFolder = {
 	readonly folder: DataFolder;
 	/** The latest time at which a previous run of the replica may have acknowledged a lease, in milliseconds on the monotonic clock. */
 	readonly lastAcknowledgedAt: number;
@@ -14,7 +14,7 @@
 };
 
 /** Options of a replica supervisor. */
-export type ReopeningGroupOptions = {
+export type ControlReplicaSupervisorOptions = {
 	readonly clock: Clock;
 	readonly log: DecisionLog;
 	/** When this process started, in milliseconds on the monotonic clock; a previous run acknowledged nothing after this time. */
@@ -22,7 +22,7 @@
 	/** Opens the data folder; called again after a disk failure. */
 	readonly openFolder: () => Promise<Either<Failure, DataFolder>>;
 	/** Creates the replica that stores its data in an opened folder. */
-	readonly createGroup: (opened: OpenedFolder) => ControlGroup;
+	readonly createReplica: (opened: OpenedDataFolder) => ControlReplica;
 	/** Called when the replica stops because its disk failed. */
 	readonly onLost: () => void;
 };
@@ -40,17 +40,17 @@
 supervisor.current?.state;
 ```
 */
-export class ReopeningGroup {
-	readonly #options: ReopeningGroupOptions;
-	#current: ControlGroup | undefined;
+export class ControlReplicaSupervisor {
+	readonly #options: ControlReplicaSupervisorOptions;
+	#current: ControlReplica | undefined;
 	#isStopped = false;
 
-	constructor(options: ReopeningGroupOptions) {
+	constructor(options: ControlReplicaSupervisorOptions) {
 		this.#options = options;
 	}
 
 	/** The running replica, or `undefined` while its disk is failing. */
-	get current(): ControlGroup | undefined {
+	get current(): ControlReplica | undefined {
 		return this.#current;
 	}
 
@@ -66,7 +66,7 @@
 	}
 
 	async #open(lastAcknowledgedAt: number): Promise<void> {
-		const {openFolder, log, createGroup} = this.#options;
+		const {openFolder, log, createReplica: createGroup} = this.#options;
 		const opened = await openFolder();
 		if (this.#isStopped) {
 			return;
@@ -99,7 +99,7 @@
 		}, reopenDelayMilliseconds);
 	}
 
-	async #reopen(failedReplica: ControlGroup | undefined): Promise<void> {
+	async #reopen(failedReplica: ControlReplica | undefined): Promise<void> {
 		await failedReplica?.stop();
 		if (!this.#isStopped) {
 			// The failed replica may have acknowledged leases until now.
--- a/packages/gateway/src/control/control-group.ts
+++ b/packages/gateway/src/control/control-replica.ts
@@ -5,16 +5,16 @@
 	type Failure, failure, type InstanceId, toId,
 } from '@valehitch/core';
 import {
-	readReplicaMessage, ReplicaDriver, StateMachine, StepWaiters, writeReplicaMessage,
+	decodeReplicaMessage, ReplicaDriver, StateMachine, StepNotifier, encodeReplicaMessage,
 } from '@valehitch/replication';
 import {type Either, Left, Right} from 'purify-ts';
-import {type ControlGroupOptions} from './control-group-options.js';
+import {type ControlReplicaOptions} from './control-replica-options.js';
 import {
-	decodeGatewayCommand, encodeGatewayCommand, type GatewayAnswer, type GatewayCommand,
+	decodeGatewayCommand, encodeGatewayCommand, type GatewayCommandResult, type GatewayCommand,
 } from './gateway-command.js';
-import {foundGroup} from './found-group.js';
+import {bootstrapReplicaSet} from './bootstrap-replica-set.js';
 import {GatewayState} from './gateway-state.js';
-import {groupTiming} from './group-timing.js';
+import {replicaTiming} from './replica-timing.js';
 import {JoiningReplicas} from './joining-replicas.js';
 import {type JoinMessage, type JoinReply, type ReplicaEnvelope} from './peer-message.js';
 
@@ -41,12 +41,12 @@
 await replica.propose({type: 'put-configuration', version: 1, document: '{}'});
 ```
 */
-export class ControlGroup {
-	readonly #options: ControlGroupOptions;
+export class ControlReplica {
+	readonly #options: ControlReplicaOptions;
 	readonly #self: ReplicaId;
-	readonly #machine: StateMachine<GatewayCommand, GatewayAnswer, GatewayState>;
+	readonly #machine: StateMachine<GatewayCommand, GatewayCommandResult, GatewayState>;
 	readonly #driver: ReplicaDriver;
-	readonly #stepNotifier = new StepWaiters();
+	readonly #stepNotifier = new StepNotifier();
 	readonly #joining = new JoiningReplicas();
 	#timers: NodeJS.Timeout[] = [];
 	#lastLeader: ReplicaId | undefined;
@@ -55,12 +55,12 @@
 	#isRequestingToJoin = false;
 	#isStopped = false;
 
-	constructor(options: ControlGroupOptions) {
+	constructor(options: ControlReplicaOptions) {
 		const {self, folder, clock, random, lastAcknowledgedAt} = options;
-		const {identity, hardState, snapshot, entries} = folder.takeStored();
+		const {identity, hardState, snapshot, entries} = folder.takeStoredState();
 		this.#options = options;
 		this.#self = toReplicaId(self, identity);
-		this.#machine = new StateMachine<GatewayCommand, GatewayAnswer, GatewayState>({
+		this.#machine = new StateMachine<GatewayCommand, GatewayCommandResult, GatewayState>({
 			create: data => new GatewayState(data),
 			decode: decodeGatewayCommand,
 			onApplied: options.onApplied,
@@ -73,25 +73,25 @@
 		}
 
 		this.#driver = new ReplicaDriver({
-			start: {
-				id: this.#self, hardState, snapshot, entries, lastAcknowledgedAt, options: groupTiming, seed: Math.floor(random() * seedRange),
+			replica: {
+				id: this.#self, hardState, snapshot, entries, lastAcknowledgedAt, options: replicaTiming, seed: Math.floor(random() * seedRange),
 			},
 			folder,
 			clock,
 			send: (to, message) => {
 				options.send(toId<InstanceId>(instanceOf(to)), {
-					type: 'replica', from: this.#self, to, message: writeReplicaMessage(message),
+					type: 'replica', from: this.#self, to, message: encodeReplicaMessage(message),
 				});
 			},
 			apply: actions => {
 				this.#machine.apply(actions);
 			},
-			onStepped: state => {
+			onStepsCompleted: state => {
 				this.#handleStep(state);
 			},
 			onFailure: failed => {
 				this.#isStopped = true;
-				this.#stepNotifier.wake();
+				this.#stepNotifier.notifyAll();
 				options.onFailure(failed);
 			},
 		});
@@ -140,12 +140,12 @@
 		}
 
 		await this.#driver.stop();
-		this.#stepNotifier.wake();
+		this.#stepNotifier.notifyAll();
 		await this.#options.folder.close();
 	}
 
 	/** The commit index at the time of the call, or `undefined` if this replica holds no valid leader lease. */
-	confirmedIndex(): number | undefined {
+	readIndex(): number | undefined {
 		const {clock, suspension} = this.#options;
 		// A leader may have been replaced while its machine was suspended; its lease counts again only after a heartbeat round since then.
 		return this.#isStopped ? undefined : readIndex(this.#driver.state, clock.monotonic(), {validSince: suspension.lastWake()});
@@ -160,7 +160,7 @@
 	*/
 	async applied(index: number, deadline: number): Promise<boolean> {
 		while (!this.#isStopped && this.#machine.appliedIndex < index && this.#options.clock.monotonic() < deadline) {
-			await this.#stepNotifier.next();
+			await this.#stepNotifier.waitForNext();
 		}
 
 		return this.#machine.appliedIndex >= index;
@@ -172,23 +172,23 @@
 	@param command The command.
 	@returns The result; the `outcome` of a `no-quorum` failure says whether the command may still be committed.
 	*/
-	async propose(command: GatewayCommand): Promise<Either<Failure, GatewayAnswer>> {
-		const confirmedIndex = this.confirmedIndex();
+	async propose(command: GatewayCommand): Promise<Either<Failure, GatewayCommandResult>> {
+		const confirmedIndex = this.readIndex();
 		if (confirmedIndex === undefined) {
 			return Left(failure('no-quorum', 'The command cannot be committed: this replica is not a leader with a valid lease', {retryAfterMilliseconds: retryMilliseconds}));
 		}
 
 		// Operators retry a change that was committed too late; on a slow disk, appending another entry would be too late as well.
-		const unchanged = this.#machine.appliedIndex >= confirmedIndex ? this.state.answerOf(command) : undefined;
+		const unchanged = this.#machine.appliedIndex >= confirmedIndex ? this.state.answerWithoutCommit(command) : undefined;
 		if (unchanged !== undefined) {
 			return Right(unchanged);
 		}
 
 		const proposalId = String(++this.#proposalCount);
-		const result = this.#machine.resultOf(proposalId);
+		const result = this.#machine.waitForResult(proposalId);
 		this.#driver.push({type: 'propose', proposals: [{proposalId, data: encodeGatewayCommand(command)}]});
 		const timer = setTimeout(() => {
-			this.#machine.giveUp(proposalId, failure('no-quorum', `The command was not committed by a quorum within ${commitTimeoutMilliseconds} ms; it may still be committed`, {
+			this.#machine.cancelWait(proposalId, failure('no-quorum', `The command was not committed by a quorum within ${commitTimeoutMilliseconds} ms; it may still be committed`, {
 				outcome: 'unknown', retryAfterMilliseconds: retryMilliseconds,
 			}));
 		}, commitTimeoutMilliseconds);
@@ -204,7 +204,7 @@
 	*/
 	receive({from, to, message}: ReplicaEnvelope): void {
 		if (to === this.#self && !this.#isStopped) {
-			this.#driver.push({type: 'message', from, message: readReplicaMessage(message)});
+			this.#driver.push({type: 'message', from, message: decodeReplicaMessage(message)});
 		}
 	}
 
@@ -214,8 +214,8 @@
 	@param message The join request.
 	@returns The state of this replica.
 	*/
-	join({replica, isFounding}: JoinMessage): JoinReply {
-		this.#joining.note({replica, isFounding}, this.#options.clock.monotonic());
+	handleJoin({replica, isFounding}: JoinMessage): JoinReply {
+		this.#joining.record({replica, isFounding}, this.#options.clock.monotonic());
 		const {log: {snapshot}} = this.#driver.state;
 		return {
 			replica: this.#self,
@@ -238,7 +238,7 @@
 		}
 
 		const now = this.#options.clock.monotonic();
-		const change = planMembership(state, {joining: this.#joining.present(now), now});
+		const change = planMembership(state, {joining: this.#joining.active(now), now});
 		if (change !== undefined) {
 			this.#driver.push({type: 'change-replicas', change});
 		}
@@ -251,7 +251,7 @@
 		}
 
 		this.#isRequestingToJoin = true;
-		const {self, peers, join, isFounding, founders} = this.#options;
+		const {self, peers, requestJoin: join, isFounding, initialMembers: founders} = this.#options;
 		const others = peers().filter(peer => peer !== self);
 		const replies = await Promise.all(others.map(async peer => join(peer, {type: 'join', replica: this.#self, isFounding})));
 		this.#isRequestingToJoin = false;
@@ -260,8 +260,8 @@
 			return;
 		}
 
-		const initial = foundGroup({
-			self, replica: this.#self, isFounding: isFounding && this.#isEmpty(), founders, replies: received,
+		const initial = bootstrapReplicaSet({
+			self, replica: this.#self, isFounding: isFounding && this.#isEmpty(), initialMembers: founders, replies: received,
 		});
 		if (initial !== undefined) {
 			this.#isBootstrapped = true;
@@ -283,7 +283,7 @@
 	}
 
 	#handleStep(state: ReplicaState): void {
-		this.#stepNotifier.wake();
+		this.#stepNotifier.notifyAll();
 		const leader = knownLeader(state);
 		if (leader !== this.#lastLeader) {
 			this.#lastLeader = leader;
@@ -294,7 +294,7 @@
 
 		const {entries, bytes} = this.#machine.sinceSnapshot;
 		if (entries >= snapshotEntries || bytes >= snapshotBytes) {
-			this.#machine.snapshotTaken();
+			this.#machine.resetSnapshotCounters();
 			this.#driver.push({type: 'snapshot-taken', lastIndex: this.#machine.appliedIndex, data: this.#machine.state.toSnapshot()});
 		}
 	}
--- a/packages/gateway/src/control/entry-watches.ts
+++ b/packages/gateway/src/control/entry-watches.ts
@@ -1,16 +1,16 @@
 import {type Clock, type InstanceId} from '@valehitch/core';
-import {type SuspectBook} from '@valehitch/routing';
-import {isEnded, type RunningRollout} from '../rollouts/rollout.js';
+import {type SuspectRegistry} from '@valehitch/routing';
+import {isEnded, type RolloutWithAge} from '../rollouts/rollout.js';
 import {type ServerDirectory} from '../servers/server-directory.js';
 import {type ConfigurationDocument} from './gateway-state.js';
-import {type KnownEntry, nearEntriesOf} from './near-entries.js';
+import {type ActiveEntry, selectLoadSharingPeers} from './select-load-sharing-peers.js';
 import {type WatchMessage, type WatchReply} from './peer-message.js';
-import {digestOfRollouts} from './rollout-clock.js';
+import {digestRollouts} from './rollout-clock.js';
 
 /** The state that is sent to entry instances. */
-export type EntryNews = {
+export type EntryUpdate = {
 	readonly configuration: ConfigurationDocument | undefined;
-	readonly rollouts: readonly RunningRollout[];
+	readonly rollouts: readonly RolloutWithAge[];
 	/** When the state was last confirmed to be current, in milliseconds on the monotonic clock, or `undefined` if it has not been confirmed. */
 	readonly confirmedAt: number | undefined;
 	/** The hosts of the control instances. */
@@ -24,8 +24,8 @@
 	readonly run: string;
 	readonly directory: ServerDirectory;
 	/** The requests suspected of crashing servers. */
-	readonly suspects: Pick<SuspectBook, 'cursor' | 'changedSince'>;
-	readonly news: () => EntryNews;
+	readonly suspects: Pick<SuspectRegistry, 'cursor' | 'changedSince'>;
+	readonly currentUpdate: () => EntryUpdate;
 };
 
 /** How long a poll waits for an update, in milliseconds; well below the lease duration of the entry instance. */
@@ -47,14 +47,14 @@
 export class EntryWatches {
 	readonly #options: EntryWatchesOptions;
 	readonly #pendingPolls = new Set<() => void>();
-	readonly #entries = new Map<InstanceId, KnownEntry & {readonly at: number}>();
+	readonly #entries = new Map<InstanceId, ActiveEntry & {readonly at: number}>();
 
 	constructor(options: EntryWatchesOptions) {
 		this.#options = options;
 	}
 
 	/** Answers all pending polls now. */
-	wake(): void {
+	answerPending(): void {
 		for (const wake of this.#pendingPolls) {
 			wake();
 		}
@@ -68,7 +68,7 @@
 	@returns The changes since that state.
 	*/
 	async answer(from: InstanceId, watch: WatchMessage): Promise<WatchReply> {
-		const {clock, run, directory, suspects, news} = this.#options;
+		const {clock, run, directory, suspects, currentUpdate: news} = this.#options;
 		const receivedAt = clock.monotonic();
 		const entry = {instance: from, zone: watch.zone};
 		this.#entries.set(from, {...entry, at: receivedAt});
@@ -86,22 +86,22 @@
 			suspects: suspects.changedSince(watch.run === run ? watch.suspectCursor : 0),
 			configuration: isNewer(configuration, watch) ? configuration : undefined,
 			rollouts,
-			rolloutDigest: digestOfRollouts(rollouts),
+			rolloutDigest: digestRollouts(rollouts),
 			held: now - receivedAt,
 			confirmedAgo: confirmedAt === undefined ? undefined : now - confirmedAt,
 			hosts,
-			entries: nearEntriesOf(entry, this.#activeEntries(now)),
+			entries: selectLoadSharingPeers(entry, this.#activeEntries(now)),
 		};
 	}
 
 	#hasUpdate(watch: WatchMessage): boolean {
-		const {run, directory, suspects, news} = this.#options;
+		const {run, directory, suspects, currentUpdate: news} = this.#options;
 		const {configuration, rollouts} = news();
 		return watch.run !== run
 			|| watch.cursor < directory.cursor
 			|| watch.suspectCursor < suspects.cursor
 			|| isNewer(configuration, watch)
-			|| watch.rolloutDigest !== digestOfRollouts(rollouts);
+			|| watch.rolloutDigest !== digestRollouts(rollouts);
 	}
 
 	async #waitForUpdate(): Promise<void> {
@@ -112,14 +112,14 @@
 				resolve();
 			};
 
-			const {rollouts} = this.#options.news();
+			const {rollouts} = this.#options.currentUpdate();
 			const isRunning = rollouts.some(rollout => !isEnded(rollout));
 			const timer = setTimeout(wake, isRunning ? rolloutLongPollMilliseconds : longPollMilliseconds);
 			this.#pendingPolls.add(wake);
 		});
 	}
 
-	#activeEntries(now: number): readonly KnownEntry[] {
+	#activeEntries(now: number): readonly ActiveEntry[] {
 		for (const [instance, {at}] of this.#entries) {
 			if (now - at > entryTimeoutMilliseconds) {
 				this.#entries.delete(instance);
--- a/packages/gateway/src/control/gateway-command.ts
+++ b/packages/gateway/src/control/gateway-command.ts
@@ -33,7 +33,7 @@
 export type GatewayCommand = PutConfigurationCommand | StartRolloutCommand | AdvanceRolloutCommand;
 
 /** The result of a command. */
-export type GatewayAnswer
+export type GatewayCommandResult
 	= | {readonly type: 'configuration'; readonly isNewest: boolean; readonly version: number}
 		| {readonly type: 'rollout'; readonly rollout: Rollout};
 
--- a/packages/gateway/src/control/gateway-state.test.ts
+++ b/packages/gateway/src/control/gateway-state.test.ts
@@ -15,14 +15,14 @@
 
 test('a configuration that is not newer is answered without a log entry, and a newer one is not', t => {
 	const state = new GatewayState();
-	t.is(state.answerOf({type: 'put-configuration', version: 5, document: 'five'}), undefined);
+	t.is(state.answerWithoutCommit({type: 'put-configuration', version: 5, document: 'five'}), undefined);
 	state.apply({type: 'put-configuration', version: 5, document: 'five'});
 	for (const version of [3, 5]) {
 		const command = {type: 'put-configuration', version, document: 'any'} as const;
-		t.deepEqual(state.answerOf(command), state.apply(command).unsafeCoerce());
+		t.deepEqual(state.answerWithoutCommit(command), state.apply(command).unsafeCoerce());
 	}
 
-	t.is(state.answerOf({type: 'put-configuration', version: 6, document: 'six'}), undefined);
+	t.is(state.answerWithoutCommit({type: 'put-configuration', version: 6, document: 'six'}), undefined);
 });
 
 test('a snapshot restores the whole state', t => {
--- a/packages/gateway/src/control/gateway-state.ts
+++ b/packages/gateway/src/control/gateway-state.ts
@@ -4,7 +4,7 @@
 import {match} from 'ts-pattern';
 import {isEnded, type Rollout} from '../rollouts/rollout.js';
 import {
-	type AdvanceRolloutCommand, type GatewayAnswer, type GatewayCommand, type PutConfigurationCommand, type StartRolloutCommand,
+	type AdvanceRolloutCommand, type GatewayCommandResult, type GatewayCommand, type PutConfigurationCommand, type StartRolloutCommand,
 } from './gateway-command.js';
 
 /** The newest configuration, as the operator sent it. */
@@ -64,7 +64,7 @@
 	@param command The command.
 	@returns The result, or the reason why the state did not change.
 	*/
-	apply(command: GatewayCommand): Either<Failure, GatewayAnswer> {
+	apply(command: GatewayCommand): Either<Failure, GatewayCommandResult> {
 		return match(command)
 			.with({type: 'put-configuration'}, put => this.#put(put))
 			.with({type: 'start-rollout'}, start => this.#start(start))
@@ -78,7 +78,7 @@
 	@param command The command.
 	@returns The result that the command would have, or `undefined` if it may change the state.
 	*/
-	answerOf(command: GatewayCommand): GatewayAnswer | undefined {
+	answerWithoutCommit(command: GatewayCommand): GatewayCommandResult | undefined {
 		const currentVersion = this.#configuration?.version;
 		return command.type === 'put-configuration' && currentVersion !== undefined && command.version <= currentVersion
 			? {type: 'configuration', isNewest: false, version: currentVersion}
@@ -91,8 +91,8 @@
 		return new Uint8Array(packr.pack(data));
 	}
 
-	#put(put: PutConfigurationCommand): Either<Failure, GatewayAnswer> {
-		const unchanged = this.answerOf(put);
+	#put(put: PutConfigurationCommand): Either<Failure, GatewayCommandResult> {
+		const unchanged = this.answerWithoutCommit(put);
 		if (unchanged !== undefined) {
 			return Right(unchanged);
 		}
@@ -102,7 +102,7 @@
 		return Right({type: 'configuration', isNewest: true, version});
 	}
 
-	#start({service, target, duration, orderedAt}: StartRolloutCommand): Either<Failure, GatewayAnswer> {
+	#start({service, target, duration, orderedAt}: StartRolloutCommand): Either<Failure, GatewayCommandResult> {
 		const current = this.#rollouts.get(service);
 		if (current?.target === target) {
 			return Right({type: 'rollout', rollout: current});
@@ -119,7 +119,7 @@
 		return Right({type: 'rollout', rollout});
 	}
 
-	#advance({service, target, stage}: AdvanceRolloutCommand): Either<Failure, GatewayAnswer> {
+	#advance({service, target, stage}: AdvanceRolloutCommand): Either<Failure, GatewayCommandResult> {
 		const current = this.#rollouts.get(service);
 		if (current?.target !== target) {
 			return Left(failure('not-found', `Cannot advance the rollout of ${service} to ${target}: no such rollout has been started`));
--- a/packages/gateway/src/control/joining-replicas.ts
+++ b/packages/gateway/src/control/joining-replicas.ts
@@ -29,7 +29,7 @@
 	@param joining The replica, and whether it started as part of the first start of the whole system.
 	@param now The current time in milliseconds on the monotonic clock.
 	*/
-	note({replica, isFounding}: Pick<JoiningReplica, 'replica' | 'isFounding'>, now: number): void {
+	record({replica, isFounding}: Pick<JoiningReplica, 'replica' | 'isFounding'>, now: number): void {
 		const known = this.#requests.get(replica);
 		if (known === undefined) {
 			this.#requests.set(replica, {
@@ -46,7 +46,7 @@
 	@param now The current time in milliseconds on the monotonic clock.
 	@returns The replicas that sent a request recently, with the time since their first request.
 	*/
-	present(now: number): readonly JoiningReplica[] {
+	active(now: number): readonly JoiningReplica[] {
 		for (const [replica, {lastSeenAt}] of this.#requests) {
 			if (now - lastSeenAt > requestTimeoutMilliseconds) {
 				this.#requests.delete(replica);
--- a/packages/gateway/src/control/leader-client.ts
+++ b/packages/gateway/src/control/leader-client.ts
@@ -5,8 +5,8 @@
 import {type GatewayMetrics} from '../logs/gateway-metrics.js';
 import {EvidenceDelta} from '../rollouts/evidence-delta.js';
 import {type VersionEvidence} from '../rollouts/version-evidence.js';
-import {type ControlGroup} from './control-group.js';
-import {type GatewayAnswer, type GatewayCommand} from './gateway-command.js';
+import {type ControlReplica} from './control-replica.js';
+import {type GatewayCommandResult, type GatewayCommand} from './gateway-command.js';
 import {
 	type ConfirmReply, type PeerMessage, type ProposeReply,
 } from './peer-message.js';
@@ -17,7 +17,7 @@
 	readonly clock: Clock;
 	readonly metrics: GatewayMetrics;
 	/** The local replica, or `undefined` while its disk is failing. */
-	readonly group: () => ControlGroup | undefined;
+	readonly replica: () => ControlReplica | undefined;
 	/** The counters of entry instances that the leader needs; changed counters are sent with each request for the commit index. */
 	readonly evidence: () => readonly VersionEvidence[];
 	/** Sends a request to another instance; resolves to `undefined` if no reply arrives within the timeout in milliseconds. */
@@ -53,15 +53,15 @@
 	@param command The command.
 	@returns The result; the `outcome` of a `no-quorum` failure says whether the command may still be committed.
 	*/
-	async propose(command: GatewayCommand): Promise<Either<Failure, GatewayAnswer>> {
-		const {self, ask, metrics, group} = this.#options;
+	async propose(command: GatewayCommand): Promise<Either<Failure, GatewayCommandResult>> {
+		const {self, ask, metrics, replica: group} = this.#options;
 		const leader = group()?.leader;
 		if (leader === undefined) {
 			return Left(noLeaderFailure());
 		}
 
 		const result = leader === self
-			? await this.proposeHere(command)
+			? await this.proposeLocally(command)
 			: toResult(await ask(leader, {type: 'propose', command}, proposeTimeoutMilliseconds) as ProposeReply | undefined);
 		metrics.commands.inc({type: command.type, result: result.isRight() ? 'committed' : 'failed'});
 		return result;
@@ -73,8 +73,8 @@
 	@param command The command.
 	@returns The result.
 	*/
-	async proposeHere(command: GatewayCommand): Promise<Either<Failure, GatewayAnswer>> {
-		return await this.#options.group()?.propose(command) ?? Left(noLeaderFailure());
+	async proposeLocally(command: GatewayCommand): Promise<Either<Failure, GatewayCommandResult>> {
+		return await this.#options.replica()?.propose(command) ?? Left(noLeaderFailure());
 	}
 
 	/**
@@ -83,8 +83,8 @@
 	@param command The command.
 	@returns The reply to send.
 	*/
-	async replyTo(command: GatewayCommand): Promise<ProposeReply> {
-		const result = await this.proposeHere(command);
+	async handleProposal(command: GatewayCommand): Promise<ProposeReply> {
+		const result = await this.proposeLocally(command);
 		return result.caseOf<ProposeReply>({
 			Left: failed => ({type: 'failure', failed}),
 			Right: answer => ({type: 'answer', answer}),
@@ -92,11 +92,11 @@
 	}
 
 	/** Requests the commit index at the time of the call; resolves to `undefined` if no leader could confirm it. */
-	async newestIndex(): Promise<number | undefined> {
-		const {self, ask, group} = this.#options;
+	async readIndex(): Promise<number | undefined> {
+		const {self, ask, replica: group} = this.#options;
 		const leader = group()?.leader;
 		if (leader === undefined || leader === self) {
-			return group()?.confirmedIndex();
+			return group()?.readIndex();
 		}
 
 		const reply = await ask(leader, {type: 'confirm', evidence: this.#changedEvidence(leader)}, confirmTimeoutMilliseconds) as ConfirmReply | undefined;
@@ -109,7 +109,7 @@
 		}
 
 		const {evidence, clock} = this.#options;
-		return this.#sentEvidence.delta.next(evidence(), clock.monotonic());
+		return this.#sentEvidence.delta.takeChanged(evidence(), clock.monotonic());
 	}
 }
 
@@ -123,7 +123,7 @@
 describeResult(result); // 'current version 7'
 ```
 */
-export function describeResult(result: Either<Failure, GatewayAnswer>): string {
+export function describeResult(result: Either<Failure, GatewayCommandResult>): string {
 	return result.caseOf({
 		Left: ({kind, message}) => `${kind}: ${message}`,
 		Right: answer => answer.type === 'configuration' ? `current version ${answer.version}` : `stage ${answer.rollout.stage}`,
@@ -134,7 +134,7 @@
 	return failure('no-quorum', 'Cannot commit the command: no leader is known', {retryAfterMilliseconds: retryMilliseconds});
 }
 
-function toResult(reply: ProposeReply | undefined): Either<Failure, GatewayAnswer> {
+function toResult(reply: ProposeReply | undefined): Either<Failure, GatewayCommandResult> {
 	if (reply === undefined) {
 		return Left(failure('no-quorum', 'The leader did not reply in time; the command may or may not be committed', {outcome: 'unknown', retryAfterMilliseconds: retryMilliseconds}));
 	}
--- a/packages/gateway/src/control/operator-calls.ts
+++ b/packages/gateway/src/control/operator-api.ts
@@ -5,13 +5,13 @@
 import {type RoutingConfiguration} from '../configuration/routing-configuration.js';
 import {type DecisionLog} from '../logs/decision-log.js';
 import {type Rollout} from '../rollouts/rollout.js';
-import {type GatewayAnswer} from './gateway-command.js';
+import {type GatewayCommandResult} from './gateway-command.js';
 import {type ConfigurationDocument} from './gateway-state.js';
 import {describeResult, type LeaderClient} from './leader-client.js';
 import {type StateConfirmation} from './state-confirmation.js';
 
 /** Options of the operator API. */
-export type OperatorCallsOptions = {
+export type OperatorApiOptions = {
 	readonly clock: Pick<Clock, 'now'>;
 	readonly log: DecisionLog;
 	readonly leader: Pick<LeaderClient, 'propose'>;
@@ -29,10 +29,10 @@
 await operators.submitConfiguration(configuration, document);
 ```
 */
-export class OperatorCalls {
-	readonly #options: OperatorCallsOptions;
+export class OperatorApi {
+	readonly #options: OperatorApiOptions;
 
-	constructor(options: OperatorCallsOptions) {
+	constructor(options: OperatorApiOptions) {
 		this.#options = options;
 	}
 
@@ -43,7 +43,7 @@
 	@param document The document as the operator sent it.
 	@returns Whether the configuration is the newest, once it is committed; `no-quorum` if it may or may not have been committed.
 	*/
-	async submitConfiguration({version}: RoutingConfiguration, document: string): Promise<Either<Failure, GatewayAnswer>> {
+	async submitConfiguration({version}: RoutingConfiguration, document: string): Promise<Either<Failure, GatewayCommandResult>> {
 		const result = await this.#options.leader.propose({type: 'put-configuration', version, document});
 		this.#options.log('configuration-submitted', {version, result: describeResult(result)});
 		return result;
@@ -63,7 +63,7 @@
 	@param order The service, the target version, and the duration in milliseconds.
 	@returns The rollout, once it is committed.
 	*/
-	async startRollout(order: {readonly service: ServiceId; readonly target: VersionId; readonly duration: number}): Promise<Either<Failure, GatewayAnswer>> {
+	async startRollout(order: {readonly service: ServiceId; readonly target: VersionId; readonly duration: number}): Promise<Either<Failure, GatewayCommandResult>> {
 		const result = await this.#options.leader.propose({type: 'start-rollout', ...order, orderedAt: this.#options.clock.now().getTime()});
 		this.#options.log('rollout-started', {
 			service: order.service, target: order.target, duration: order.duration, result: describeResult(result),
--- a/packages/gateway/src/control/peer-message.ts
+++ b/packages/gateway/src/control/peer-message.ts
@@ -2,12 +2,12 @@
 import {
 	type Failure, type InstanceId, type ServerId, type ZoneId,
 } from '@valehitch/core';
-import {type ReplicaWire} from '@valehitch/replication';
+import {type EncodedReplicaMessage} from '@valehitch/replication';
 import {type SuspectRecord} from '@valehitch/routing';
-import {type RunningRollout} from '../rollouts/rollout.js';
+import {type RolloutWithAge} from '../rollouts/rollout.js';
 import {type VersionEvidence} from '../rollouts/version-evidence.js';
 import {type ServerRecord} from '../servers/server-record.js';
-import {type GatewayAnswer, type GatewayCommand} from './gateway-command.js';
+import {type GatewayCommandResult, type GatewayCommand} from './gateway-command.js';
 import {type ConfigurationDocument} from './gateway-state.js';
 
 /** A message between two replicas; dropped if it is addressed to a former identity of an instance. */
@@ -15,7 +15,7 @@
 	readonly type: 'replica';
 	readonly from: ReplicaId;
 	readonly to: ReplicaId;
-	readonly message: ReplicaWire;
+	readonly message: EncodedReplicaMessage;
 };
 
 /** A replica that is not a voter requests to join the group. */
@@ -57,7 +57,7 @@
 
 /** The result of a proposed command. */
 export type ProposeReply
-	= | {readonly type: 'answer'; readonly answer: GatewayAnswer}
+	= | {readonly type: 'answer'; readonly answer: GatewayCommandResult}
 		| {readonly type: 'failure'; readonly failed: Failure};
 
 /** Sends records of backend servers from one control instance to another. */
@@ -132,7 +132,7 @@
 	/** The suspect records that changed. */
 	readonly suspects: readonly SuspectRecord[];
 	readonly configuration: ConfigurationDocument | undefined;
-	readonly rollouts: readonly RunningRollout[];
+	readonly rollouts: readonly RolloutWithAge[];
 	readonly rolloutDigest: string;
 	/** How long the poll was held before it was answered, in milliseconds. */
 	readonly held: number;
--- a/packages/gateway/src/control/rollout-clock.test.ts
+++ b/packages/gateway/src/control/rollout-clock.test.ts
@@ -16,15 +16,15 @@
 test('the age of a rollout that was ordered while the process ran follows the monotonic clock only', t => {
 	const clock = clockAt(20);
 	const rolloutClock = new RolloutClock(clock);
-	t.is(rolloutClock.running([rollout])[0]?.age, 0);
+	t.is(rolloutClock.withAges([rollout])[0]?.age, 0);
 	clock.now = () => new Date(orderTime + 90_000);
 	clock.monotonic = () => 7500;
-	t.is(rolloutClock.running([rollout])[0]?.age, 7000);
+	t.is(rolloutClock.withAges([rollout])[0]?.age, 7000);
 });
 
 test('a rollout that was ordered before all instances restarted resumes at its age, limited to a share of its duration', t => {
-	t.is(new RolloutClock(clockAt(18_000)).running([rollout])[0]?.age, 18_000);
-	t.is(new RolloutClock(clockAt(90_000)).running([rollout])[0]?.age, 19_200);
-	t.is(new RolloutClock(clockAt(-2600)).running([rollout])[0]?.age, 0);
-	t.is(new RolloutClock(clockAt(2600)).running([rollout])[0]?.age, 0);
+	t.is(new RolloutClock(clockAt(18_000)).withAges([rollout])[0]?.age, 18_000);
+	t.is(new RolloutClock(clockAt(90_000)).withAges([rollout])[0]?.age, 19_200);
+	t.is(new RolloutClock(clockAt(-2600)).withAges([rollout])[0]?.age, 0);
+	t.is(new RolloutClock(clockAt(2600)).withAges([rollout])[0]?.age, 0);
 });
