--- a/packages/gateway/src/control/rollout-clock.ts
+++ b/packages/gateway/src/control/rollout-clock.ts
@@ -1,5 +1,5 @@
 import {type Clock, type ServiceId} from '@valehitch/core';
-import {type Rollout, type RunningRollout} from '../rollouts/rollout.js';
+import {type Rollout, type RolloutWithAge} from '../rollouts/rollout.js';
 
 /** Wall clocks of different instances may differ, and may jump, by a few seconds. */
 const maximumClockSkewMilliseconds = 4000;
@@ -29,7 +29,7 @@
 	@param rollouts The rollouts in the replicated state.
 	@returns The rollouts with their ages.
 	*/
-	running(rollouts: readonly Rollout[]): readonly RunningRollout[] {
+	withAges(rollouts: readonly Rollout[]): readonly RolloutWithAge[] {
 		const now = this.#clock.monotonic();
 		return rollouts.map(rollout => {
 			const known = this.#firstSeen.get(rollout.service);
@@ -51,6 +51,6 @@
 }
 
 /** Summarizes the targets and stages of rollouts, so that an entry instance can tell whether it has the current ones. */
-export function digestOfRollouts(rollouts: readonly Rollout[]): string {
+export function digestRollouts(rollouts: readonly Rollout[]): string {
 	return rollouts.map(rollout => `${rollout.service} ${rollout.target} ${rollout.stage}`).join('; ');
 }
--- a/packages/gateway/src/control/rollout-judge.ts
+++ b/packages/gateway/src/control/rollout-controller.ts
@@ -1,15 +1,15 @@
 import {type DecisionLog} from '../logs/decision-log.js';
 import {type EvidenceTable} from '../rollouts/evidence-table.js';
-import {judgeRollout} from '../rollouts/judge-rollout.js';
-import {isEnded, type RunningRollout} from '../rollouts/rollout.js';
+import {nextRolloutStage} from '../rollouts/next-rollout-stage.js';
+import {isEnded, type RolloutWithAge} from '../rollouts/rollout.js';
 import {type AdvanceRolloutCommand} from './gateway-command.js';
 
 /** Options of the rollout controller. */
-export type RolloutJudgeOptions = {
+export type RolloutControllerOptions = {
 	readonly log: DecisionLog;
 	readonly evidence: EvidenceTable;
 	/** The rollouts with their ages if this instance is the leader; otherwise none. */
-	readonly rollouts: () => readonly RunningRollout[];
+	readonly rollouts: () => readonly RolloutWithAge[];
 	/** Commits a command. */
 	readonly advance: (command: AdvanceRolloutCommand) => Promise<unknown>;
 };
@@ -23,16 +23,16 @@
 await controller.evaluateRollouts();
 ```
 */
-export class RolloutJudge {
-	readonly #options: RolloutJudgeOptions;
+export class RolloutController {
+	readonly #options: RolloutControllerOptions;
 	#isEvaluating = false;
 
-	constructor(options: RolloutJudgeOptions) {
+	constructor(options: RolloutControllerOptions) {
 		this.#options = options;
 	}
 
 	/** Evaluates all running rollouts once; does nothing while the previous evaluation is in progress. */
-	async look(): Promise<void> {
+	async evaluateRollouts(): Promise<void> {
 		if (this.#isEvaluating) {
 			return;
 		}
@@ -47,11 +47,11 @@
 		this.#isEvaluating = false;
 	}
 
-	async #evaluate(rollout: RunningRollout): Promise<void> {
+	async #evaluate(rollout: RolloutWithAge): Promise<void> {
 		const {service, target, age} = rollout;
 		const {evidence, log, advance} = this.#options;
-		const serviceEvidence = evidence.of(service);
-		const stage = judgeRollout(rollout, {evidence: serviceEvidence, age});
+		const serviceEvidence = evidence.forService(service);
+		const stage = nextRolloutStage(rollout, {evidence: serviceEvidence, age});
 		if (stage === undefined) {
 			return;
 		}
--- a/packages/gateway/src/control/near-entries.test.ts
+++ b/packages/gateway/src/control/select-load-sharing-peers.test.ts
@@ -1,19 +1,19 @@
 import {type InstanceId, type ZoneId} from '@valehitch/core';
 import test from 'ava';
-import {type KnownEntry, nearEntriesOf} from './near-entries.js';
+import {type ActiveEntry, selectLoadSharingPeers} from './select-load-sharing-peers.js';
 
-function entries(count: number, zone: string): readonly KnownEntry[] {
+function entries(count: number, zone: string): readonly ActiveEntry[] {
 	return Array.from({length: count}, (_, index) => ({instance: `${zone}-${String(index).padStart(2, '0')}` as InstanceId, zone: zone as ZoneId}));
 }
 
 test('in a small deployment all other entry instances are peers', t => {
 	const all = [...entries(3, 'a'), ...entries(2, 'b')];
-	t.deepEqual(nearEntriesOf(all[1]!, all), ['a-02', 'a-00', 'b-00', 'b-01'] as never);
+	t.deepEqual(selectLoadSharingPeers(all[1]!, all), ['a-02', 'a-00', 'b-00', 'b-01'] as never);
 });
 
 test('in a large deployment each entry instance has six peers in its availability zone and is the peer of six others', t => {
 	const all = [...entries(28, 'a'), ...entries(28, 'b')];
-	const peers = all.flatMap(entry => nearEntriesOf(entry, all));
+	const peers = all.flatMap(entry => selectLoadSharingPeers(entry, all));
 	t.is(peers.length, 336);
 	for (const {instance} of all) {
 		t.is(peers.filter(other => other === instance).length, 6);
--- a/packages/gateway/src/control/near-entries.ts
+++ b/packages/gateway/src/control/select-load-sharing-peers.ts
@@ -1,7 +1,7 @@
 import {type InstanceId, type ZoneId} from '@valehitch/core';
 
 /** An entry instance that polled recently. */
-export type KnownEntry = {
+export type ActiveEntry = {
 	readonly instance: InstanceId;
 	readonly zone: ZoneId;
 };
@@ -20,13 +20,13 @@
 selectLoadSharingPeers({instance, zone}, entries);
 ```
 */
-export function nearEntriesOf(self: KnownEntry, entries: readonly KnownEntry[]): readonly InstanceId[] {
+export function selectLoadSharingPeers(self: ActiveEntry, entries: readonly ActiveEntry[]): readonly InstanceId[] {
 	const sameZone = successorsInRing(self, entries.filter(({zone}) => zone === self.zone));
 	const otherZones = successorsInRing(self, entries.filter(({zone}) => zone !== self.zone));
 	return [...sameZone, ...otherZones].slice(0, maximumPeers);
 }
 
-function successorsInRing({instance: self}: KnownEntry, entries: readonly KnownEntry[]): readonly InstanceId[] {
+function successorsInRing({instance: self}: ActiveEntry, entries: readonly ActiveEntry[]): readonly InstanceId[] {
 	const names = entries.map(({instance}) => instance).filter(instance => instance !== self).toSorted((one, other) => one < other ? -1 : 1);
 	const successors = names.filter(name => name > self);
 	return [...successors, ...names.filter(name => name < self)];
--- a/packages/gateway/src/control/server-news.test.ts
+++ b/packages/gateway/src/control/server-directory-sync.test.ts
@@ -4,7 +4,7 @@
 import {testServer} from '../servers/_test-server.js';
 import {type ServerRecord} from '../servers/server-record.js';
 import {type PeerMessage} from './peer-message.js';
-import {ServerNews} from './server-news.js';
+import {ServerDirectorySync} from './server-directory-sync.js';
 
 const [first, second] = ['10.0.0.1', '10.0.0.2'] as InstanceId[];
 
@@ -16,14 +16,14 @@
 
 /** Starts two control instances that exchange messages without delay. */
 function startPair(saved: readonly ServerRecord[] = [], isDiskTaking: () => boolean | Promise<boolean> = () => true) {
-	const news = new Map<InstanceId, ServerNews>();
+	const news = new Map<InstanceId, ServerDirectorySync>();
 	const written: Array<readonly ServerRecord[]> = [];
 	const lines: Array<Readonly<Record<string, unknown>>> = [];
 	const link = {isPartitioned: false, run: 'one'};
 	const sent: PeerMessage[] = [];
 	const time = {now: 1000};
-	const start = ({self, other, saved: records = []}: Side): ServerNews => {
-		const made = new ServerNews({
+	const start = ({self, other, saved: records = []}: Side): ServerDirectorySync => {
+		const made = new ServerDirectorySync({
 			clock: {now: () => new Date(0), monotonic: () => time.now},
 			log(kind, fields) {
 				lines.push({...fields, line: kind});
@@ -53,9 +53,9 @@
 	};
 }
 
-async function answer(news: ServerNews | undefined, message: PeerMessage, run: string): Promise<unknown> {
+async function answer(news: ServerDirectorySync | undefined, message: PeerMessage, run: string): Promise<unknown> {
 	if (message.type === 'server-ended') {
-		news?.end(message.server);
+		news?.markEnded(message.server);
 		return true;
 	}
 
@@ -64,7 +64,7 @@
 		return {run};
 	}
 
-	return message.type === 'all-servers' ? news?.all : undefined;
+	return message.type === 'all-servers' ? news?.allServersReply : undefined;
 }
 
 function doNothing(): void {
@@ -82,7 +82,7 @@
 	return sent.flatMap(message => message.type === 'servers' ? [message.records.map(({id}) => id)] : []);
 }
 
-const states = ({directory}: ServerNews) => directory.records.map(({id, state}) => `${id} ${state}`);
+const states = ({directory}: ServerDirectorySync) => directory.records.map(({id, state}) => `${id} ${state}`);
 
 test('a stop notice for a server that the receiver does not know reaches the instance that does', async t => {
 	const {one, other} = startPair();
@@ -133,25 +133,25 @@
 test('a stop notice missed during a network partition is delivered after the partition has healed', async t => {
 	const {one, other, link} = startPair();
 	await one.announce(testServer());
-	one.share();
+	one.runSyncRound();
 	link.isPartitioned = true;
 	await one.remove(testServer().id);
 	t.deepEqual(states(other), ['server-1 ready']);
 	link.isPartitioned = false;
-	one.share();
+	one.runSyncRound();
 	t.deepEqual(states(other), ['server-1 gone']);
 });
 
 test('acknowledged records are not sent again, except to a restarted process, which receives all of them', async t => {
 	const {one, link, sent} = startPair();
 	await one.announce(testServer());
-	one.share();
+	one.runSyncRound();
 	await runPendingTasks();
 	await one.announce(testServer({id: 'server-2' as ServerId}));
 	sent.length = 0;
 	for (const run of ['one', 'one', 'two', 'two', 'two']) {
 		link.run = run;
-		one.share();
+		one.runSyncRound();
 		await runPendingTasks();
 		await one.announce(testServer({id: 'server-2' as ServerId, sequence: 2}));
 	}
--- a/packages/gateway/src/control/server-news.ts
+++ b/packages/gateway/src/control/server-directory-sync.ts
@@ -1,5 +1,5 @@
 import {type Clock, type InstanceId, type ServerId} from '@valehitch/core';
-import {intervalAfterInput} from '@valehitch/transport';
+import {setIntervalAfterPoll} from '@valehitch/transport';
 import {type DecisionKind, type DecisionLog} from '../logs/decision-log.js';
 import {type GatewayMetrics} from '../logs/gateway-metrics.js';
 import {ListSaver} from '../servers/list-saver.js';
@@ -11,7 +11,7 @@
 } from './peer-message.js';
 
 /** Options of the server directory synchronization. */
-export type ServerNewsOptions = {
+export type ServerDirectorySyncOptions = {
 	readonly clock: Clock;
 	readonly log: DecisionLog;
 	readonly metrics: Pick<GatewayMetrics, 'missedNotices'>;
@@ -58,9 +58,9 @@
 await sync.announce(record);
 ```
 */
-export class ServerNews {
+export class ServerDirectorySync {
 	readonly directory: ServerDirectory;
-	readonly #options: ServerNewsOptions;
+	readonly #options: ServerDirectorySyncOptions;
 	readonly #startedAt: number;
 	readonly #silentMilliseconds: number;
 	readonly #saver: ListSaver<ServerRecord>;
@@ -70,7 +70,7 @@
 	#stopSyncTimer: (() => void) | undefined;
 	#saveTimer: NodeJS.Timeout | undefined;
 
-	constructor(options: ServerNewsOptions) {
+	constructor(options: ServerDirectorySyncOptions) {
 		this.#options = options;
 		this.#startedAt = options.clock.monotonic();
 		this.#silentMilliseconds = missedHeartbeatLimit * options.heartbeatMilliseconds;
@@ -82,15 +82,15 @@
 	}
 
 	/** The reply that sends all servers to another control instance. */
-	get all(): AllServersReply {
+	get allServersReply(): AllServersReply {
 		return {type: 'servers', records: this.directory.records, listenedFor: this.#options.clock.monotonic() - this.#startedAt};
 	}
 
 	/** Starts the periodic tasks, restores the servers that the previous run saved, and requests the servers that the other instances know; resolves once the saved servers are restored. */
 	async start(): Promise<void> {
 		// A round marks silent servers, so it must run after pending input, which may contain their announcements, has been read.
-		this.#stopSyncTimer = intervalAfterInput(syncMilliseconds, () => {
-			this.share();
+		this.#stopSyncTimer = setIntervalAfterPoll(syncMilliseconds, () => {
+			this.runSyncRound();
 		});
 		this.#saveTimer = setInterval(() => {
 			void this.save();
@@ -137,7 +137,7 @@
 	@param server The server.
 	*/
 	async remove(server: ServerId): Promise<void> {
-		this.end(server);
+		this.markEnded(server);
 		await this.#waitUntilDurable(this.#broadcast({type: 'server-ended', server}, [server]));
 	}
 
@@ -146,8 +146,8 @@
 
 	@param server The server.
 	*/
-	end(server: ServerId): void {
-		const changed = this.directory.remove(server, this.#options.clock.monotonic());
+	markEnded(server: ServerId): void {
+		const changed = this.directory.markEnded(server, this.#options.clock.monotonic());
 		if (changed !== undefined) {
 			this.#logStates([changed], 'notice');
 			this.#options.onChange();
@@ -174,7 +174,7 @@
 	}
 
 	/** Runs one synchronization round: marks silent servers, and sends each other instance the servers that announced themselves and the changes that it has not acknowledged. */
-	share(): void {
+	runSyncRound(): void {
 		const {clock, others, onChange} = this.#options;
 		const silenced = this.directory.sweep(clock.monotonic());
 		this.#logSilent(silenced);
@@ -258,7 +258,7 @@
 
 	/** Marks restored servers that another instance does not list as silent, provided that instance has been receiving announcements long enough to know every running server. */
 	#silenceUnconfirmed({records, listenedFor}: AllServersReply): void {
-		const unconfirmed = listenedFor >= this.#silentMilliseconds ? this.directory.doubtRestored(records) : [];
+		const unconfirmed = listenedFor >= this.#silentMilliseconds ? this.directory.silenceUnconfirmed(records) : [];
 		if (unconfirmed.length > 0) {
 			this.#logSilent(unconfirmed);
 			this.#options.onChange();
--- a/packages/gateway/src/control/state-confirmation.test.ts
+++ b/packages/gateway/src/control/state-confirmation.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import {type ControlGroup} from './control-group.js';
+import {type ControlReplica} from './control-replica.js';
 import {StateConfirmation} from './state-confirmation.js';
 
 /** Starts a confirmation with a replica that has applied entries up to an index, and a leader that reports a commit index. */
@@ -7,13 +7,13 @@
 	const state = {
 		now: 1000, index: 5 as number | undefined, applied, reconfirmations: 0, lastWakeAt: Number.NEGATIVE_INFINITY,
 	};
-	const group: Pick<ControlGroup, 'applied'> = {applied: async index => index <= state.applied};
+	const group: Pick<ControlReplica, 'applied'> = {applied: async index => index <= state.applied};
 	const confirmation = new StateConfirmation({
 		clock: {monotonic: () => state.now},
 		suspension: {lastWake: () => state.lastWakeAt},
-		group: () => group as ControlGroup,
-		newestIndex: async () => state.index,
-		onRegained() {
+		replica: () => group as ControlReplica,
+		readIndex: async () => state.index,
+		onReconfirmed() {
 			state.reconfirmations++;
 		},
 	});
@@ -30,7 +30,7 @@
 	state.now = 9000;
 	await confirmation.confirm();
 	t.is(state.reconfirmations, 2);
-	confirmation.forget();
+	confirmation.reset();
 	t.is(confirmation.confirmedAt, undefined);
 });
 
--- a/packages/gateway/src/control/state-confirmation.ts
+++ b/packages/gateway/src/control/state-confirmation.ts
@@ -1,19 +1,19 @@
 import {
-	type Clock, type Failure, failure, type SuspensionWatch,
+	type Clock, type Failure, failure, type SuspensionDetector,
 } from '@valehitch/core';
 import {type Either, Left, Right} from 'purify-ts';
-import {type ControlGroup} from './control-group.js';
+import {type ControlReplica} from './control-replica.js';
 
 /** Options of the state confirmation. */
 export type StateConfirmationOptions = {
 	readonly clock: Pick<Clock, 'monotonic'>;
-	readonly suspension: Pick<SuspensionWatch, 'lastWake'>;
+	readonly suspension: Pick<SuspensionDetector, 'lastWake'>;
 	/** The running replica, or `undefined` while its disk is failing. */
-	readonly group: () => ControlGroup | undefined;
+	readonly replica: () => ControlReplica | undefined;
 	/** Requests the commit index from the leader; resolves to `undefined` if no leader with a valid lease replied. */
-	readonly newestIndex: () => Promise<number | undefined>;
+	readonly readIndex: () => Promise<number | undefined>;
 	/** Called on the first confirmation and on one that follows a gap. */
-	readonly onRegained: () => void;
+	readonly onReconfirmed: () => void;
 };
 
 /** How long a confirmation waits for the commit index to be applied locally. */
@@ -48,13 +48,13 @@
 	}
 
 	/** Discards the confirmation: the data folder that is opened next may hold less than the confirmed state. */
-	forget(): void {
+	reset(): void {
 		this.#confirmedAt = undefined;
 	}
 
 	/** Requests the commit index from the leader once, and waits until it is applied locally. */
 	async confirm(): Promise<void> {
-		const {clock, suspension, onRegained} = this.#options;
+		const {clock, suspension, onReconfirmed: onRegained} = this.#options;
 		const startedAt = clock.monotonic();
 		if (await this.#waitForCatchUp(startedAt + applyTimeoutMilliseconds) === undefined || startedAt < suspension.lastWake()) {
 			return;
@@ -72,7 +72,7 @@
 
 	@returns The replica, or `no-quorum`.
 	*/
-	async newest(): Promise<Either<Failure, ControlGroup>> {
+	async newest(): Promise<Either<Failure, ControlReplica>> {
 		const replica = await this.#waitForCatchUp(this.#options.clock.monotonic() + readTimeoutMilliseconds);
 		if (replica === undefined) {
 			return Left(failure('no-quorum', 'Cannot read the current state: the leader did not confirm the commit index in time', {retryAfterMilliseconds: retryMilliseconds}));
@@ -82,8 +82,8 @@
 	}
 
 	/** Resolves to the replica once it has applied the leader's commit index, or to `undefined` if it has not done so by the deadline on the monotonic clock. */
-	async #waitForCatchUp(deadline: number): Promise<ControlGroup | undefined> {
-		const {group, newestIndex} = this.#options;
+	async #waitForCatchUp(deadline: number): Promise<ControlReplica | undefined> {
+		const {replica: group, readIndex: newestIndex} = this.#options;
 		const replica = group();
 		const index = await newestIndex();
 		return replica !== undefined && index !== undefined && await replica.applied(index, deadline) ? replica : undefined;
--- a/packages/gateway/src/control/suspect-news.test.ts
+++ b/packages/gateway/src/control/suspect-sync.test.ts
@@ -2,7 +2,7 @@
 import {type SuspectRecord} from '@valehitch/routing';
 import test from 'ava';
 import {type PeerMessage, type SuspectsMessage} from './peer-message.js';
-import {SuspectNews} from './suspect-news.js';
+import {SuspectSync} from './suspect-sync.js';
 
 const fingerprint = 'f1' as RequestFingerprint;
 const peer = '10.0.0.2' as InstanceId;
@@ -22,7 +22,7 @@
 	const sent: PeerMessage[] = [];
 	const written: Array<readonly SuspectRecord[]> = [];
 	const changes = {count: 0};
-	const news = new SuspectNews({
+	const news = new SuspectSync({
 		clock: {now: () => new Date(0)},
 		log: doNothing,
 		others: () => [peer],
@@ -63,7 +63,7 @@
 	news.receive({type: 'suspects', records: [record(['c'])], isRelayed: true});
 	await delay(60);
 	t.deepEqual(sent.map(message => message.type === 'suspects' && message.records.map(({ends}) => ends.length)), [[3]]);
-	t.is(news.book.standing(fingerprint, 0), 'quarantined');
+	t.is(news.book.status(fingerprint, 0), 'quarantined');
 	news.receive({type: 'suspects', records: [record(['a'])], isRelayed: false});
 	await delay(60);
 	t.is(sent.length, 1);
@@ -82,7 +82,7 @@
 	const {news} = startNews({saved: [record(['a', 'b'])], known: [record(['c'])]});
 	await news.start();
 	await delay(20);
-	t.is(news.book.standing(fingerprint, 0), 'quarantined');
+	t.is(news.book.status(fingerprint, 0), 'quarantined');
 	news.stop();
 });
 
@@ -98,10 +98,10 @@
 
 test('lifting a quarantine applies to all instances, and an unknown request is reported as such', async t => {
 	const {news, sent} = startNews();
-	t.is(await news.lift(fingerprint), undefined);
+	t.is(await news.liftQuarantine(fingerprint), undefined);
 	news.receive({type: 'suspects', records: [record(['a', 'b', 'c'])], isRelayed: true});
-	t.deepEqual(await news.lift(fingerprint), {isSaved: true});
-	t.is(news.book.standing(fingerprint, 0), 'unknown');
+	t.deepEqual(await news.liftQuarantine(fingerprint), {isSaved: true});
+	t.is(news.book.status(fingerprint, 0), 'unknown');
 	await delay(60);
 	t.true(sent.some(message => message.type === 'suspects' && message.records.every(({ends}) => ends.every(({isCleared}) => isCleared))));
 	news.stop();
@@ -124,7 +124,7 @@
 	const refused = startNews({isWritable: false});
 	refused.news.receive({type: 'suspects', records: [record(['a', 'b'])], isRelayed: true});
 	t.deepEqual(await refused.news.list(), [{...record(['a', 'b']), isSaved: false}]);
-	t.deepEqual(await refused.news.lift(fingerprint), {isSaved: false});
+	t.deepEqual(await refused.news.liftQuarantine(fingerprint), {isSaved: false});
 });
 
 test('a starting instance sends its saved records to the others, which may have lost their disks', async t => {
--- a/packages/gateway/src/control/suspect-news.ts
+++ b/packages/gateway/src/control/suspect-sync.ts
@@ -1,12 +1,12 @@
 import {type Clock, type InstanceId, type RequestFingerprint} from '@valehitch/core';
-import {SuspectBook, type SuspectRecord} from '@valehitch/routing';
+import {SuspectRegistry, type SuspectRecord} from '@valehitch/routing';
 import {type DecisionLog} from '../logs/decision-log.js';
 import {ListSaver} from '../servers/list-saver.js';
 import {type SavedList} from '../servers/saved-list.js';
 import {type PeerMessage, type SuspectsMessage} from './peer-message.js';
 
 /** Options of the suspect synchronization. */
-export type SuspectNewsOptions = {
+export type SuspectSyncOptions = {
 	readonly clock: Pick<Clock, 'now'>;
 	readonly log: DecisionLog;
 	/** The other control instances. */
@@ -26,7 +26,7 @@
 };
 
 /** The result of lifting a quarantine. */
-export type LiftedQuarantine = {
+export type QuarantineLiftResult = {
 	/** Whether the change is saved to disk, so that it survives a restart of all processes. */
 	readonly isSaved: boolean;
 };
@@ -52,9 +52,9 @@
 sync.receive({type: 'suspects', records, isRelayed: false});
 ```
 */
-export class SuspectNews {
-	readonly book = new SuspectBook();
-	readonly #options: SuspectNewsOptions;
+export class SuspectSync {
+	readonly book = new SuspectRegistry();
+	readonly #options: SuspectSyncOptions;
 	readonly #saver: ListSaver<SuspectRecord>;
 	readonly #unrelayed = new Set<RequestFingerprint>();
 	#relayTimer: NodeJS.Timeout | undefined;
@@ -62,10 +62,10 @@
 	/** The index of the first record to send in the next round. */
 	#syncOffset = 0;
 
-	constructor(options: SuspectNewsOptions) {
+	constructor(options: SuspectSyncOptions) {
 		this.#options = options;
 		this.#saver = new ListSaver({
-			current: () => ({cursor: this.book.cursor, items: this.book.told}),
+			current: () => ({cursor: this.book.cursor, items: this.book.sharedRecords}),
 			saved: options.saved,
 		});
 	}
@@ -78,7 +78,7 @@
 		void this.#fetchAll();
 		await this.restore();
 		// Another instance may have lost its disk and requested the records before this instance could reply.
-		this.#broadcast(this.book.told);
+		this.#broadcast(this.book.sharedRecords);
 	}
 
 	stop(): void {
@@ -111,7 +111,7 @@
 	@param fingerprint The request.
 	@returns Whether the change is saved to disk, or `undefined` if the request is unknown.
 	*/
-	async lift(fingerprint: RequestFingerprint): Promise<LiftedQuarantine | undefined> {
+	async liftQuarantine(fingerprint: RequestFingerprint): Promise<QuarantineLiftResult | undefined> {
 		if (!this.book.clear(fingerprint)) {
 			return undefined;
 		}
@@ -130,7 +130,7 @@
 	async list(): Promise<readonly ListedSuspect[]> {
 		await this.#saver.saveWithin(diskTimeoutMilliseconds);
 		const unsaved = new Set(this.book.changedSince(this.#saver.savedCursor));
-		return this.book.told.map(record => ({...record, isSaved: !unsaved.has(record)}));
+		return this.book.sharedRecords.map(record => ({...record, isSaved: !unsaved.has(record)}));
 	}
 
 	/** Saves the shared records if they have changed. */
@@ -143,7 +143,7 @@
 		const changed = this.book.merge(records);
 		const now = this.#now();
 		for (const {fingerprint, ends} of changed) {
-			if (this.book.standing(fingerprint, now) === 'quarantined') {
+			if (this.book.status(fingerprint, now) === 'quarantined') {
 				this.#options.log('request-quarantined', {fingerprint, processes: ends.map(({process}) => process), source}, 'warn');
 			}
 		}
@@ -167,9 +167,9 @@
 	}
 
 	#runSync(): void {
-		this.book.forget(this.#now());
+		this.book.deleteExpired(this.#now());
 		void this.save();
-		const known = this.book.told;
+		const known = this.book.sharedRecords;
 		if (known.length === 0) {
 			return;
 		}
--- a/packages/gateway/src/entry/_probe-server.ts
+++ b/packages/gateway/src/entry/_probe-server.ts
@@ -1,5 +1,5 @@
 import {connect} from 'node:net';
-import {timeoutAfterInput} from '@valehitch/transport';
+import {setTimeoutAfterPoll} from '@valehitch/transport';
 import {type ServerRecord} from '../servers/server-record.js';
 
 /** The result of a connection attempt; `unanswered` if it was neither accepted nor refused before the timeout. */
@@ -9,7 +9,7 @@
 export async function probeServer({host, port}: Pick<ServerRecord, 'host' | 'port'>, timeout: number): Promise<ProbeResult> {
 	return new Promise(resolve => {
 		const socket = connect({host, port});
-		const stopTimeout = timeoutAfterInput(timeout, () => {
+		const stopTimeout = setTimeoutAfterPoll(timeout, () => {
 			socket.destroy();
 		});
 		let result: ProbeResult = 'unanswered';
--- a/packages/gateway/src/entry/_test-lease.ts
+++ b/packages/gateway/src/entry/_test-lease.ts
@@ -5,7 +5,7 @@
 	return new ConfigurationLease({
 		duration: 4500,
 		suspension: {lastWake: () => Number.NEGATIVE_INFINITY},
-		onDoubt() {
+		onSuspension() {
 			// There is no control instance to ask.
 		},
 		...changes,
--- a/packages/gateway/src/entry/_test-request.ts
+++ b/packages/gateway/src/entry/_test-request.ts
@@ -10,7 +10,7 @@
 		host: 'desk.example',
 		headers: [],
 		key: 'k1',
-		patience: 1500,
+		timeout: 1500,
 		choosesModel: false,
 		promptParts: [],
 		inputTokens: 0,
--- a/packages/gateway/src/entry/_test-run.ts
+++ b/packages/gateway/src/entry/_test-run.ts
@@ -4,9 +4,9 @@
 } from 'node:http';
 import {type AddressInfo} from 'node:net';
 import {
-	errorAnswers, type InstanceId, type ZoneId,
+	errorResponses, type InstanceId, type ZoneId,
 } from '@valehitch/core';
-import {RetryWindow} from '@valehitch/routing';
+import {WindowedRetryBudget} from '@valehitch/routing';
 import {type ExecutionContext} from 'ava';
 import {testConfiguration, testRoute} from '../configuration/_test-configuration.js';
 import {RouteTable} from '../configuration/route-table.js';
@@ -19,9 +19,9 @@
 import {EntryServers} from './entry-servers.js';
 import {EntrySuspects, type EntrySuspectsOptions} from './entry-suspects.js';
 import {EvidenceCounter} from './evidence-counter.js';
-import {LatencyBook} from './latency-book.js';
+import {LatencyEstimator} from './latency-estimator.js';
 import {RequestRun} from './request-run.js';
-import {RepeatBook} from './repeat-book.js';
+import {RepeatTracker} from './repeat-tracker.js';
 import {VersionPins} from './version-pins.js';
 
 /** The control instance that reports the servers. */
@@ -35,13 +35,13 @@
 		status,
 		requestId: testRequest().id,
 		isNotRun: status === 429,
-		isOtherServer: false,
+		isFromOtherServer: false,
 		isSigned: true,
 		isEncoded: false,
 		confidence: typeof headers.confidence === 'string' ? Number(headers.confidence) : undefined,
 	}),
 	answerHeaders: ({headers: {signature}}) => typeof signature === 'string' ? [['Signature', signature]] : [],
-	refuse: (_request, {kind}) => ({status: errorAnswers[kind].status, headers: [], body: kind}),
+	refuse: (_request, {kind}) => ({status: errorResponses[kind].status, headers: [], body: kind}),
 };
 
 /** Starts a server on a free port of the loopback interface. */
@@ -73,7 +73,7 @@
 	const {nextServers, route = testRoute(), timeout = 60_000, inputTokens = 0, latencies, log = ignore, confirmEnd = async () => false, prepare = ignore} = options;
 	const clock = {now: () => new Date(), monotonic: () => performance.now()};
 	const servers = new EntryServers({
-		zone: 'hall-a' as ZoneId, random: () => 0.5, share: {othersOn: () => 0, noteChange: ignore, forget: ignore}, onReplaced: ignore,
+		zone: 'hall-a' as ZoneId, random: () => 0.5, loads: {peerLoadAt: () => 0, recordChange: ignore, discardServer: ignore}, onReplaced: ignore,
 	});
 	const lease = testLease({duration: 60_000});
 	lease.confirm(clock.monotonic());
@@ -84,27 +84,27 @@
 		log,
 		metrics: createGatewayMetrics(),
 		dialect: plainDialect,
-		bounds: {canaryShare: 0.1, leastConfidence: 50},
+		bounds: {canaryShare: 0.1, minimumConfidence: 50},
 		lease,
 		servers,
 		suspects: new EntrySuspects({
-			clock, log, servers, confirmEnd, onLearned: ignore,
+			clock, log, servers, hasEnded: confirmEnd, onChanged: ignore,
 		}),
-		budget: new RetryWindow({share: 1, slack: 5}),
-		latencies: latencies ?? new LatencyBook(clock),
+		budget: new WindowedRetryBudget({ratio: 1, minimumPerWindow: 5}),
+		latencies: latencies ?? new LatencyEstimator(clock),
 		pins: new VersionPins({sessionMilliseconds: 5000}),
-		repeats: new RepeatBook(),
+		repeats: new RepeatTracker(),
 		evidence: new EvidenceCounter({entry: control, run: 'one'}),
 		table: () => table,
-		nextNews: async () => undefined,
-		async nextServers() {
+		nextReply: async () => undefined,
+		async nextServerChange() {
 			nextServers(servers);
 		},
 		rolloutOf: () => undefined,
 		endsAt: () => undefined,
 	};
 	prepare(context);
-	const request = testRequest({patience: timeout, inputTokens, choosesModel: route.sizes.length > 0});
+	const request = testRequest({timeout: timeout, inputTokens, choosesModel: route.sizes.length > 0});
 	const authorized = authorizeRequest(request, {table, lease, now: clock.monotonic()}).unsafeCoerce();
 	const entry = await listen(t, (_message, response) => {
 		void new RequestRun(context, {
@@ -116,7 +116,7 @@
 		answers.push(await get(entry));
 	}
 
-	return {answers, evidence: context.evidence.of(new Set([route.services[0]!.service]))};
+	return {answers, evidence: context.evidence.countersOf(new Set([route.services[0]!.service]))};
 }
 
 /** Options of {@linkcode sendRequests}. */
@@ -130,9 +130,9 @@
 	/** The length of the prompt, in tokens. */
 	readonly inputTokens?: number;
 	/** The known latencies; none by default. */
-	readonly latencies?: LatencyBook;
+	readonly latencies?: LatencyEstimator;
 	/** Checks whether the process of a server has ended; by default none has. */
-	readonly confirmEnd?: EntrySuspectsOptions['confirmEnd'];
+	readonly confirmEnd?: EntrySuspectsOptions['hasEnded'];
 	/** Called with the context of the instance before the first request. */
 	readonly prepare?: (context: EntryContext) => void;
 };
--- a/packages/gateway/src/entry/authorize-at-start.test.ts
+++ b/packages/gateway/src/entry/authorize-at-startup.test.ts
@@ -2,7 +2,7 @@
 import {testConfiguration} from '../configuration/_test-configuration.js';
 import {RouteTable} from '../configuration/route-table.js';
 import {testRequest} from './_test-request.js';
-import {authorizeAtStart} from './authorize-at-start.js';
+import {authorizeAtStartup} from './authorize-at-startup.js';
 import {testLease} from './_test-lease.js';
 
 /** Authorizes a request at an instance that has just started or resumed. Each wait for a reply takes 100 ms and yields the next of `replies`. */
@@ -18,13 +18,13 @@
 		wokeAt = now;
 	}
 
-	const authorized = await authorizeAtStart(testRequest({patience: timeout}), {
+	const authorized = await authorizeAtStartup(testRequest({timeout: timeout}), {
 		arrivedAt: 0,
 		context: {
 			lease,
 			table: () => table,
 			clock: {now: () => new Date(0), monotonic: () => now},
-			async nextNews(timeout) {
+			async nextReply(timeout) {
 				now += Math.min(timeout, 100);
 				const next = remaining.shift();
 				table = next === 'configuration' ? configured : table;
--- a/packages/gateway/src/entry/authorize-at-start.ts
+++ b/packages/gateway/src/entry/authorize-at-startup.ts
@@ -3,11 +3,11 @@
 import {authorizeRequest, type AuthorizedRequest} from './authorize-request.js';
 import {type EntryContext} from './entry-context.js';
 import {type GatewayRequest} from './gateway-request.js';
-import {startWait} from './start-wait.js';
+import {startupWait} from './startup-wait.js';
 
-/** Options of {@linkcode authorizeAtStart}. */
-export type AuthorizeAtStartOptions = {
-	readonly context: Pick<EntryContext, 'table' | 'lease' | 'clock' | 'nextNews'>;
+/** Options of {@linkcode authorizeAtStartup}. */
+export type AuthorizeAtStartupOptions = {
+	readonly context: Pick<EntryContext, 'table' | 'lease' | 'clock' | 'nextReply'>;
 	/** When the request arrived, in milliseconds on the monotonic clock. */
 	readonly arrivedAt: number;
 };
@@ -26,13 +26,13 @@
 const authorized = await authorizeAtStart(request, {context, arrivedAt});
 ```
 */
-export async function authorizeAtStart(request: GatewayRequest, {context, arrivedAt}: AuthorizeAtStartOptions): Promise<Either<Failure, AuthorizedRequest>> {
-	const {lease, clock, nextNews: nextReply} = context;
-	const waitUntil = arrivedAt + startWait(request.patience ?? 0, configurationWaitShare);
+export async function authorizeAtStartup(request: GatewayRequest, {context, arrivedAt}: AuthorizeAtStartupOptions): Promise<Either<Failure, AuthorizedRequest>> {
+	const {lease, clock, nextReply: nextReply} = context;
+	const waitUntil = arrivedAt + startupWait(request.timeout ?? 0, configurationWaitShare);
 	for (;;) {
 		const now = clock.monotonic();
 		const authorized = authorizeRequest(request, {lease, table: context.table(), now});
-		const isConfirmationPending = !lease.wasConfirmed || lease.isDoubted;
+		const isConfirmationPending = !lease.wasConfirmed || lease.wasSuspended;
 		if (authorized.isRight() || !isConfirmationPending || now >= waitUntil) {
 			return authorized;
 		}
--- a/packages/gateway/src/entry/authorize-request.ts
+++ b/packages/gateway/src/entry/authorize-request.ts
@@ -45,7 +45,7 @@
 }
 
 function authorizeWithTable(table: RouteTable, {host, path, key}: GatewayRequest, {lease, now}: Omit<AuthorizeRequestOptions, 'table'>): Either<Failure, AuthorizedRequest> {
-	const route = table.routeOf(host, path);
+	const route = table.findRoute(host, path);
 	if (route === undefined) {
 		return Left(failure('not-found', `No route matches ${host} ${path} in configuration ${table.version}`));
 	}
@@ -54,7 +54,7 @@
 		return Right({route, workspace: undefined});
 	}
 
-	const workspace = key === undefined ? undefined : table.holderOf(key);
+	const workspace = key === undefined ? undefined : table.findWorkspaceByKey(key);
 	if (workspace === undefined) {
 		return Left(failure('unauthenticated', key === undefined ? 'The request has no API key' : `The API key belongs to no workspace in configuration ${table.version}`));
 	}
--- a/packages/gateway/src/entry/await-first-server.ts
+++ b/packages/gateway/src/entry/await-first-server.ts
@@ -1,10 +1,10 @@
 import {type EntryContext} from './entry-context.js';
 import {type SendAllowance} from './send-allowance.js';
-import {startWait} from './start-wait.js';
+import {startupWait} from './startup-wait.js';
 
 /** Options of {@linkcode awaitFirstServer}. */
 export type AwaitFirstServerOptions = {
-	readonly allowance: Pick<SendAllowance, 'sends' | 'unreachable'>;
+	readonly allowance: Pick<SendAllowance, 'sends' | 'connectionFailures'>;
 	/** When the request arrived, in milliseconds on the monotonic clock. */
 	readonly arrivedAt: number;
 	/** The deadline of the request, in milliseconds on the monotonic clock. */
@@ -25,12 +25,12 @@
 const hasWaited = await awaitFirstServer(context, {allowance, arrivedAt, deadlineAt});
 ```
 */
-export async function awaitFirstServer(context: Pick<EntryContext, 'clock' | 'nextServers'>, options: AwaitFirstServerOptions): Promise<boolean> {
-	const {clock, nextServers: nextServerChange} = context;
+export async function awaitFirstServer(context: Pick<EntryContext, 'clock' | 'nextServerChange'>, options: AwaitFirstServerOptions): Promise<boolean> {
+	const {clock, nextServerChange: nextServerChange} = context;
 	const {allowance, arrivedAt, deadlineAt} = options;
-	const waitUntil = arrivedAt + startWait(deadlineAt - arrivedAt, serverWaitShare);
+	const waitUntil = arrivedAt + startupWait(deadlineAt - arrivedAt, serverWaitShare);
 	const remaining = waitUntil - clock.monotonic();
-	if (allowance.sends > 0 || allowance.unreachable > 0 || remaining <= 0) {
+	if (allowance.sends > 0 || allowance.connectionFailures > 0 || remaining <= 0) {
 		return false;
 	}
 
--- a/packages/gateway/src/entry/caller-answer.ts
+++ b/packages/gateway/src/entry/caller-answer.ts
@@ -14,7 +14,7 @@
 };
 
 /** A complete answer of a backend server, with its body in memory. */
-export type WholeAnswer = {
+export type CompleteAnswer = {
 	readonly status: number;
 	readonly headers: readonly Header[];
 	readonly body: Uint8Array;
@@ -43,12 +43,12 @@
 	}
 
 	/** Whether a part of a stream was written to the caller. */
-	get hasBegun(): boolean {
+	get hasStarted(): boolean {
 		return this.#hasBegun;
 	}
 
 	/** The time from the arrival of the request to the head of the answer, in milliseconds; undefined until the head is written. */
-	get headAfter(): number | undefined {
+	get timeToHead(): number | undefined {
 		return this.#headAfter;
 	}
 
@@ -58,7 +58,7 @@
 	}
 
 	/** Whether the answer has not been written completely; once the response is closed, the caller has disconnected. */
-	get isAbandoned(): boolean {
+	get isUnfinished(): boolean {
 		return !this.#options.response.writableFinished;
 	}
 
@@ -68,7 +68,7 @@
 	@param status The status.
 	@param headers The headers.
 	*/
-	begin(status: number, headers: readonly Header[]): void {
+	beginStream(status: number, headers: readonly Header[]): void {
 		if (this.#hasBegun) {
 			return;
 		}
@@ -78,17 +78,17 @@
 	}
 
 	/** Ends a stream that is complete. */
-	finish(): void {
+	finishStream(): void {
 		this.#options.response.end();
 	}
 
 	/** Aborts a stream by closing the connection, so that the caller cannot take it for a complete one. */
-	breakOff(): void {
+	abort(): void {
 		this.#options.response.destroy();
 	}
 
 	/** Forwards the complete answer of a backend server. */
-	passOn({status, headers, body}: WholeAnswer): void {
+	forward({status, headers, body}: CompleteAnswer): void {
 		this.#writeHead(status, [...headers, ['Content-Length', String(body.byteLength)]]);
 		this.#options.response.end(body);
 	}
--- a/packages/gateway/src/entry/choose-next-model.test.ts
+++ b/packages/gateway/src/entry/choose-next-model.test.ts
@@ -4,7 +4,7 @@
 
 const [small, middle, large] = ['small', 'middle', 'large'] as ModelId[];
 const withAmpleTime: Omit<ChooseNextModelOptions, 'confidence'> = {
-	sizes: [small!, middle!, large!], current: small!, leastConfidence: 50, timeLeft: 2000, expectedTime: 700,
+	sizes: [small!, middle!, large!], current: small!, minimumConfidence: 50, timeLeft: 2000, expectedLatency: 700,
 };
 
 test('a request escalates to the largest model if the confidence is low and there is time', t => {
@@ -15,8 +15,8 @@
 });
 
 test('the confidence threshold falls with the time left for the largest model', t => {
-	t.is(chooseNextModel({...withAmpleTime, expectedTime: 1500, confidence: 26}), undefined);
-	t.is(chooseNextModel({...withAmpleTime, expectedTime: 1500, confidence: 24}), large);
-	t.is(chooseNextModel({...withAmpleTime, expectedTime: 2000, confidence: 0}), undefined);
+	t.is(chooseNextModel({...withAmpleTime, expectedLatency: 1500, confidence: 26}), undefined);
+	t.is(chooseNextModel({...withAmpleTime, expectedLatency: 1500, confidence: 24}), large);
+	t.is(chooseNextModel({...withAmpleTime, expectedLatency: 2000, confidence: 0}), undefined);
 	t.is(chooseNextModel({...withAmpleTime, timeLeft: -10, confidence: 0}), undefined);
 });
--- a/packages/gateway/src/entry/choose-next-model.ts
+++ b/packages/gateway/src/entry/choose-next-model.ts
@@ -9,11 +9,11 @@
 	/** The model's own confidence in its answer, from 0 to 100; undefined if it reports none. */
 	readonly confidence: number | undefined;
 	/** The confidence, from 0 to 100, below which the request escalates to a larger model if there is plenty of time. */
-	readonly leastConfidence: number;
+	readonly minimumConfidence: number;
 	/** The time left until the target latency of the first event, in milliseconds. */
 	readonly timeLeft: number;
 	/** The expected latency of the first event of the largest model, in milliseconds. */
-	readonly expectedTime: number;
+	readonly expectedLatency: number;
 };
 
 /** The threshold is not lowered while the expected latency takes at most this share of the time left; the rest allows for the variance of single requests. */
@@ -31,7 +31,7 @@
 chooseNextModel({sizes, current, confidence: 31, leastConfidence: 50, timeLeft: 1800, expectedTime: 700});
 ```
 */
-export function chooseNextModel({sizes, current, confidence, leastConfidence: minimumConfidence, timeLeft, expectedTime: expectedLatency}: ChooseNextModelOptions): ModelId | undefined {
+export function chooseNextModel({sizes, current, confidence, minimumConfidence: minimumConfidence, timeLeft, expectedLatency: expectedLatency}: ChooseNextModelOptions): ModelId | undefined {
 	const largest = sizes.at(-1);
 	if (largest === undefined || largest === current || confidence === undefined) {
 		return undefined;
--- a/packages/gateway/src/entry/configuration-lease.test.ts
+++ b/packages/gateway/src/entry/configuration-lease.test.ts
@@ -14,13 +14,13 @@
 	let doubts = 0;
 	const lease = testLease({
 		suspension: {lastWake: () => wokeAt},
-		onDoubt() {
+		onSuspension() {
 			doubts++;
 		},
 	});
 	lease.confirm(1000);
 	wokeAt = 1010;
-	t.deepEqual([lease.isValid(1010), lease.isDoubted, lease.wasConfirmed, doubts], [false, true, true, 1]);
+	t.deepEqual([lease.isValid(1010), lease.wasSuspended, lease.wasConfirmed, doubts], [false, true, true, 1]);
 	lease.confirm(1012);
-	t.deepEqual([lease.isValid(1020), lease.isDoubted, doubts], [true, false, 1]);
+	t.deepEqual([lease.isValid(1020), lease.wasSuspended, doubts], [true, false, 1]);
 });
--- a/packages/gateway/src/entry/configuration-lease.ts
+++ b/packages/gateway/src/entry/configuration-lease.ts
@@ -1,13 +1,13 @@
-import {type SuspensionWatch} from '@valehitch/core';
+import {type SuspensionDetector} from '@valehitch/core';
 
 /** Options of {@linkcode ConfigurationLease}. */
 export type ConfigurationLeaseOptions = {
 	/** How long a confirmation is valid, in milliseconds. */
 	readonly duration: number;
 	/** Reports when the machine may last have resumed from a suspension. */
-	readonly suspension: Pick<SuspensionWatch, 'lastWake'>;
+	readonly suspension: Pick<SuspensionDetector, 'lastWake'>;
 	/** Called when the machine may have been suspended, after which the age of the last confirmation is unknown. */
-	readonly onDoubt: () => void;
+	readonly onSuspension: () => void;
 };
 
 /**
@@ -51,7 +51,7 @@
 	}
 
 	/** Whether the machine may have been suspended since the last confirmation; the next one has then already been requested. */
-	get isDoubted(): boolean {
+	get wasSuspended(): boolean {
 		this.#checkSuspension();
 		return this.#isDoubted;
 	}
@@ -78,7 +78,7 @@
 	}
 
 	#checkSuspension(): void {
-		const {suspension, onDoubt: onSuspension} = this.#options;
+		const {suspension, onSuspension: onSuspension} = this.#options;
 		const wokeAt = suspension.lastWake();
 		if (wokeAt > this.#wokeAt) {
 			this.#wokeAt = wokeAt;
--- a/packages/gateway/src/entry/kept-connections.ts
+++ b/packages/gateway/src/entry/connection-pool.ts
@@ -8,12 +8,12 @@
 const idleMilliseconds = 1500;
 
 /** The pool of keep-alive connections to backend servers; used only for requests that may be repeated. */
-export const keptConnections = new Agent({
+export const connectionPool = new Agent({
 	keepAlive: true, maxFreeSockets: maximumIdleConnections, timeout: 0, scheduling: 'lifo',
 });
 const lastUsedAt = new WeakMap<Socket, number>();
 
-keptConnections.on('free', (socket: Socket) => {
+connectionPool.on('free', (socket: Socket) => {
 	lastUsedAt.set(socket, performance.now());
 });
 
@@ -26,7 +26,7 @@
 dropStaleConnections(server);
 ```
 */
-export function dropStaleConnections(server: ServerRecord): void {
+export function closeStaleConnections(server: ServerRecord): void {
 	for (const socket of idleConnections(server)) {
 		const idleTime = performance.now() - (lastUsedAt.get(socket) ?? 0);
 		if (idleTime > idleMilliseconds || socket.readableLength > 0) {
@@ -44,12 +44,12 @@
 dropIdleConnections(server);
 ```
 */
-export function dropIdleConnections(server: ServerRecord): void {
+export function closeIdleConnections(server: ServerRecord): void {
 	for (const socket of idleConnections(server)) {
 		socket.destroy();
 	}
 }
 
 function idleConnections({host, port}: ServerRecord): readonly Socket[] {
-	return [...keptConnections.freeSockets[keptConnections.getName({host, port})] ?? []];
+	return [...connectionPool.freeSockets[connectionPool.getName({host, port})] ?? []];
 }
--- a/packages/gateway/src/entry/control-watch.test.ts
+++ b/packages/gateway/src/entry/control-watch.test.ts
@@ -20,13 +20,13 @@
 		log: ignore,
 		metrics: createGatewayMetrics(),
 		seeds: () => [control],
-		question: () => ({
+		watchFields: () => ({
 			zone: 'hall-a' as ZoneId, configurationVersion: undefined, rolloutDigest: '', evidence: [],
 		}),
 		ask: async (_to, message) => new Promise(resolve => {
 			requests.push({message, answer: resolve});
 		}),
-		onNews({confirmedAt}) {
+		onUpdate({confirmedAt}) {
 			confirmed.push(confirmedAt);
 		},
 		onLost: ignore,
@@ -66,7 +66,7 @@
 	const {watch, time, requests, confirmed} = startWatch(t);
 	time.now = 1100;
 	time.wokeAt = 1100;
-	watch.confirm();
+	watch.requestConfirmation();
 	t.deepEqual(requests.map(({message}) => message.isUrgent), [false, true]);
 	requests[0]!.answer(reply);
 	requests[1]!.answer({...reply, held: 0});
--- a/packages/gateway/src/entry/control-watch.ts
+++ b/packages/gateway/src/entry/control-watch.ts
@@ -1,14 +1,14 @@
-import {type Clock, type InstanceId, type SuspensionWatch} from '@valehitch/core';
+import {type Clock, type InstanceId, type SuspensionDetector} from '@valehitch/core';
 import {type WatchMessage, type WatchReply} from '../control/peer-message.js';
 import {type DecisionLog} from '../logs/decision-log.js';
 import {type GatewayMetrics} from '../logs/gateway-metrics.js';
 
 /** A reply of a control instance, with the time for which it confirms the state. */
-export type ControlNews = {
+export type ControlUpdate = {
 	readonly source: InstanceId;
 	readonly reply: WatchReply;
 	/** Whether the reply holds the full state of the source rather than the changes; true if its process restarted since the last reply. */
-	readonly isWhole: boolean;
+	readonly isFullState: boolean;
 	/** The latest time at which the state of the source is known to have been current, in milliseconds on the local monotonic clock; undefined if unknown. */
 	readonly confirmedAt: number | undefined;
 };
@@ -16,16 +16,16 @@
 /** Options of {@linkcode ControlWatch}. */
 export type ControlWatchOptions = {
 	readonly clock: Clock;
-	readonly suspension: Pick<SuspensionWatch, 'lastWake'>;
+	readonly suspension: Pick<SuspensionDetector, 'lastWake'>;
 	readonly log: DecisionLog;
 	readonly metrics: GatewayMetrics;
 	/** The control instances listed in the settings. */
 	readonly seeds: () => readonly InstanceId[];
 	/** Returns the fields of a watch request, other than the position that is tracked for each source. */
-	readonly question: (host: InstanceId) => Pick<WatchMessage, 'zone' | 'configurationVersion' | 'rolloutDigest' | 'evidence'>;
+	readonly watchFields: (host: InstanceId) => Pick<WatchMessage, 'zone' | 'configurationVersion' | 'rolloutDigest' | 'evidence'>;
 	/** Sends a watch request to a control instance; resolves to undefined if no reply arrived within the timeout in milliseconds. */
 	readonly ask: (to: InstanceId, message: WatchMessage, timeout: number) => Promise<WatchReply | undefined>;
-	readonly onNews: (news: ControlNews) => void;
+	readonly onUpdate: (news: ControlUpdate) => void;
 	/** Called when a control instance stops replying. */
 	readonly onLost: (source: InstanceId) => void;
 	/** Waits for a number of milliseconds. */
@@ -81,7 +81,7 @@
 	}
 
 	/** Requests an immediate confirmation from the watched control instances, since the requests in progress may be held. */
-	confirm(): void {
+	requestConfirmation(): void {
 		for (const host of this.#watched) {
 			void this.#poll(host, {isUrgent: true});
 		}
@@ -106,7 +106,7 @@
 	}
 
 	async #poll(host: InstanceId, {isUrgent = false} = {}): Promise<boolean> {
-		const {clock, suspension, question: watchFields, ask, onNews: onUpdate, metrics, log} = this.#options;
+		const {clock, suspension, watchFields: watchFields, ask, onUpdate: onUpdate, metrics, log} = this.#options;
 		const source = this.#sourceOf(host);
 		const sentAt = clock.monotonic();
 		const reply = await ask(host, {
@@ -140,7 +140,7 @@
 		const isAgeKnown = reply.confirmedAgo !== undefined && sentAt >= suspension.lastWake();
 		const confirmedAt = isAgeKnown ? sentAt + reply.held - reply.confirmedAgo : undefined;
 		onUpdate({
-			source: host, reply, isWhole: isFullState, confirmedAt,
+			source: host, reply, isFullState: isFullState, confirmedAt,
 		});
 		return true;
 	}
--- a/packages/gateway/src/entry/dialect.ts
+++ b/packages/gateway/src/entry/dialect.ts
@@ -1,11 +1,11 @@
 import {type IncomingHttpHeaders, type IncomingMessage} from 'node:http';
 import {type Failure} from '@valehitch/core';
 import {
-	type AnswerHead, type GatewayRequest, type Header, type SendFacts,
+	type AnswerHead, type GatewayRequest, type Header, type SendMetadata,
 } from './gateway-request.js';
 
 /** An answer that the gateway generates itself. */
-export type OwnAnswer = {
+export type GeneratedAnswer = {
 	readonly status: number;
 	readonly headers: readonly Header[];
 	readonly body: string;
@@ -18,11 +18,11 @@
 	/** Parses the head of a request. */
 	readonly readRequest: (message: IncomingMessage) => GatewayRequest;
 	/** Returns the headers to send to a backend server. */
-	readonly sendHeaders: (request: GatewayRequest, facts: SendFacts) => readonly Header[];
+	readonly sendHeaders: (request: GatewayRequest, facts: SendMetadata) => readonly Header[];
 	/** Parses the head of a backend server's answer. */
 	readonly readAnswer: (status: number, headers: IncomingHttpHeaders) => AnswerHead;
 	/** Returns the headers of a backend server's answer that are forwarded to the caller. */
 	readonly answerHeaders: (message: IncomingMessage) => readonly Header[];
 	/** Returns the answer to a request that failed in the gateway. */
-	readonly refuse: (request: GatewayRequest, failed: Failure) => OwnAnswer;
+	readonly refuse: (request: GatewayRequest, failed: Failure) => GeneratedAnswer;
 };
--- a/packages/gateway/src/entry/end-expired.ts
+++ b/packages/gateway/src/entry/end-expired.ts
@@ -3,13 +3,13 @@
 import {expiryFailure} from './expiry-failure.js';
 import {type RequestEnd} from './request-end.js';
 import {type SentAttempt} from './send-attempt.js';
-import {type ServerVerdicts} from './server-verdicts.js';
+import {type SendResults} from './send-results.js';
 
 /** Options of {@linkcode endExpired}. */
 export type EndExpiredOptions = {
 	/** The current or last send; undefined if nothing was sent. */
 	readonly sent: {readonly attempt: SentAttempt; readonly server: ServerRecord} | undefined;
-	readonly verdicts: Pick<ServerVerdicts, 'failed' | 'record'>;
+	readonly results: Pick<SendResults, 'recordFailure' | 'record'>;
 	readonly model: ModelId | undefined;
 	/** The time since the request arrived, in milliseconds. */
 	readonly waited: number;
@@ -27,23 +27,23 @@
 endExpired(end, {sent, verdicts, model, waited: 800, retryAfter: 250});
 ```
 */
-export function endExpired(end: RequestEnd, {sent, verdicts: results, model, waited, retryAfter}: EndExpiredOptions): void {
-	if (end.isOver) {
+export function endExpired(end: RequestEnd, {sent, results: results, model, waited, retryAfter}: EndExpiredOptions): void {
+	if (end.hasEnded) {
 		return;
 	}
 
-	const wasSent = sent?.attempt.hasOpened() === true;
+	const wasSent = sent?.attempt.isConnected() === true;
 	sent?.attempt.cancel();
 	if (sent !== undefined && wasSent) {
 		// If the requests of a route may not be repeated, a hanging server is detected only here.
-		results.failed(sent.server, model);
-		end.noteRun();
+		results.recordFailure(sent.server, model);
+		end.recordPossibleRun();
 	} else if (sent !== undefined) {
 		results.record(sent.server, 'unreachable');
 	}
 
 	const {mayHaveRun, lastProblem} = end;
-	end.giveUp(expiryFailure({
+	end.fail(expiryFailure({
 		mayHaveRun, waited: Math.round(waited), lastProblem, retryAfter,
 	}));
 }
--- a/packages/gateway/src/entry/entry-context.ts
+++ b/packages/gateway/src/entry/entry-context.ts
@@ -1,24 +1,24 @@
 import {type Clock, type ServiceId, type RandomSource} from '@valehitch/core';
-import {type RetryWindow} from '@valehitch/routing';
+import {type WindowedRetryBudget} from '@valehitch/routing';
 import {type RouteTable} from '../configuration/route-table.js';
 import {type DecisionLog} from '../logs/decision-log.js';
 import {type GatewayMetrics} from '../logs/gateway-metrics.js';
-import {type RunningRollout} from '../rollouts/rollout.js';
+import {type RolloutWithAge} from '../rollouts/rollout.js';
 import {type ConfigurationLease} from './configuration-lease.js';
 import {type Dialect} from './dialect.js';
 import {type EntryServers} from './entry-servers.js';
 import {type EntrySuspects} from './entry-suspects.js';
 import {type EvidenceCounter} from './evidence-counter.js';
-import {type LatencyBook} from './latency-book.js';
-import {type RepeatBook} from './repeat-book.js';
+import {type LatencyEstimator} from './latency-estimator.js';
+import {type RepeatTracker} from './repeat-tracker.js';
 import {type VersionPins} from './version-pins.js';
 
 /** The limits of a deployment that apply to the handling of requests. */
-export type EntryBounds = {
+export type EntryLimits = {
 	/** The maximum share of a service's requests that a canary version may receive. */
 	readonly canaryShare: number;
 	/** The confidence, from 0 to 100, below which a request escalates to a larger model. */
-	readonly leastConfidence: number;
+	readonly minimumConfidence: number;
 };
 
 /** The state and services shared by the handling of all requests. */
@@ -28,23 +28,23 @@
 	readonly log: DecisionLog;
 	readonly metrics: GatewayMetrics;
 	readonly dialect: Dialect;
-	readonly bounds: EntryBounds;
+	readonly bounds: EntryLimits;
 	readonly lease: ConfigurationLease;
 	readonly servers: EntryServers;
 	readonly suspects: EntrySuspects;
-	readonly budget: RetryWindow;
-	readonly latencies: LatencyBook;
+	readonly budget: WindowedRetryBudget;
+	readonly latencies: LatencyEstimator;
 	readonly pins: VersionPins;
-	readonly repeats: RepeatBook;
+	readonly repeats: RepeatTracker;
 	readonly evidence: EvidenceCounter;
 	/** Returns the current configuration; undefined until the first one is received. */
 	readonly table: () => RouteTable | undefined;
 	/** Waits for the next reply of a control instance, up to a timeout in milliseconds. */
-	readonly nextNews: (timeout: number) => Promise<void>;
+	readonly nextReply: (timeout: number) => Promise<void>;
 	/** Waits until backend servers are added or change, up to a timeout in milliseconds. */
-	readonly nextServers: (timeout: number) => Promise<void>;
+	readonly nextServerChange: (timeout: number) => Promise<void>;
 	/** Returns the latest rollout of a service. */
-	readonly rolloutOf: (service: ServiceId) => RunningRollout | undefined;
+	readonly rolloutOf: (service: ServiceId) => RolloutWithAge | undefined;
 	/** Returns when the instance stops, in milliseconds on the monotonic clock; undefined unless it is shutting down. */
 	readonly endsAt: () => number | undefined;
 };
--- a/packages/gateway/src/entry/entry-instance-options.ts
+++ b/packages/gateway/src/entry/entry-instance-options.ts
@@ -9,7 +9,7 @@
 import {type DecisionLog} from '../logs/decision-log.js';
 import {type GatewayMetrics} from '../logs/gateway-metrics.js';
 import {type Dialect} from './dialect.js';
-import {type EntryBounds} from './entry-context.js';
+import {type EntryLimits} from './entry-context.js';
 
 /** The address to listen on. */
 export type ListenAddress = {
@@ -27,7 +27,7 @@
 	readonly log: DecisionLog;
 	readonly metrics: GatewayMetrics;
 	readonly dialect: Dialect;
-	readonly bounds: EntryBounds;
+	readonly bounds: EntryLimits;
 	/** How long a confirmation of the configuration is valid, in milliseconds. */
 	readonly leaseMilliseconds: number;
 	/** The idle time after which a session ends, in milliseconds. */
--- a/packages/gateway/src/entry/entry-instance.ts
+++ b/packages/gateway/src/entry/entry-instance.ts
@@ -1,25 +1,25 @@
 import {type IncomingMessage, type Server, type ServerResponse} from 'node:http';
-import {type InstanceId, SuspensionWatch} from '@valehitch/core';
-import {StepWaiters} from '@valehitch/replication';
-import {RetryWindow} from '@valehitch/routing';
+import {type InstanceId, SuspensionDetector} from '@valehitch/core';
+import {StepNotifier} from '@valehitch/replication';
+import {WindowedRetryBudget} from '@valehitch/routing';
 import {RouteTable} from '../configuration/route-table.js';
 import {type LoadMessage, type WatchMessage} from '../control/peer-message.js';
 import {EvidenceDelta} from '../rollouts/evidence-delta.js';
 import {KnownRollouts} from '../rollouts/known-rollouts.js';
 import {createCallerServer} from './caller-server.js';
-import {confirmServerEnd} from './confirm-server-end.js';
+import {hasServerEnded} from './has-server-ended.js';
 import {ConfigurationLease} from './configuration-lease.js';
-import {type ControlNews, ControlWatch} from './control-watch.js';
+import {type ControlUpdate, ControlWatch} from './control-watch.js';
 import {type EntryContext} from './entry-context.js';
 import {type EntryInstanceOptions} from './entry-instance-options.js';
 import {EntryServers} from './entry-servers.js';
 import {EntrySuspects} from './entry-suspects.js';
 import {EvidenceCounter} from './evidence-counter.js';
 import {handleRequest} from './handle-request.js';
-import {dropIdleConnections} from './kept-connections.js';
-import {LatencyBook} from './latency-book.js';
-import {LoadShare} from './load-share.js';
-import {RepeatBook} from './repeat-book.js';
+import {closeIdleConnections} from './connection-pool.js';
+import {LatencyEstimator} from './latency-estimator.js';
+import {LoadExchange} from './load-exchange.js';
+import {RepeatTracker} from './repeat-tracker.js';
 import {SuspectReporter} from './suspect-reporter.js';
 import {VersionPins} from './version-pins.js';
 
@@ -45,12 +45,12 @@
 	readonly #options: EntryInstanceOptions;
 	readonly #context: EntryContext;
 	readonly #watch: ControlWatch;
-	readonly #loadExchange: LoadShare;
+	readonly #loadExchange: LoadExchange;
 	readonly #reporter: SuspectReporter;
 	readonly #rollouts: KnownRollouts;
 	readonly #server: Server;
-	readonly #replyWaiters = new StepWaiters();
-	readonly #serverWaiters = new StepWaiters();
+	readonly #replyWaiters = new StepNotifier();
+	readonly #serverWaiters = new StepNotifier();
 	/** The evidence counters last sent to each control instance. */
 	readonly #evidenceDeltas = new Map<InstanceId, EvidenceDelta>();
 	#table: RouteTable | undefined;
@@ -64,17 +64,17 @@
 		const {clock, random, zone, self, run} = options;
 		this.#options = options;
 		this.#rollouts = new KnownRollouts(options);
-		this.#loadExchange = new LoadShare({
-			own: () => this.#context.servers.loads,
+		this.#loadExchange = new LoadExchange({
+			ownLoads: () => this.#context.servers.loads,
 			peers: () => this.#peers,
 			send: options.send,
 		});
-		const suspension = new SuspensionWatch(clock);
+		const suspension = new SuspensionDetector(clock);
 		const servers = new EntryServers({
 			zone,
 			random,
-			share: this.#loadExchange,
-			onReplaced: dropIdleConnections,
+			loads: this.#loadExchange,
+			onReplaced: closeIdleConnections,
 			onOutdated({id, state}, {held, source}) {
 				options.metrics.outdatedRecords.inc();
 				options.log('server-record-outdated', {
@@ -85,9 +85,9 @@
 		const suspects = new EntrySuspects({
 			...options,
 			servers,
-			confirmEnd: confirmServerEnd,
-			onLearned: fingerprint => {
-				this.#reporter.note(fingerprint);
+			hasEnded: hasServerEnded,
+			onChanged: fingerprint => {
+				this.#reporter.report(fingerprint);
 			},
 		});
 		this.#reporter = new SuspectReporter({book: suspects.book, tell: options.tell});
@@ -96,32 +96,32 @@
 			lease: new ConfigurationLease({
 				duration: options.leaseMilliseconds,
 				suspension,
-				onDoubt: () => {
-					this.#watch.confirm();
+				onSuspension: () => {
+					this.#watch.requestConfirmation();
 				},
 			}),
 			servers,
 			suspects,
-			budget: new RetryWindow({share: options.retryShare, slack: retrySlack, windowMilliseconds: options.retryWindowMilliseconds}),
-			latencies: new LatencyBook(clock),
+			budget: new WindowedRetryBudget({ratio: options.retryShare, minimumPerWindow: retrySlack, windowMilliseconds: options.retryWindowMilliseconds}),
+			latencies: new LatencyEstimator(clock),
 			pins: new VersionPins(options),
-			repeats: new RepeatBook(),
+			repeats: new RepeatTracker(),
 			evidence: new EvidenceCounter({entry: self, run}),
 			table: () => this.#table,
-			nextNews: async timeout => Promise.race([this.#replyWaiters.next(), options.wait(timeout)]),
-			nextServers: async timeout => Promise.race([this.#serverWaiters.next(), options.wait(timeout)]),
-			rolloutOf: service => this.#rollouts.of(service),
+			nextReply: async timeout => Promise.race([this.#replyWaiters.waitForNext(), options.wait(timeout)]),
+			nextServerChange: async timeout => Promise.race([this.#serverWaiters.waitForNext(), options.wait(timeout)]),
+			rolloutOf: service => this.#rollouts.forService(service),
 			endsAt: () => this.#endsAt,
 		};
 		this.#watch = new ControlWatch({
 			...options,
 			suspension,
-			question: host => this.#watchFields(host),
-			onNews: news => {
+			watchFields: host => this.#watchFields(host),
+			onUpdate: news => {
 				this.#applyReply(news, clock.monotonic());
 			},
 			onLost(source) {
-				servers.loseSource(source);
+				servers.markSourceLost(source);
 			},
 		});
 		this.#server = createCallerServer({
@@ -217,19 +217,19 @@
 			zone: this.#options.zone,
 			configurationVersion: this.#table?.version,
 			rolloutDigest: this.#rollouts.digest,
-			evidence: delta.next(this.#context.evidence.of(this.#rollouts.runningServices), this.#options.clock.monotonic()),
+			evidence: delta.takeChanged(this.#context.evidence.countersOf(this.#rollouts.runningServices), this.#options.clock.monotonic()),
 		};
 	}
 
-	#applyReply({source, reply, isWhole: isFullState, confirmedAt}: ControlNews, now: number): void {
+	#applyReply({source, reply, isFullState: isFullState, confirmedAt}: ControlUpdate, now: number): void {
 		const {log} = this.#options;
 		const {lease, servers, suspects} = this.#context;
-		suspects.take(reply.suspects, source);
-		this.#reporter.hear(source, reply.run);
-		const changed = servers.take(reply.records, {source, now, isWhole: isFullState});
+		suspects.merge(reply.suspects, source);
+		this.#reporter.addControl(source, reply.run);
+		const changed = servers.applyRecords(reply.records, {source, now, isFullState: isFullState});
 		this.#peers = reply.entries;
 		if (changed.length > 0) {
-			this.#serverWaiters.wake();
+			this.#serverWaiters.notifyAll();
 		}
 
 		for (const {id, state, service, version, startedAt, sequence} of changed) {
@@ -246,8 +246,8 @@
 			lease.confirm(confirmedAt);
 		}
 
-		this.#replyWaiters.wake();
-		this.#rollouts.take(reply, {confirmedAt, now});
+		this.#replyWaiters.notifyAll();
+		this.#rollouts.update(reply, {confirmedAt, now});
 		const hasLease = lease.isValid(now);
 		if (hasLease !== this.#hadLease) {
 			this.#hadLease = hasLease;
--- a/packages/gateway/src/entry/entry-servers-options.ts
+++ b/packages/gateway/src/entry/entry-servers-options.ts
@@ -1,13 +1,13 @@
 import {type InstanceId, type RandomSource, type ZoneId} from '@valehitch/core';
 import {type ServerRecord} from '../servers/server-record.js';
-import {type LoadShare} from './load-share.js';
+import {type LoadExchange} from './load-exchange.js';
 
 /** Options of {@linkcode EntryServers}. */
 export type EntryServersOptions = {
 	readonly zone: ZoneId;
 	readonly random: RandomSource;
 	/** The loads of the other entry instances at each server. */
-	readonly share: Pick<LoadShare, 'othersOn' | 'noteChange' | 'forget'>;
+	readonly loads: Pick<LoadExchange, 'peerLoadAt' | 'recordChange' | 'discardServer'>;
 	/** Called when a control instance sends a record that is older than the known state of the process. */
 	readonly onOutdated?: (told: ServerRecord, options: {readonly held: ServerRecord; readonly source: InstanceId}) => void;
 	/** Called when a process is replaced by another one with the same address or id. */
@@ -15,13 +15,13 @@
 };
 
 /** Options for applying records of a control instance. */
-export type TakeRecordsOptions = {
+export type ApplyRecordsOptions = {
 	/** The control instance that sent the records. */
 	readonly source: InstanceId;
 	/** Milliseconds on the monotonic clock. */
 	readonly now: number;
 	/** Whether the records are the full state of the control instance, which replaces its earlier reports; false by default. */
-	readonly isWhole?: boolean;
+	readonly isFullState?: boolean;
 };
 
 /** The result of a send to a server; `ended` if its process ended in the meantime. */
--- a/packages/gateway/src/entry/entry-servers.test.ts
+++ b/packages/gateway/src/entry/entry-servers.test.ts
@@ -4,7 +4,7 @@
 import test from 'ava';
 import {testServer} from '../servers/_test-server.js';
 import {EntryServers} from './entry-servers.js';
-import {LoadShare} from './load-share.js';
+import {LoadExchange} from './load-exchange.js';
 
 const one = 'control-1' as InstanceId;
 const two = 'control-2' as InstanceId;
@@ -16,34 +16,34 @@
 
 function createServers(...records: ReadonlyArray<ReturnType<typeof testServer>>): EntryServers {
 	const servers = new EntryServers({
-		zone: 'hall-a' as ZoneId, random: () => 0.5, share: {othersOn: () => 0, noteChange: ignore, forget: ignore}, onReplaced: ignore,
+		zone: 'hall-a' as ZoneId, random: () => 0.5, loads: {peerLoadAt: () => 0, recordChange: ignore, discardServer: ignore}, onReplaced: ignore,
 	});
-	servers.take(records, {source: one, now});
+	servers.applyRecords(records, {source: one, now});
 	return servers;
 }
 
-function chooseId(servers: EntryServers, changes: Partial<Parameters<EntryServers['find']>[0]> = {}): ServerId | undefined {
-	return servers.find({
-		service: testServer().service, isWanted: () => true, excluded: new Set(), subject: undefined, now, ...changes,
+function chooseId(servers: EntryServers, changes: Partial<Parameters<EntryServers['choose']>[0]> = {}): ServerId | undefined {
+	return servers.choose({
+		service: testServer().service, isAcceptable: () => true, excluded: new Set(), promptKey: undefined, now, ...changes,
 	})?.id;
 }
 
 test('a draining server gets no requests, regardless of which control instance reports it and in which order', t => {
 	const servers = createServers(testServer());
 	t.is(chooseId(servers), testServer().id);
-	servers.take([testServer({state: 'draining', sequence: 5})], {source: two, now});
-	servers.take([testServer({sequence: 4})], {source: one, now});
+	servers.applyRecords([testServer({state: 'draining', sequence: 5})], {source: two, now});
+	servers.applyRecords([testServer({sequence: 4})], {source: one, now});
 	t.is(chooseId(servers), undefined);
 });
 
 test('an ended server is not restored by a control instance that missed its end', t => {
 	const servers = createServers(testServer(), testServer({id: 'server-2' as ServerId}));
 	const later = now + 65_000;
-	const load = servers.begin(testServer().id, 1);
-	servers.take([testServer({state: 'gone'})], {source: one, now: later});
+	const load = servers.beginSend(testServer().id, 1);
+	servers.applyRecords([testServer({state: 'gone'})], {source: one, now: later});
 	load.end();
-	servers.take([testServer({id: 'server-2' as ServerId, sequence: 2})], {source: one, now: later + 500});
-	servers.take([testServer({isSilent: true})], {source: two, now: later + 2000});
+	servers.applyRecords([testServer({id: 'server-2' as ServerId, sequence: 2})], {source: one, now: later + 500});
+	servers.applyRecords([testServer({isSilent: true})], {source: two, now: later + 2000});
 	t.is(chooseId(servers, {excluded: new Set(['server-2' as ServerId]), now: later + 2100}), undefined);
 });
 
@@ -52,22 +52,22 @@
 	const servers = new EntryServers({
 		zone: 'hall-a' as ZoneId,
 		random: () => 0.5,
-		share: {othersOn: () => 0, noteChange: ignore, forget: ignore},
+		loads: {peerLoadAt: () => 0, recordChange: ignore, discardServer: ignore},
 		onReplaced: ignore,
 		onOutdated(told, {held: {state}, source}) {
 			outdated.push([told.state, state, source]);
 		},
 	});
-	servers.take([testServer({state: 'draining'})], {source: one, now});
-	servers.take([testServer({state: 'draining'})], {source: two, now});
-	servers.take([testServer()], {source: two, now});
+	servers.applyRecords([testServer({state: 'draining'})], {source: one, now});
+	servers.applyRecords([testServer({state: 'draining'})], {source: two, now});
+	servers.applyRecords([testServer()], {source: two, now});
 	t.deepEqual(outdated, [['ready', 'draining', two]]);
 });
 
 test('unwanted versions and excluded servers are not chosen', t => {
 	const other = testServer({id: 'server-2' as ServerId, version: 'v2' as VersionId});
 	const servers = createServers(testServer(), other);
-	t.is(chooseId(servers, {isWanted: version => version === other.version}), other.id);
+	t.is(chooseId(servers, {isAcceptable: version => version === other.version}), other.id);
 	t.is(chooseId(servers, {excluded: new Set([other.id])}), testServer().id);
 	t.is(chooseId(servers, {excluded: new Set([other.id, testServer().id])}), undefined);
 });
@@ -76,9 +76,9 @@
 	const other = testServer({id: 'server-2' as ServerId});
 	const servers = createServers(testServer({isSilent: true}), other);
 	t.is(chooseId(servers), other.id);
-	servers.record(other.id, 'unreachable', now);
+	servers.recordResult(other.id, 'unreachable', now);
 	t.not(chooseId(servers), undefined);
-	servers.take([testServer({sequence: 2})], {source: two, now});
+	servers.applyRecords([testServer({sequence: 2})], {source: two, now});
 	t.is(chooseId(servers), testServer().id);
 	t.is(chooseId(servers, {now: now + 1000, excluded: new Set([testServer().id])}), other.id);
 });
@@ -86,51 +86,51 @@
 test('a server that only a partitioned control instance reports as silent is not avoided', t => {
 	const other = testServer({id: 'server-2' as ServerId});
 	const servers = createServers(testServer(), other);
-	servers.take([testServer(), other], {source: two, now});
-	servers.take([testServer({isSilent: true})], {source: two, now});
-	servers.record(other.id, 'unreachable', now);
+	servers.applyRecords([testServer(), other], {source: two, now});
+	servers.applyRecords([testServer({isSilent: true})], {source: two, now});
+	servers.recordResult(other.id, 'unreachable', now);
 	t.is(chooseId(servers), testServer().id);
 });
 
 test('reports of a control instance are ignored while it does not respond and after it restarts', t => {
 	const other = testServer({id: 'server-2' as ServerId});
 	const servers = createServers(testServer(), other);
-	servers.take([testServer(), other], {source: two, now});
-	servers.take([testServer({isSilent: true})], {source: one, now});
-	servers.record(other.id, 'unreachable', now);
-	servers.loseSource(two);
+	servers.applyRecords([testServer(), other], {source: two, now});
+	servers.applyRecords([testServer({isSilent: true})], {source: one, now});
+	servers.recordResult(other.id, 'unreachable', now);
+	servers.markSourceLost(two);
 	t.is(chooseId(servers, {now: now + 600}), other.id);
-	servers.take([], {source: two, now});
-	servers.record(other.id, 'unreachable', now);
+	servers.applyRecords([], {source: two, now});
+	servers.recordResult(other.id, 'unreachable', now);
 	t.is(chooseId(servers), testServer().id);
-	servers.take([other], {source: two, now, isWhole: true});
+	servers.applyRecords([other], {source: two, now, isFullState: true});
 	t.is(chooseId(servers, {now: now + 1100}), other.id);
 });
 
 test('a server is forgotten once no control instance reports it as alive', t => {
 	const other = testServer({id: 'server-2' as ServerId});
 	const servers = createServers(testServer(), other);
-	servers.take([testServer({isSilent: true})], {source: one, now});
+	servers.applyRecords([testServer({isSilent: true})], {source: one, now});
 	t.is(chooseId(servers, {excluded: new Set([other.id])}), testServer().id);
-	servers.take([], {source: one, now: now + 200_000});
+	servers.applyRecords([], {source: one, now: now + 200_000});
 	t.is(chooseId(servers, {excluded: new Set([other.id]), now: now + 200_000}), undefined);
 	t.is(chooseId(servers, {now: now + 200_000}), other.id);
 });
 
 test('an address that another server took over is no longer used for the old server id', t => {
 	const servers = createServers(testServer());
-	servers.record(testServer().id, 'gone', now);
-	servers.take([testServer({sequence: 9})], {source: one, now});
+	servers.recordResult(testServer().id, 'gone', now);
+	servers.applyRecords([testServer({sequence: 9})], {source: one, now});
 	t.is(chooseId(servers), undefined);
 });
 
 test('a long prompt counts as a high load until its answer starts', t => {
 	const other = testServer({id: 'server-2' as ServerId});
 	const servers = createServers(testServer(), other);
-	const load = servers.begin(testServer().id, 50);
-	servers.begin(other.id, 10);
+	const load = servers.beginSend(testServer().id, 50);
+	servers.beginSend(other.id, 10);
 	t.deepEqual(servers.loads, [[testServer().id, 50], [other.id, 10]]);
-	load.answerBegins();
+	load.markAnswerStarted();
 	t.deepEqual(servers.loads, [[testServer().id, 1], [other.id, 10]]);
 	load.end();
 	t.deepEqual(servers.loads, [[other.id, 10]]);
@@ -142,42 +142,42 @@
 	const servers = createServers(...far, ...near);
 	const tried = new Set(near.map(({id}) => id));
 	t.true(far.some(({id}) => id === chooseId(servers, {excluded: tried})));
-	servers.record(far[0]!.id, 'unreachable', now);
-	servers.record(far[1]!.id, 'unreachable', now);
+	servers.recordResult(far[0]!.id, 'unreachable', now);
+	servers.recordResult(far[1]!.id, 'unreachable', now);
 	t.not(chooseId(servers, {excluded: new Set([near[0]!.id])}), far[2]!.id);
 	t.is(chooseId(servers, {excluded: new Set([near[0]!.id])}), near[1]!.id);
-	servers.hear(far[2]!.id, now);
+	servers.recordData(far[2]!.id, now);
 	t.is(chooseId(servers, {excluded: tried}), far[2]!.id);
 });
 
 /** Creates servers with a load exchange, and collects the replaced processes. */
 function createServersWithPeers(...records: ReadonlyArray<ReturnType<typeof testServer>>) {
 	const replaced: string[] = [];
-	const loads = new LoadShare({own: () => [], peers: () => [], send: ignore});
+	const loads = new LoadExchange({ownLoads: () => [], peers: () => [], send: ignore});
 	const servers = new EntryServers({
-		zone: 'hall-a' as ZoneId, random: () => 0.5, share: loads, onReplaced({id, startedAt}) {
+		zone: 'hall-a' as ZoneId, random: () => 0.5, loads: loads, onReplaced({id, startedAt}) {
 			replaced.push(`${id} ${startedAt}`);
 		},
 	});
-	servers.take(records, {source: one, now});
+	servers.applyRecords(records, {source: one, now});
 	return {servers, loads, replaced};
 }
 
 test('a server that restarts with the same id is used immediately, without the state of its earlier process', t => {
 	const {servers, loads, replaced} = createServersWithPeers(testServer({startedAt: 1000, sequence: 80}));
-	const load = servers.begin(testServer().id, 50);
+	const load = servers.beginSend(testServer().id, 50);
 	loads.receive('entry-2' as InstanceId, {type: 'load', loads: [[testServer().id, 30]]}, now);
-	servers.record(testServer().id, 'gone', now);
-	servers.record(testServer().id, 'unreachable', now);
-	const [changed] = servers.take([testServer({startedAt: 2000})], {source: two, now});
+	servers.recordResult(testServer().id, 'gone', now);
+	servers.recordResult(testServer().id, 'unreachable', now);
+	const [changed] = servers.applyRecords([testServer({startedAt: 2000})], {source: two, now});
 	t.like(changed, {state: 'ready', startedAt: 2000});
 	t.is(chooseId(servers), testServer().id);
 	t.true(load.processEnd.aborted);
 	t.false(servers.isCurrent(testServer({startedAt: 1000, sequence: 80})), 'results of sends to the earlier process do not count for the new one');
 	t.true(servers.isCurrent(testServer({startedAt: 2000, sequence: 7})));
 	t.deepEqual(replaced, ['server-1 1000']);
-	t.is(loads.othersOn(testServer().id), 0);
-	servers.begin(testServer().id, 3);
+	t.is(loads.peerLoadAt(testServer().id), 0);
+	servers.beginSend(testServer().id, 3);
 	load.end();
 	t.deepEqual(servers.loads, [[testServer().id, 3]]);
 });
@@ -187,15 +187,15 @@
 	const former = testServer({
 		startedAt: 1000, sequence: 99, state: 'gone', isSilent: true,
 	});
-	t.deepEqual(servers.take([former], {source: two, now}), []);
+	t.deepEqual(servers.applyRecords([former], {source: two, now}), []);
 	t.is(chooseId(servers), testServer().id);
 	t.deepEqual(replaced, []);
 });
 
 test('a server that starts at the address of another one aborts the sends to it', t => {
 	const {servers, replaced} = createServersWithPeers(testServer({startedAt: 1000}));
-	const load = servers.begin(testServer().id, 1);
-	servers.take([testServer({id: 'server-2' as ServerId, startedAt: 2000})], {source: one, now});
+	const load = servers.beginSend(testServer().id, 1);
+	servers.applyRecords([testServer({id: 'server-2' as ServerId, startedAt: 2000})], {source: one, now});
 	t.true(load.processEnd.aborted);
 	t.deepEqual(replaced, ['server-1 1000']);
 	t.is(chooseId(servers), 'server-2' as ServerId);
@@ -206,12 +206,12 @@
 	const other = testServer({id: 'server-2' as ServerId});
 	const {servers} = createServersWithPeers(testServer({startedAt: 1000}), other, ...['server-3', 'server-4'].map(id => testServer({id: id as ServerId})));
 	for (let failures = 0; failures < 8; failures++) {
-		servers.record(testServer().id, 'failed', now);
+		servers.recordResult(testServer().id, 'failed', now);
 	}
 
 	const excluded = new Set(['server-3', 'server-4'] as ServerId[]);
 	t.is(chooseId(servers, {excluded}), other.id);
-	servers.take([testServer({startedAt: 2000})], {source: one, now});
-	servers.record(other.id, 'unreachable', now);
+	servers.applyRecords([testServer({startedAt: 2000})], {source: one, now});
+	servers.recordResult(other.id, 'unreachable', now);
 	t.is(chooseId(servers, {excluded}), testServer().id);
 });
--- a/packages/gateway/src/entry/entry-servers.ts
+++ b/packages/gateway/src/entry/entry-servers.ts
@@ -2,21 +2,21 @@
 	type InstanceId, type ServerId, type ServiceId,
 } from '@valehitch/core';
 import {
-	chooseServer, OutlierEjection, prefixHash, type ServerView, ZoneSuspicion,
+	chooseServer, OutlierEjection, prefixHash, type ServerView, ZoneFailureDetector,
 } from '@valehitch/routing';
 import {type LoadMessage} from '../control/peer-message.js';
-import {compareStarts} from '../servers/compare-starts.js';
+import {compareStartTimes} from '../servers/compare-start-times.js';
 import {hasReplaced} from '../servers/has-replaced.js';
-import {isGraver} from '../servers/is-graver.js';
+import {isLaterState} from '../servers/is-later-state.js';
 import {mergeServerRecord} from '../servers/merge-server-record.js';
-import {defaultForgetMilliseconds} from '../servers/server-directory.js';
+import {defaultRetentionMilliseconds} from '../servers/server-directory.js';
 import {type ServerRecord} from '../servers/server-record.js';
-import {type EntryServersOptions, type SendResult, type TakeRecordsOptions} from './entry-servers-options.js';
+import {type EntryServersOptions, type SendResult, type ApplyRecordsOptions} from './entry-servers-options.js';
 import {type FindServerOptions} from './find-server-options.js';
 import {
-	HeldServer, type ProcessState, type SendLoad, unknownLoad,
-} from './held-server.js';
-import {ServerStandings} from './server-standings.js';
+	TrackedServer, type ProcessState, type SendLoad, noOpLoad,
+} from './tracked-server.js';
+import {ServerLivenessTable} from './server-liveness-table.js';
 
 /** The maximum load of a server relative to the mean load. Engines batch requests, so even twice the mean load costs less than processing a prompt without its cached prefix. */
 const loadBound = 1.5;
@@ -28,9 +28,9 @@
 const initialBackoffMilliseconds = 500;
 const maximumBackoffMilliseconds = 8000;
 /** The end of a server is remembered for longer than a control instance that missed it keeps reporting the server. */
-const forgetEndedMilliseconds = 2 * defaultForgetMilliseconds;
+const forgetEndedMilliseconds = 2 * defaultRetentionMilliseconds;
 /** Silent servers are forgotten here before the control instances forget them, so that the end of a server still reaches every instance that knows it. */
-const forgetSilentMilliseconds = defaultForgetMilliseconds / 2;
+const forgetSilentMilliseconds = defaultRetentionMilliseconds / 2;
 
 /**
 The backend servers known to an entry instance: the state that control instances report, the instance's own requests in flight, and the results of its sends.
@@ -44,13 +44,13 @@
 */
 export class EntryServers {
 	readonly #options: EntryServersOptions;
-	readonly #servers = new Map<ServerId, HeldServer>();
+	readonly #servers = new Map<ServerId, TrackedServer>();
 	readonly #ejection = new OutlierEjection({
 		threshold: 0.5, baseMilliseconds: 2000, maximumMilliseconds: 8000, maximumShare: 0.4,
 	});
 
-	readonly #zones = new ZoneSuspicion();
-	readonly #liveness = new ServerStandings();
+	readonly #zones = new ZoneFailureDetector();
+	readonly #liveness = new ServerLivenessTable();
 
 	constructor(options: EntryServersOptions) {
 		this.#options = options;
@@ -63,12 +63,12 @@
 	@param options The control instance, the time, and whether the records are its full state.
 	@returns The records that were added or whose state changed.
 	*/
-	take(records: readonly ServerRecord[], {source, now, isWhole: isFullState = false}: TakeRecordsOptions): readonly ServerRecord[] {
-		this.#liveness.hear(source, {isFullState});
+	applyRecords(records: readonly ServerRecord[], {source, now, isFullState: isFullState = false}: ApplyRecordsOptions): readonly ServerRecord[] {
+		this.#liveness.markResponsive(source, {isFullState});
 		const changed: ServerRecord[] = [];
 		for (const record of records) {
 			const tracked = this.#servers.get(record.id);
-			if (tracked === undefined || compareStarts(record, tracked.record) > 0) {
+			if (tracked === undefined || compareStartTimes(record, tracked.record) > 0) {
 				this.#add(record, {source, now});
 				changed.push(record);
 			} else if (this.#update(tracked, record, {source, now})) {
@@ -85,8 +85,8 @@
 
 	@param source The control instance.
 	*/
-	loseSource(source: InstanceId): void {
-		this.#liveness.lose(source);
+	markSourceLost(source: InstanceId): void {
+		this.#liveness.markUnresponsive(source);
 	}
 
 	/**
@@ -95,7 +95,7 @@
 	@param options The criteria.
 	@returns The server, or undefined if none is available.
 	*/
-	find({service, isWanted: isAcceptable, excluded, subject: promptKey, now}: FindServerOptions): ServerRecord | undefined {
+	choose({service, isAcceptable: isAcceptable, excluded, promptKey: promptKey, now}: FindServerOptions): ServerRecord | undefined {
 		const views: ServerView[] = [];
 		for (const tracked of this.#servers.values()) {
 			if (tracked.record.service !== service || tracked.record.state !== 'ready' || !isAcceptable(tracked.record.version)) {
@@ -118,7 +118,7 @@
 	/** The load of this instance at each server where it has requests in flight. */
 	get loads(): LoadMessage['loads'] {
 		const loads: Array<readonly [ServerId, number]> = [];
-		for (const [id, {inFlight, work}] of this.#servers) {
+		for (const [id, {inFlight, load: work}] of this.#servers) {
 			if (inFlight > 0) {
 				loads.push([id, work]);
 			}
@@ -134,8 +134,8 @@
 	@param work The load of the request until its answer starts, in units of a short request.
 	@returns The load of the send, to be reduced as the request progresses.
 	*/
-	begin(id: ServerId, work: number): SendLoad {
-		return this.#servers.get(id)?.begin(work) ?? unknownLoad;
+	beginSend(id: ServerId, work: number): SendLoad {
+		return this.#servers.get(id)?.beginSend(work) ?? noOpLoad;
 	}
 
 	/**
@@ -144,11 +144,11 @@
 	@param id The server.
 	@param now Milliseconds on the monotonic clock.
 	*/
-	hear(id: ServerId, now: number): void {
+	recordData(id: ServerId, now: number): void {
 		const tracked = this.#servers.get(id);
 		if (tracked !== undefined) {
 			tracked.heardAt = now;
-			this.#zones.heard(tracked.record.zone);
+			this.#zones.recordContact(tracked.record.zone);
 		}
 	}
 
@@ -170,7 +170,7 @@
 	*/
 	isCurrent(server: ServerRecord): boolean {
 		const tracked = this.#servers.get(server.id);
-		return tracked !== undefined && compareStarts(tracked.record, server) === 0;
+		return tracked !== undefined && compareStartTimes(tracked.record, server) === 0;
 	}
 
 	/**
@@ -191,28 +191,28 @@
 	@param now Milliseconds on the monotonic clock.
 	@returns Whether the server is now excluded for some time.
 	*/
-	record(id: ServerId, result: SendResult, now: number): boolean {
+	recordResult(id: ServerId, result: SendResult, now: number): boolean {
 		const tracked = this.#servers.get(id);
 		if (tracked === undefined) {
 			return false;
 		}
 
 		if (result === 'gone') {
-			tracked.noteEnd(now);
+			tracked.markEnded(now);
 			return true;
 		}
 
 		if (result === 'unreachable' || result === 'ended') {
-			tracked.avoidUntil = now + Math.min(maximumBackoffMilliseconds, initialBackoffMilliseconds * (2 ** tracked.unreachable));
-			tracked.unreachable++;
+			tracked.backoffUntil = now + Math.min(maximumBackoffMilliseconds, initialBackoffMilliseconds * (2 ** tracked.connectionFailures));
+			tracked.connectionFailures++;
 			if (result === 'unreachable') {
-				this.#zones.unreachable(tracked.record.zone, {server: id, now});
+				this.#zones.recordUnreachable(tracked.record.zone, {server: id, now});
 			}
 
 			return true;
 		}
 
-		tracked.unreachable = 0;
+		tracked.connectionFailures = 0;
 		return this.#ejection.record(id, {failed: result === 'failed', now, servers: this.#countReady(tracked.record.service)});
 	}
 
@@ -220,57 +220,57 @@
 	#add(record: ServerRecord, {source, now}: {readonly source: InstanceId; readonly now: number}): void {
 		for (const [id, previous] of this.#servers) {
 			if (id === record.id || hasReplaced(record, previous.record)) {
-				previous.noteEnd(now);
+				previous.markEnded(now);
 				this.#discardState(previous);
 			}
 		}
 
-		this.#liveness.forget(record.id);
-		this.#liveness.tell(record.id, {source, isSilent: record.isSilent});
-		this.#servers.set(record.id, new HeldServer(record, {
+		this.#liveness.removeServer(record.id);
+		this.#liveness.report(record.id, {source, isSilent: record.isSilent});
+		this.#servers.set(record.id, new TrackedServer(record, {
 			now,
-			onWork: change => {
-				this.#options.share.noteChange(change);
+			onLoadChange: change => {
+				this.#options.loads.recordChange(change);
 			},
 		}));
 	}
 
 	/** Applies a record to a known process; returns whether its state changed. */
-	#update(tracked: HeldServer, record: ServerRecord, {source, now}: {readonly source: InstanceId; readonly now: number}): boolean {
-		tracked.toldAt = now;
-		if (compareStarts(record, tracked.record) < 0) {
+	#update(tracked: TrackedServer, record: ServerRecord, {source, now}: {readonly source: InstanceId; readonly now: number}): boolean {
+		tracked.reportedAt = now;
+		if (compareStartTimes(record, tracked.record) < 0) {
 			return false;
 		}
 
-		this.#liveness.tell(record.id, {source, isSilent: record.isSilent});
+		this.#liveness.report(record.id, {source, isSilent: record.isSilent});
 		const {state} = tracked.record;
-		if (isGraver(state, record.state)) {
+		if (isLaterState(state, record.state)) {
 			this.#options.onOutdated?.(record, {held: tracked.record, source});
 		}
 
-		tracked.isLeaving ||= record.state === 'draining';
+		tracked.wasDraining ||= record.state === 'draining';
 		tracked.record = mergeServerRecord(tracked.record, record);
 		return tracked.record.state !== state;
 	}
 
 	/** Discards the state of an ended process: outlier and zone statistics, loads of peers, idle connections, and sends in progress. */
-	#discardState(tracked: HeldServer): void {
+	#discardState(tracked: TrackedServer): void {
 		const {id, zone} = tracked.record;
 		this.#ejection.forget(id);
-		this.#zones.forget(zone, id);
-		this.#options.share.forget(id);
+		this.#zones.forgetServer(zone, id);
+		this.#options.loads.discardServer(id);
 		this.#options.onReplaced(tracked.record);
-		tracked.endProcess();
+		tracked.abortSends();
 	}
 
-	#viewOf(tracked: HeldServer, now: number): ServerView {
-		const {zone, share: loads} = this.#options;
+	#viewOf(tracked: TrackedServer, now: number): ServerView {
+		const {zone, loads: loads} = this.#options;
 		const {id, zone: serverZone} = tracked.record;
 		return tracked.view({
 			now,
-			othersLoad: loads.othersOn(id),
+			othersLoad: loads.peerLoadAt(id),
 			isSilent: this.#liveness.of(id) === 'silent',
-			isBehindCut: serverZone !== zone && this.#zones.isSuspect(serverZone, now),
+			isZoneUnreachable: serverZone !== zone && this.#zones.isSuspect(serverZone, now),
 			isEjected: this.#ejection.isEjected(id, now),
 		});
 	}
@@ -286,13 +286,13 @@
 
 	#removeExpired(now: number): void {
 		for (const [id, tracked] of this.#servers) {
-			const unreportedFor = now - tracked.toldAt;
+			const unreportedFor = now - tracked.reportedAt;
 			const isExpired = tracked.record.state === 'gone'
 				? unreportedFor > forgetEndedMilliseconds
-				: unreportedFor > forgetSilentMilliseconds && !this.#liveness.isHeldByAny(id);
+				: unreportedFor > forgetSilentMilliseconds && !this.#liveness.isReportedAlive(id);
 			if (isExpired && tracked.inFlight === 0) {
 				this.#servers.delete(id);
-				this.#liveness.forget(id);
+				this.#liveness.removeServer(id);
 			}
 		}
 	}
--- a/packages/gateway/src/entry/entry-suspects.test.ts
+++ b/packages/gateway/src/entry/entry-suspects.test.ts
@@ -3,7 +3,7 @@
 import {testServer} from '../servers/_test-server.js';
 import {type ServerRecord} from '../servers/server-record.js';
 import {EntrySuspects} from './entry-suspects.js';
-import {type ProcessState} from './held-server.js';
+import {type ProcessState} from './tracked-server.js';
 
 const fingerprint = 'f1' as RequestFingerprint;
 const other = 'f2' as RequestFingerprint;
@@ -17,11 +17,11 @@
 		clock: {now: () => new Date(0)},
 		log: ignore,
 		servers: {processStateOf: state},
-		async confirmEnd({id}) {
+		async hasEnded({id}) {
 			checks.push(id);
 			return ended.includes(id);
 		},
-		onLearned(known) {
+		onChanged(known) {
 			changed.push(known);
 		},
 	});
@@ -38,16 +38,16 @@
 
 test('a broken connection counts against a request only if the server process has ended', async t => {
 	const {suspects, changed} = createSuspects({ended: ['ended']});
-	t.is(await suspects.noteLoss({fingerprint, request: 'a1', server: server('running')}), 'running');
+	t.is(await suspects.recordLoss({fingerprint, request: 'a1', server: server('running')}), 'running');
 	t.is(suspects.standing(fingerprint), 'unknown');
-	t.is(await suspects.noteLoss({fingerprint, request: 'a1', server: server('ended')}), 'ended');
+	t.is(await suspects.recordLoss({fingerprint, request: 'a1', server: server('ended')}), 'ended');
 	t.is(suspects.standing(fingerprint), 'suspect');
 	t.deepEqual(changed, [fingerprint]);
 });
 
 test('all requests in flight at a server share one check, and only the first one reports its end', async t => {
 	const {suspects, checks} = createSuspects({ended: ['ended']});
-	const findings = await Promise.all([fingerprint, other].map(async known => suspects.noteLoss({fingerprint: known, request: 'a1', server: server('ended')})));
+	const findings = await Promise.all([fingerprint, other].map(async known => suspects.recordLoss({fingerprint: known, request: 'a1', server: server('ended')})));
 	t.deepEqual(findings, ['ended', 'already-ended']);
 	t.deepEqual([fingerprint, other].map(known => suspects.standing(known)), ['suspect', 'suspect']);
 	t.deepEqual(checks, ['ended']);
@@ -60,7 +60,7 @@
 	const {suspects, checks} = createSuspects({ended: Object.keys(states), state: ({id}) => states[id]!});
 	const findings: string[] = [];
 	for (const id of Object.keys(states)) {
-		findings.push(await suspects.noteLoss({fingerprint, request: 'a1', server: server(id)}));
+		findings.push(await suspects.recordLoss({fingerprint, request: 'a1', server: server(id)}));
 	}
 
 	t.deepEqual(findings, ['running', 'running', 'running', 'ended']);
@@ -73,22 +73,22 @@
 	const stop = suspects.onQuarantine(known => {
 		quarantined.push(known);
 	});
-	suspects.take([{fingerprint, ends: ['a', 'b'].map(process => ({process, at: 0, isCleared: false}))}], control);
+	suspects.merge([{fingerprint, ends: ['a', 'b'].map(process => ({process, at: 0, isCleared: false}))}], control);
 	t.is(suspects.standing(fingerprint), 'doubtful');
-	await suspects.noteLoss({fingerprint, request: 'a1', server: server('c')});
+	await suspects.recordLoss({fingerprint, request: 'a1', server: server('c')});
 	t.deepEqual(quarantined, [fingerprint]);
 	stop();
-	suspects.take([{fingerprint: other, ends: ['a', 'b', 'c'].map(process => ({process, at: 0, isCleared: false}))}], control);
+	suspects.merge([{fingerprint: other, ends: ['a', 'b', 'c'].map(process => ({process, at: 0, isCleared: false}))}], control);
 	t.is(suspects.standing(other), 'quarantined');
 	t.deepEqual(quarantined, [fingerprint]);
 });
 
 test('a complete answer clears a request, and is reported once', async t => {
 	const {suspects, changed} = createSuspects({ended: ['ended']});
-	await suspects.noteLoss({fingerprint, request: 'a1', server: server('ended')});
-	suspects.noteAnswered(fingerprint);
-	suspects.noteAnswered(fingerprint);
-	suspects.noteAnswered(other);
+	await suspects.recordLoss({fingerprint, request: 'a1', server: server('ended')});
+	suspects.recordAnswered(fingerprint);
+	suspects.recordAnswered(fingerprint);
+	suspects.recordAnswered(other);
 	t.is(suspects.standing(fingerprint), 'unknown');
 	t.deepEqual(changed, [fingerprint, fingerprint]);
 });
--- a/packages/gateway/src/entry/entry-suspects.ts
+++ b/packages/gateway/src/entry/entry-suspects.ts
@@ -1,8 +1,8 @@
 import {
-	type Clock, type InstanceId, RecentMap, type RequestFingerprint,
+	type Clock, type InstanceId, LruMap, type RequestFingerprint,
 } from '@valehitch/core';
 import {
-	SuspectBook, type SuspectRecord, type SuspectStanding,
+	SuspectRegistry, type SuspectRecord, type SuspectStatus,
 } from '@valehitch/routing';
 import {type DecisionLog} from '../logs/decision-log.js';
 import {type ServerRecord} from '../servers/server-record.js';
@@ -14,9 +14,9 @@
 	readonly log: DecisionLog;
 	readonly servers: Pick<EntryServers, 'processStateOf'>;
 	/** Checks whether the process of a server has ended. */
-	readonly confirmEnd: (server: ServerRecord) => Promise<boolean>;
+	readonly hasEnded: (server: ServerRecord) => Promise<boolean>;
 	/** Called when this instance itself changes the record of a request. */
-	readonly onLearned: (fingerprint: RequestFingerprint) => void;
+	readonly onChanged: (fingerprint: RequestFingerprint) => void;
 };
 
 /**
@@ -45,11 +45,11 @@
 ```
 */
 export class EntrySuspects {
-	readonly book = new SuspectBook();
+	readonly book = new SuspectRegistry();
 	readonly #options: EntrySuspectsOptions;
 	/** Checks in progress; all requests that were in flight at a process share one check. */
 	readonly #checks = new Map<string, Promise<boolean>>();
-	readonly #ended = new RecentMap<string, true>(maximumEndedProcesses);
+	readonly #ended = new LruMap<string, true>(maximumEndedProcesses);
 	readonly #listeners = new Set<(fingerprint: RequestFingerprint) => void>();
 
 	constructor(options: EntrySuspectsOptions) {
@@ -62,8 +62,8 @@
 	@param fingerprint The request.
 	@returns Its standing.
 	*/
-	standing(fingerprint: RequestFingerprint): SuspectStanding {
-		return this.book.standing(fingerprint, this.#now());
+	standing(fingerprint: RequestFingerprint): SuspectStatus {
+		return this.book.status(fingerprint, this.#now());
 	}
 
 	/**
@@ -72,7 +72,7 @@
 	@param lost The request and the server.
 	@returns The state of the server.
 	*/
-	async noteLoss({fingerprint, request, server}: LostSend): Promise<LossFinding> {
+	async recordLoss({fingerprint, request, server}: LostSend): Promise<LossFinding> {
 		const process = processNameOf(server);
 		if (!await this.#hasEnded(server, process)) {
 			return 'running';
@@ -80,11 +80,11 @@
 
 		const isKnown = this.#ended.peek(process) === true;
 		this.#ended.set(process, true);
-		if (this.book.noteEnd(fingerprint, {process, at: this.#now()})) {
+		if (this.book.recordExit(fingerprint, {process, at: this.#now()})) {
 			this.#options.log('request-suspected', {
 				request, fingerprint, server: server.id, startedAt: server.startedAt, standing: this.standing(fingerprint),
 			}, 'warn');
-			this.#options.onLearned(fingerprint);
+			this.#options.onChanged(fingerprint);
 			this.#notifyQuarantine(fingerprint, {source: 'own'});
 		}
 
@@ -96,10 +96,10 @@
 
 	@param fingerprint The request.
 	*/
-	noteAnswered(fingerprint: RequestFingerprint): void {
+	recordAnswered(fingerprint: RequestFingerprint): void {
 		if (this.book.clear(fingerprint)) {
 			this.#options.log('request-cleared', {fingerprint});
-			this.#options.onLearned(fingerprint);
+			this.#options.onChanged(fingerprint);
 		}
 	}
 
@@ -109,12 +109,12 @@
 	@param records The changed records.
 	@param source The control instance.
 	*/
-	take(records: readonly SuspectRecord[], source: InstanceId): void {
+	merge(records: readonly SuspectRecord[], source: InstanceId): void {
 		for (const {fingerprint} of this.book.merge(records)) {
 			this.#notifyQuarantine(fingerprint, {source});
 		}
 
-		this.book.forget(this.#now());
+		this.book.deleteExpired(this.#now());
 	}
 
 	/**
@@ -157,7 +157,7 @@
 	}
 
 	async #checkEnd(server: ServerRecord, process: string): Promise<boolean> {
-		const check = this.#checks.get(process) ?? this.#options.confirmEnd(server);
+		const check = this.#checks.get(process) ?? this.#options.hasEnded(server);
 		this.#checks.set(process, check);
 		const hasEnded = await check;
 		this.#checks.delete(process);
--- a/packages/gateway/src/entry/event-stream.test.ts
+++ b/packages/gateway/src/entry/event-stream.test.ts
@@ -14,7 +14,7 @@
 		const second = textOf(stream.push(Buffer.from(whole.slice(cut)))?.bytes) ?? '';
 		t.is(first + second, whole);
 		t.is(stream.lastEventId, '3');
-		t.is(stream.rest.byteLength, 0);
+		t.is(stream.incomplete.byteLength, 0);
 	}
 });
 
@@ -22,8 +22,8 @@
 	const stream = new EventStream('4');
 	t.is(stream.lastEventId, '4');
 	t.is(textOf(stream.push(Buffer.from('id: 5\ndata: a\n\nid: 6\nda'))?.bytes), 'id: 5\ndata: a\n\n');
-	t.is(stream.rest.byteLength, 8);
-	stream.drop();
+	t.is(stream.incomplete.byteLength, 8);
+	stream.discardIncomplete();
 	t.is(stream.lastEventId, '5');
 	t.is(textOf(stream.push(Buffer.from('id: 6\ndata: b\n\n'))?.bytes), 'id: 6\ndata: b\n\n');
 });
--- a/packages/gateway/src/entry/event-stream.ts
+++ b/packages/gateway/src/entry/event-stream.ts
@@ -1,7 +1,7 @@
 import {Buffer} from 'node:buffer';
 
 /** Complete events of a stream, ready to be forwarded. */
-export type StreamPart = {
+export type CompleteEvents = {
 	readonly bytes: Uint8Array;
 	/** The number of events. */
 	readonly events: number;
@@ -38,7 +38,7 @@
 	}
 
 	/** The bytes of the incomplete event. */
-	get rest(): Uint8Array {
+	get incomplete(): Uint8Array {
 		return this.#incomplete;
 	}
 
@@ -48,7 +48,7 @@
 	@param chunk The bytes.
 	@returns The events that are now complete, or undefined if there are none.
 	*/
-	push(chunk: Uint8Array): StreamPart | undefined {
+	push(chunk: Uint8Array): CompleteEvents | undefined {
 		const buffered = this.#incomplete.byteLength === 0 ? Buffer.from(chunk.buffer, chunk.byteOffset, chunk.byteLength) : Buffer.concat([this.#incomplete, chunk]);
 		const end = endOfLastEvent(buffered);
 		if (end === 0) {
@@ -65,7 +65,7 @@
 	}
 
 	/** Discards the incomplete event, so that the stream can resume at another server. */
-	drop(): void {
+	discardIncomplete(): void {
 		this.#incomplete = Buffer.alloc(0);
 	}
 }
--- a/packages/gateway/src/entry/evidence-counter.ts
+++ b/packages/gateway/src/entry/evidence-counter.ts
@@ -5,7 +5,7 @@
 import {type VersionEvidence} from '../rollouts/version-evidence.js';
 
 /** A successful or failed answer of a backend server. */
-export type AnswerSeen = {
+export type ObservedAnswer = {
 	readonly service: ServiceId;
 	readonly version: VersionId;
 	readonly route: RouteId;
@@ -40,7 +40,7 @@
 
 	@param seen The answer.
 	*/
-	note({service, version, route, model = '' as ModelId, isFailure, latency = 0}: AnswerSeen): void {
+	record({service, version, route, model = '' as ModelId, isFailure, latency = 0}: ObservedAnswer): void {
 		const key = [service, version, route, model].join(' ');
 		const known = this.#counters.get(key) ?? {
 			...this.#labels, service, version, route, model, answers: 0, failures: 0, latencySum: 0,
@@ -64,7 +64,7 @@
 	@param services The services.
 	@returns The counters.
 	*/
-	of(services: ReadonlySet<ServiceId>): readonly VersionEvidence[] {
+	countersOf(services: ReadonlySet<ServiceId>): readonly VersionEvidence[] {
 		return [...this.#counters.values()].filter(({service}) => services.has(service));
 	}
 }
--- a/packages/gateway/src/entry/spare-answer.ts
+++ b/packages/gateway/src/entry/fallback-answer.ts
@@ -4,7 +4,7 @@
 import {type ReceivedHead} from './send-attempt.js';
 
 /** A stream of a smaller model that has started, of which nothing has been forwarded. */
-export type SpareStream = {
+export type FallbackStream = {
 	readonly server: ServerRecord;
 	readonly model: ModelId | undefined;
 	readonly received: ReceivedHead;
@@ -14,7 +14,7 @@
 };
 
 /** Options of {@linkcode FallbackAnswer}. */
-export type SpareAnswerOptions = {
+export type FallbackAnswerOptions = {
 	readonly clock: Pick<Clock, 'monotonic'>;
 	/** The deadline of the request, in milliseconds on the monotonic clock. */
 	readonly deadlineAt: number;
@@ -35,13 +35,13 @@
 const stream = fallback.take(); // if no better answer arrives
 ```
 */
-export class SpareAnswer {
-	readonly #options: SpareAnswerOptions;
-	#stream: SpareStream | undefined;
+export class FallbackAnswer {
+	readonly #options: FallbackAnswerOptions;
+	#stream: FallbackStream | undefined;
 	#timer: NodeJS.Timeout | undefined;
 	#isDue = false;
 
-	constructor(options: SpareAnswerOptions) {
+	constructor(options: FallbackAnswerOptions) {
 		this.#options = options;
 	}
 
@@ -55,7 +55,7 @@
 
 	@param stream The answer.
 	*/
-	keep(stream: SpareStream): void {
+	keep(stream: FallbackStream): void {
 		const {clock, deadlineAt, onDue} = this.#options;
 		this.#stream = stream;
 		this.#timer ??= setTimeout(() => {
@@ -69,7 +69,7 @@
 
 	@returns The answer, or undefined if there is none.
 	*/
-	take(): SpareStream | undefined {
+	take(): FallbackStream | undefined {
 		clearTimeout(this.#timer);
 		this.#timer = undefined;
 		const stream = this.#stream;
@@ -78,7 +78,7 @@
 	}
 
 	/** Discards the answer and closes its connection, because a better answer has started or the request has ended. */
-	drop(): void {
+	discard(): void {
 		this.take()?.received.message.destroy();
 	}
 }
--- a/packages/gateway/src/entry/gateway-request.ts
+++ b/packages/gateway/src/entry/gateway-request.ts
@@ -23,7 +23,7 @@
 	readonly headers: readonly Header[];
 	readonly key: string | undefined;
 	/** The caller's timeout, in milliseconds; undefined if not given. */
-	readonly patience: number | undefined;
+	readonly timeout: number | undefined;
 	/** Whether the gateway chooses the model. */
 	readonly choosesModel: boolean;
 	/** The parts of the prompt in order, which other requests may share; empty for requests without a prompt. */
@@ -36,12 +36,12 @@
 };
 
 /** The metadata sent to a backend server with a request. */
-export type SendFacts = {
+export type SendMetadata = {
 	readonly server: string;
 	/** The model; undefined if the caller chose it or the request needs none. */
 	readonly model: ModelId | undefined;
 	/** The time left until the deadline, in milliseconds. */
-	readonly patience: number;
+	readonly timeout: number;
 	readonly workspace: string | undefined;
 	/** From 0 for the most urgent to 9 for the least urgent; undefined for the default. */
 	readonly urgency: number | undefined;
@@ -58,7 +58,7 @@
 	/** Whether the server reports that it did not run the request. */
 	readonly isNotRun: boolean;
 	/** Whether the answer shows that the address now belongs to another server. */
-	readonly isOtherServer: boolean;
+	readonly isFromOtherServer: boolean;
 	/** Whether the answer has the server's signature. */
 	readonly isSigned: boolean;
 	/** Whether an intermediary encoded the body. */
--- a/packages/gateway/src/entry/take-outcome.ts
+++ b/packages/gateway/src/entry/handle-outcome.ts
@@ -3,18 +3,18 @@
 import {match} from 'ts-pattern';
 import {type Route} from '../configuration/routing-configuration.js';
 import {type ServerRecord} from '../servers/server-record.js';
-import {type CallerAnswer, type WholeAnswer} from './caller-answer.js';
+import {type CallerAnswer, type CompleteAnswer} from './caller-answer.js';
 import {classifyAnswer} from './classify-answer.js';
 import {collectBody} from './collect-body.js';
 import {type EntryContext} from './entry-context.js';
 import {type EventStream} from './event-stream.js';
 import {type AnswerHead, type GatewayRequest} from './gateway-request.js';
-import {type ModelSteps} from './model-steps.js';
+import {type ModelCascade} from './model-cascade.js';
 import {relayStream} from './relay-stream.js';
-import {type RequestSuspicion} from './request-suspicion.js';
+import {type SuspectRequest} from './suspect-request.js';
 import {type ReceivedHead, type SendOutcome} from './send-attempt.js';
-import {type SpareStream} from './spare-answer.js';
-import {type ServerVerdicts} from './server-verdicts.js';
+import {type FallbackStream} from './fallback-answer.js';
+import {type SendResults} from './send-results.js';
 
 /** The next step of a request after a send. */
 export type OutcomeStep
@@ -27,34 +27,34 @@
 	/** The server reported that it did not run the request. */
 		| {readonly type: 'not-run'; readonly failed: Failure}
 	/** The request may have run; includes the error answer if it can be forwarded. */
-		| {readonly type: 'failed'; readonly failed: Failure; readonly answer?: WholeAnswer}
+		| {readonly type: 'failed'; readonly failed: Failure; readonly answer?: CompleteAnswer}
 	/** A complete answer to forward. */
-		| {readonly type: 'whole'; readonly answer: WholeAnswer}
+		| {readonly type: 'whole'; readonly answer: CompleteAnswer}
 	/** The request escalates to a larger model. */
-		| {readonly type: 'escalated'; readonly model: ModelId; readonly spare: SpareStream}
+		| {readonly type: 'escalated'; readonly model: ModelId; readonly fallback: FallbackStream}
 	/** The complete stream was forwarded. */
 		| {readonly type: 'streamed'; readonly confidence: number | undefined};
 
 /** Options of {@linkcode handleOutcome}. */
-export type TakeOutcomeOptions = {
+export type HandleOutcomeOptions = {
 	readonly context: EntryContext;
 	readonly request: GatewayRequest;
 	/** The request as a possible cause of server crashes. */
-	readonly suspicion: RequestSuspicion;
+	readonly suspect: SuspectRequest;
 	readonly route: Route;
-	readonly models: ModelSteps;
-	readonly verdicts: ServerVerdicts;
+	readonly models: ModelCascade;
+	readonly results: SendResults;
 	readonly answer: CallerAnswer;
 	readonly events: EventStream;
 	readonly server: ServerRecord;
 	/** When the request was sent, in milliseconds on the monotonic clock. */
 	readonly sentAt: number;
 	/** Whether the request has ended in the meantime. */
-	readonly isOver: () => boolean;
+	readonly hasEnded: () => boolean;
 	/** Called when a stream of this server is accepted, before its first event is forwarded. */
-	readonly onStream: () => void;
+	readonly onStreamStart: () => void;
 	/** Whether a stalled stream of this server can resume at another one. */
-	readonly canGoOnElsewhere: () => boolean;
+	readonly canResumeElsewhere: () => boolean;
 	/** Returns the model that the request escalates to; undefined if the answer is good enough or no retry is left. */
 	readonly chooseLarger: (head: AnswerHead, latency: number) => ModelId | undefined;
 };
@@ -76,8 +76,8 @@
 const step = await handleOutcome(await attempt.outcome, options);
 ```
 */
-export async function takeOutcome(outcome: SendOutcome, options: TakeOutcomeOptions): Promise<OutcomeStep> {
-	const {context, request, suspicion: suspect, verdicts: results, server, isOver: hasEnded} = options;
+export async function handleOutcome(outcome: SendOutcome, options: HandleOutcomeOptions): Promise<OutcomeStep> {
+	const {context, request, suspect: suspect, results: results, server, hasEnded: hasEnded} = options;
 	if (hasEnded()) {
 		return {type: 'ended'};
 	}
@@ -98,9 +98,9 @@
 	const message = `${server.id} did not answer (${reason})`;
 	if (outcome.type === 'kept-connection-lost') {
 		// If the process is still running, it only closed an idle connection, which is not a fault.
-		const finding = await suspect.noteLoss(server);
+		const finding = await suspect.recordLoss(server);
 		if (finding !== 'running') {
-			results.lost(server, {model: options.models.current, finding});
+			results.recordLoss(server, {model: options.models.current, finding});
 		}
 
 		return {type: 'connection-lost', failed: failure('outcome-unknown', message)};
@@ -112,23 +112,23 @@
 
 	// A send that was cancelled because the request is quarantined says nothing about the server.
 	if (outcome.type !== 'cancelled' || suspect.standing !== 'quarantined') {
-		results.failed(server, options.models.current);
+		results.recordFailure(server, options.models.current);
 	}
 
 	return unknownOutcome(message);
 }
 
 /** Handles a connection that broke while the server was processing the request. */
-async function handleLoss(message: string, {suspicion: suspect, verdicts: results, models, server}: TakeOutcomeOptions): Promise<OutcomeStep> {
-	const finding = await suspect.noteLoss(server);
-	results.lost(server, {model: models.current, finding});
+async function handleLoss(message: string, {suspect: suspect, results: results, models, server}: HandleOutcomeOptions): Promise<OutcomeStep> {
+	const finding = await suspect.recordLoss(server);
+	results.recordLoss(server, {model: models.current, finding});
 	return unknownOutcome(message);
 }
 
-async function handleHead(received: ReceivedHead, options: TakeOutcomeOptions): Promise<OutcomeStep> {
+async function handleHead(received: ReceivedHead, options: HandleOutcomeOptions): Promise<OutcomeStep> {
 	const {context: {dialect, servers, clock}, request, route, server} = options;
 	const {message} = received;
-	servers.hear(server.id, clock.monotonic());
+	servers.recordData(server.id, clock.monotonic());
 	const head = dialect.readAnswer(message.statusCode ?? 0, message.headers);
 	return match(classifyAnswer(head, request.id))
 		.with('other-request', 'unverified', () => handleUnverified(message, head, options))
@@ -139,13 +139,13 @@
 }
 
 /** Handles an answer that is not verified as this server's answer to this request, so whether the request has run is unknown. */
-function handleUnverified(message: IncomingMessage, {requestId}: AnswerHead, {request, verdicts: results, models, server}: TakeOutcomeOptions): OutcomeStep {
+function handleUnverified(message: IncomingMessage, {requestId}: AnswerHead, {request, results: results, models, server}: HandleOutcomeOptions): OutcomeStep {
 	message.destroy();
-	results.failed(server, models.current);
+	results.recordFailure(server, models.current);
 	return unknownOutcome(`${server.id} answered request ${requestId ?? '(no id)'}; expected a signed answer to request ${request.id}`);
 }
 
-function handleNotRun(message: IncomingMessage, {status, isOtherServer}: AnswerHead, {context, request, verdicts: results, server}: TakeOutcomeOptions): OutcomeStep {
+function handleNotRun(message: IncomingMessage, {status, isFromOtherServer: isOtherServer}: AnswerHead, {context, request, results: results, server}: HandleOutcomeOptions): OutcomeStep {
 	message.resume();
 	if (isOtherServer) {
 		results.record(server, 'gone');
@@ -157,8 +157,8 @@
 	return {type: 'not-run', failed: failure('overloaded', `${server.id} answered ${status} without running the request`)};
 }
 
-async function handleFailedAnswer({message, isWhole: isComplete}: ReceivedHead, {status, isSigned}: AnswerHead, options: TakeOutcomeOptions): Promise<OutcomeStep> {
-	const {context: {dialect}, suspicion: suspect, verdicts: results, models, server, isOver: hasEnded} = options;
+async function handleFailedAnswer({message, isComplete: isComplete}: ReceivedHead, {status, isSigned}: AnswerHead, options: HandleOutcomeOptions): Promise<OutcomeStep> {
+	const {context: {dialect}, suspect: suspect, results: results, models, server, hasEnded: hasEnded} = options;
 	const headers = dialect.answerHeaders(message);
 	const body = await collectBody(message, isComplete);
 	if (hasEnded()) {
@@ -166,9 +166,9 @@
 	}
 
 	if (body === undefined) {
-		results.lost(server, {model: models.current, finding: await suspect.noteLoss(server)});
+		results.recordLoss(server, {model: models.current, finding: await suspect.recordLoss(server)});
 	} else if (status >= firstServerError) {
-		results.failed(server, models.current);
+		results.recordFailure(server, models.current);
 	}
 
 	if (body === undefined || !isSigned || notRunStatuses.has(status)) {
@@ -181,8 +181,8 @@
 		: {type: 'whole', answer};
 }
 
-async function handlePlainAnswer({message, isWhole: isComplete}: ReceivedHead, options: TakeOutcomeOptions): Promise<OutcomeStep> {
-	const {context: {dialect, clock}, suspicion: suspect, verdicts: results, models, server, sentAt, isOver: hasEnded} = options;
+async function handlePlainAnswer({message, isComplete: isComplete}: ReceivedHead, options: HandleOutcomeOptions): Promise<OutcomeStep> {
+	const {context: {dialect, clock}, suspect: suspect, results: results, models, server, sentAt, hasEnded: hasEnded} = options;
 	const headers = dialect.answerHeaders(message);
 	const status = message.statusCode ?? 0;
 	const body = await collectBody(message, isComplete);
@@ -194,13 +194,13 @@
 		return handleLoss(`The answer body of ${server.id} ended early`, options);
 	}
 
-	suspect.noteAnswered();
-	results.answered(server, {model: models.current, latency: clock.monotonic() - sentAt});
+	suspect.recordAnswered();
+	results.recordSuccess(server, {model: models.current, latency: clock.monotonic() - sentAt});
 	return {type: 'whole', answer: {status, headers, body}};
 }
 
-async function handleStream(received: ReceivedHead, head: AnswerHead, options: TakeOutcomeOptions): Promise<OutcomeStep> {
-	const {context, request, suspicion: suspect, verdicts: results, models, server, sentAt, chooseLarger} = options;
+async function handleStream(received: ReceivedHead, head: AnswerHead, options: HandleOutcomeOptions): Promise<OutcomeStep> {
+	const {context, request, suspect: suspect, results: results, models, server, sentAt, chooseLarger} = options;
 	const latency = context.clock.monotonic() - sentAt;
 	const larger = chooseLarger(head, latency);
 	if (larger === undefined) {
@@ -209,15 +209,15 @@
 
 	// The stream is not read while a better answer may arrive, but its server may end in the meantime.
 	received.message.on('error', () => {
-		void suspect.noteLoss(server);
+		void suspect.recordLoss(server);
 	});
-	results.answered(server, {model: models.current, latency});
+	results.recordSuccess(server, {model: models.current, latency});
 	context.metrics.escalations.inc();
 	context.log('request-escalated', {
 		request: request.id, from: models.current, to: larger, confidence: head.confidence, latency: Math.round(latency),
 	});
 	return {
-		type: 'escalated', model: larger, spare: {
+		type: 'escalated', model: larger, fallback: {
 			server, model: models.current, received, head, latency,
 		},
 	};
@@ -234,34 +234,34 @@
 const step = await relayFallback(fallback, options);
 ```
 */
-export async function passSpare({received, head, latency}: SpareStream, options: TakeOutcomeOptions): Promise<OutcomeStep> {
+export async function relayFallback({received, head, latency}: FallbackStream, options: HandleOutcomeOptions): Promise<OutcomeStep> {
 	return relayAnswer(received, {...options, head, latency});
 }
 
-async function relayAnswer({message, isWhole: isComplete}: ReceivedHead, options: TakeOutcomeOptions & {readonly head: AnswerHead; readonly latency: number}): Promise<OutcomeStep> {
-	const {context, request, suspicion: suspect, route, verdicts: results, models} = options;
-	const {answer, events, server, isOver: hasEnded, onStream: onStreamStart, canGoOnElsewhere: canResumeElsewhere, head, latency} = options;
+async function relayAnswer({message, isComplete: isComplete}: ReceivedHead, options: HandleOutcomeOptions & {readonly head: AnswerHead; readonly latency: number}): Promise<OutcomeStep> {
+	const {context, request, suspect: suspect, route, results: results, models} = options;
+	const {answer, events, server, hasEnded: hasEnded, onStreamStart: onStreamStart, canResumeElsewhere: canResumeElsewhere, head, latency} = options;
 	onStreamStart();
 	const headers = context.dialect.answerHeaders(message);
 	const end = await relayStream({
 		message,
-		isWhole: isComplete,
+		isComplete: isComplete,
 		response: answer.response,
 		events,
 		stallTimeout: route.isResumable ? stallFactor * (route.targetGap ?? route.targetLatency) : 0,
-		canGoOnElsewhere: canResumeElsewhere,
-		onHeard() {
-			context.servers.hear(server.id, context.clock.monotonic());
+		canResumeElsewhere: canResumeElsewhere,
+		onData() {
+			context.servers.recordData(server.id, context.clock.monotonic());
 		},
 		onFirstEvent() {
-			answer.begin(message.statusCode ?? 0, headers);
+			answer.beginStream(message.statusCode ?? 0, headers);
 		},
 	});
 	if (end === 'complete') {
 		// A caller that resumes after the last event receives no further event, but still the head of the answer.
-		answer.begin(message.statusCode ?? 0, headers);
-		suspect.noteAnswered();
-		results.answered(server, {model: models.current, latency});
+		answer.beginStream(message.statusCode ?? 0, headers);
+		suspect.recordAnswered();
+		results.recordSuccess(server, {model: models.current, latency});
 		return {type: 'streamed', confidence: head.confidence};
 	}
 
@@ -269,7 +269,7 @@
 		return {type: 'ended'};
 	}
 
-	events.drop();
+	events.discardIncomplete();
 	context.log('request-resumed', {
 		request: request.id, fingerprint: suspect.fingerprint, server: server.id, startedAt: server.startedAt, end, lastEvent: events.lastEventId,
 	}, 'warn');
@@ -278,7 +278,7 @@
 		return handleLoss(reason, options);
 	}
 
-	results.failed(server, models.current);
+	results.recordFailure(server, models.current);
 	return unknownOutcome(reason);
 }
 
--- a/packages/gateway/src/entry/handle-request.ts
+++ b/packages/gateway/src/entry/handle-request.ts
@@ -2,7 +2,7 @@
 import {type Failure, failure} from '@valehitch/core';
 import {readBody} from '@valehitch/transport';
 import {type Route} from '../configuration/routing-configuration.js';
-import {authorizeAtStart} from './authorize-at-start.js';
+import {authorizeAtStartup} from './authorize-at-startup.js';
 import {type EntryContext} from './entry-context.js';
 import {type GatewayRequest} from './gateway-request.js';
 import {RequestRun} from './request-run.js';
@@ -28,7 +28,7 @@
 export async function handleRequest(context: EntryContext, message: IncomingMessage, response: ServerResponse): Promise<void> {
 	const arrivedAt = context.clock.monotonic();
 	const request = context.dialect.readRequest(message);
-	const authorized = await authorizeAtStart(request, {context, arrivedAt});
+	const authorized = await authorizeAtStartup(request, {context, arrivedAt});
 	if (authorized.isLeft()) {
 		message.resume();
 		refuse(context, {request, response, failed: authorized.extract()});
--- a/packages/gateway/src/entry/confirm-server-end.test.ts
+++ b/packages/gateway/src/entry/has-server-ended.test.ts
@@ -1,7 +1,7 @@
 import {once} from 'node:events';
 import {type AddressInfo, createServer} from 'node:net';
 import test from 'ava';
-import {confirmServerEnd} from './confirm-server-end.js';
+import {hasServerEnded} from './has-server-ended.js';
 
 const host = '127.0.0.1';
 
@@ -11,8 +11,8 @@
 	}).listen(0, host);
 	await once(server, 'listening');
 	const {port} = server.address() as AddressInfo;
-	t.false(await confirmServerEnd({host, port}));
+	t.false(await hasServerEnded({host, port}));
 	server.close();
 	await once(server, 'close');
-	t.true(await confirmServerEnd({host, port}));
+	t.true(await hasServerEnded({host, port}));
 });
--- a/packages/gateway/src/entry/confirm-server-end.ts
+++ b/packages/gateway/src/entry/has-server-ended.ts
@@ -16,6 +16,6 @@
 const hasEnded = await confirmServerEnd({host: '10.0.0.7', port: 8740});
 ```
 */
-export async function confirmServerEnd(server: Pick<ServerRecord, 'host' | 'port'>): Promise<boolean> {
+export async function hasServerEnded(server: Pick<ServerRecord, 'host' | 'port'>): Promise<boolean> {
 	return await probeServer(server, answerMilliseconds) === 'refused';
 }
--- a/packages/gateway/src/entry/reach-server.ts
+++ b/packages/gateway/src/entry/is-server-reachable.ts
@@ -14,6 +14,6 @@
 const isReachable = await isServerReachable(server, 200);
 ```
 */
-export async function reachServer(server: Pick<ServerRecord, 'host' | 'port'>, timeout: number): Promise<boolean> {
+export async function isServerReachable(server: Pick<ServerRecord, 'host' | 'port'>, timeout: number): Promise<boolean> {
 	return await probeServer(server, timeout) === 'open';
 }
--- a/packages/gateway/src/entry/latency-book.ts
+++ b/packages/gateway/src/entry/latency-estimator.ts
@@ -11,7 +11,7 @@
 const fixedTokens = 1000;
 
 /** A measured latency. */
-export type MeasuredTime = {
+export type LatencySample = {
 	/** The time to first byte, in milliseconds. */
 	readonly milliseconds: number;
 	/** The length of the prompt, in tokens; 0 if there is no prompt. */
@@ -19,7 +19,7 @@
 };
 
 /** Options for estimating a latency. */
-export type ExpectedTimeOptions = {
+export type LatencyEstimateOptions = {
 	/** The length of the prompt, in tokens; 0 if there is no prompt. Defaults to the mean length. */
 	readonly tokens?: number;
 	/** The estimate if no latency has been recorded, in milliseconds. */
@@ -49,7 +49,7 @@
 latencies.estimate('route-1 large', {tokens: 5000, fallback: 500});
 ```
 */
-export class LatencyBook {
+export class LatencyEstimator {
 	readonly #clock: Pick<Clock, 'monotonic'>;
 	readonly #statistics = new Map<string, Statistics>();
 
@@ -66,7 +66,7 @@
 	@param key The key, such as a route and a model.
 	@param sample The latency and the length of the prompt.
 	*/
-	note(key: string, {milliseconds, tokens}: MeasuredTime): void {
+	record(key: string, {milliseconds, tokens}: LatencySample): void {
 		const at = this.#clock.monotonic();
 		const previous = this.#decayed(key) ?? {
 			mean: milliseconds, baseline: milliseconds, size: fixedTokens + tokens, at,
@@ -85,7 +85,7 @@
 	@param options The length of the prompt and the fallback.
 	@returns Milliseconds.
 	*/
-	expected(key: string, {tokens, fallback}: ExpectedTimeOptions): number {
+	estimate(key: string, {tokens, fallback}: LatencyEstimateOptions): number {
 		const statistics = this.#decayed(key);
 		if (statistics === undefined) {
 			return fallback;
--- a/packages/gateway/src/entry/load-share.ts
+++ b/packages/gateway/src/entry/load-exchange.ts
@@ -2,9 +2,9 @@
 import {type LoadMessage} from '../control/peer-message.js';
 
 /** Options of {@linkcode LoadExchange}. */
-export type LoadShareOptions = {
+export type LoadExchangeOptions = {
 	/** Returns the non-zero loads of this instance. */
-	readonly own: () => LoadMessage['loads'];
+	readonly ownLoads: () => LoadMessage['loads'];
 	/** Returns the entry instances that receive the loads; their number is bounded. */
 	readonly peers: () => readonly InstanceId[];
 	/** Sends a message without guaranteed delivery. */
@@ -39,8 +39,8 @@
 exchange.flush(now);
 ```
 */
-export class LoadShare {
-	readonly #options: LoadShareOptions;
+export class LoadExchange {
+	readonly #options: LoadExchangeOptions;
 	readonly #peers = new Map<InstanceId, PeerLoads>();
 	#sums = new Map<ServerId, number>();
 	/** The sum of the absolute changes of the local load since the last message. */
@@ -50,7 +50,7 @@
 	#sentAt = 0;
 	#wasIdle = true;
 
-	constructor(options: LoadShareOptions) {
+	constructor(options: LoadExchangeOptions) {
 		this.#options = options;
 	}
 
@@ -59,7 +59,7 @@
 
 	@param change The change, in units of a short request.
 	*/
-	noteChange(change: number): void {
+	recordChange(change: number): void {
 		this.#pendingChange += Math.abs(change);
 		this.#credits = Math.min(maximumCredits, this.#credits + creditsPerChange);
 	}
@@ -79,7 +79,7 @@
 			return;
 		}
 
-		const message: LoadMessage = {type: 'load', loads: this.#options.own()};
+		const message: LoadMessage = {type: 'load', loads: this.#options.ownLoads()};
 		this.#pendingChange = 0;
 		this.#credits = Math.max(0, this.#credits - peers.length);
 		this.#sentAt = now;
@@ -107,7 +107,7 @@
 	@param server The server.
 	@returns The sum of the reported loads, in units of a short request.
 	*/
-	othersOn(server: ServerId): number {
+	peerLoadAt(server: ServerId): number {
 		return this.#sums.get(server) ?? 0;
 	}
 
@@ -116,7 +116,7 @@
 
 	@param server The server.
 	*/
-	forget(server: ServerId): void {
+	discardServer(server: ServerId): void {
 		for (const [peer, {loads, at}] of this.#peers) {
 			this.#peers.set(peer, {loads: new Map([...loads].filter(([id]) => id !== server)), at});
 		}
--- a/packages/gateway/src/entry/model-steps.ts
+++ b/packages/gateway/src/entry/model-cascade.ts
@@ -1,12 +1,12 @@
 import {type ModelId} from '@valehitch/core';
 import {type Route} from '../configuration/routing-configuration.js';
 import {chooseNextModel} from './choose-next-model.js';
-import {type EntryBounds} from './entry-context.js';
-import {type LatencyBook} from './latency-book.js';
-import {type SilenceBounds} from './send-attempt.js';
+import {type EntryLimits} from './entry-context.js';
+import {type LatencyEstimator} from './latency-estimator.js';
+import {type HeadTimeouts} from './send-attempt.js';
 
 /** Options for the choice of a larger model. */
-export type LargerModelOptions = {
+export type EscalationOptions = {
 	/** The model's own confidence in its answer, from 0 to 100; undefined if it reports none. */
 	readonly confidence: number | undefined;
 	/** The time from the send to the head of its answer, in milliseconds. */
@@ -16,7 +16,7 @@
 };
 
 /** Options of {@linkcode ModelCascade}. */
-export type ModelStepsOptions = {
+export type ModelCascadeOptions = {
 	readonly route: Route;
 	readonly choosesModel: boolean;
 	/** The length of the prompt, in tokens; 0 if there is no prompt. */
@@ -24,9 +24,9 @@
 };
 
 /** The part of the context that a cascade uses. */
-export type ModelStepsContext = {
-	readonly latencies: LatencyBook;
-	readonly bounds: Pick<EntryBounds, 'leastConfidence'>;
+export type ModelCascadeContext = {
+	readonly latencies: LatencyEstimator;
+	readonly bounds: Pick<EntryLimits, 'minimumConfidence'>;
 };
 
 /** The timeout for the head of an answer from a reachable server, as a multiple of its expected latency. A short prompt that is queued behind long ones is answered sooner elsewhere; a long prompt that is being processed is not. */
@@ -51,13 +51,13 @@
 models.current;
 ```
 */
-export class ModelSteps {
-	readonly #context: ModelStepsContext;
+export class ModelCascade {
+	readonly #context: ModelCascadeContext;
 	readonly #route: Route;
 	readonly #tokens: number;
 	#current: ModelId | undefined;
 
-	constructor(context: ModelStepsContext, {route, choosesModel, tokens}: ModelStepsOptions) {
+	constructor(context: ModelCascadeContext, {route, choosesModel, tokens}: ModelCascadeOptions) {
 		this.#context = context;
 		this.#route = route;
 		this.#tokens = tokens;
@@ -70,23 +70,23 @@
 	}
 
 	/** The load of a send, derived from the expected latency of the model's first event, in units of a short request. */
-	get work(): number {
+	get load(): number {
 		const expected = this.#estimate(this.#current, loadUnitMilliseconds);
 		return this.#current === undefined ? 1 : Math.max(1, expected / loadUnitMilliseconds);
 	}
 
 	/** The timeouts for the head of an answer, after which the request is sent to another server. */
-	get silence(): Omit<SilenceBounds, 'isHeard' | 'isReached'> {
+	get headTimeouts(): Omit<HeadTimeouts, 'hasSentData' | 'isReachable'> {
 		if (this.#route.kind === 'safe') {
 			const timeout = safeHeadTimeoutShare * this.#route.timeout;
-			return {quiet: timeout, longest: timeout, longestKept: timeout};
+			return {checkAfter: timeout, maximum: timeout, maximumOnReused: timeout};
 		}
 
 		const expected = this.#estimate(this.#current, this.#route.targetLatency / headTimeoutFactor);
 		return {
-			quiet: reachabilityCheckMilliseconds,
-			longest: Math.max(reachabilityCheckMilliseconds, headTimeoutFactor * expected),
-			longestKept: Math.max(reachabilityCheckMilliseconds, reusedHeadTimeoutFactor * expected),
+			checkAfter: reachabilityCheckMilliseconds,
+			maximum: Math.max(reachabilityCheckMilliseconds, headTimeoutFactor * expected),
+			maximumOnReused: Math.max(reachabilityCheckMilliseconds, reusedHeadTimeoutFactor * expected),
 		};
 	}
 
@@ -96,23 +96,23 @@
 	@param options The confidence and the latency of the answer.
 	@returns The larger model; undefined if the answer is good enough.
 	*/
-	larger({confidence, latency, age}: LargerModelOptions): ModelId | undefined {
-		const {latencies, bounds: {leastConfidence: minimumConfidence}} = this.#context;
+	chooseLarger({confidence, latency, age}: EscalationOptions): ModelId | undefined {
+		const {latencies, bounds: {minimumConfidence: minimumConfidence}} = this.#context;
 		const {sizes, targetLatency} = this.#route;
 		const largest = sizes.at(-1);
 		if (this.#current === undefined || largest === undefined) {
 			return undefined;
 		}
 
-		latencies.note(this.#key(this.#current), {milliseconds: latency, tokens: this.#tokens});
+		latencies.record(this.#key(this.#current), {milliseconds: latency, tokens: this.#tokens});
 		return chooseNextModel({
 			sizes,
 			current: this.#current,
 			confidence,
-			leastConfidence: minimumConfidence,
+			minimumConfidence: minimumConfidence,
 			timeLeft: targetLatency - age,
 			// Estimated for the mean prompt length: escalation is limited to bound the load, and for a long prompt a good answer is worth a delay.
-			expectedTime: latencies.expected(this.#key(largest), {fallback: defaultLatencyShare * targetLatency}),
+			expectedLatency: latencies.estimate(this.#key(largest), {fallback: defaultLatencyShare * targetLatency}),
 		});
 	}
 
@@ -121,17 +121,17 @@
 
 	@param model The model.
 	*/
-	takeBack(model: ModelId | undefined): void {
+	restore(model: ModelId | undefined): void {
 		this.#current = model;
 	}
 
 	/** Escalates to a larger model. */
-	take(model: ModelId): void {
+	escalateTo(model: ModelId): void {
 		this.#current = model;
 	}
 
 	#estimate(model: ModelId | undefined, fallback: number): number {
-		return this.#context.latencies.expected(this.#key(model), {tokens: this.#tokens, fallback});
+		return this.#context.latencies.estimate(this.#key(model), {tokens: this.#tokens, fallback});
 	}
 
 	#key(model: ModelId | undefined): string {
--- a/packages/gateway/src/entry/placement.test.ts
+++ b/packages/gateway/src/entry/placement.test.ts
@@ -5,7 +5,7 @@
 import {testRequest} from './_test-request.js';
 import {EntryServers} from './entry-servers.js';
 import {Placement, type PlacementContext} from './placement.js';
-import {RepeatBook} from './repeat-book.js';
+import {RepeatTracker} from './repeat-tracker.js';
 import {VersionPins} from './version-pins.js';
 
 /** Returns the servers chosen for requests that share a long prompt prefix. */
@@ -17,17 +17,17 @@
 	};
 
 	const servers = new EntryServers({
-		zone: 'hall-a' as ZoneId, random, share: {othersOn: () => 0, noteChange: ignore, forget: ignore}, onReplaced: ignore,
+		zone: 'hall-a' as ZoneId, random, loads: {peerLoadAt: () => 0, recordChange: ignore, discardServer: ignore}, onReplaced: ignore,
 	});
-	servers.take(Array.from({length: 8}, (_, index) => testServer({id: `server-${index}` as ServerId})), {source: '10.0.0.1' as InstanceId, now: 0});
+	servers.applyRecords(Array.from({length: 8}, (_, index) => testServer({id: `server-${index}` as ServerId})), {source: '10.0.0.1' as InstanceId, now: 0});
 	const context: PlacementContext = {
 		clock: {now: () => new Date(0), monotonic: () => 0},
 		random,
 		servers,
-		repeats: new RepeatBook(),
+		repeats: new RepeatTracker(),
 		pins: new VersionPins({sessionMilliseconds: 5000}),
 		rolloutOf: () => undefined,
-		bounds: {canaryShare: 0.1, leastConfidence: 50},
+		bounds: {canaryShare: 0.1, minimumConfidence: 50},
 	};
 	const chosen = new Set<ServerId>();
 	for (let request = 0; request < 40; request++) {
--- a/packages/gateway/src/entry/placement.ts
+++ b/packages/gateway/src/entry/placement.ts
@@ -1,12 +1,12 @@
 import {
 	type ModelId, type ServerId, type ServiceId, type VersionId,
 } from '@valehitch/core';
-import {chooseHomeScope, type HomeScope} from '@valehitch/routing';
+import {chooseAffinityScope, type AffinityScope} from '@valehitch/routing';
 import {type Route} from '../configuration/routing-configuration.js';
-import {chooseSide, type RolloutSide} from '../rollouts/choose-side.js';
+import {assignCohort, type RolloutCohort} from '../rollouts/assign-cohort.js';
 import {type ServerRecord} from '../servers/server-record.js';
 import {type EntryContext} from './entry-context.js';
-import {type PromptSubject} from './find-server-options.js';
+import {type PromptKey} from './find-server-options.js';
 import {type GatewayRequest, type PromptPart} from './gateway-request.js';
 
 /** Options of {@linkcode Placement}. */
@@ -39,7 +39,7 @@
 	readonly #route: Route;
 	readonly #excluded = new Set<ServerId>();
 	readonly #shared: readonly PromptPart[];
-	readonly #homeScope: HomeScope;
+	readonly #homeScope: AffinityScope;
 	#startedVersion: VersionId | undefined;
 
 	constructor(context: PlacementContext, {request, route, bytes}: PlacementOptions) {
@@ -64,12 +64,12 @@
 		const {session} = this.#request;
 		const promptKey = isSuspect ? undefined : this.#promptKey(model);
 		for (const isAcceptable of this.#versionPreferences(now)) {
-			const server = servers.find({
-				service: this.service, isWanted: isAcceptable, excluded: this.#excluded, subject: promptKey, now,
+			const server = servers.choose({
+				service: this.service, isAcceptable: isAcceptable, excluded: this.#excluded, promptKey: promptKey, now,
 			});
 			if (server !== undefined) {
 				if (session !== undefined) {
-					pins.note(session, server.version, now);
+					pins.pin(session, server.version, now);
 				}
 
 				return server;
@@ -87,8 +87,8 @@
 	*/
 	hasAnother(server: ServerRecord): boolean {
 		const {servers, clock} = this.#context;
-		const another = servers.find({
-			service: this.service, isWanted: () => true, excluded: new Set([...this.#excluded, server.id]), subject: undefined, now: clock.monotonic(),
+		const another = servers.choose({
+			service: this.service, isAcceptable: () => true, excluded: new Set([...this.#excluded, server.id]), promptKey: undefined, now: clock.monotonic(),
 		});
 		return another !== undefined;
 	}
@@ -101,25 +101,25 @@
 	}
 
 	/** Records the version that started the stream; it resumes on that version as long as it has servers. */
-	begin(version: VersionId): void {
+	recordStreamStart(version: VersionId): void {
 		this.#startedVersion = version;
 	}
 
-	#chooseHomeScope(bytes: number): HomeScope {
+	#chooseHomeScope(bytes: number): AffinityScope {
 		const lastShared = this.#shared.at(-1);
 		if (lastShared === undefined) {
 			return 'none';
 		}
 
 		const {repeats, clock} = this.#context;
-		const repeatsOnRoute = repeats.of(this.#route.id);
-		repeatsOnRoute.note(lastShared.id, clock.monotonic());
+		const repeatsOnRoute = repeats.forRoute(this.#route.id);
+		repeatsOnRoute.record(lastShared.id, clock.monotonic());
 		const sharedTokens = this.#shared.reduce((sum, {tokens}) => sum + tokens, 0);
-		return chooseHomeScope({sharedTokens, repeatShare: repeatsOnRoute.share, bytes});
+		return chooseAffinityScope({sharedTokens, repeatRate: repeatsOnRoute.value, bytes});
 	}
 
 	/** Returns the cache key of the prompt. It includes the model, since each model has its own cache. */
-	#promptKey(model: ModelId | undefined): PromptSubject | undefined {
+	#promptKey(model: ModelId | undefined): PromptKey | undefined {
 		const lastShared = this.#shared.at(-1);
 		return lastShared === undefined ? undefined : {name: `${lastShared.id} ${model ?? ''}`, homeScope: this.#homeScope};
 	}
@@ -134,17 +134,17 @@
 		return side === 'target' ? [...preferences, () => true] : preferences;
 	}
 
-	#side(now: number): RolloutSide {
+	#side(now: number): RolloutCohort {
 		const rollout = this.#context.rolloutOf(this.service);
 		if (rollout === undefined) {
 			return 'any';
 		}
 
 		const {session, id} = this.#request;
-		return chooseSide(rollout, {
-			subject: session ?? id,
+		return assignCohort(rollout, {
+			hashKey: session ?? id,
 			hasSession: session !== undefined,
-			pinned: session === undefined ? undefined : this.#context.pins.of(session, now),
+			pinnedVersion: session === undefined ? undefined : this.#context.pins.versionOf(session, now),
 			canaryShare: this.#context.bounds.canaryShare,
 		});
 	}
--- a/packages/gateway/src/entry/relay-stream.ts
+++ b/packages/gateway/src/entry/relay-stream.ts
@@ -1,20 +1,20 @@
 import {type IncomingMessage, type ServerResponse} from 'node:http';
-import {timeoutAfterInput} from '@valehitch/transport';
+import {setTimeoutAfterPoll} from '@valehitch/transport';
 import {type EventStream} from './event-stream.js';
 
 /** Options of {@linkcode relayStream}. */
 export type RelayStreamOptions = {
 	readonly message: IncomingMessage;
 	/** Reports whether the answer is complete; called when the body ends. */
-	readonly isWhole: () => Promise<boolean>;
+	readonly isComplete: () => Promise<boolean>;
 	readonly response: ServerResponse;
 	readonly events: EventStream;
 	/** The time without data after which the stream is considered stalled, in milliseconds; 0 for no timeout. */
 	readonly stallTimeout: number;
 	/** Whether a stalled stream can resume at another server; if not, it is not ended. */
-	readonly canGoOnElsewhere: () => boolean;
+	readonly canResumeElsewhere: () => boolean;
 	/** Called when data arrives. */
-	readonly onHeard: () => void;
+	readonly onData: () => void;
 	/** Called before the first event of this server is forwarded. */
 	readonly onFirstEvent: () => void;
 };
@@ -33,7 +33,7 @@
 ```
 */
 export async function relayStream(options: RelayStreamOptions): Promise<RelayEnd> {
-	const {message, isWhole: isComplete, response, events, stallTimeout, canGoOnElsewhere: canResumeElsewhere, onHeard: onData, onFirstEvent} = options;
+	const {message, isComplete: isComplete, response, events, stallTimeout, canResumeElsewhere: canResumeElsewhere, onData: onData, onFirstEvent} = options;
 	return new Promise(resolve => {
 		let hasForwarded = false;
 		let isFinished = false;
@@ -67,7 +67,7 @@
 			stopTimeout?.();
 			stopTimeout = stallTimeout === 0
 				? undefined
-				: timeoutAfterInput(stallTimeout, () => {
+				: setTimeoutAfterPoll(stallTimeout, () => {
 					if (canResumeElsewhere()) {
 						finish('stalled');
 					} else {
@@ -113,8 +113,8 @@
 			}
 
 			// A complete body may have data after the last empty line.
-			if (events.rest.byteLength > 0 && !isFinished) {
-				forward(events.rest);
+			if (events.incomplete.byteLength > 0 && !isFinished) {
+				forward(events.incomplete);
 			}
 
 			finish('complete');
--- a/packages/gateway/src/entry/repeat-book.ts
+++ b/packages/gateway/src/entry/repeat-tracker.ts
@@ -1,5 +1,5 @@
-import {RecentMap} from '@valehitch/core';
-import {RepeatShare} from '@valehitch/routing';
+import {LruMap} from '@valehitch/core';
+import {RepeatRate} from '@valehitch/routing';
 import {type RouteId} from '../configuration/routing-configuration.js';
 
 /** The maximum number of tracked routes, after which the least recently used one is discarded. Few routes have prompts, and each tracks up to a thousand subjects. */
@@ -14,8 +14,8 @@
 repeats.forRoute(route.id).note('5c1e07a2', now);
 ```
 */
-export class RepeatBook {
-	readonly #shares = new RecentMap<RouteId, RepeatShare>(maximumRoutes);
+export class RepeatTracker {
+	readonly #shares = new LruMap<RouteId, RepeatRate>(maximumRoutes);
 
 	/**
 	Returns the tracker of a route, creating it if necessary.
@@ -23,7 +23,7 @@
 	@param route The route.
 	@returns The tracker, which also records further requests.
 	*/
-	of(route: RouteId): RepeatShare {
-		return this.#shares.touch(route, () => new RepeatShare());
+	forRoute(route: RouteId): RepeatRate {
+		return this.#shares.getOrCreate(route, () => new RepeatRate());
 	}
 }
--- a/packages/gateway/src/entry/request-end.ts
+++ b/packages/gateway/src/entry/request-end.ts
@@ -1,12 +1,12 @@
 import {type ErrorKind, type Failure, type ServiceId} from '@valehitch/core';
 import {type Route} from '../configuration/routing-configuration.js';
-import {type CallerAnswer, type WholeAnswer} from './caller-answer.js';
+import {type CallerAnswer, type CompleteAnswer} from './caller-answer.js';
 import {type EntryContext} from './entry-context.js';
-import {type ModelSteps} from './model-steps.js';
+import {type ModelCascade} from './model-cascade.js';
 import {type SendAllowance} from './send-allowance.js';
 
 /** Whether a request is sent again or has ended. */
-export type Next = 'retry' | 'ended';
+export type NextStep = 'retry' | 'ended';
 
 /** Options of {@linkcode RequestEnd}. */
 export type RequestEndOptions = {
@@ -18,7 +18,7 @@
 	readonly arrivedAt: number;
 	readonly answer: CallerAnswer;
 	readonly allowance: Pick<SendAllowance, 'sends'>;
-	readonly models: Pick<ModelSteps, 'current'>;
+	readonly models: Pick<ModelCascade, 'current'>;
 };
 
 /** Additional fields of the `request-ended` log line. */
@@ -44,14 +44,14 @@
 	readonly #options: RequestEndOptions;
 	#mayHaveRun = false;
 	#isOver = false;
-	#failedAnswer: WholeAnswer | undefined;
+	#failedAnswer: CompleteAnswer | undefined;
 
 	constructor(context: Pick<EntryContext, 'clock' | 'log' | 'metrics'>, options: RequestEndOptions) {
 		this.#context = context;
 		this.#options = options;
 	}
 
-	get isOver(): boolean {
+	get hasEnded(): boolean {
 		return this.#isOver;
 	}
 
@@ -61,7 +61,7 @@
 	}
 
 	/** Records that a server may have run the request. */
-	noteRun(): void {
+	recordPossibleRun(): void {
 		this.#mayHaveRun = true;
 	}
 
@@ -70,7 +70,7 @@
 
 	@param answer The answer; if undefined, the previous one is kept.
 	*/
-	hold(answer: WholeAnswer | undefined): void {
+	keepFailedAnswer(answer: CompleteAnswer | undefined): void {
 		this.#failedAnswer = answer ?? this.#failedAnswer;
 	}
 
@@ -80,13 +80,13 @@
 	@param whole The answer.
 	@returns That the request has ended.
 	*/
-	passOn(whole: WholeAnswer): Next {
+	forward(whole: CompleteAnswer): NextStep {
 		if (this.#isOver) {
 			return 'ended';
 		}
 
-		this.#options.answer.passOn(whole);
-		return this.end('answered', {status: whole.status});
+		this.#options.answer.forward(whole);
+		return this.recordEnd('answered', {status: whole.status});
 	}
 
 	/**
@@ -95,24 +95,24 @@
 	@param failed The reason.
 	@returns That the request has ended.
 	*/
-	giveUp(failed: Failure): Next {
+	fail(failed: Failure): NextStep {
 		if (this.#isOver) {
 			return 'ended';
 		}
 
 		const {answer} = this.#options;
-		if (answer.hasBegun) {
+		if (answer.hasStarted) {
 			// The caller must not take a truncated answer for a complete one.
-			answer.breakOff();
-			return this.end('broken-off', {reason: failed.message});
+			answer.abort();
+			return this.recordEnd('broken-off', {reason: failed.message});
 		}
 
 		if (this.#failedAnswer !== undefined) {
-			return this.passOn(this.#failedAnswer);
+			return this.forward(this.#failedAnswer);
 		}
 
 		answer.refuse(this.#withoutFalseClaim(failed));
-		return this.end('refused', {error: failed.kind, reason: failed.message, mayHaveRun: this.#mayHaveRun});
+		return this.recordEnd('refused', {error: failed.kind, reason: failed.message, mayHaveRun: this.#mayHaveRun});
 	}
 
 	/**
@@ -122,7 +122,7 @@
 	@param fields Additional fields of the log line.
 	@returns That the request has ended.
 	*/
-	end(outcome: 'answered' | 'broken-off' | 'refused' | 'caller-left', fields: EndFields): Next {
+	recordEnd(outcome: 'answered' | 'broken-off' | 'refused' | 'caller-left', fields: EndFields): NextStep {
 		if (this.#isOver) {
 			return 'ended';
 		}
@@ -140,7 +140,7 @@
 			outcome,
 			model: models.current,
 			sends: allowance.sends,
-			headAfter: answer.headAfter === undefined ? undefined : Math.round(answer.headAfter),
+			headAfter: answer.timeToHead === undefined ? undefined : Math.round(answer.timeToHead),
 			duration: Math.round(milliseconds),
 			...fields,
 		}, outcome === 'answered' ? 'info' : 'warn');
--- a/packages/gateway/src/entry/request-run-options.ts
+++ b/packages/gateway/src/entry/request-run-options.ts
@@ -2,7 +2,7 @@
 import {type ServerRecord} from '../servers/server-record.js';
 import {type AuthorizedRequest} from './authorize-request.js';
 import {type GatewayRequest} from './gateway-request.js';
-import {type SendLoad} from './held-server.js';
+import {type SendLoad} from './tracked-server.js';
 
 /** An authorized request of a caller, with its body. */
 export type RequestRunOptions = {
@@ -15,7 +15,7 @@
 };
 
 /** A send of a request to a server. */
-export type SentTo = {
+export type StartedSend = {
 	readonly server: ServerRecord;
 	/** The load of the send; undefined if it is no longer counted. */
 	readonly load?: SendLoad;
--- a/packages/gateway/src/entry/request-run.test.ts
+++ b/packages/gateway/src/entry/request-run.test.ts
@@ -7,14 +7,14 @@
 	control, ignore, listen, sendRequest, sendRequests,
 } from './_test-run.js';
 import {type EntryServers} from './entry-servers.js';
-import {LatencyBook} from './latency-book.js';
+import {LatencyEstimator} from './latency-estimator.js';
 
 test('a request waits for the first server if there is none', async t => {
 	const port = await listen(t, (_message, response) => {
 		response.end('printed');
 	});
 	const answer = await sendRequest(t, servers => {
-		servers.take([testServer({port})], {source: control, now: performance.now()});
+		servers.applyRecords([testServer({port})], {source: control, now: performance.now()});
 	});
 	t.deepEqual(answer, {status: 200, text: 'printed'});
 });
@@ -34,7 +34,7 @@
 		response.end();
 	});
 	const answer = await sendRequest(t, servers => {
-		servers.take([testServer({port})], {source: control, now: performance.now()});
+		servers.applyRecords([testServer({port})], {source: control, now: performance.now()});
 	}, testRoute({kind: 'streaming', isResumable: true, timeout: 8000}));
 	t.deepEqual(answer, {status: 200, text: '', signature: 'of-the-server'});
 });
@@ -50,11 +50,11 @@
 		}
 
 		// The old process sends no more data. The control instance reports the new one at the same address.
-		known?.take([testServer({port, startedAt: 2000})], {source: control, now: performance.now()});
+		known?.applyRecords([testServer({port, startedAt: 2000})], {source: control, now: performance.now()});
 	});
 	const answer = await sendRequest(t, servers => {
 		known = servers;
-		servers.take([testServer({port, startedAt: 1000, sequence: 40})], {source: control, now: performance.now()});
+		servers.applyRecords([testServer({port, startedAt: 1000, sequence: 40})], {source: control, now: performance.now()});
 	}, testRoute({kind: 'safe', maximumAttempts: 2, timeout: 8000}));
 	t.deepEqual(answer, {status: 200, text: 'printed'});
 	t.is(requests.length, 2);
@@ -76,7 +76,7 @@
 	const {answers, evidence} = await sendRequests(t, 12, {
 		route: testRoute({kind: 'safe', timeout: 8000, maximumAttempts: 2}),
 		nextServers(known) {
-			known.take([testServer({port})], {source: control, now: performance.now()});
+			known.applyRecords([testServer({port})], {source: control, now: performance.now()});
 		},
 	});
 	t.deepEqual(new Set(answers.map(({text}) => text)), new Set(['found']));
@@ -91,7 +91,7 @@
 	const {answers} = await sendRequests(t, 1, {
 		route: testRoute({kind: 'safe', timeout: 8000, maximumAttempts: 3}),
 		nextServers(known) {
-			known.take([testServer({port})], {source: control, now: performance.now()});
+			known.applyRecords([testServer({port})], {source: control, now: performance.now()});
 		},
 	});
 	t.deepEqual(answers.map(({status, text}) => [status, text]), [[502, 'outcome-unknown']]);
@@ -121,7 +121,7 @@
 	const {answers} = await sendRequests(t, 1, {
 		route: modelRoute,
 		nextServers(known) {
-			known.take([testServer({port})], {source: control, now: performance.now()});
+			known.applyRecords([testServer({port})], {source: control, now: performance.now()});
 		},
 	});
 	t.deepEqual(answers.map(({text}) => text), ['id: 1\ndata: large\n\n']);
@@ -134,7 +134,7 @@
 	const {answers} = await sendRequests(t, 1, {
 		route: modelRoute,
 		nextServers(known) {
-			known.take([testServer({port})], {source: control, now: performance.now()});
+			known.applyRecords([testServer({port})], {source: control, now: performance.now()});
 		},
 	});
 	t.deepEqual(answers.map(({status, text}) => [status, text]), [[200, 'id: 1\ndata: small\n\n']]);
@@ -148,7 +148,7 @@
 		route: modelRoute,
 		timeout: 1000,
 		nextServers(known) {
-			known.take([testServer({port})], {source: control, now: performance.now()});
+			known.applyRecords([testServer({port})], {source: control, now: performance.now()});
 		},
 	});
 	t.deepEqual(answers.map(({status, text}) => [status, text]), [[200, 'id: 1\ndata: small\n\n']]);
@@ -164,14 +164,14 @@
 			response.end('id: 1\ndata: read\n\n');
 		}, 1400);
 	});
-	const latencies = new LatencyBook({monotonic: () => performance.now()});
-	latencies.note(`${modelRoute.id} small`, {milliseconds: 100, tokens: 1000});
+	const latencies = new LatencyEstimator({monotonic: () => performance.now()});
+	latencies.record(`${modelRoute.id} small`, {milliseconds: 100, tokens: 1000});
 	const {answers} = await sendRequests(t, 1, {
 		route: modelRoute,
 		inputTokens,
 		latencies,
 		nextServers(known) {
-			known.take(['server-1', 'server-2', 'server-3'].map(id => testServer({id: id as ServerId, port})), {source: control, now: performance.now()});
+			known.applyRecords(['server-1', 'server-2', 'server-3'].map(id => testServer({id: id as ServerId, port})), {source: control, now: performance.now()});
 		},
 	});
 	t.deepEqual(answers.map(({text}) => text), ['id: 1\ndata: read\n\n']);
@@ -202,7 +202,7 @@
 		route: {...modelRoute, isResumable: false},
 		timeout: 5000,
 		nextServers(known) {
-			known.take([testServer({port})], {source: control, now: performance.now()});
+			known.applyRecords([testServer({port})], {source: control, now: performance.now()});
 		},
 	});
 	t.deepEqual(answers.map(({status, text}) => [status, text]), [[502, 'outcome-unknown']]);
@@ -215,7 +215,7 @@
 		route: testRoute({kind: 'unsafe'}),
 		timeout: 300,
 		nextServers(servers) {
-			servers.take([testServer({port})], {source: control, now: 0});
+			servers.applyRecords([testServer({port})], {source: control, now: 0});
 		},
 		log(kind, fields) {
 			lines.push([kind, fields]);
@@ -244,7 +244,7 @@
 test('a stalled stream of the only server is kept', async t => {
 	const port = await listen(t, answerWithPause);
 	const answer = await sendRequest(t, servers => {
-		servers.take([testServer({port})], {source: control, now: performance.now()});
+		servers.applyRecords([testServer({port})], {source: control, now: performance.now()});
 	}, testRoute({...pausingRoute, maximumAttempts: 3}));
 	t.deepEqual(answer, bothEvents);
 });
@@ -252,7 +252,7 @@
 test('a stalled stream of the last allowed send is kept', async t => {
 	const ports = await Promise.all([listen(t, answerWithPause), listen(t, answerWithPause)]);
 	const answer = await sendRequest(t, servers => {
-		servers.take(ports.map((port, index) => testServer({id: `server-${index}` as ServerId, port})), {source: control, now: performance.now()});
+		servers.applyRecords(ports.map((port, index) => testServer({id: `server-${index}` as ServerId, port})), {source: control, now: performance.now()});
 	}, testRoute({...pausingRoute, maximumAttempts: 1}));
 	t.deepEqual(answer, bothEvents);
 });
--- a/packages/gateway/src/entry/request-run.ts
+++ b/packages/gateway/src/entry/request-run.ts
@@ -1,5 +1,5 @@
 import {type Failure, failure, type ModelId} from '@valehitch/core';
-import {timeoutAfterInput} from '@valehitch/transport';
+import {setTimeoutAfterPoll} from '@valehitch/transport';
 import {match} from 'ts-pattern';
 import {type ServerRecord} from '../servers/server-record.js';
 import {authorizeRequest, type AuthorizedRequest} from './authorize-request.js';
@@ -9,19 +9,19 @@
 import {endExpired} from './end-expired.js';
 import {EventStream} from './event-stream.js';
 import {type AnswerHead, type GatewayRequest} from './gateway-request.js';
-import {ModelSteps} from './model-steps.js';
+import {ModelCascade} from './model-cascade.js';
 import {Placement} from './placement.js';
-import {type Next, RequestEnd} from './request-end.js';
-import {type RequestRunOptions, type SentTo} from './request-run-options.js';
-import {RequestSuspicion} from './request-suspicion.js';
+import {type NextStep, RequestEnd} from './request-end.js';
+import {type RequestRunOptions, type StartedSend} from './request-run-options.js';
+import {SuspectRequest} from './suspect-request.js';
 import {SendAllowance} from './send-allowance.js';
 import {type SentAttempt} from './send-attempt.js';
-import {ServerVerdicts} from './server-verdicts.js';
-import {SpareAnswer} from './spare-answer.js';
+import {SendResults} from './send-results.js';
+import {FallbackAnswer} from './fallback-answer.js';
 import {startSend} from './start-send.js';
 import {
-	type OutcomeStep, passSpare, takeOutcome, type TakeOutcomeOptions,
-} from './take-outcome.js';
+	type OutcomeStep, relayFallback, handleOutcome, type HandleOutcomeOptions,
+} from './handle-outcome.js';
 
 /** The retry delay sent to the caller when no server accepted the request, in milliseconds: the time in which a slot usually becomes free. */
 const retryMilliseconds = 250;
@@ -40,16 +40,16 @@
 	readonly #body: Uint8Array;
 	readonly #answer: CallerAnswer;
 	readonly #placement: Placement;
-	readonly #results: ServerVerdicts;
-	readonly #models: ModelSteps;
+	readonly #results: SendResults;
+	readonly #models: ModelCascade;
 	readonly #arrivedAt: number;
 	readonly #deadlineAt: number;
 	readonly #events: EventStream;
 	readonly #allowance: SendAllowance;
 	readonly #authorized: AuthorizedRequest;
 	readonly #end: RequestEnd;
-	readonly #fallback: SpareAnswer;
-	readonly #suspect: RequestSuspicion;
+	readonly #fallback: FallbackAnswer;
+	readonly #suspect: SuspectRequest;
 	/** The current or last send. */
 	#sent: {readonly attempt: SentAttempt; readonly server: ServerRecord} | undefined;
 
@@ -60,20 +60,20 @@
 		this.#body = body;
 		this.#authorized = authorized;
 		this.#arrivedAt = arrivedAt;
-		this.#deadlineAt = arrivedAt + Math.min(request.patience ?? route.timeout, route.timeout);
+		this.#deadlineAt = arrivedAt + Math.min(request.timeout ?? route.timeout, route.timeout);
 		this.#events = new EventStream(request.lastEventId);
 		this.#answer = new CallerAnswer(context, {
 			request, response, kind: route.kind, arrivedAt,
 		});
 		this.#placement = new Placement(context, {request, route, bytes: body.byteLength});
-		this.#results = new ServerVerdicts(context, {request: request.id, route: route.id});
+		this.#results = new SendResults(context, {request: request.id, route: route.id});
 		this.#allowance = new SendAllowance({...context, route, service: this.#placement.service});
-		this.#models = new ModelSteps(context, {route, choosesModel: request.choosesModel, tokens: request.inputTokens});
+		this.#models = new ModelCascade(context, {route, choosesModel: request.choosesModel, tokens: request.inputTokens});
 		this.#end = new RequestEnd(context, {
 			request: request.id, route, service: this.#placement.service, arrivedAt, answer: this.#answer, allowance: this.#allowance, models: this.#models,
 		});
-		this.#suspect = new RequestSuspicion(context.suspects, {...request, workspace: authorized.workspace?.id, body});
-		this.#fallback = new SpareAnswer({
+		this.#suspect = new SuspectRequest(context.suspects, {...request, workspace: authorized.workspace?.id, body});
+		this.#fallback = new FallbackAnswer({
 			clock: context.clock,
 			deadlineAt: this.#deadlineAt,
 			onDue: () => {
@@ -84,10 +84,10 @@
 
 	/** Runs the request until it is answered. */
 	async run(): Promise<void> {
-		const stopTimeout = timeoutAfterInput(this.#deadlineAt - this.#now(), () => {
+		const stopTimeout = setTimeoutAfterPoll(this.#deadlineAt - this.#now(), () => {
 			endExpired(this.#end, {
 				sent: this.#sent,
-				verdicts: this.#results,
+				results: this.#results,
 				model: this.#models.current,
 				waited: this.#now() - this.#arrivedAt,
 				retryAfter: retryMilliseconds,
@@ -102,14 +102,14 @@
 		});
 		this.#answer.response.on('close', onClose);
 		this.#context.budget.deposit(this.#placement.service, this.#now());
-		let next: Next = 'retry';
-		while (next === 'retry' && !this.#end.isOver) {
+		let next: NextStep = 'retry';
+		while (next === 'retry' && !this.#end.hasEnded) {
 			next = await this.#send();
 		}
 
 		stopTimeout();
 		stopListening();
-		this.#fallback.drop();
+		this.#fallback.discard();
 		this.#answer.response.off('close', onClose);
 	}
 
@@ -117,7 +117,7 @@
 		return this.#context.clock.monotonic();
 	}
 
-	async #send(): Promise<Next> {
+	async #send(): Promise<NextStep> {
 		const {standing} = this.#suspect;
 		if (standing === 'quarantined') {
 			return this.#fail(this.#suspect.refusal);
@@ -129,7 +129,7 @@
 
 		const authorized = authorizeRequest(this.#request, {...this.#context, table: this.#context.table(), now: this.#now()});
 		if (authorized.isLeft()) {
-			return this.#end.giveUp(authorized.extract());
+			return this.#end.fail(authorized.extract());
 		}
 
 		const server = this.#placement.choose(this.#models.current, {isSuspect: standing !== 'unknown'});
@@ -145,9 +145,9 @@
 		return this.#fail(failure('no-server', message, {retryAfterMilliseconds: retryMilliseconds}));
 	}
 
-	async #sendTo(server: ServerRecord, authorized: AuthorizedRequest): Promise<Next> {
+	async #sendTo(server: ServerRecord, authorized: AuthorizedRequest): Promise<NextStep> {
 		const sentAt = this.#now();
-		const load = this.#context.servers.begin(server.id, this.#models.work);
+		const load = this.#context.servers.beginSend(server.id, this.#models.load);
 		const attempt = startSend(this.#context, {
 			request: this.#request,
 			body: this.#body,
@@ -162,106 +162,106 @@
 		});
 		this.#sent = {attempt, server};
 		const outcome = await attempt.outcome;
-		const step = await takeOutcome(outcome, this.#outcomeOptions({server, sentAt, load}));
+		const step = await handleOutcome(outcome, this.#outcomeOptions({server, sentAt, load}));
 		const next = await this.#handleStep(step, server);
 		load.end();
 		this.#context.metrics.attempts.inc({result: outcome.type});
 		return next;
 	}
 
-	#outcomeOptions({server, sentAt, load}: SentTo): TakeOutcomeOptions {
+	#outcomeOptions({server, sentAt, load}: StartedSend): HandleOutcomeOptions {
 		return {
 			context: this.#context,
 			request: this.#request,
-			suspicion: this.#suspect,
+			suspect: this.#suspect,
 			route: this.#authorized.route,
 			models: this.#models,
-			verdicts: this.#results,
+			results: this.#results,
 			answer: this.#answer,
 			events: this.#events,
 			server,
 			sentAt,
-			isOver: () => this.#end.isOver,
-			onStream: () => {
-				load?.answerBegins();
-				this.#fallback.drop();
-				this.#placement.begin(server.version);
+			hasEnded: () => this.#end.hasEnded,
+			onStreamStart: () => {
+				load?.markAnswerStarted();
+				this.#fallback.discard();
+				this.#placement.recordStreamStart(server.version);
 			},
-			canGoOnElsewhere: () => this.#allowance.hasFurther && this.#placement.hasAnother(server),
+			canResumeElsewhere: () => this.#allowance.canRetry && this.#placement.hasAnother(server),
 			chooseLarger: (head, latency) => this.#chooseLargerModel(head, latency),
 		};
 	}
 
 	/** Handles the step that follows a send; returns whether the request is sent again. */
-	async #handleStep(step: OutcomeStep, server: ServerRecord): Promise<Next> {
-		if (this.#end.isOver) {
+	async #handleStep(step: OutcomeStep, server: ServerRecord): Promise<NextStep> {
+		if (this.#end.hasEnded) {
 			return 'ended';
 		}
 
 		return match(step)
-			.with({type: 'ended'}, async (): Promise<Next> => 'ended')
+			.with({type: 'ended'}, async (): Promise<NextStep> => 'ended')
 			.with({type: 'unreachable'}, async () => this.#handleUnreachable(server))
 			.with({type: 'not-run'}, async ({failed}) => this.#handleNotRun(server, failed))
 			.with({type: 'connection-lost'}, async ({failed}) => {
-				this.#end.noteRun();
+				this.#end.recordPossibleRun();
 				return this.#retry(failed);
 			})
 			.with({type: 'failed'}, async ({failed, answer}) => {
-				this.#end.noteRun();
-				this.#end.hold(answer);
+				this.#end.recordPossibleRun();
+				this.#end.keepFailedAnswer(answer);
 				this.#placement.exclude(server);
 				return this.#retry(failed);
 			})
-			.with({type: 'whole'}, async ({answer}) => this.#end.passOn(answer))
-			.with({type: 'escalated'}, async ({model, spare: fallback}): Promise<Next> => {
-				this.#end.noteRun();
+			.with({type: 'whole'}, async ({answer}) => this.#end.forward(answer))
+			.with({type: 'escalated'}, async ({model, fallback: fallback}): Promise<NextStep> => {
+				this.#end.recordPossibleRun();
 				this.#fallback.keep(fallback);
-				this.#models.take(model);
+				this.#models.escalateTo(model);
 				return 'retry';
 			})
 			.with({type: 'streamed'}, async ({confidence}) => {
-				this.#answer.finish();
-				return this.#end.end('answered', {server: server.id, confidence});
+				this.#answer.finishStream();
+				return this.#end.recordEnd('answered', {server: server.id, confidence});
 			})
 			.exhaustive();
 	}
 
 	/** A failed connection does not count as a send. */
-	async #handleUnreachable(server: ServerRecord): Promise<Next> {
+	async #handleUnreachable(server: ServerRecord): Promise<NextStep> {
 		this.#end.lastProblem = `${server.id} is unreachable`;
 		this.#placement.exclude(server);
-		return this.#allowance.takeBack()
+		return this.#allowance.revokeSend()
 			? 'retry'
-			: this.#fail(failure('no-server', `Could not connect to ${this.#allowance.unreachable} servers of ${this.#placement.service}`, {retryAfterMilliseconds: retryMilliseconds}));
+			: this.#fail(failure('no-server', `Could not connect to ${this.#allowance.connectionFailures} servers of ${this.#placement.service}`, {retryAfterMilliseconds: retryMilliseconds}));
 	}
 
-	async #handleNotRun(server: ServerRecord, {message}: Failure): Promise<Next> {
+	async #handleNotRun(server: ServerRecord, {message}: Failure): Promise<NextStep> {
 		this.#end.lastProblem = message;
 		this.#placement.exclude(server);
-		return this.#allowance.takeFurther()
+		return this.#allowance.tryRetry()
 			? 'retry'
 			: this.#fail(failure('overloaded', `${message}, and no retry is left`, {retryAfterMilliseconds: retryMilliseconds}));
 	}
 
 	/** Retries the request if that is safe and the retry limits allow it; otherwise answers with the failure. */
-	async #retry(failed: Failure): Promise<Next> {
+	async #retry(failed: Failure): Promise<NextStep> {
 		this.#end.lastProblem = failed.message;
 		if (this.#suspect.standing === 'quarantined') {
 			return this.#fail(this.#suspect.refusal);
 		}
 
-		return this.#allowance.mayRepeat && this.#allowance.takeFurther() ? 'retry' : this.#fail(failed);
+		return this.#allowance.isRepeatable && this.#allowance.tryRetry() ? 'retry' : this.#fail(failed);
 	}
 
 	/** Forwards the fallback answer of a smaller model if there is one; otherwise answers with the failure. */
-	async #fail(failed: Failure): Promise<Next> {
+	async #fail(failed: Failure): Promise<NextStep> {
 		const fallback = this.#fallback.take();
-		if (fallback === undefined || this.#end.isOver) {
-			return this.#end.giveUp(failed);
+		if (fallback === undefined || this.#end.hasEnded) {
+			return this.#end.fail(failed);
 		}
 
-		this.#models.takeBack(fallback.model);
-		const step = await passSpare(fallback, this.#outcomeOptions({server: fallback.server, sentAt: this.#now()}));
+		this.#models.restore(fallback.model);
+		const step = await relayFallback(fallback, this.#outcomeOptions({server: fallback.server, sentAt: this.#now()}));
 		return this.#handleStep(step, fallback.server);
 	}
 
@@ -269,25 +269,25 @@
 	#chooseLargerModel({confidence}: AnswerHead, latency: number): ModelId | undefined {
 		// If two servers ended during the request, do not put a second server at risk at the same time.
 		const isCrashLikely = ['doubtful', 'quarantined'].includes(this.#suspect.standing);
-		if (isCrashLikely || this.#answer.hasBegun || this.#events.lastEventId !== undefined) {
+		if (isCrashLikely || this.#answer.hasStarted || this.#events.lastEventId !== undefined) {
 			return undefined;
 		}
 
-		const larger = this.#models.larger({confidence, latency, age: this.#now() - this.#arrivedAt});
-		return larger !== undefined && this.#allowance.takeFurther() ? larger : undefined;
+		const larger = this.#models.chooseLarger({confidence, latency, age: this.#now() - this.#arrivedAt});
+		return larger !== undefined && this.#allowance.tryRetry() ? larger : undefined;
 	}
 
 	/** Cancels the send when the request is quarantined, before the server starts to process it. An answer that has started continues. */
 	#cancelUnanswered(): void {
-		if (!this.#answer.hasBegun) {
+		if (!this.#answer.hasStarted) {
 			this.#sent?.attempt.cancel();
 		}
 	}
 
 	#onCallerClose(): void {
-		if (!this.#end.isOver && this.#answer.isAbandoned) {
+		if (!this.#end.hasEnded && this.#answer.isUnfinished) {
 			this.#sent?.attempt.cancel();
-			this.#end.end('caller-left', {});
+			this.#end.recordEnd('caller-left', {});
 		}
 	}
 }
--- a/packages/gateway/src/entry/send-allowance.test.ts
+++ b/packages/gateway/src/entry/send-allowance.test.ts
@@ -9,29 +9,29 @@
 	const allowance = new SendAllowance({
 		route: {kind: 'safe', isResumable: false, maximumAttempts: 2}, service, budget: {allows: () => true, withdraw: () => true}, clock,
 	});
-	t.true(allowance.mayRepeat);
-	t.false(allowance.isNextLast);
-	allowance.begin();
-	t.true(allowance.takeBack());
-	allowance.begin();
-	t.true(allowance.isNextLast);
-	t.true(allowance.takeFurther());
-	allowance.begin();
-	t.false(allowance.takeFurther());
-	t.deepEqual([allowance.sends, allowance.unreachable], [2, 1]);
+	t.true(allowance.isRepeatable);
+	t.false(allowance.isNextSendLast);
+	allowance.countSend();
+	t.true(allowance.revokeSend());
+	allowance.countSend();
+	t.true(allowance.isNextSendLast);
+	t.true(allowance.tryRetry());
+	allowance.countSend();
+	t.false(allowance.tryRetry());
+	t.deepEqual([allowance.sends, allowance.connectionFailures], [2, 1]);
 });
 
 test('no retry is allowed beyond the shared budget or the maximum of failed connections', t => {
 	const allowance = new SendAllowance({
 		route: {kind: 'streaming', isResumable: false, maximumAttempts: 9}, service, budget: {allows: () => false, withdraw: () => false}, clock,
 	});
-	t.false(allowance.mayRepeat);
+	t.false(allowance.isRepeatable);
 	const tries: boolean[] = [];
 	for (let index = 0; index < 4; index++) {
-		allowance.begin();
-		tries.push(allowance.takeBack());
+		allowance.countSend();
+		tries.push(allowance.revokeSend());
 	}
 
 	t.deepEqual(tries, [true, true, true, false]);
-	t.false(allowance.takeFurther());
+	t.false(allowance.tryRetry());
 });
--- a/packages/gateway/src/entry/send-allowance.ts
+++ b/packages/gateway/src/entry/send-allowance.ts
@@ -1,12 +1,12 @@
 import {type Clock, type ServiceId} from '@valehitch/core';
-import {type RetryWindow} from '@valehitch/routing';
+import {type WindowedRetryBudget} from '@valehitch/routing';
 import {type Route} from '../configuration/routing-configuration.js';
 
 /** Options of {@linkcode SendAllowance}. */
 export type SendAllowanceOptions = {
 	readonly route: Pick<Route, 'kind' | 'isResumable' | 'maximumAttempts'>;
 	readonly service: ServiceId;
-	readonly budget: Pick<RetryWindow, 'allows' | 'withdraw'>;
+	readonly budget: Pick<WindowedRetryBudget, 'allows' | 'withdraw'>;
 	readonly clock: Pick<Clock, 'monotonic'>;
 };
 
@@ -25,7 +25,7 @@
 */
 export class SendAllowance {
 	/** Whether the request may run more than once. */
-	readonly mayRepeat: boolean;
+	readonly isRepeatable: boolean;
 	readonly #options: SendAllowanceOptions;
 	#sends = 0;
 	#unreachable = 0;
@@ -33,7 +33,7 @@
 	constructor(options: SendAllowanceOptions) {
 		const {kind, isResumable} = options.route;
 		this.#options = options;
-		this.mayRepeat = kind === 'safe' || (kind === 'streaming' && isResumable);
+		this.isRepeatable = kind === 'safe' || (kind === 'streaming' && isResumable);
 	}
 
 	/** The number of sends that reached a server. */
@@ -42,23 +42,23 @@
 	}
 
 	/** The number of failed connections. */
-	get unreachable(): number {
+	get connectionFailures(): number {
 		return this.#unreachable;
 	}
 
 	/** Whether the next send is the last one that the route allows. */
-	get isNextLast(): boolean {
+	get isNextSendLast(): boolean {
 		return this.#sends + 1 >= this.#options.route.maximumAttempts;
 	}
 
 	/** Whether a retry would be allowed now. */
-	get hasFurther(): boolean {
+	get canRetry(): boolean {
 		const {service, budget, clock} = this.#options;
-		return this.mayRepeat && this.#hasSends && budget.allows(service, clock.monotonic());
+		return this.isRepeatable && this.#hasSends && budget.allows(service, clock.monotonic());
 	}
 
 	/** Counts a send. */
-	begin(): void {
+	countSend(): void {
 		this.#sends++;
 	}
 
@@ -67,7 +67,7 @@
 
 	@returns Whether another server may be tried.
 	*/
-	takeBack(): boolean {
+	revokeSend(): boolean {
 		this.#sends--;
 		this.#unreachable++;
 		return this.#unreachable < maximumUnreachable;
@@ -78,7 +78,7 @@
 
 	@returns Whether the retry is allowed.
 	*/
-	takeFurther(): boolean {
+	tryRetry(): boolean {
 		const {service, budget, clock} = this.#options;
 		return this.#hasSends && budget.withdraw(service, clock.monotonic());
 	}
--- a/packages/gateway/src/entry/send-attempt.test.ts
+++ b/packages/gateway/src/entry/send-attempt.test.ts
@@ -4,7 +4,7 @@
 import test, {type ExecutionContext} from 'ava';
 import {testServer} from '../servers/_test-server.js';
 import {collectBody} from './collect-body.js';
-import {sendAttempt, type SendAttemptOptions, type SilenceBounds} from './send-attempt.js';
+import {sendAttempt, type SendAttemptOptions, type HeadTimeouts} from './send-attempt.js';
 
 /** Starts a server that calls `onRequest` when a connection receives data. */
 async function serve(t: ExecutionContext, onRequest: (socket: Socket) => void): Promise<SendAttemptOptions> {
@@ -30,20 +30,20 @@
 		server: testServer({port: (server.address() as AddressInfo).port}), method: 'GET', target: '/x/', headers: [[
 			'Host',
 			'desk.example',
-		]], body: Buffer.alloc(0), mayReuse: true, connectTimeout: 1000, silence: undefined, processEnd: new AbortController().signal,
+		]], body: Buffer.alloc(0), mayReuseConnection: true, connectTimeout: 1000, headTimeouts: undefined, processEnd: new AbortController().signal,
 	};
 }
 
-function giveUpAfter(checkAfter: number): SendAttemptOptions['silence'] {
+function giveUpAfter(checkAfter: number): SendAttemptOptions['headTimeouts'] {
 	return {
-		quiet: checkAfter, longest: checkAfter, longestKept: checkAfter, isHeard: () => false, isReached: async () => false,
+		checkAfter: checkAfter, maximum: checkAfter, maximumOnReused: checkAfter, hasSentData: () => false, isReachable: async () => false,
 	};
 }
 
 /** Sends a request and checks whether the body of the answer is complete. */
 async function isComplete(options: SendAttemptOptions): Promise<boolean> {
 	const outcome = await sendAttempt(options).outcome;
-	return outcome.type === 'head' && await collectBody(outcome.message, outcome.isWhole) !== undefined;
+	return outcome.type === 'head' && await collectBody(outcome.message, outcome.isComplete) !== undefined;
 }
 
 test('an answer without a length is complete if its connection is closed, but not if it is reset', async t => {
@@ -74,10 +74,10 @@
 		socket.destroy();
 	});
 	const sent = sendAttempt(options);
-	t.false(sent.hasOpened());
+	t.false(sent.isConnected());
 	const lost = await sent.outcome;
 	t.is(lost.type, 'lost');
-	t.true(sent.hasOpened());
+	t.true(sent.isConnected());
 	const unreachable = await sendAttempt({...options, server: testServer({port: 1})}).outcome;
 	t.is(unreachable.type, 'unreachable');
 });
@@ -86,7 +86,7 @@
 	const options = await serve(t, () => {
 		// Never answers.
 	});
-	const silent = await sendAttempt({...options, silence: giveUpAfter(300)}).outcome;
+	const silent = await sendAttempt({...options, headTimeouts: giveUpAfter(300)}).outcome;
 	t.is(silent.type, 'silent');
 	const sent = sendAttempt(options);
 	sent.cancel();
@@ -120,9 +120,9 @@
 		}
 	});
 	t.deepEqual(await Promise.all([isComplete(options), isComplete(options)]), [true, true]);
-	const silent = await sendAttempt({...options, silence: giveUpAfter(100)}).outcome;
+	const silent = await sendAttempt({...options, headTimeouts: giveUpAfter(100)}).outcome;
 	t.is(silent.type, 'silent');
-	const next = await sendAttempt({...options, silence: giveUpAfter(1000)}).outcome;
+	const next = await sendAttempt({...options, headTimeouts: giveUpAfter(1000)}).outcome;
 	t.is(next.type, 'head');
 });
 
@@ -134,8 +134,8 @@
 	});
 	const outcomeAfter = async (longest: number, {isHeard = false, isReached = false}: {readonly isHeard?: boolean; readonly isReached?: boolean}) => {
 		const {type} = await sendAttempt({
-			...options, mayReuse: false, silence: {
-				quiet: 50, longest, longestKept: longest, isHeard: () => isHeard, isReached: async () => isReached,
+			...options, mayReuseConnection: false, headTimeouts: {
+				checkAfter: 50, maximum: longest, maximumOnReused: longest, hasSentData: () => isHeard, isReachable: async () => isReached,
 			},
 		}).outcome;
 		return type;
@@ -156,12 +156,12 @@
 		}
 	});
 	t.true(await isComplete(options));
-	const headTimeouts: SilenceBounds = {
-		quiet: 50, longest: 60_000, longestKept: 100, isHeard: () => true, isReached: async () => true,
+	const headTimeouts: HeadTimeouts = {
+		checkAfter: 50, maximum: 60_000, maximumOnReused: 100, hasSentData: () => true, isReachable: async () => true,
 	};
-	const reused = await sendAttempt({...options, silence: headTimeouts}).outcome;
+	const reused = await sendAttempt({...options, headTimeouts: headTimeouts}).outcome;
 	t.is(reused.type, 'silent');
-	const opened = await sendAttempt({...options, silence: headTimeouts}).outcome;
+	const opened = await sendAttempt({...options, headTimeouts: headTimeouts}).outcome;
 	t.is(opened.type, 'head');
 });
 
@@ -181,7 +181,7 @@
 			t.is(type, 'lost');
 		} else {
 			const answer = await outcome;
-			const body = answer.type === 'head' ? collectBody(answer.message, answer.isWhole) : undefined;
+			const body = answer.type === 'head' ? collectBody(answer.message, answer.isComplete) : undefined;
 			process.abort();
 			t.is(await body, undefined);
 		}
--- a/packages/gateway/src/entry/send-attempt.ts
+++ b/packages/gateway/src/entry/send-attempt.ts
@@ -1,8 +1,8 @@
 import {type ClientRequest, type IncomingMessage, request as openRequest} from 'node:http';
-import {timeoutAfterInput} from '@valehitch/transport';
+import {setTimeoutAfterPoll} from '@valehitch/transport';
 import {type ServerRecord} from '../servers/server-record.js';
 import {type Header} from './gateway-request.js';
-import {dropIdleConnections, dropStaleConnections, keptConnections} from './kept-connections.js';
+import {closeIdleConnections, closeStaleConnections, connectionPool} from './connection-pool.js';
 
 /** Options of {@linkcode sendAttempt}. */
 export type SendAttemptOptions = {
@@ -12,27 +12,27 @@
 	readonly headers: readonly Header[];
 	readonly body: Uint8Array;
 	/** Whether an idle connection may be reused; false if the request may not be repeated. */
-	readonly mayReuse: boolean;
+	readonly mayReuseConnection: boolean;
 	/** The connection timeout, in milliseconds. */
 	readonly connectTimeout: number;
 	/** The timeouts for the head of the answer; undefined for none. */
-	readonly silence: SilenceBounds | undefined;
+	readonly headTimeouts: HeadTimeouts | undefined;
 	/** Aborted when the server's process is known to have ended, after which no more data will arrive. */
 	readonly processEnd: AbortSignal;
 };
 
 /** The timeouts for the head of an answer. */
-export type SilenceBounds = {
+export type HeadTimeouts = {
 	/** The time after which the send is given up, in milliseconds, if the server sent no data on other connections either and accepts no new one. */
-	readonly quiet: number;
+	readonly checkAfter: number;
 	/** The time after which the send is given up in any case, in milliseconds. */
-	readonly longest: number;
+	readonly maximum: number;
 	/** The same for a send on a reused connection. */
-	readonly longestKept: number;
+	readonly maximumOnReused: number;
 	/** Whether the server sent data on any connection since the send. It is then running, and processes other requests first. */
-	readonly isHeard: () => boolean;
+	readonly hasSentData: () => boolean;
 	/** Checks whether the server accepts a new connection. */
-	readonly isReached: () => Promise<boolean>;
+	readonly isReachable: () => Promise<boolean>;
 };
 
 /** The outcome of a send, up to the head of the answer. */
@@ -45,7 +45,7 @@
 		| {readonly type: 'kept-connection-lost'; readonly reason: string}
 		| {readonly type: 'silent'}
 		| {readonly type: 'cancelled'}
-		| {readonly type: 'head'; readonly message: IncomingMessage; readonly isWhole: () => Promise<boolean>};
+		| {readonly type: 'head'; readonly message: IncomingMessage; readonly isComplete: () => Promise<boolean>};
 
 /** The head of an answer, and a check of whether the body is complete, to be called when it ends. */
 export type ReceivedHead = Omit<Extract<SendOutcome, {type: 'head'}>, 'type'>;
@@ -54,7 +54,7 @@
 export type SentAttempt = {
 	readonly outcome: Promise<SendOutcome>;
 	/** Whether the connection has been established. Until then, no part of the request has been sent. */
-	readonly hasOpened: () => boolean;
+	readonly isConnected: () => boolean;
 	/** Cancels the send by closing its connection, which also cancels it at the server. */
 	readonly cancel: () => void;
 };
@@ -70,13 +70,13 @@
 ```
 */
 export function sendAttempt(options: SendAttemptOptions): SentAttempt {
-	const {server, method, target, headers, body, mayReuse: mayReuseConnection, processEnd} = options;
+	const {server, method, target, headers, body, mayReuseConnection: mayReuseConnection, processEnd} = options;
 	if (mayReuseConnection) {
-		dropStaleConnections(server);
+		closeStaleConnections(server);
 	}
 
 	const request = openRequest({
-		host: server.host, port: server.port, method, path: target, agent: mayReuseConnection ? keptConnections : false, setHost: false, headers: headers.flat(), signal: processEnd,
+		host: server.host, port: server.port, method, path: target, agent: mayReuseConnection ? connectionPool : false, setHost: false, headers: headers.flat(), signal: processEnd,
 	});
 	let isCancelled = false;
 	let isOpen = false;
@@ -90,7 +90,7 @@
 	request.end(body);
 	return {
 		outcome,
-		hasOpened: () => isOpen,
+		isConnected: () => isOpen,
 		cancel() {
 			isCancelled = true;
 			request.destroy();
@@ -103,10 +103,10 @@
 	readonly isOpen: () => boolean;
 };
 
-async function awaitHead(request: ClientRequest, {server, connectTimeout, silence: headTimeouts}: SendAttemptOptions, {isCancelled, isOpen}: SendProgress): Promise<SendOutcome> {
+async function awaitHead(request: ClientRequest, {server, connectTimeout, headTimeouts: headTimeouts}: SendAttemptOptions, {isCancelled, isOpen}: SendProgress): Promise<SendOutcome> {
 	return new Promise(resolve => {
 		let isSilent = false;
-		const stopConnectTimeout = timeoutAfterInput(connectTimeout, () => {
+		const stopConnectTimeout = setTimeoutAfterPoll(connectTimeout, () => {
 			if (!isOpen()) {
 				request.destroy(new Error(`No connection within ${connectTimeout} ms`));
 			}
@@ -114,7 +114,7 @@
 		const giveUp = (): void => {
 			isSilent = true;
 			request.destroy();
-			dropIdleConnections(server);
+			closeIdleConnections(server);
 		};
 
 		const stopWatching = headTimeouts === undefined ? undefined : watchHeadTimeouts(headTimeouts, {isReused: () => request.reusedSocket, giveUp});
@@ -137,7 +137,7 @@
 		};
 
 		request.on('response', message => {
-			settle({type: 'head', message, isWhole: isFramed(message) ? async () => message.complete : isCompleteUnlessReset(message)});
+			settle({type: 'head', message, isComplete: isFramed(message) ? async () => message.complete : isCompleteUnlessReset(message)});
 		});
 		request.on('error', error => {
 			fail(error.message);
@@ -155,8 +155,8 @@
 };
 
 /** Gives up the send after the first timeout if the server is unresponsive on other connections too, and otherwise after the maximum. */
-function watchHeadTimeouts(timeouts: SilenceBounds, {isReused, giveUp}: HeadWatch): () => void {
-	const {quiet: checkAfter, longest: maximum, longestKept: maximumOnReused, isHeard: hasSentData, isReached: isReachable} = timeouts;
+function watchHeadTimeouts(timeouts: HeadTimeouts, {isReused, giveUp}: HeadWatch): () => void {
+	const {checkAfter: checkAfter, maximum: maximum, maximumOnReused: maximumOnReused, hasSentData: hasSentData, isReachable: isReachable} = timeouts;
 	let isOver = false;
 	let stopTimeout: (() => void) | undefined;
 	const checkServer = async (): Promise<void> => {
@@ -167,13 +167,13 @@
 		}
 
 		if (isAlive) {
-			stopTimeout = timeoutAfterInput(left, giveUp);
+			stopTimeout = setTimeoutAfterPoll(left, giveUp);
 		} else {
 			giveUp();
 		}
 	};
 
-	stopTimeout = timeoutAfterInput(checkAfter, () => {
+	stopTimeout = setTimeoutAfterPoll(checkAfter, () => {
 		void checkServer();
 	});
 	return () => {
--- a/packages/gateway/src/entry/server-verdicts.ts
+++ b/packages/gateway/src/entry/send-results.ts
@@ -6,7 +6,7 @@
 import {type LossFinding} from './entry-suspects.js';
 
 /** Options of {@linkcode SendResults}. */
-export type ServerVerdictsOptions = {
+export type SendResultsOptions = {
 	readonly request: string;
 	readonly route: RouteId;
 };
@@ -20,11 +20,11 @@
 results.recordFailure(server, model);
 ```
 */
-export class ServerVerdicts {
+export class SendResults {
 	readonly #context: EntryContext;
-	readonly #options: ServerVerdictsOptions;
+	readonly #options: SendResultsOptions;
 
-	constructor(context: EntryContext, options: ServerVerdictsOptions) {
+	constructor(context: EntryContext, options: SendResultsOptions) {
 		this.#context = context;
 		this.#options = options;
 	}
@@ -35,7 +35,7 @@
 	@param server The server.
 	@param options The model, and the time to first byte in milliseconds.
 	*/
-	answered(server: ServerRecord, {model, latency}: {readonly model: ModelId | undefined; readonly latency: number}): void {
+	recordSuccess(server: ServerRecord, {model, latency}: {readonly model: ModelId | undefined; readonly latency: number}): void {
 		this.record(server, 'answered');
 		this.#recordEvidence(server, {model, latency});
 	}
@@ -46,7 +46,7 @@
 	@param server The server.
 	@param model The model.
 	*/
-	failed(server: ServerRecord, model: ModelId | undefined): void {
+	recordFailure(server: ServerRecord, model: ModelId | undefined): void {
 		this.record(server, 'failed');
 		this.#recordEvidence(server, {model, latency: undefined});
 	}
@@ -59,9 +59,9 @@
 	@param server The server.
 	@param options The model and the state of the server.
 	*/
-	lost(server: ServerRecord, {model, finding}: {readonly model: ModelId | undefined; readonly finding: LossFinding}): void {
+	recordLoss(server: ServerRecord, {model, finding}: {readonly model: ModelId | undefined; readonly finding: LossFinding}): void {
 		if (finding === 'running') {
-			this.failed(server, model);
+			this.recordFailure(server, model);
 			return;
 		}
 
@@ -79,7 +79,7 @@
 	*/
 	record(server: ServerRecord, result: SendResult): void {
 		const {servers, log, clock} = this.#context;
-		if (servers.isCurrent(server) && servers.record(server.id, result, clock.monotonic())) {
+		if (servers.isCurrent(server) && servers.recordResult(server.id, result, clock.monotonic())) {
 			log('server-suspected', {
 				server: server.id, service: server.service, result, request: this.#options.request,
 			}, 'warn');
@@ -87,7 +87,7 @@
 	}
 
 	#recordEvidence({service, version}: ServerRecord, {model, latency}: {readonly model: ModelId | undefined; readonly latency: number | undefined}): void {
-		this.#context.evidence.note({
+		this.#context.evidence.record({
 			service, version, route: this.#options.route, model, isFailure: latency === undefined, latency,
 		});
 	}
--- a/packages/gateway/src/entry/server-standings.ts
+++ b/packages/gateway/src/entry/server-liveness-table.ts
@@ -1,7 +1,7 @@
 import {type InstanceId, type ServerId} from '@valehitch/core';
 
 /** The combined report of the control instances about a server; `unknown` if no responding one reports it. */
-export type ServerStanding = 'alive' | 'silent' | 'unknown';
+export type ServerLiveness = 'alive' | 'silent' | 'unknown';
 
 /**
 The liveness of servers as reported by each control instance. A server is silent if all responding control instances report it as silent.
@@ -15,7 +15,7 @@
 liveness.of(server); // 'silent'
 ```
 */
-export class ServerStandings {
+export class ServerLivenessTable {
 	readonly #reports = new Map<ServerId, Map<InstanceId, boolean>>();
 	readonly #unresponsive = new Set<InstanceId>();
 
@@ -25,7 +25,7 @@
 	@param server The server.
 	@param report The control instance, and whether as far as it knows the server has not announced itself to any control instance for long.
 	*/
-	tell(server: ServerId, {source, isSilent}: {readonly source: InstanceId; readonly isSilent: boolean}): void {
+	report(server: ServerId, {source, isSilent}: {readonly source: InstanceId; readonly isSilent: boolean}): void {
 		const reports = this.#reports.get(server) ?? new Map<InstanceId, boolean>();
 		this.#reports.set(server, reports.set(source, isSilent));
 	}
@@ -35,7 +35,7 @@
 
 	@param source The control instance.
 	*/
-	lose(source: InstanceId): void {
+	markUnresponsive(source: InstanceId): void {
 		this.#unresponsive.add(source);
 	}
 
@@ -45,7 +45,7 @@
 	@param source The control instance.
 	@param options `isWhole`: whether it sent its full state, which replaces its earlier reports.
 	*/
-	hear(source: InstanceId, {isFullState}: {readonly isFullState: boolean}): void {
+	markResponsive(source: InstanceId, {isFullState}: {readonly isFullState: boolean}): void {
 		this.#unresponsive.delete(source);
 		if (!isFullState) {
 			return;
@@ -61,7 +61,7 @@
 
 	@param server The server.
 	*/
-	forget(server: ServerId): void {
+	removeServer(server: ServerId): void {
 		this.#reports.delete(server);
 	}
 
@@ -71,8 +71,8 @@
 	@param server The server.
 	@returns `alive` if any of them reports it as alive, and `silent` if all that report it do so as silent.
 	*/
-	of(server: ServerId): ServerStanding {
-		let standing: ServerStanding = 'unknown';
+	of(server: ServerId): ServerLiveness {
+		let standing: ServerLiveness = 'unknown';
 		for (const [source, isSilent] of this.#reports.get(server) ?? []) {
 			if (this.#unresponsive.has(source)) {
 				continue;
@@ -94,7 +94,7 @@
 	@param server The server.
 	@returns Whether there is such a report.
 	*/
-	isHeldByAny(server: ServerId): boolean {
+	isReportedAlive(server: ServerId): boolean {
 		const reports = this.#reports.get(server)?.values() ?? [];
 		return [...reports].includes(false);
 	}
--- a/packages/gateway/src/entry/start-send.ts
+++ b/packages/gateway/src/entry/start-send.ts
@@ -2,10 +2,10 @@
 import {type AuthorizedRequest} from './authorize-request.js';
 import {type EntryContext} from './entry-context.js';
 import {type GatewayRequest} from './gateway-request.js';
-import {type ModelSteps} from './model-steps.js';
-import {reachServer} from './reach-server.js';
+import {type ModelCascade} from './model-cascade.js';
+import {isServerReachable} from './is-server-reachable.js';
 import {type SendAllowance} from './send-allowance.js';
-import {type SentAttempt, sendAttempt, type SilenceBounds} from './send-attempt.js';
+import {type SentAttempt, sendAttempt, type HeadTimeouts} from './send-attempt.js';
 
 /** Options of {@linkcode startSend}. */
 export type StartSendOptions = {
@@ -13,7 +13,7 @@
 	readonly body: Uint8Array;
 	readonly server: ServerRecord;
 	readonly authorized: AuthorizedRequest;
-	readonly models: ModelSteps;
+	readonly models: ModelCascade;
 	/** The send limit of the request, which counts this send. */
 	readonly allowance: SendAllowance;
 	/** When the request arrived, in milliseconds on the monotonic clock. */
@@ -58,19 +58,19 @@
 		headers: dialect.sendHeaders(request, {
 			server: server.id,
 			model: models.current,
-			patience: Math.max(1, Math.floor(deadlineAt - sentAt - returnMilliseconds)),
+			timeout: Math.max(1, Math.floor(deadlineAt - sentAt - returnMilliseconds)),
 			workspace: workspace?.id,
 			urgency: Math.min(maximumUrgency, workspace?.priority ?? route.priority),
 			lastEventId,
-			keepsConnection: allowance.mayRepeat,
+			keepsConnection: allowance.isRepeatable,
 		}),
 		body,
-		mayReuse: allowance.mayRepeat,
+		mayReuseConnection: allowance.isRepeatable,
 		connectTimeout: Math.min(connectTimeoutMilliseconds, route.targetLatency),
-		silence: headTimeoutsOf(options, context),
+		headTimeouts: headTimeoutsOf(options, context),
 		processEnd,
 	});
-	allowance.begin();
+	allowance.countSend();
 	log('request-dispatched', {
 		request: request.id,
 		server: server.id,
@@ -84,15 +84,15 @@
 }
 
 /** Returns the timeouts for the head of the answer; undefined for the last allowed send, which may take until the caller's deadline. */
-function headTimeoutsOf({server, models, allowance}: StartSendOptions, {servers}: Pick<EntryContext, 'servers'>): SilenceBounds | undefined {
-	if (!allowance.mayRepeat || allowance.isNextLast) {
+function headTimeoutsOf({server, models, allowance}: StartSendOptions, {servers}: Pick<EntryContext, 'servers'>): HeadTimeouts | undefined {
+	if (!allowance.isRepeatable || allowance.isNextSendLast) {
 		return undefined;
 	}
 
 	const heardBefore = servers.heardAt(server.id);
 	return {
-		...models.silence,
-		isHeard: () => servers.heardAt(server.id) !== heardBefore,
-		isReached: async () => reachServer(server, reachabilityTimeoutMilliseconds),
+		...models.headTimeouts,
+		hasSentData: () => servers.heardAt(server.id) !== heardBefore,
+		isReachable: async () => isServerReachable(server, reachabilityTimeoutMilliseconds),
 	};
 }
--- a/packages/gateway/src/entry/start-wait.ts
+++ b/packages/gateway/src/entry/startup-wait.ts
@@ -11,6 +11,6 @@
 startupWait(8000, 0.06); // 480
 ```
 */
-export function startWait(timeout: number, share: number): number {
+export function startupWait(timeout: number, share: number): number {
 	return Math.min(maximumStartupWaitMilliseconds, share * timeout);
 }
--- a/packages/gateway/src/entry/suspect-reporter.test.ts
+++ b/packages/gateway/src/entry/suspect-reporter.test.ts
@@ -1,5 +1,5 @@
 import {type InstanceId, type RequestFingerprint} from '@valehitch/core';
-import {SuspectBook} from '@valehitch/routing';
+import {SuspectRegistry} from '@valehitch/routing';
 import test from 'ava';
 import {SuspectReporter} from './suspect-reporter.js';
 
@@ -7,7 +7,7 @@
 
 /** Creates a reporter; `answers` decides which control instances acknowledge reports. */
 function createReporter(answers: (to: InstanceId) => boolean = () => true) {
-	const suspects = new SuspectBook();
+	const suspects = new SuspectRegistry();
 	const sent: string[] = [];
 	const reporter = new SuspectReporter({
 		book: suspects,
@@ -20,8 +20,8 @@
 	return {suspects, sent, reporter};
 }
 
-function noteEnd(suspects: SuspectBook, {fingerprint, process}: {readonly fingerprint: string; readonly process: string}): RequestFingerprint {
-	suspects.noteEnd(fingerprint as RequestFingerprint, {process, at: 0});
+function noteEnd(suspects: SuspectRegistry, {fingerprint, process}: {readonly fingerprint: string; readonly process: string}): RequestFingerprint {
+	suspects.recordExit(fingerprint as RequestFingerprint, {process, at: 0});
 	return fingerprint as RequestFingerprint;
 }
 
@@ -33,17 +33,17 @@
 
 test('a changed record is sent to all control instances immediately', t => {
 	const {suspects, sent, reporter} = createReporter();
-	reporter.hear(first!, 'one');
-	reporter.hear(second!, 'one');
-	reporter.note(noteEnd(suspects, {fingerprint: 'f1', process: 'a'}));
+	reporter.addControl(first!, 'one');
+	reporter.addControl(second!, 'one');
+	reporter.report(noteEnd(suspects, {fingerprint: 'f1', process: 'a'}));
 	t.deepEqual(sent, ['10.0.0.1 f1:1', '10.0.0.2 f1:1']);
 });
 
 test('records that change while a message is in flight are sent together in the next one', async t => {
 	const {suspects, sent, reporter} = createReporter();
-	reporter.hear(first!, 'one');
+	reporter.addControl(first!, 'one');
 	for (const fingerprint of ['f1', 'f2', 'f3']) {
-		reporter.note(noteEnd(suspects, {fingerprint, process: 'a'}));
+		reporter.report(noteEnd(suspects, {fingerprint, process: 'a'}));
 	}
 
 	await waitForCallbacks();
@@ -53,15 +53,15 @@
 test('a control instance that did not acknowledge or restarted gets all shared records when it next replies', async t => {
 	let answers = false;
 	const {suspects, sent, reporter} = createReporter(() => answers);
-	reporter.hear(first!, 'one');
+	reporter.addControl(first!, 'one');
 	noteEnd(suspects, {fingerprint: 'f1', process: 'a'});
-	reporter.note(noteEnd(suspects, {fingerprint: 'f1', process: 'b'}));
+	reporter.report(noteEnd(suspects, {fingerprint: 'f1', process: 'b'}));
 	await waitForCallbacks();
 	answers = true;
-	reporter.hear(first!, 'one');
+	reporter.addControl(first!, 'one');
 	await waitForCallbacks();
-	reporter.hear(first!, 'one');
-	reporter.hear(first!, 'two');
+	reporter.addControl(first!, 'one');
+	reporter.addControl(first!, 'two');
 	await waitForCallbacks();
 	t.deepEqual(sent, ['10.0.0.1 f1:2', '10.0.0.1 f1:2', '10.0.0.1 f1:2']);
 });
--- a/packages/gateway/src/entry/suspect-reporter.ts
+++ b/packages/gateway/src/entry/suspect-reporter.ts
@@ -1,10 +1,10 @@
 import {type InstanceId, type RequestFingerprint} from '@valehitch/core';
-import {type SuspectBook, type SuspectRecord} from '@valehitch/routing';
+import {type SuspectRegistry, type SuspectRecord} from '@valehitch/routing';
 import {type SuspectsMessage} from '../control/peer-message.js';
 
 /** Options of {@linkcode SuspectReporter}. */
 export type SuspectReporterOptions = {
-	readonly book: Pick<SuspectBook, 'get' | 'told'>;
+	readonly book: Pick<SuspectRegistry, 'get' | 'sharedRecords'>;
 	/** Sends a report to a control instance; resolves to whether it was acknowledged within the timeout in milliseconds. */
 	readonly tell: (to: InstanceId, message: SuspectsMessage, timeout: number) => Promise<boolean>;
 };
@@ -44,12 +44,12 @@
 	@param target The control instance.
 	@param run Identifies the run of its process.
 	*/
-	hear(target: InstanceId, run: string): void {
+	addControl(target: InstanceId, run: string): void {
 		if (this.#targets.get(target)?.run === run) {
 			return;
 		}
 
-		this.#targets.set(target, {run, pending: new Set(this.#options.book.told.map(({fingerprint}) => fingerprint)), isSending: false});
+		this.#targets.set(target, {run, pending: new Set(this.#options.book.sharedRecords.map(({fingerprint}) => fingerprint)), isSending: false});
 		void this.#sendPending(target);
 	}
 
@@ -58,7 +58,7 @@
 
 	@param fingerprint The request.
 	*/
-	note(fingerprint: RequestFingerprint): void {
+	report(fingerprint: RequestFingerprint): void {
 		for (const [target, {pending}] of this.#targets) {
 			pending.add(fingerprint);
 			void this.#sendPending(target);
