--- a/packages/gateway/src/entry/request-suspicion.test.ts
+++ b/packages/gateway/src/entry/suspect-request.test.ts
@@ -22,7 +22,7 @@
 function recordServerEnds(count: number) {
 	return ({suspects}: Pick<EntryContext, 'suspects'>): void => {
 		for (let index = 0; index < count; index++) {
-			suspects.book.noteEnd(fingerprint, {process: `former ${index}`, at: Date.now()});
+			suspects.book.recordExit(fingerprint, {process: `former ${index}`, at: Date.now()});
 		}
 	};
 }
@@ -30,7 +30,7 @@
 /** Adds several servers with the same port, which represent separate processes. */
 function serversAt(port: number, count = 6) {
 	return (known: EntryServers): void => {
-		known.take(Array.from({length: count}, (_, index) => testServer({id: `server-${index}` as ServerId, port})), {source: control, now: performance.now()});
+		known.applyRecords(Array.from({length: count}, (_, index) => testServer({id: `server-${index}` as ServerId, port})), {source: control, now: performance.now()});
 	};
 }
 
@@ -93,7 +93,7 @@
 	const began = performance.now();
 	const result = await requestOnce(t, () => {
 		setTimeout(() => {
-			known?.suspects.take([{fingerprint, ends: ['a', 'b', 'c'].map(process => ({process, at: Date.now(), isCleared: false}))}], control);
+			known?.suspects.merge([{fingerprint, ends: ['a', 'b', 'c'].map(process => ({process, at: Date.now(), isCleared: false}))}], control);
 		}, 50);
 	}, {
 		route: testRoute({kind: 'unsafe', timeout: 8000, maximumAttempts: 1}),
--- a/packages/gateway/src/entry/request-suspicion.ts
+++ b/packages/gateway/src/entry/suspect-request.ts
@@ -1,10 +1,10 @@
 import {type Failure, failure, type RequestFingerprint} from '@valehitch/core';
-import {type FingerprintedRequest, fingerprintRequest, type SuspectStanding} from '@valehitch/routing';
+import {type FingerprintedRequest, fingerprintRequest, type SuspectStatus} from '@valehitch/routing';
 import {type ServerRecord} from '../servers/server-record.js';
 import {type EntrySuspects, type LossFinding} from './entry-suspects.js';
 
 /** Options of {@linkcode SuspectRequest}. */
-export type RequestSuspicionOptions = FingerprintedRequest & {
+export type SuspectRequestOptions = FingerprintedRequest & {
 	/** The id that the caller gave this attempt of the request. */
 	readonly id: string;
 };
@@ -18,12 +18,12 @@
 if (suspect.standing === 'quarantined') answer.refuse(suspect.refusal);
 ```
 */
-export class RequestSuspicion {
+export class SuspectRequest {
 	readonly #suspects: EntrySuspects;
-	readonly #options: RequestSuspicionOptions;
+	readonly #options: SuspectRequestOptions;
 	#fingerprint: RequestFingerprint | undefined;
 
-	constructor(suspects: EntrySuspects, options: RequestSuspicionOptions) {
+	constructor(suspects: EntrySuspects, options: SuspectRequestOptions) {
 		this.#suspects = suspects;
 		this.#options = options;
 	}
@@ -35,7 +35,7 @@
 	}
 
 	/** The standing of the request, based on the server processes that ended during it. */
-	get standing(): SuspectStanding {
+	get standing(): SuspectStatus {
 		return this.#suspects.book.isEmpty ? 'unknown' : this.#suspects.standing(this.fingerprint);
 	}
 
@@ -51,14 +51,14 @@
 	@param server The server.
 	@returns The state of the server.
 	*/
-	async noteLoss(server: ServerRecord): Promise<LossFinding> {
-		return this.#suspects.noteLoss({fingerprint: this.fingerprint, request: this.#options.id, server});
+	async recordLoss(server: ServerRecord): Promise<LossFinding> {
+		return this.#suspects.recordLoss({fingerprint: this.fingerprint, request: this.#options.id, server});
 	}
 
 	/** Records that a server answered the request completely. */
-	noteAnswered(): void {
+	recordAnswered(): void {
 		if (!this.#suspects.book.isEmpty) {
-			this.#suspects.noteAnswered(this.fingerprint);
+			this.#suspects.recordAnswered(this.fingerprint);
 		}
 	}
 
--- a/packages/gateway/src/entry/held-server.ts
+++ b/packages/gateway/src/entry/tracked-server.ts
@@ -1,12 +1,12 @@
 import {setMaxListeners} from 'node:events';
 import {type ServerView} from '@valehitch/routing';
-import {compareStarts} from '../servers/compare-starts.js';
+import {compareStartTimes} from '../servers/compare-start-times.js';
 import {type ServerRecord, type ServerState} from '../servers/server-record.js';
 
 /** The load that a send puts on its server. */
 export type SendLoad = {
 	/** Reduces the load to that of a request whose answer has started, since the server has processed the prompt and only generates from now on. */
-	readonly answerBegins: () => void;
+	readonly markAnswerStarted: () => void;
 	/** Removes the load. */
 	readonly end: () => void;
 	/** Aborted when the process that received the request is known to have ended. */
@@ -17,7 +17,7 @@
 export type ProcessState = ServerState | 'replaced' | 'unknown';
 
 /** What an entry instance knows about a server apart from its own requests in flight. */
-export type ServerSurroundings = {
+export type ServerConditions = {
 	/** Milliseconds on the monotonic clock. */
 	readonly now: number;
 	/** The load of the other entry instances at the server. */
@@ -25,16 +25,16 @@
 	/** Whether all responding control instances report it as silent. */
 	readonly isSilent: boolean;
 	/** Whether its zone appears to be partitioned from this one. */
-	readonly isBehindCut: boolean;
+	readonly isZoneUnreachable: boolean;
 	readonly isEjected: boolean;
 };
 
 /** Options of {@linkcode TrackedServer}. */
-export type HeldServerOptions = {
+export type TrackedServerOptions = {
 	/** Milliseconds on the monotonic clock. */
 	readonly now: number;
 	/** Called with each change of the load, in units of a short request. */
-	readonly onWork: (change: number) => void;
+	readonly onLoadChange: (change: number) => void;
 };
 
 /** The load of a request whose answer has started, in units of a short request. An engine generates the answers of a batch in parallel, but processes prompts one at a time. */
@@ -44,8 +44,8 @@
 const warmMilliseconds = 30_000;
 
 /** The load of a send to a server that is no longer known; it has no effect. */
-export const unknownLoad: SendLoad = {
-	answerBegins() {
+export const noOpLoad: SendLoad = {
+	markAnswerStarted() {
 		// Nothing was counted.
 	},
 	end() {
@@ -66,28 +66,28 @@
 load.end();
 ```
 */
-export class HeldServer {
+export class TrackedServer {
 	record: ServerRecord;
 	readonly addedAt: number;
 	/** When a control instance last reported it or its end was last recorded, in milliseconds on the monotonic clock. */
-	toldAt: number;
+	reportedAt: number;
 	/** When data was last received from it, in milliseconds on the monotonic clock; 0 if none was received yet. */
 	heardAt = 0;
 	/** The end of the backoff before which no requests are sent to it, in milliseconds on the monotonic clock. */
-	avoidUntil = 0;
+	backoffUntil = 0;
 	/** Whether the process has announced that it is draining. */
-	isLeaving = false;
+	wasDraining = false;
 	/** The number of consecutive connection failures. */
-	unreachable = 0;
-	readonly #onWork: HeldServerOptions['onWork'];
+	connectionFailures = 0;
+	readonly #onWork: TrackedServerOptions['onLoadChange'];
 	readonly #processEnd = new AbortController();
 	#inFlight = 0;
 	#load = 0;
 
-	constructor(record: ServerRecord, {now, onWork}: HeldServerOptions) {
+	constructor(record: ServerRecord, {now, onLoadChange: onWork}: TrackedServerOptions) {
 		this.record = record;
 		this.addedAt = now;
-		this.toldAt = now;
+		this.reportedAt = now;
 		this.#onWork = onWork;
 		// Each send in progress adds a listener; hundreds at a time are normal.
 		setMaxListeners(0, this.#processEnd.signal);
@@ -104,7 +104,7 @@
 	}
 
 	/** The load of the requests in flight, in units of a short request. */
-	get work(): number {
+	get load(): number {
 		return this.#load;
 	}
 
@@ -114,11 +114,11 @@
 	@param work The load of the request until its answer starts, in units of a short request.
 	@returns The load of the send, to be reduced as the request progresses.
 	*/
-	begin(work: number): SendLoad {
+	beginSend(work: number): SendLoad {
 		this.#adjust(1, work);
 		let remaining = work;
 		return {
-			answerBegins: () => {
+			markAnswerStarted: () => {
 				const reduction = Math.max(0, remaining - streamingLoad);
 				remaining -= reduction;
 				this.#adjust(0, -reduction);
@@ -137,11 +137,11 @@
 	@returns The state; a process that drained before it ended remains `draining`.
 	*/
 	stateOf(server: ServerRecord): ProcessState {
-		if (compareStarts(this.record, server) > 0) {
+		if (compareStartTimes(this.record, server) > 0) {
 			return 'replaced';
 		}
 
-		if (this.isLeaving) {
+		if (this.wasDraining) {
 			return 'draining';
 		}
 
@@ -154,18 +154,18 @@
 	@param conditions What else is known about the server.
 	@returns The view.
 	*/
-	view({now, othersLoad, isSilent, isBehindCut, isEjected}: ServerSurroundings): ServerView {
+	view({now, othersLoad, isSilent, isZoneUnreachable: isBehindCut, isEjected}: ServerConditions): ServerView {
 		const {id, zone, slots, service} = this.record;
 		return {
 			id,
 			zone,
 			capacity: Math.max(1, slots),
-			reportedActive: othersLoad,
-			ownAtReport: 0,
+			reportedInFlight: othersLoad,
+			ownInFlightAtReport: 0,
 			reportAge: 0,
 			ownInFlight: this.#load,
 			draining: false,
-			expired: isSilent || this.avoidUntil > now || isBehindCut,
+			expired: isSilent || this.backoffUntil > now || isBehindCut,
 			ejected: isEjected,
 			// These servers warm up within milliseconds, so a slow start would only unbalance the load.
 			uptime: Math.max(warmMilliseconds, now - this.addedAt),
@@ -178,13 +178,13 @@
 
 	@param now Milliseconds on the monotonic clock.
 	*/
-	noteEnd(now: number): void {
+	markEnded(now: number): void {
 		this.record = {...this.record, state: 'gone'};
-		this.toldAt = now;
+		this.reportedAt = now;
 	}
 
 	/** Aborts all sends in progress, because the process has ended. If its machine lost power, the connections themselves do not report this. */
-	endProcess(): void {
+	abortSends(): void {
 		this.#processEnd.abort();
 	}
 
--- a/packages/gateway/src/entry/version-pins.ts
+++ b/packages/gateway/src/entry/version-pins.ts
@@ -38,7 +38,7 @@
 	@param now Milliseconds on the monotonic clock.
 	@returns The version; undefined if the session is unknown or has ended.
 	*/
-	of(session: string, now: number): VersionId | undefined {
+	versionOf(session: string, now: number): VersionId | undefined {
 		const pin = this.#pins.get(session);
 		return pin !== undefined && now - pin.at < this.#options.sessionMilliseconds ? pin.version : undefined;
 	}
@@ -50,7 +50,7 @@
 	@param version The version that the request runs on.
 	@param now Milliseconds on the monotonic clock.
 	*/
-	note(session: string, version: VersionId, now: number): void {
+	pin(session: string, version: VersionId, now: number): void {
 		this.#pins.delete(session);
 		this.#pins.set(session, {version, at: now});
 		const oldest = this.#pins.keys().next();
--- a/packages/gateway/src/logs/create-decision-log.ts
+++ b/packages/gateway/src/logs/create-decision-log.ts
@@ -3,10 +3,10 @@
 import bunyan from 'bunyan';
 import {type BoundedOutput} from './bounded-output.js';
 import {type DecisionLog} from './decision-log.js';
-import {LineBudget, type LineBudgetOptions} from './line-budget.js';
+import {LogRateLimiter, type LogRateLimiterOptions} from './log-rate-limiter.js';
 
 /** Options of a decision log. */
-export type CreateDecisionLogOptions = LineBudgetOptions & {
+export type CreateDecisionLogOptions = LogRateLimiterOptions & {
 	readonly clock: Clock;
 	readonly output: BoundedOutput;
 	/** The fields of every line, such as the instance and its availability zone. */
@@ -26,15 +26,15 @@
 */
 export function createDecisionLog(name: string, {clock, output, fields, ...rateLimiterOptions}: CreateDecisionLogOptions): DecisionLog {
 	const logger = bunyan.createLogger({name, ...fields, streams: [{level: 'info', stream: toStream(output)}]});
-	const rateLimiter = new LineBudget(rateLimiterOptions);
+	const rateLimiter = new LogRateLimiter(rateLimiterOptions);
 	return (kind, values, level = 'info') => {
-		for (const suppressed of rateLimiter.renew(clock.monotonic())) {
+		for (const suppressed of rateLimiter.startWindow(clock.monotonic())) {
 			logger.warn({
 				kind: 'lines-left-out', of: suppressed.kind, count: suppressed.count, dropped: output.dropped(),
 			}, 'lines-left-out');
 		}
 
-		if (rateLimiter.take(kind, {isUrgent: level !== 'info'})) {
+		if (rateLimiter.tryAcquire(kind, {isUrgent: level !== 'info'})) {
 			logger[level]({kind, ...values}, kind);
 		}
 
--- a/packages/gateway/src/logs/line-budget.ts
+++ b/packages/gateway/src/logs/log-rate-limiter.ts
@@ -1,5 +1,5 @@
 /** Options of a log rate limiter. */
-export type LineBudgetOptions = {
+export type LogRateLimiterOptions = {
 	/** The number of lines of each kind per second. Defaults to 20, which keeps all kinds together below 100 KB per second. */
 	readonly linesPerSecond?: number;
 	/** The number of additional lines of each kind per second for failures and slow requests. Defaults to 40. */
@@ -7,7 +7,7 @@
 };
 
 /** A kind of line, and the number of its lines that were suppressed. */
-export type LeftOut = {
+export type SuppressedLines = {
 	readonly kind: string;
 	readonly count: number;
 };
@@ -28,13 +28,13 @@
 if (rateLimiter.tryAcquire('request-ended', {isUrgent: false})) write();
 ```
 */
-export class LineBudget {
+export class LogRateLimiter {
 	readonly #lines: number;
 	readonly #urgentLines: number;
 	readonly #usage = new Map<string, Usage>();
 	#windowStartedAt = 0;
 
-	constructor({linesPerSecond = 20, urgentLinesPerSecond = 40}: LineBudgetOptions = {}) {
+	constructor({linesPerSecond = 20, urgentLinesPerSecond = 40}: LogRateLimiterOptions = {}) {
 		this.#lines = linesPerSecond;
 		this.#urgentLines = linesPerSecond + urgentLinesPerSecond;
 	}
@@ -46,7 +46,7 @@
 	@param options Whether the line concerns a failure or a slow request.
 	@returns Whether the line may be written.
 	*/
-	take(kind: string, {isUrgent}: {readonly isUrgent: boolean}): boolean {
+	tryAcquire(kind: string, {isUrgent}: {readonly isUrgent: boolean}): boolean {
 		const usage = this.#usage.get(kind) ?? {allowed: 0, suppressed: 0};
 		this.#usage.set(kind, usage);
 		if (usage.allowed >= (isUrgent ? this.#urgentLines : this.#lines)) {
@@ -64,13 +64,13 @@
 	@param now The current time in milliseconds on the monotonic clock.
 	@returns The lines suppressed in the previous window; empty if no new window was started.
 	*/
-	renew(now: number): readonly LeftOut[] {
+	startWindow(now: number): readonly SuppressedLines[] {
 		if (now - this.#windowStartedAt < windowMilliseconds) {
 			return [];
 		}
 
 		this.#windowStartedAt = now;
-		const suppressed: LeftOut[] = [];
+		const suppressed: SuppressedLines[] = [];
 		for (const [kind, usage] of this.#usage) {
 			if (usage.suppressed > 0) {
 				suppressed.push({kind, count: usage.suppressed});
--- a/packages/gateway/src/rollouts/choose-side.ts
+++ b/packages/gateway/src/rollouts/assign-cohort.ts
@@ -1,17 +1,17 @@
 import {type VersionId} from '@valehitch/core';
 import {prefixHash} from '@valehitch/routing';
-import {type RunningRollout} from './rollout.js';
+import {type RolloutWithAge} from './rollout.js';
 
 /** The servers to which a request may be sent: those of the target version, those of any other version, or all. */
-export type RolloutSide = 'target' | 'others' | 'any';
+export type RolloutCohort = 'target' | 'others' | 'any';
 
 /** The inputs that determine the cohort of a request. */
-export type ChooseSideOptions = {
+export type AssignCohortOptions = {
 	/** The session of the request, or the request itself if it has no session. */
-	readonly subject: string;
+	readonly hashKey: string;
 	readonly hasSession: boolean;
 	/** The version that last served the session, if known. */
-	readonly pinned: VersionId | undefined;
+	readonly pinnedVersion: VersionId | undefined;
 	/** The share of requests that the target receives during the canary stage. */
 	readonly canaryShare: number;
 };
@@ -36,7 +36,7 @@
 assignCohort(rollout, {hashKey: 'crew-7', hasSession: true, pinnedVersion: undefined, canaryShare: 0.1});
 ```
 */
-export function chooseSide({target, duration, stage, age}: RunningRollout, {subject, hasSession, pinned, canaryShare}: ChooseSideOptions): RolloutSide {
+export function assignCohort({target, duration, stage, age}: RolloutWithAge, {hashKey: subject, hasSession, pinnedVersion: pinned, canaryShare}: AssignCohortOptions): RolloutCohort {
 	if (stage === 'rolled-back') {
 		return 'others';
 	}
--- a/packages/gateway/src/rollouts/evidence-delta.ts
+++ b/packages/gateway/src/rollouts/evidence-delta.ts
@@ -23,7 +23,7 @@
 	@param now The current time in milliseconds on the monotonic clock.
 	@returns The counters to send.
 	*/
-	next(evidence: readonly VersionEvidence[], now: number): readonly VersionEvidence[] {
+	takeChanged(evidence: readonly VersionEvidence[], now: number): readonly VersionEvidence[] {
 		if (now - this.#lastFullAt >= fullResendMilliseconds) {
 			this.#lastFullAt = now;
 			this.#sent = new Map();
--- a/packages/gateway/src/rollouts/evidence-table.test.ts
+++ b/packages/gateway/src/rollouts/evidence-table.test.ts
@@ -5,8 +5,8 @@
 
 test('repeated or delayed counters change nothing, and each run of an entry instance has its own counters', t => {
 	const table = new EvidenceTable();
-	table.take([{...counter, answers: 5}]);
-	table.take([counter, {...counter, run: 'two'}]);
-	t.deepEqual(table.of(counter.service).map(({answers}) => answers), [5, 3]);
-	t.deepEqual(table.of('other' as ServiceId), []);
+	table.merge([{...counter, answers: 5}]);
+	table.merge([counter, {...counter, run: 'two'}]);
+	t.deepEqual(table.forService(counter.service).map(({answers}) => answers), [5, 3]);
+	t.deepEqual(table.forService('other' as ServiceId), []);
 });
--- a/packages/gateway/src/rollouts/evidence-table.ts
+++ b/packages/gateway/src/rollouts/evidence-table.ts
@@ -27,7 +27,7 @@
 
 	@param evidence The counters.
 	*/
-	take(evidence: readonly VersionEvidence[]): void {
+	merge(evidence: readonly VersionEvidence[]): void {
 		for (const counter of evidence) {
 			const key = evidenceKey(counter);
 			const known = this.#counters.get(key);
@@ -51,7 +51,7 @@
 	@param service The service.
 	@returns The counters.
 	*/
-	of(service: ServiceId): readonly VersionEvidence[] {
+	forService(service: ServiceId): readonly VersionEvidence[] {
 		return this.all.filter(counter => counter.service === service);
 	}
 }
--- a/packages/gateway/src/rollouts/known-rollouts.ts
+++ b/packages/gateway/src/rollouts/known-rollouts.ts
@@ -1,6 +1,6 @@
 import {type Clock, type ServiceId} from '@valehitch/core';
 import {type DecisionLog} from '../logs/decision-log.js';
-import {isEnded, type RunningRollout} from './rollout.js';
+import {isEnded, type RolloutWithAge} from './rollout.js';
 
 /** Options of the known rollouts. */
 export type KnownRolloutsOptions = {
@@ -9,13 +9,13 @@
 };
 
 /** The rollouts in a reply of a control instance. */
-export type ToldRollouts = {
-	readonly rollouts: readonly RunningRollout[];
+export type ReceivedRollouts = {
+	readonly rollouts: readonly RolloutWithAge[];
 	readonly rolloutDigest: string;
 };
 
 /** The times that belong to a reply of a control instance. */
-export type ToldAt = {
+export type ReceivedRolloutTimes = {
 	/** When the state of the control instance was last confirmed to be current, in milliseconds on the local monotonic clock, or `undefined` if unknown. */
 	readonly confirmedAt: number | undefined;
 	/** The current time in milliseconds on the local monotonic clock. */
@@ -35,7 +35,7 @@
 export class KnownRollouts {
 	readonly #options: KnownRolloutsOptions;
 	/** Each `age` holds the negated time of the order on the local clock. */
-	#rollouts: readonly RunningRollout[] = [];
+	#rollouts: readonly RolloutWithAge[] = [];
 	#confirmedAt = 0;
 	#digest = '';
 
@@ -59,7 +59,7 @@
 	@param received The rollouts.
 	@param times The times of the reply.
 	*/
-	take({rollouts, rolloutDigest}: ToldRollouts, {confirmedAt, now}: ToldAt): void {
+	update({rollouts, rolloutDigest}: ReceivedRollouts, {confirmedAt, now}: ReceivedRolloutTimes): void {
 		if (confirmedAt === undefined || confirmedAt < this.#confirmedAt) {
 			return;
 		}
@@ -79,12 +79,12 @@
 	@param service The service.
 	@returns The rollout with its current age, or `undefined` if there has been none.
 	*/
-	of(service: ServiceId): RunningRollout | undefined {
+	forService(service: ServiceId): RolloutWithAge | undefined {
 		const rollout = this.#rollouts.find(other => other.service === service);
 		return rollout && {...rollout, age: rollout.age + this.#options.clock.monotonic()};
 	}
 
-	#logAll(rollouts: readonly RunningRollout[]): void {
+	#logAll(rollouts: readonly RolloutWithAge[]): void {
 		for (const {service, target, stage, age} of rollouts) {
 			this.#options.log('rollout-advanced', {
 				service, target, stage, age: Math.round(age),
--- a/packages/gateway/src/rollouts/judge-rollout.ts
+++ b/packages/gateway/src/rollouts/next-rollout-stage.ts
@@ -2,7 +2,7 @@
 import {type VersionEvidence} from './version-evidence.js';
 
 /** The inputs for the evaluation of a rollout. */
-export type JudgeRolloutOptions = {
+export type NextRolloutStageOptions = {
 	/** The counters of all entry instances for the service since the rollout was ordered. */
 	readonly evidence: readonly VersionEvidence[];
 	/** Milliseconds since the order. */
@@ -41,7 +41,7 @@
 nextRolloutStage(rollout, {evidence, age: 9000});
 ```
 */
-export function judgeRollout(rollout: Rollout, {evidence, age}: JudgeRolloutOptions): RolloutStage | undefined {
+export function nextRolloutStage(rollout: Rollout, {evidence, age}: NextRolloutStageOptions): RolloutStage | undefined {
 	const {target, duration, stage} = rollout;
 	if (hasRegressed(evidence, target)) {
 		return 'rolled-back';
--- a/packages/gateway/src/rollouts/rollout.ts
+++ b/packages/gateway/src/rollouts/rollout.ts
@@ -15,7 +15,7 @@
 };
 
 /** A rollout with the time since it was ordered. */
-export type RunningRollout = Rollout & {
+export type RolloutWithAge = Rollout & {
 	/** The time since the order was committed, in milliseconds on the clock of the instance that reports it. */
 	readonly age: number;
 };
--- a/packages/gateway/src/servers/compare-starts.ts
+++ b/packages/gateway/src/servers/compare-start-times.ts
@@ -13,6 +13,6 @@
 compareStartTimes({...record, startedAt: 2000}, {...record, startedAt: 1000}); // positive
 ```
 */
-export function compareStarts(one: Pick<ServerRecord, 'startedAt'>, other: Pick<ServerRecord, 'startedAt'>): number {
+export function compareStartTimes(one: Pick<ServerRecord, 'startedAt'>, other: Pick<ServerRecord, 'startedAt'>): number {
 	return (one.startedAt ?? 0) - (other.startedAt ?? 0);
 }
--- a/packages/gateway/src/servers/has-replaced.ts
+++ b/packages/gateway/src/servers/has-replaced.ts
@@ -1,4 +1,4 @@
-import {compareStarts} from './compare-starts.js';
+import {compareStartTimes} from './compare-start-times.js';
 import {type ServerRecord} from './server-record.js';
 
 /**
@@ -17,5 +17,5 @@
 export function hasReplaced(server: ServerRecord, other: ServerRecord): boolean {
 	// Records without a start time cannot be ordered.
 	const isOrdered = server.startedAt !== undefined && other.startedAt !== undefined;
-	return isOrdered && server.host === other.host && server.port === other.port && compareStarts(server, other) > 0;
+	return isOrdered && server.host === other.host && server.port === other.port && compareStartTimes(server, other) > 0;
 }
--- a/packages/gateway/src/servers/is-graver.ts
+++ b/packages/gateway/src/servers/is-later-state.ts
@@ -13,6 +13,6 @@
 isLaterState('gone', 'draining'); // true
 ```
 */
-export function isGraver(one: ServerState, other: ServerState): boolean {
+export function isLaterState(one: ServerState, other: ServerState): boolean {
 	return ranks[one] > ranks[other];
 }
--- a/packages/gateway/src/servers/merge-server-record.ts
+++ b/packages/gateway/src/servers/merge-server-record.ts
@@ -1,5 +1,5 @@
-import {compareStarts} from './compare-starts.js';
-import {isGraver} from './is-graver.js';
+import {compareStartTimes} from './compare-start-times.js';
+import {isLaterState} from './is-later-state.js';
 import {type ServerRecord} from './server-record.js';
 
 /**
@@ -14,12 +14,12 @@
 ```
 */
 export function mergeServerRecord(current: ServerRecord, received: ServerRecord): ServerRecord {
-	const order = compareStarts(received, current);
+	const order = compareStartTimes(received, current);
 	if (order !== 0) {
 		return order > 0 ? received : current;
 	}
 
 	const newer = received.sequence >= current.sequence ? received : current;
-	const state = isGraver(received.state, current.state) ? received.state : current.state;
+	const state = isLaterState(received.state, current.state) ? received.state : current.state;
 	return {...newer, state};
 }
--- a/packages/gateway/src/servers/saved-list.test.ts
+++ b/packages/gateway/src/servers/saved-list.test.ts
@@ -3,12 +3,12 @@
 import test from 'ava';
 import {Left, Right} from 'purify-ts';
 import * as z from 'zod';
-import {saveList, type SaveListOptions} from './saved-list.js';
+import {createSavedList, type SavedListOptions} from './saved-list.js';
 
 /** Creates a saved list of numbers that is stored in the given file. */
-function openNumberList(file: SaveListOptions<number>['file']) {
+function openNumberList(file: SavedListOptions<number>['file']) {
 	const lines: string[] = [];
-	const saved = saveList({
+	const saved = createSavedList({
 		list: 'numbers',
 		file,
 		log(kind, {reason}) {
--- a/packages/gateway/src/servers/saved-list.ts
+++ b/packages/gateway/src/servers/saved-list.ts
@@ -1,5 +1,5 @@
 import {Buffer} from 'node:buffer';
-import {type SmallFile} from '@valehitch/storage';
+import {type AtomicFile} from '@valehitch/storage';
 import * as z from 'zod';
 import {type DecisionLog} from '../logs/decision-log.js';
 
@@ -12,10 +12,10 @@
 };
 
 /** Options of a saved list. */
-export type SaveListOptions<Item> = {
+export type SavedListOptions<Item> = {
 	/** The name of the list in log lines. */
 	readonly list: string;
-	readonly file: Pick<SmallFile, 'read' | 'replace'>;
+	readonly file: Pick<AtomicFile, 'read' | 'replace'>;
 	readonly log: DecisionLog;
 	readonly schema: z.ZodType<Item>;
 };
@@ -30,7 +30,7 @@
 const saved = createSavedList({list: 'servers', file: new SmallFile('data/servers.json'), log, schema: serverRecordSchema});
 ```
 */
-export function saveList<Item>({list, file, log, schema}: SaveListOptions<Item>): SavedList<Item> {
+export function createSavedList<Item>({list, file, log, schema}: SavedListOptions<Item>): SavedList<Item> {
 	const reportUnreadable = (reason: string): readonly Item[] => {
 		log('list-not-restored', {list, reason}, 'warn');
 		return [];
--- a/packages/gateway/src/servers/server-directory.test.ts
+++ b/packages/gateway/src/servers/server-directory.test.ts
@@ -12,7 +12,7 @@
 	t.deepEqual(directory.announce(testServer({sequence: 6}), now), []);
 	t.deepEqual(directory.announce(testServer({sequence: 2}), now), []);
 	t.is(directory.records[0]?.state, 'draining');
-	t.is(directory.remove(testServer().id, now)?.state, 'gone');
+	t.is(directory.markEnded(testServer().id, now)?.state, 'gone');
 	t.deepEqual(directory.announce(testServer({state: 'draining', sequence: 7}), now), []);
 	t.is(directory.records[0]?.state, 'gone');
 });
@@ -30,7 +30,7 @@
 });
 
 test('a silent server is marked, restored by its next announcement, and removed after the retention time', t => {
-	const directory = new ServerDirectory({silentMilliseconds: 6000, forgetMilliseconds: 20_000});
+	const directory = new ServerDirectory({silentMilliseconds: 6000, retentionMilliseconds: 20_000});
 	directory.announce(testServer(), now);
 	t.deepEqual(directory.sweep(now + 5999), []);
 	t.is(directory.sweep(now + 6000).length, 1);
@@ -43,7 +43,7 @@
 	const directory = new ServerDirectory({silentMilliseconds: 6000});
 	directory.announce(testServer({startedAt: 1000, sequence: 80}), now);
 	directory.announce(testServer({startedAt: 1000, sequence: 81, state: 'draining'}), now);
-	directory.remove(testServer().id, now);
+	directory.markEnded(testServer().id, now);
 	t.like(directory.announce(testServer({startedAt: 2000, sequence: 1}), now + 5000)[0], {state: 'ready', isSilent: false});
 	// Its own heartbeats keep it from becoming silent although the previous process had a higher sequence number.
 	directory.announce(testServer({startedAt: 2000, sequence: 2}), now + 9000);
@@ -70,10 +70,10 @@
 });
 
 test('the stop of a server is kept longer than an instance that missed it keeps the server', t => {
-	const directory = new ServerDirectory({silentMilliseconds: 6000, forgetMilliseconds: 20_000});
+	const directory = new ServerDirectory({silentMilliseconds: 6000, retentionMilliseconds: 20_000});
 	directory.announce(testServer(), now);
-	directory.remove(testServer().id, now + 1000);
-	directory.remove('server-2' as ServerId, now + 1000);
+	directory.markEnded(testServer().id, now + 1000);
+	directory.markEnded('server-2' as ServerId, now + 1000);
 	directory.sweep(now + 25_000);
 	directory.announce(testServer({sequence: 2}), now + 25_000);
 	directory.announce(testServer({id: 'server-2' as ServerId}), now + 25_000);
@@ -91,7 +91,7 @@
 test('a stopped server does not become silent', t => {
 	const directory = new ServerDirectory({silentMilliseconds: 6000});
 	directory.announce(testServer(), now);
-	directory.remove(testServer().id, now);
+	directory.markEnded(testServer().id, now);
 	t.deepEqual(directory.sweep(now + 7000), []);
 });
 
@@ -101,8 +101,8 @@
 	const announced = testServer({id: 'server-3' as ServerId});
 	directory.restore([testServer(), listed, announced], {now, graceMilliseconds: 2400});
 	directory.announce({...announced, sequence: 2}, now);
-	t.deepEqual(directory.doubtRestored([listed]).map(({id}) => id), [testServer().id]);
+	t.deepEqual(directory.silenceUnconfirmed([listed]).map(({id}) => id), [testServer().id]);
 	t.deepEqual(directory.records.map(({isSilent}) => isSilent), [true, false, false]);
 	t.like(directory.announce(testServer({sequence: 2}), now + 100)[0], {isSilent: false});
-	t.deepEqual(directory.doubtRestored([listed]), []);
+	t.deepEqual(directory.silenceUnconfirmed([listed]), []);
 });
--- a/packages/gateway/src/servers/server-directory.ts
+++ b/packages/gateway/src/servers/server-directory.ts
@@ -1,5 +1,5 @@
 import {type ServerId} from '@valehitch/core';
-import {compareStarts} from './compare-starts.js';
+import {compareStartTimes} from './compare-start-times.js';
 import {hasReplaced} from './has-replaced.js';
 import {mergeServerRecord} from './merge-server-record.js';
 import {type ServerRecord} from './server-record.js';
@@ -9,7 +9,7 @@
 	/** The time without an announcement after which a server is considered silent, in milliseconds. */
 	readonly silentMilliseconds: number;
 	/** The time without an announcement after which a server is removed, in milliseconds; a stopped server is removed after twice this time. Defaults to 180,000. */
-	readonly forgetMilliseconds?: number;
+	readonly retentionMilliseconds?: number;
 };
 
 type DirectoryEntry = {
@@ -29,7 +29,7 @@
 };
 
 /** How long a control instance keeps a server that no longer announces itself, in milliseconds. */
-export const defaultForgetMilliseconds = 180_000;
+export const defaultRetentionMilliseconds = 180_000;
 
 /**
 The backend servers that have announced themselves to any control instance. Changes are numbered, so that readers can request only those after a cursor.
@@ -51,8 +51,8 @@
 	#changeCount = 0;
 
 	constructor(options: ServerDirectoryOptions) {
-		this.#options = {forgetMilliseconds: defaultForgetMilliseconds, ...options};
-		this.#endedRetentionMilliseconds = 2 * this.#options.forgetMilliseconds;
+		this.#options = {retentionMilliseconds: defaultRetentionMilliseconds, ...options};
+		this.#endedRetentionMilliseconds = 2 * this.#options.retentionMilliseconds;
 	}
 
 	/** The number of the last change. */
@@ -78,7 +78,7 @@
 			return this.#addProcess({...record, state: this.#endedUnknown.has(record.id) ? 'gone' : record.state}, now);
 		}
 
-		const order = compareStarts(record, entry.record);
+		const order = compareStartTimes(record, entry.record);
 		if (order > 0) {
 			return this.#addProcess(record, now);
 		}
@@ -105,7 +105,7 @@
 	@param listed The records of the other instance.
 	@returns The records that were marked silent.
 	*/
-	doubtRestored(listed: readonly ServerRecord[]): readonly ServerRecord[] {
+	silenceUnconfirmed(listed: readonly ServerRecord[]): readonly ServerRecord[] {
 		const ids = new Set(listed.map(({id}) => id));
 		const unconfirmed: ServerRecord[] = [];
 		for (const [id, entry] of this.#servers) {
@@ -124,7 +124,7 @@
 	@param now The current time in milliseconds on the monotonic clock.
 	@returns The record if it changed.
 	*/
-	remove(server: ServerId, now: number): ServerRecord | undefined {
+	markEnded(server: ServerId, now: number): ServerRecord | undefined {
 		const entry = this.#servers.get(server);
 		if (entry === undefined) {
 			this.#endedUnknown.set(server, now);
@@ -145,7 +145,7 @@
 	@returns The records that were marked silent.
 	*/
 	sweep(now: number): readonly ServerRecord[] {
-		const {silentMilliseconds, forgetMilliseconds} = this.#options;
+		const {silentMilliseconds, retentionMilliseconds: forgetMilliseconds} = this.#options;
 		const silenced: ServerRecord[] = [];
 		for (const [id, at] of this.#endedUnknown) {
 			if (now - at >= this.#endedRetentionMilliseconds) {
--- a/packages/membership/src/configuration-relay.test.ts
+++ b/packages/membership/src/configuration-relay.test.ts
@@ -158,7 +158,7 @@
 
 		this.#renewLeaders();
 		if (this.now < this.#leaderUntil) {
-			const answer = this.#tracker.look({revision: toRevision(this.#committed), now: this.#clock(this.#leader), zones});
+			const answer = this.#tracker.check({revision: toRevision(this.#committed), now: this.#clock(this.#leader), zones});
 			this.confirmedCount += answer.complete ? 1 : 0;
 		}
 
@@ -203,15 +203,15 @@
 	#exchange({child: childIndex, parent, requestDelay, responseDelay, lost, adopts}: Step & {type: 'exchange'}): void {
 		const childRelay = this.#relay(childIndex);
 		const sentAt = this.#clock(childIndex);
-		const request = childRelay.question(sentAt, toId<InstanceId>(`node-${parent}`));
+		const request = childRelay.createRequest(sentAt, toId<InstanceId>(`node-${parent}`));
 		this.#send(requestDelay, () => {
 			this.#renewLeaders();
-			const grant = this.#relay(parent).answer(request, this.#clock(parent));
+			const grant = this.#relay(parent).grantLease(request, this.#clock(parent));
 			const parentRevision = this.#relay(parent).revision;
 			if (!lost && grant !== undefined) {
 				this.#send(responseDelay, () => {
 					this.#receive(childIndex, {
-						childRelay, question: request, sentAt, grant, parentRevision: adopts ? parentRevision : toRevision(0), releaseDelay: requestDelay,
+						childRelay, request: request, sentAt, grant, parentRevision: adopts ? parentRevision : toRevision(0), releaseDelay: requestDelay,
 					});
 				});
 			}
@@ -223,13 +223,13 @@
 		if (this.#relay(child) === childRelay) {
 			const previousRevision = childRelay.revision;
 			childRelay.adopt(toRevision(parentRevision));
-			childRelay.take(response);
-			for (const [former, release] of childRelay.takeReleases()) {
+			childRelay.acceptGrant(response);
+			for (const [former, release] of childRelay.drainReleases()) {
 				this.#send(releaseDelay, () => {
 					const relay = this.#relay(indexOf(former));
-					const confirmedBefore = JSON.stringify(relay.confirmed(this.#clock(indexOf(former))));
-					relay.release(release);
-					this.releasedCount += JSON.stringify(relay.confirmed(this.#clock(indexOf(former)))) === confirmedBefore ? 0 : 1;
+					const confirmedBefore = JSON.stringify(relay.minimumRevisions(this.#clock(indexOf(former))));
+					relay.releaseChild(release);
+					this.releasedCount += JSON.stringify(relay.minimumRevisions(this.#clock(indexOf(former)))) === confirmedBefore ? 0 : 1;
 				});
 			}
 
@@ -308,14 +308,14 @@
 	leader.renewAsLeader({revision: toRevision(1), validUntil: 1}, 0);
 	const child = createRelay('child');
 	child.adopt(toRevision(1));
-	const request = child.question(5000, toId<InstanceId>('leader'));
-	const grant = leader.answer(request, 20)!;
+	const request = child.createRequest(5000, toId<InstanceId>('leader'));
+	const grant = leader.grantLease(request, 20)!;
 	t.is(grant.remainingMilliseconds, 80);
-	t.true(child.take({question: request, sentAt: 5000, grant}));
+	t.true(child.acceptGrant({request: request, sentAt: 5000, grant}));
 	t.true(child.isLeaseValid(5079));
 	t.false(child.isLeaseValid(5080));
-	child.question(5010, toId<InstanceId>('leader'));
-	t.false(child.take({question: request, sentAt: 5000, grant}));
+	child.createRequest(5010, toId<InstanceId>('leader'));
+	t.false(child.acceptGrant({request: request, sentAt: 5000, grant}));
 });
 
 const createRelayAt = (name: string, revision: number): ConfigurationRelay => {
@@ -329,19 +329,19 @@
 type LeaseRequestOptions = {readonly parent: ConfigurationRelay; readonly name: string; readonly at: number};
 
 /** Requests a lease from a parent, puts its revision in force and accepts the grant. Returns the resulting releases. */
-function requestLease(child: ConfigurationRelay, {parent, name, at}: LeaseRequestOptions): ReturnType<ConfigurationRelay['takeReleases']> {
-	const request = child.question(at, toId<InstanceId>(name));
-	const grant = parent.answer(request, at);
+function requestLease(child: ConfigurationRelay, {parent, name, at}: LeaseRequestOptions): ReturnType<ConfigurationRelay['drainReleases']> {
+	const request = child.createRequest(at, toId<InstanceId>(name));
+	const grant = parent.grantLease(request, at);
 	if (grant !== undefined) {
 		child.adopt(grant.revision);
-		child.take({question: request, sentAt: at, grant});
+		child.acceptGrant({request: request, sentAt: at, grant});
 	}
 
-	return child.takeReleases();
+	return child.drainReleases();
 }
 
 function lowestRevision(relay: ConfigurationRelay, now: number): number {
-	return Math.min(...relay.confirmed(now).map(({revision}) => revision));
+	return Math.min(...relay.minimumRevisions(now).map(({revision}) => revision));
 }
 
 test('a former parent stops tracking a moved child once the new parent covers it, but tracks one that sent a later request', t => {
@@ -353,10 +353,10 @@
 	t.is(release?.[0], toId<InstanceId>('former'));
 	former.adopt(toRevision(2));
 	t.is(lowestRevision(former, 3), 1);
-	former.release(release![1]);
+	former.releaseChild(release![1]);
 	t.is(lowestRevision(former, 3), 2);
 	requestLease(child, {parent: former, name: 'former', at: 4});
-	former.release(release![1]);
+	former.releaseChild(release![1]);
 	t.is(lowestRevision(former, 5), 1);
 });
 
@@ -386,12 +386,12 @@
 	});
 	requestLease(child, {parent: leader, name: 'leader', at: 0});
 	t.true(child.isLeaseValid(10));
-	const request = child.question(11, toId<InstanceId>('leader'));
-	const grant = leader.answer(request, 11)!;
+	const request = child.createRequest(11, toId<InstanceId>('leader'));
+	const grant = leader.grantLease(request, 11)!;
 	lastWakeTime = 12;
 	t.false(child.isLeaseValid(12));
-	t.is(child.answer(createRelayAt('below', 1).question(13, toId<InstanceId>('child')), 13), undefined);
-	t.false(child.take({question: request, sentAt: 11, grant}));
+	t.is(child.grantLease(createRelayAt('below', 1).createRequest(13, toId<InstanceId>('child')), 13), undefined);
+	t.false(child.acceptGrant({request: request, sentAt: 11, grant}));
 	requestLease(child, {parent: leader, name: 'leader', at: 14});
 	t.true(child.isLeaseValid(15));
 });
--- a/packages/membership/src/configuration-relay.ts
+++ b/packages/membership/src/configuration-relay.ts
@@ -1,22 +1,22 @@
 import {
-	type InstanceId, type Revision, type SuspensionWatch, toRevision, type ZoneId,
+	type InstanceId, type Revision, type SuspensionDetector, toRevision, type ZoneId,
 } from '@valehitch/core';
 
 /** The lowest revision under which any valid lease of a zone may still run. */
-export type ZoneMinimum = {
+export type ZoneRevision = {
 	readonly zone: ZoneId;
 	readonly revision: Revision;
 };
 
 /** A request to a parent for a configuration lease. */
-export type LeaseQuestion = {
+export type LeaseRequest = {
 	readonly instance: InstanceId;
 	/** Distinguishes different starts of an instance. */
 	readonly incarnation: number;
 	/** The request number within one start. Responses to earlier requests are ignored. */
 	readonly number: number;
 	/** The lowest revision by zone, over the requester and all instances to which it granted leases. */
-	readonly confirmed: readonly ZoneMinimum[];
+	readonly confirmed: readonly ZoneRevision[];
 };
 
 /** Informs a former parent that it need no longer track the leases it granted. */
@@ -37,14 +37,14 @@
 
 /** A lease request and the grant that a parent returned. */
 export type LeaseResponse = {
-	readonly question: LeaseQuestion;
+	readonly request: LeaseRequest;
 	/** When the request was sent, on the monotonic clock. */
 	readonly sentAt: number;
 	readonly grant: LeaseGrant;
 };
 
 /** The current lease of the leader, which allows it to grant leases. */
-export type LeaderView = {
+export type LeaderLease = {
 	/** The newest committed revision. */
 	readonly revision: Revision;
 	/** When the leader's own lease expires, on the monotonic clock. */
@@ -59,11 +59,11 @@
 	/** The duration of a lease that the leader grants. */
 	readonly leaseMilliseconds: number;
 	/** Detects suspensions of the machine, during which the monotonic clock stands still but leases expire. */
-	readonly suspension: Pick<SuspensionWatch, 'lastWake'>;
+	readonly suspension: Pick<SuspensionDetector, 'lastWake'>;
 };
 
 type OutstandingLease = {
-	readonly revisions: readonly ZoneMinimum[];
+	readonly revisions: readonly ZoneRevision[];
 	/** The number of the last answered request. */
 	readonly number: number;
 	/** When the last lease granted to the child expires, on the monotonic clock. */
@@ -151,12 +151,12 @@
 	@param parent The parent.
 	@returns The request.
 	*/
-	question(now: number, parent: InstanceId): LeaseQuestion {
+	createRequest(now: number, parent: InstanceId): LeaseRequest {
 		const {instance, incarnation} = this.#options;
 		this.#askedParents.add(parent);
 		this.#parent = parent;
 		return {
-			instance, incarnation, number: ++this.#lastRequestNumber, confirmed: this.confirmed(now),
+			instance, incarnation, number: ++this.#lastRequestNumber, confirmed: this.minimumRevisions(now),
 		};
 	}
 
@@ -167,7 +167,7 @@
 	@param now The monotonic time.
 	@returns The grant, or undefined if the instance's own lease has expired.
 	*/
-	answer(request: LeaseQuestion, now: number): LeaseGrant | undefined {
+	grantLease(request: LeaseRequest, now: number): LeaseGrant | undefined {
 		const key = leaseKey(request);
 		const {validUntil} = this;
 		const expiresAt = Math.max(validUntil, this.#outstanding.get(key)?.expiresAt ?? Number.NEGATIVE_INFINITY);
@@ -185,7 +185,7 @@
 
 	@param release The child's release.
 	*/
-	release(release: LeaseRelease): void {
+	releaseChild(release: LeaseRelease): void {
 		const key = leaseKey(release);
 		const outstanding = this.#outstanding.get(key);
 		if (outstanding !== undefined && outstanding.number <= release.number) {
@@ -199,7 +199,7 @@
 	@param response The request, when it was sent on the monotonic clock, and the grant.
 	@returns Whether the lease was accepted. It is rejected if the request is not the latest one, if it was sent before the machine was last suspended, or if the granted revision is not in force on this instance yet.
 	*/
-	take({question: request, sentAt, grant}: LeaseResponse): boolean {
+	acceptGrant({request: request, sentAt, grant}: LeaseResponse): boolean {
 		const isStale = request.number !== this.#lastRequestNumber || sentAt < this.#options.suspension.lastWake();
 		if (isStale || grant.revision > this.#revision) {
 			return false;
@@ -219,7 +219,7 @@
 
 	@returns Pairs of a former parent and the release to send to it.
 	*/
-	takeReleases(): Array<readonly [InstanceId, LeaseRelease]> {
+	drainReleases(): Array<readonly [InstanceId, LeaseRelease]> {
 		return this.#releases.splice(0);
 	}
 
@@ -230,7 +230,7 @@
 	@param now The monotonic time.
 	@returns Whether the lease was renewed. It is not renewed if the leader's lease has expired or its revision is not in force on this instance yet.
 	*/
-	renewAsLeader(leader: LeaderView, now: number): boolean {
+	renewAsLeader(leader: LeaderLease, now: number): boolean {
 		if (now >= leader.validUntil || leader.revision > this.#revision) {
 			return false;
 		}
@@ -245,7 +245,7 @@
 	@param now The monotonic time.
 	@returns One entry for each zone, including the instance's own.
 	*/
-	confirmed(now: number): ZoneMinimum[] {
+	minimumRevisions(now: number): ZoneRevision[] {
 		const lowest = new Map<ZoneId, Revision>([[this.#options.zone, this.#revision]]);
 		for (const [key, {revisions, expiresAt}] of this.#outstanding) {
 			if (now >= expiresAt) {
@@ -277,6 +277,6 @@
 	}
 }
 
-function leaseKey({instance, incarnation}: Pick<LeaseQuestion, 'instance' | 'incarnation'>): string {
+function leaseKey({instance, incarnation}: Pick<LeaseRequest, 'instance' | 'incarnation'>): string {
 	return `${instance}/${incarnation}`;
 }
--- a/packages/membership/src/digest-link.ts
+++ b/packages/membership/src/digest-exchange.ts
@@ -1,7 +1,7 @@
 import {type Digest} from './digest.js';
 
 /** A message with the changes of one side of an exchange. */
-export type DigestPart<Item> = {
+export type DigestMessage<Item> = {
 	/** Distinguishes different starts of the sender. */
 	readonly incarnation: number;
 	/** The sender's change number after which the records begin. */
@@ -16,7 +16,7 @@
 };
 
 /** Options of `DigestExchange`. */
-export type DigestLinkOptions<Item> = {
+export type DigestExchangeOptions<Item> = {
 	readonly digest: Digest<Item>;
 	readonly incarnation: number;
 	/** The name of the peer. */
@@ -35,30 +35,30 @@
 exchange.receive(reply);
 ```
 */
-export class DigestLink<Item> {
-	readonly #options: DigestLinkOptions<Item>;
+export class DigestExchange<Item> {
+	readonly #options: DigestExchangeOptions<Item>;
 	#receivedUpTo: readonly [incarnation: number, change: number] = [0, 0];
 	/** The change number up to which the peer has received this side's changes. Undefined while unknown. */
 	#peerChange: number | undefined;
 
-	constructor(options: DigestLinkOptions<Item>) {
+	constructor(options: DigestExchangeOptions<Item>) {
 		this.#options = options;
 	}
 
 	/** Whether the peer has received all changes. */
-	get isSettled(): boolean {
+	get isSynchronized(): boolean {
 		return this.#peerChange === this.#options.digest.change;
 	}
 
 	/** Creates the next message to the peer. */
-	outgoing(): DigestPart<Item> {
+	createMessage(): DigestMessage<Item> {
 		const {digest, incarnation} = this.#options;
 		const peerChange = this.#peerChange;
 		return {
 			incarnation,
 			since: peerChange ?? 0,
 			change: digest.change,
-			records: peerChange === undefined ? [] : digest.since(peerChange, {except: this.#source(this.#receivedUpTo[0])}),
+			records: peerChange === undefined ? [] : digest.changesSince(peerChange, {except: this.#source(this.#receivedUpTo[0])}),
 			held: this.#receivedUpTo,
 			...(peerChange === undefined && {hash: digest.hash}),
 		};
@@ -70,7 +70,7 @@
 	@param message The message.
 	@returns The keys of the records that changed.
 	*/
-	incoming(message: DigestPart<Item>): string[] {
+	receive(message: DigestMessage<Item>): string[] {
 		const {digest, incarnation} = this.#options;
 		const hasEqualRecords = message.hash !== undefined && message.hash === digest.hash;
 		const [heldIncarnation, heldChange] = message.held;
@@ -92,7 +92,7 @@
 	}
 
 	/** Returns the change number up to which the sender's changes are held after a message. Does not advance across a gap, such as after a restart of this side. */
-	#receivedAfter(message: DigestPart<Item>, hasEqualRecords: boolean): number {
+	#receivedAfter(message: DigestMessage<Item>, hasEqualRecords: boolean): number {
 		const previous = this.#receivedUpTo[0] === message.incarnation ? this.#receivedUpTo[1] : 0;
 		const [heldIncarnation] = message.held;
 		// The sender omits records that came from an earlier start of this side, although this start does not have them.
--- a/packages/membership/src/digest.test.ts
+++ b/packages/membership/src/digest.test.ts
@@ -4,7 +4,7 @@
 	type Announcement, type InstanceId, type ServerId, toId, type ZoneId,
 } from '@valehitch/core';
 import {Digest} from './digest.js';
-import {DigestLink} from './digest-link.js';
+import {DigestExchange} from './digest-exchange.js';
 import {joinMembers, type MemberRecord} from './member-record.js';
 import {joinServers, type ServerRecord, serverState} from './server-record.js';
 
@@ -91,16 +91,16 @@
 ), {minLength: 20, maxLength: 80});
 
 class Node {
-	readonly digest = new Digest<number>({join: (known, next) => Math.max(next, known), print: String});
-	readonly links = new Map<number, DigestLink<number>>();
+	readonly digest = new Digest<number>({join: (known, next) => Math.max(next, known), serialize: String});
+	readonly links = new Map<number, DigestExchange<number>>();
 	readonly incarnation: number;
 
 	constructor(incarnation: number) {
 		this.incarnation = incarnation;
 	}
 
-	link(peer: number): DigestLink<number> {
-		const link = this.links.get(peer) ?? new DigestLink({digest: this.digest, incarnation: this.incarnation, peer: `node-${peer}`});
+	link(peer: number): DigestExchange<number> {
+		const link = this.links.get(peer) ?? new DigestExchange({digest: this.digest, incarnation: this.incarnation, peer: `node-${peer}`});
 		this.links.set(peer, link);
 		return link;
 	}
@@ -112,15 +112,15 @@
 		const allNodes = Array.from({length: nodes}, () => new Node(incarnation++));
 		const node = (index: number): Node => allNodes[index]!;
 		const exchange = (child: number, parent: number, loss: string): void => {
-			const request = node(child).link(parent).outgoing();
+			const request = node(child).link(parent).createMessage();
 			if (loss === 'request') {
 				return;
 			}
 
-			node(parent).link(child).incoming(request);
-			const response = node(parent).link(child).outgoing();
+			node(parent).link(child).receive(request);
+			const response = node(parent).link(child).createMessage();
 			if (loss !== 'response') {
-				node(child).link(parent).incoming(response);
+				node(child).link(parent).receive(response);
 			}
 		};
 
@@ -152,6 +152,6 @@
 			t.is(digest.hash, node(0).digest.hash);
 		}
 
-		t.deepEqual(node(1).link(0).outgoing().records, []);
+		t.deepEqual(node(1).link(0).createMessage().records, []);
 	}), {seed, numRuns: 1000});
 });
--- a/packages/membership/src/digest.ts
+++ b/packages/membership/src/digest.ts
@@ -1,4 +1,4 @@
-import {hashRange, hashText} from './zone-tree.js';
+import {hashRange, hashString} from './zone-tree.js';
 
 /** Joins two records with the same key. Must be commutative, associative and idempotent, and must return `known` itself if `next` adds nothing. */
 export type Join<Item> = (known: Item, next: Item) => Item;
@@ -7,7 +7,7 @@
 export type DigestOptions<Item> = {
 	readonly join: Join<Item>;
 	/** Serializes a record. Different records must give different strings. */
-	readonly print: (item: Item) => string;
+	readonly serialize: (item: Item) => string;
 };
 
 type StoredRecord<Item> = {
@@ -62,7 +62,7 @@
 			return false;
 		}
 
-		const hash = hashText(`${key}=${this.#options.print(joined)}`);
+		const hash = hashString(`${key}=${this.#options.serialize(joined)}`);
 		this.#hash = (this.#hash + hashRange + hash - (existing?.hash ?? 0)) % hashRange;
 		// Deleting first moves the entry to the end, so that the map is ordered by change number.
 		this.#records.delete(key);
@@ -77,7 +77,7 @@
 
 	@param key The record's key.
 	*/
-	forget(key: string): void {
+	delete(key: string): void {
 		this.#hash = (this.#hash + hashRange - (this.#records.get(key)?.hash ?? 0)) % hashRange;
 		this.#records.delete(key);
 	}
@@ -101,7 +101,7 @@
 	@param options `except`: a source whose records are omitted, since it already has them.
 	@returns The records with their keys.
 	*/
-	since(change: number, options: {readonly except?: string} = {}): Array<[string, Item]> {
+	changesSince(change: number, options: {readonly except?: string} = {}): Array<[string, Item]> {
 		if (change >= this.#change) {
 			return [];
 		}
--- a/packages/membership/src/failure-detector.test.ts
+++ b/packages/membership/src/failure-detector.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import {type InstanceId, toId} from '@valehitch/core';
-import {FailureDetector, type Verdict} from './failure-detector.js';
+import {FailureDetector, type DetectedFailure} from './failure-detector.js';
 
 const instance = toId<InstanceId>('entry-a');
 
@@ -8,8 +8,8 @@
 	return new FailureDetector({suspectMilliseconds: 100, lostMilliseconds: 50, otherZoneFactor: 6});
 }
 
-function check(detector: FailureDetector, now: number, watched: {readonly sequence?: number; readonly sameZone?: boolean} = {}): ReadonlyArray<Verdict['state']> {
-	return detector.judge([{
+function check(detector: FailureDetector, now: number, watched: {readonly sequence?: number; readonly sameZone?: boolean} = {}): ReadonlyArray<DetectedFailure['state']> {
+	return detector.check([{
 		instance, sequence: 1, sameZone: true, ...watched,
 	}], now).map(({state}) => state);
 }
@@ -27,7 +27,7 @@
 	const detector = createDetector();
 	check(detector, 0);
 	t.deepEqual(check(detector, 100), ['suspect']);
-	detector.heard(instance, 120);
+	detector.recordMessage(instance, 120);
 	t.deepEqual(check(detector, 160), []);
 	t.deepEqual(check(detector, 220), ['suspect']);
 	t.deepEqual(check(detector, 270, {sequence: 2}), []);
--- a/packages/membership/src/failure-detector.ts
+++ b/packages/membership/src/failure-detector.ts
@@ -11,7 +11,7 @@
 };
 
 /** An instance to monitor. */
-export type Watched = {
+export type MonitoredInstance = {
 	readonly instance: InstanceId;
 	/** The sequence number of the instance's record. A higher one refutes a suspicion. */
 	readonly sequence: number;
@@ -19,7 +19,7 @@
 };
 
 /** A failure that the detector found. */
-export type Verdict = {
+export type DetectedFailure = {
 	readonly instance: InstanceId;
 	readonly state: 'suspect' | 'lost';
 };
@@ -56,7 +56,7 @@
 	@param instance The instance.
 	@param now The monotonic time.
 	*/
-	heard(instance: InstanceId, now: number): void {
+	recordMessage(instance: InstanceId, now: number): void {
 		const status = this.#statuses.get(instance);
 		if (status !== undefined) {
 			status.lastMessageAt = now;
@@ -71,7 +71,7 @@
 	@param now The monotonic time.
 	@returns The failures found by this call.
 	*/
-	judge(instances: readonly Watched[], now: number): Verdict[] {
+	check(instances: readonly MonitoredInstance[], now: number): DetectedFailure[] {
 		const monitored = new Set(instances.map(({instance}) => instance));
 		for (const instance of this.#statuses.keys()) {
 			if (!monitored.has(instance)) {
@@ -79,7 +79,7 @@
 			}
 		}
 
-		const failures: Verdict[] = [];
+		const failures: DetectedFailure[] = [];
 		for (const monitoredInstance of instances) {
 			const state = this.#checkInstance(monitoredInstance, now);
 			if (state !== undefined) {
@@ -90,7 +90,7 @@
 		return failures;
 	}
 
-	#checkInstance({instance, sequence, sameZone}: Watched, now: number): Verdict['state'] | undefined {
+	#checkInstance({instance, sequence, sameZone}: MonitoredInstance, now: number): DetectedFailure['state'] | undefined {
 		const {suspectMilliseconds, lostMilliseconds, otherZoneFactor = defaultOtherZoneFactor} = this.#options;
 		const status = this.#statuses.get(instance);
 		if (status === undefined || status.sequence < sequence) {
--- a/packages/membership/src/in-force-tracker.ts
+++ b/packages/membership/src/in-force-tracker.ts
@@ -2,7 +2,7 @@
 import {type ConfigurationRelay} from './configuration-relay.js';
 
 /** Whether a revision is in force everywhere, and the zones where it may not be. */
-export type InForceAnswer = {
+export type InForceStatus = {
 	readonly complete: boolean;
 	/** The zones with a lease that may still run under an earlier revision. */
 	readonly waitingFor: readonly ZoneId[];
@@ -46,7 +46,7 @@
 	@param options The revision, the monotonic time, and all known zones.
 	@returns Whether the revision is in force, and the zones that are still missing.
 	*/
-	look({revision, now, zones}: {readonly revision: Revision; readonly now: number; readonly zones: readonly ZoneId[]}): InForceAnswer {
+	check({revision, now, zones}: {readonly revision: Revision; readonly now: number; readonly zones: readonly ZoneId[]}): InForceStatus {
 		if (revision <= this.#inForce) {
 			return {complete: true, waitingFor: []};
 		}
@@ -56,7 +56,7 @@
 			return {complete: false, waitingFor: zones};
 		}
 
-		const waitingFor = relay.confirmed(now).filter(confirmed => confirmed.revision < revision).map(({zone}) => zone);
+		const waitingFor = relay.minimumRevisions(now).filter(confirmed => confirmed.revision < revision).map(({zone}) => zone);
 		if (waitingFor.length === 0) {
 			this.#inForce = revision;
 		}
--- a/packages/membership/src/may-serve.ts
+++ b/packages/membership/src/may-serve.ts
@@ -1,12 +1,12 @@
 /** What an instance may serve after its configuration lease has expired. */
-export type IsolatedServing = 'settled' | 'all' | 'none';
+export type IsolationMode = 'settled' | 'all' | 'none';
 
 /** The inputs of `mayServe`. */
 export type MayServeOptions = {
 	/** Whether the instance's configuration lease is valid. */
 	readonly leaseValid: boolean;
 	/** The setting `isolation.serve`. */
-	readonly serve: IsolatedServing;
+	readonly serve: IsolationMode;
 	/** The state of the version in the last known configuration, or `plain-service` for a call to a plain service. */
 	readonly versionState: 'settled' | 'rolling-out' | 'stopped' | 'withdrawn' | 'plain-service';
 };
--- a/packages/membership/src/member-record.ts
+++ b/packages/membership/src/member-record.ts
@@ -41,7 +41,7 @@
 	const order = next.startedAt - known.startedAt
 		|| next.sequence - known.sequence
 		|| memberStateOrder[next.state] - memberStateOrder[known.state]
-		|| compareTexts(JSON.stringify(next), JSON.stringify(known));
+		|| compareStrings(JSON.stringify(next), JSON.stringify(known));
 	return order > 0 ? next : known;
 }
 
@@ -56,7 +56,7 @@
 compareStrings('a', 'b'); // -1
 ```
 */
-export function compareTexts(left: string, right: string): number {
+export function compareStrings(left: string, right: string): number {
 	if (left === right) {
 		return 0;
 	}
--- a/packages/membership/src/mod.ts
+++ b/packages/membership/src/mod.ts
@@ -5,7 +5,7 @@
 */
 export * from './configuration-relay.js';
 export * from './digest.js';
-export * from './digest-link.js';
+export * from './digest-exchange.js';
 export * from './failure-detector.js';
 export * from './in-force-tracker.js';
 export * from './load-record.js';
--- a/packages/membership/src/parent-candidates.ts
+++ b/packages/membership/src/parent-candidates.ts
@@ -1,6 +1,6 @@
 import {type InstanceId, type ZoneId} from '@valehitch/core';
 import {type MemberRecord} from './member-record.js';
-import {ancestorsInTree, defaultFanOut, hashText} from './zone-tree.js';
+import {ancestorsInTree, defaultFanOut, hashString} from './zone-tree.js';
 
 /** An instance with the control role, as listed in the settings. */
 export type ControlSeed = {
@@ -62,7 +62,7 @@
 	};
 
 	// Control instances at equal distance are ordered differently on each instance, so that not all request from the same one at startup.
-	const preference = ({instance}: ControlSeed): number => hashText(`${self.instance}/${instance}`);
+	const preference = ({instance}: ControlSeed): number => hashString(`${self.instance}/${instance}`);
 	return seeds
 		.toSorted((left, right) => distance(left) - distance(right) || preference(left) - preference(right))
 		.map(({instance}) => instance);
@@ -72,7 +72,7 @@
 	const roots = new Map<ZoneId, MemberRecord>();
 	for (const member of usable) {
 		const known = roots.get(member.zone);
-		if (member.zone !== self.zone && (known === undefined || hashText(member.instance) < hashText(known.instance))) {
+		if (member.zone !== self.zone && (known === undefined || hashString(member.instance) < hashString(known.instance))) {
 			roots.set(member.zone, member);
 		}
 	}
--- a/packages/membership/src/server-record.ts
+++ b/packages/membership/src/server-record.ts
@@ -1,5 +1,5 @@
 import {type Announcement, type InstanceId} from '@valehitch/core';
-import {compareTexts} from './member-record.js';
+import {compareStrings} from './member-record.js';
 
 /** The state of a backend server: accepting work, shutting down, or considered lost. */
 export type ServerState = 'joined' | 'draining' | 'lost';
@@ -68,14 +68,14 @@
 hasSignificantChange(known, {...known, holder}); // true
 ```
 */
-export function saysMore(known: ServerRecord, next: ServerRecord): boolean {
+export function hasSignificantChange(known: ServerRecord, next: ServerRecord): boolean {
 	return serializeSignificant(known) !== serializeSignificant(next);
 }
 
 function compareRecords(left: ServerRecord, right: ServerRecord): number {
 	return left.announcement.sequence - right.announcement.sequence
 		|| Number(left.lost) - Number(right.lost)
-		|| compareTexts(serializeWith(left, {shuttingDown: false}), serializeWith(right, {shuttingDown: false}));
+		|| compareStrings(serializeWith(left, {shuttingDown: false}), serializeWith(right, {shuttingDown: false}));
 }
 
 function serializeSignificant(record: ServerRecord): string {
@@ -84,6 +84,6 @@
 
 function serializeWith(record: ServerRecord, overrides: Partial<Announcement>): string {
 	const {announcement} = record;
-	const fields = Object.entries({...announcement, ...overrides}).toSorted(([left], [right]) => compareTexts(left, right));
+	const fields = Object.entries({...announcement, ...overrides}).toSorted(([left], [right]) => compareStrings(left, right));
 	return JSON.stringify([record.holder, record.lost, fields]);
 }
--- a/packages/membership/src/server-table.ts
+++ b/packages/membership/src/server-table.ts
@@ -58,13 +58,13 @@
 	@param announcement The announcement.
 	@returns Whether the table changed.
 	*/
-	take(announcement: Announcement): boolean {
+	announce(announcement: Announcement): boolean {
 		const known = this.#servers.get(announcement.server);
 		if (known !== undefined && !isLater(announcement, known.announcement)) {
 			return false;
 		}
 
-		return this.put({announcement, holder: this.#instance, lost: false});
+		return this.merge({announcement, holder: this.#instance, lost: false});
 	}
 
 	/**
@@ -73,7 +73,7 @@
 	@param record The record.
 	@returns Whether the table changed.
 	*/
-	put(record: ServerRecord): boolean {
+	merge(record: ServerRecord): boolean {
 		const {announcement: {server}} = record;
 		const known = this.#servers.get(server);
 		const previous = known === undefined ? undefined : toRecord(known);
@@ -102,7 +102,7 @@
 	@param server The server.
 	@returns The record, or undefined if the server is not known.
 	*/
-	record(server: ServerId): ServerRecord | undefined {
+	getRecord(server: ServerId): ServerRecord | undefined {
 		const known = this.#servers.get(server);
 		return known === undefined ? undefined : toRecord(known);
 	}
@@ -142,18 +142,18 @@
 
 	@param server The server.
 	*/
-	forget(server: ServerId): void {
+	delete(server: ServerId): void {
 		this.#servers.delete(server);
 	}
 
 	/** Returns the servers that are not lost, including those shutting down. A server whose renewals stopped is omitted until it is announced again if this instance is its holder or its holder is lost. */
-	current(): KnownServer[] {
+	available(): KnownServer[] {
 		return [...this.#servers.values()].filter(known => known.state !== 'lost' && !this.#isOrphaned(known));
 	}
 
 	/** Checks whether any engine that accepts work has the version loaded. */
 	isServed(model: ModelId, version: VersionId): boolean {
-		return this.current().some(server => serves(server, model, version));
+		return this.available().some(server => serves(server, model, version));
 	}
 
 	/**
@@ -164,7 +164,7 @@
 	@returns The engine, or undefined if there is none.
 	*/
 	chooseEngine(target: {readonly model: ModelId; readonly version: VersionId}, excluded: ReadonlySet<ServerId>): KnownServer | undefined {
-		return this.#leastLoaded(this.current().filter(server => serves(server, target.model, target.version)), excluded);
+		return this.#leastLoaded(this.available().filter(server => serves(server, target.model, target.version)), excluded);
 	}
 
 	/**
@@ -175,7 +175,7 @@
 	@returns The instance, or undefined if there is none.
 	*/
 	chooseService(service: ServiceId, excluded: ReadonlySet<ServerId>): KnownServer | undefined {
-		return this.#leastLoaded(this.current().filter(({announcement, state}) => announcement.service === service && state === 'joined'), excluded);
+		return this.#leastLoaded(this.available().filter(({announcement, state}) => announcement.service === service && state === 'joined'), excluded);
 	}
 
 	#leastLoaded(servers: readonly KnownServer[], excluded: ReadonlySet<ServerId>): KnownServer | undefined {
--- a/packages/membership/src/zone-tree.ts
+++ b/packages/membership/src/zone-tree.ts
@@ -28,7 +28,7 @@
 */
 export function ancestorsInTree({instances, self, fanOut = defaultFanOut}: ZoneTreeOptions): InstanceId[] {
 	const ordered = [...new Set([...instances, self])]
-		.map(instance => ({instance, hash: hashText(instance)}))
+		.map(instance => ({instance, hash: hashString(instance)}))
 		.toSorted((left, right) => left.hash - right.hash || (left.instance < right.instance ? -1 : 1));
 	const ancestors: InstanceId[] = [];
 	let index = ordered.findIndex(({instance}) => instance === self);
@@ -60,7 +60,7 @@
 hashString('entry-a');
 ```
 */
-export function hashText(text: string): number {
+export function hashString(text: string): number {
 	let hash = hashSeed;
 	for (const character of text) {
 		hash = Math.imul(hash + (character.codePointAt(0) ?? 0), hashMultiplier);
--- a/packages/platform/src/decode-configuration.ts
+++ b/packages/platform/src/decode-configuration.ts
@@ -64,7 +64,7 @@
 ```
 */
 export function decodeConfiguration(document: string): Either<Failure, RoutingConfiguration> {
-	return parseJsonBody({bytes: new TextEncoder().encode(document), schema: configurationSchema}, {misfitKind: 'invalid-configuration'})
+	return parseJsonBody({bytes: new TextEncoder().encode(document), schema: configurationSchema}, {schemaMismatchKind: 'invalid-configuration'})
 		.chain(values => toConfiguration(values));
 }
 
--- a/packages/platform/src/handle-control.ts
+++ b/packages/platform/src/handle-control.ts
@@ -1,7 +1,7 @@
 import {Buffer} from 'node:buffer';
 import {type IncomingMessage, type ServerResponse} from 'node:http';
 import {
-	errorAnswers, type Failure, failure, type RequestFingerprint, type ServiceId, toId, type VersionId,
+	errorResponses, type Failure, failure, type RequestFingerprint, type ServiceId, toId, type VersionId,
 } from '@valehitch/core';
 import {type ControlInstance, type RolloutStage} from '@valehitch/gateway';
 import {parseJsonBody, readBody} from '@valehitch/transport';
@@ -42,7 +42,7 @@
 	const body = await readBody(request, maximumBodyBytes);
 	const answer = body.isLeft() ? Left(body.extract()) : await routeRequest(control, request, body.unsafeCoerce());
 	const {status, body: text} = answer.caseOf<Answer>({
-		Left: failed => ({status: errorAnswers[failed.kind].status, body: JSON.stringify({error: failed.kind, detail: failed.message})}),
+		Left: failed => ({status: errorResponses[failed.kind].status, body: JSON.stringify({error: failed.kind, detail: failed.message})}),
 		Right: value => value,
 	});
 	response.writeHead(status, {'Content-Type': 'application/json', 'Content-Length': Buffer.byteLength(text)});
--- a/packages/platform/src/mod.ts
+++ b/packages/platform/src/mod.ts
@@ -7,4 +7,4 @@
 export * from './decode-configuration.js';
 export * from './platform-dialect.js';
 export * from './platform-settings.js';
-export * from './wire-process.js';
+export * from './start-process.js';
--- a/packages/platform/src/platform-dialect.test.ts
+++ b/packages/platform/src/platform-dialect.test.ts
@@ -38,7 +38,7 @@
 
 test('a request is parsed into typed fields', t => {
 	t.like(platformDialect.readRequest(caller), {
-		id: 'a1', host: 'desk.example', path: '/lohu/2f', target: '/lohu/2f?a=1', key: 'secret', patience: 8000, choosesModel: true, promptParts: [
+		id: 'a1', host: 'desk.example', path: '/lohu/2f', target: '/lohu/2f?a=1', key: 'secret', timeout: 8000, choosesModel: true, promptParts: [
 			{id: '5c', tokens: 800},
 			{id: '91', tokens: 410},
 			{id: 'e4', tokens: 250},
@@ -49,7 +49,7 @@
 test('a server gets neither the API key nor the caller\'s values of reserved headers, and gets those of the gateway once', t => {
 	const request = platformDialect.readRequest(caller);
 	const sent = platformDialect.sendHeaders(request, {
-		server: 'i-7', model: 'small' as ModelId, patience: 7500, workspace: 'mills', urgency: 1, lastEventId: '12', keepsConnection: true,
+		server: 'i-7', model: 'small' as ModelId, timeout: 7500, workspace: 'mills', urgency: 1, lastEventId: '12', keepsConnection: true,
 	});
 	const names = sent.map(([name]) => name.toLowerCase()).toSorted();
 	t.deepEqual(names, [
@@ -76,14 +76,14 @@
 test('a request without a workspace has no tenant header, even if the caller sent one', t => {
 	const request = platformDialect.readRequest(caller);
 	const sent = platformDialect.sendHeaders(request, {
-		server: 'i-7', model: undefined, patience: 7500, workspace: undefined, urgency: undefined, lastEventId: undefined, keepsConnection: false,
+		server: 'i-7', model: undefined, timeout: 7500, workspace: undefined, urgency: undefined, lastEventId: undefined, keepsConnection: false,
 	});
 	t.false(sent.some(([name]) => ['tenant', 'hold', 'request-priority'].includes(name.toLowerCase())));
 });
 
 test('a request counts as not run only if the server states it', t => {
-	t.like(platformDialect.readAnswer(503, {'not-executed': '1'}), {isNotRun: true, isOtherServer: false} satisfies Partial<AnswerHead>);
-	t.like(platformDialect.readAnswer(421, {'instance-id': 'i-2'}), {isNotRun: true, isOtherServer: true} satisfies Partial<AnswerHead>);
+	t.like(platformDialect.readAnswer(503, {'not-executed': '1'}), {isNotRun: true, isFromOtherServer: false} satisfies Partial<AnswerHead>);
+	t.like(platformDialect.readAnswer(421, {'instance-id': 'i-2'}), {isNotRun: true, isFromOtherServer: true} satisfies Partial<AnswerHead>);
 	t.like(platformDialect.readAnswer(503, {}), {isNotRun: false});
 	t.like(platformDialect.readAnswer(200, {'response-signature': 's', confidence: '31', 'attempt-id': 'a1'}), {
 		isSigned: true, confidence: 31, requestId: 'a1', isEncoded: false,
--- a/packages/platform/src/platform-dialect.ts
+++ b/packages/platform/src/platform-dialect.ts
@@ -1,8 +1,8 @@
 import {Buffer} from 'node:buffer';
 import {type IncomingMessage} from 'node:http';
-import {errorAnswers, outcomeOf} from '@valehitch/core';
+import {errorResponses, outcomeOf} from '@valehitch/core';
 import {
-	type Dialect, type GatewayRequest, type Header, type PromptPart, type SendFacts,
+	type Dialect, type GatewayRequest, type Header, type PromptPart, type SendMetadata,
 } from '@valehitch/gateway';
 import {connectionHeaders, reservedHeaders, wireHeader} from './wire-header.js';
 
@@ -23,7 +23,7 @@
 			status,
 			requestId: firstValue(headers[wireHeader.requestId]),
 			isNotRun: headers[wireHeader.notRun] !== undefined || status === 421,
-			isOtherServer: status === 421,
+			isFromOtherServer: status === 421,
 			isSigned: headers[wireHeader.signature] !== undefined,
 			isEncoded: headers[wireHeader.encoding] !== undefined,
 			confidence: confidence === undefined ? undefined : Number(confidence),
@@ -31,7 +31,7 @@
 	},
 	answerHeaders: message => headerPairs(message).filter(([name]) => !connectionHeaders.has(name.toLowerCase())),
 	refuse(request, failed) {
-		const {title, status} = errorAnswers[failed.kind];
+		const {title, status} = errorResponses[failed.kind];
 		const body = JSON.stringify({
 			kind: failed.kind, title, detail: failed.message, outcome: outcomeOf(failed),
 		});
@@ -47,7 +47,7 @@
 function readRequest(message: IncomingMessage): GatewayRequest {
 	const {headers, url = '/', method = 'GET'} = message;
 	const key = bearerPattern.exec(headers.authorization ?? '')?.[1];
-	const timeout = firstValue(headers[wireHeader.patience]);
+	const timeout = firstValue(headers[wireHeader.timeout]);
 	const [input = '0', output = '0'] = (firstValue(headers[wireHeader.tokens]) ?? '').split(',');
 	return {
 		id: firstValue(headers[wireHeader.requestId]) ?? '',
@@ -57,7 +57,7 @@
 		host: (headers.host ?? '').replace(/:\d+$/v, ''),
 		headers: headerPairs(message).filter(([name]) => isForwarded(name.toLowerCase(), message)),
 		key,
-		patience: timeout === undefined ? undefined : Number(timeout),
+		timeout: timeout === undefined ? undefined : Number(timeout),
 		choosesModel: headers[wireHeader.model] === anyModel,
 		promptParts: parsePromptParts(firstValue(headers[wireHeader.promptParts])),
 		inputTokens: Number(input) || 0,
@@ -81,7 +81,7 @@
 	return new Set(value.toLowerCase().split(',').map(name => name.trim()));
 }
 
-function sendHeaders({headers}: GatewayRequest, {server, model, patience: timeout, workspace, urgency, lastEventId, keepsConnection}: SendFacts): readonly Header[] {
+function sendHeaders({headers}: GatewayRequest, {server, model, timeout: timeout, workspace, urgency, lastEventId, keepsConnection}: SendMetadata): readonly Header[] {
 	const gatewayHeaders: Array<readonly [name: string, value: string | undefined]> = [
 		['Deadline-Ms', String(timeout)],
 		['Expect-Instance', server],
--- a/packages/platform/src/platform-settings.test.ts
+++ b/packages/platform/src/platform-settings.test.ts
@@ -34,7 +34,7 @@
 			port: 7340,
 		}, seeds: ['10.1.0.43'], isFounding: true, dataFolder: undefined,
 	});
-	t.is(settings.grace, 8000);
+	t.is(settings.gracePeriod, 8000);
 });
 
 test('missing and invalid fields are reported with their location', t => {
--- a/packages/platform/src/platform-settings.ts
+++ b/packages/platform/src/platform-settings.ts
@@ -27,15 +27,15 @@
 	readonly isFounding: boolean;
 	readonly dataFolder: string | undefined;
 	/** The interval between announcements of a backend server, in milliseconds. */
-	readonly heartbeat: number;
+	readonly heartbeatInterval: number;
 	/** The maximum duration of a shutdown, in milliseconds. */
-	readonly grace: number;
+	readonly gracePeriod: number;
 	/** The time after which a revoked API key must no longer be accepted, in milliseconds. */
-	readonly revocation: number;
+	readonly revocationTimeout: number;
 	/** The maximum share of a service's requests that a canary version may receive. */
 	readonly canaryShare: number;
 	/** The retry budget over all instances, as a ratio of retries to requests. */
-	readonly retryShare: number;
+	readonly retryRatio: number;
 	/** The time window over which the retry budget applies, in milliseconds. */
 	readonly retryWindow: number;
 	/** The idle time after which a session ends, in milliseconds. */
@@ -98,11 +98,11 @@
 		seeds: seeds.map(seed => toId<InstanceId>(hostOf(seed))),
 		isFounding: bootstrap,
 		dataFolder: dataDir,
-		heartbeat: heartbeatMs,
-		grace: bounds.graceS * millisecondsPerSecond,
-		revocation: bounds.revokeMs,
+		heartbeatInterval: heartbeatMs,
+		gracePeriod: bounds.graceS * millisecondsPerSecond,
+		revocationTimeout: bounds.revokeMs,
 		canaryShare: bounds.canaryShare,
-		retryShare: bounds.retryBudgetRatio,
+		retryRatio: bounds.retryBudgetRatio,
 		retryWindow: bounds.retryWindowS * millisecondsPerSecond,
 		sessionTimeout: bounds.sessionS * millisecondsPerSecond,
 	};
--- a/packages/platform/src/run-program.ts
+++ b/packages/platform/src/run-program.ts
@@ -1,7 +1,7 @@
 import process from 'node:process';
 import {parseArgs} from 'node:util';
 import {SettingsFile} from './settings-file.js';
-import {startProcess} from './wire-process.js';
+import {startProcess} from './start-process.js';
 
 const failureExitCode = 1;
 const settingsVariable = 'VALEHITCH_CONFIG';
@@ -36,10 +36,10 @@
 	const {values: {'metrics-port': port}} = parseArgs({options: {'metrics-port': {type: 'string'}}});
 	const running = await startProcess(read.unsafeCoerce(), {metricsPort: port === undefined ? undefined : Number(port)});
 	reload = async () => {
-		const change = await file.readChange();
+		const change = await file.readIfChanged();
 		change.caseOf({
 			Left(problems) {
-				running.keepSettings(problems);
+				running.reportInvalidSettings(problems);
 			},
 			Right(next) {
 				if (next !== undefined) {
--- a/packages/platform/src/settings-file.ts
+++ b/packages/platform/src/settings-file.ts
@@ -42,7 +42,7 @@
 
 	@returns The settings, undefined if the file has not changed, or the problems of the file.
 	*/
-	async readChange(): Promise<Either<SettingsProblems, PlatformSettings | undefined>> {
+	async readIfChanged(): Promise<Either<SettingsProblems, PlatformSettings | undefined>> {
 		const text = await this.#readText();
 		return text.isRight() && text.extract() === this.#text ? Right(undefined) : this.read();
 	}
--- a/packages/platform/src/wire-process.ts
+++ b/packages/platform/src/start-process.ts
@@ -4,9 +4,9 @@
 import {type Clock, type InstanceId} from '@valehitch/core';
 import {
 	ControlInstance, createDecisionLog, createGatewayMetrics, type DecisionLog, EntryInstance, type GatewayMetrics,
-	type ListenAddress, openBoundedOutput, type PeerMessage, saveList, serverRecordSchema, suspectRecordSchema, type WatchReply,
+	type ListenAddress, openBoundedOutput, type PeerMessage, createSavedList, serverRecordSchema, suspectRecordSchema, type WatchReply,
 } from '@valehitch/gateway';
-import {openDataFolder, SmallFile} from '@valehitch/storage';
+import {openDataFolder, AtomicFile} from '@valehitch/storage';
 import {PeerNetwork, startHttpServer} from '@valehitch/transport';
 import {Right} from 'purify-ts';
 import {decodeConfiguration} from './decode-configuration.js';
@@ -20,7 +20,7 @@
 	/** Applies changed settings. */
 	readonly reload: (settings: PlatformSettings) => void;
 	/** Logs that changed settings are invalid; the process continues with the previous ones. */
-	readonly keepSettings: (problems: SettingsProblems) => void;
+	readonly reportInvalidSettings: (problems: SettingsProblems) => void;
 	/** Drains the requests in progress and shuts the process down. */
 	readonly stop: () => Promise<void>;
 };
@@ -100,7 +100,7 @@
 		pingMilliseconds,
 		onMessage: async (from, message) => handlePeerMessage(parts, from, message),
 		onRequest: async (from, message) => handlePeerMessage(parts, from, message),
-		onFailure(from, error) {
+		onHandlerError(from, error) {
 			log('peer-message-failed', {from, reason: error instanceof Error ? error.stack ?? error.message : String(error)}, 'error');
 		},
 	});
@@ -129,11 +129,11 @@
 			current = next;
 			log('settings-reloaded', {seeds: next.seeds});
 		},
-		keepSettings(problems) {
+		reportInvalidSettings(problems) {
 			log('settings-refused', {problems}, 'warn');
 		},
 		async stop() {
-			log('process-stopping', {grace: settings.grace});
+			log('process-stopping', {grace: settings.gracePeriod});
 			await Promise.all(stopParts.map(async stop => stop()));
 			metricsServer?.close();
 			await network.close();
@@ -155,7 +155,7 @@
 
 async function startControlPart(context: ProcessContext, listen: ListenAddress) {
 	const {settings, log, network} = context;
-	const {instance, isFounding, heartbeat: heartbeatInterval, dataFolder = 'data'} = settings();
+	const {instance, isFounding, heartbeatInterval: heartbeatInterval, dataFolder = 'data'} = settings();
 	const control = new ControlInstance({
 		...context,
 		self: instance,
@@ -167,11 +167,11 @@
 		heartbeatMilliseconds: heartbeatInterval,
 		// The platform starts only one process per data folder, and provides no reliable file locks.
 		openFolder: async () => openDataFolder(dataFolder, {lock: async () => Right(async () => undefined)}),
-		savedServers: saveList({
-			list: 'servers', file: new SmallFile(path.join(dataFolder, savedServersName)), log, schema: serverRecordSchema,
+		savedServers: createSavedList({
+			list: 'servers', file: new AtomicFile(path.join(dataFolder, savedServersName)), log, schema: serverRecordSchema,
 		}),
-		savedSuspects: saveList({
-			list: 'suspects', file: new SmallFile(path.join(dataFolder, savedSuspectsName)), log, schema: suspectRecordSchema,
+		savedSuspects: createSavedList({
+			list: 'suspects', file: new AtomicFile(path.join(dataFolder, savedSuspectsName)), log, schema: suspectRecordSchema,
 		}),
 		send(to, message) {
 			network.send(peerAddress(settings(), to), message);
@@ -198,7 +198,7 @@
 
 async function startEntryPart(context: ProcessContext, listen: ListenAddress) {
 	const {settings} = context;
-	const {instance, zone, revocation: revocationTimeout, canaryShare: canaryLimit, retryShare: retryRatio, retryWindow, sessionTimeout, grace: gracePeriod, readiness} = settings();
+	const {instance, zone, revocationTimeout: revocationTimeout, canaryShare: canaryLimit, retryRatio: retryRatio, retryWindow, sessionTimeout, gracePeriod: gracePeriod, readiness} = settings();
 	const entry = new EntryInstance({
 		...context,
 		self: instance,
@@ -207,7 +207,7 @@
 		clock,
 		random: Math.random,
 		dialect: platformDialect,
-		bounds: {canaryShare: usedCanaryShare * canaryLimit, leastConfidence: minimumConfidence},
+		bounds: {canaryShare: usedCanaryShare * canaryLimit, minimumConfidence: minimumConfidence},
 		leaseMilliseconds: Math.min(revocationTimeout - leaseMarginMilliseconds, leaseShare * revocationTimeout),
 		sessionMilliseconds: sessionTimeout,
 		retryShare: usedRetryShare * retryRatio,
--- a/packages/platform/src/wire-header.ts
+++ b/packages/platform/src/wire-header.ts
@@ -3,7 +3,7 @@
 	/** The id of one attempt of a caller; each retry has a new one. */
 	requestId: 'attempt-id',
 	/** The caller's remaining timeout in milliseconds; a duration in spite of its name. */
-	patience: 'deadline-ms',
+	timeout: 'deadline-ms',
 	/** The id of the backend server that should answer; not the id of an entry instance. */
 	expectedServer: 'expect-instance',
 	model: 'model',
@@ -32,7 +32,7 @@
 	wireHeader.workspace,
 	wireHeader.urgency,
 	wireHeader.authorization,
-	wireHeader.patience,
+	wireHeader.timeout,
 	wireHeader.lastEventId,
 	wireHeader.model,
 	'hold',
--- a/packages/policy/src/_bad-version-limit.ts
+++ b/packages/policy/src/_bad-version-limit.ts
@@ -1,12 +1,12 @@
 import {type EffectiveConfiguration, versionKey} from '@valehitch/core';
 import {type BadVersionSettings} from './bad-version-settings.js';
 import {ownProperty} from './_own-property.js';
-import {type QualityBook} from './quality-book.js';
+import {type QualityStore} from './quality-store.js';
 import {type QualityKey} from './quality-digest.js';
 
 /** The inputs of `badVersionLimit`. */
 export type BadVersionLimitOptions = {
-	readonly qualityStore: QualityBook;
+	readonly qualityStore: QualityStore;
 	readonly configuration: EffectiveConfiguration;
 	readonly settings: BadVersionSettings;
 	/** Unix time in milliseconds. */
@@ -45,12 +45,12 @@
 	const isFailure = key.measure === 'failure';
 	const value = isFailure ? priorFailureShare : priorQuality;
 	const baseline = qualityStore.estimate({...key, version: baselineVersion}, {prior: {value, confidence: boundConfidence}, now});
-	const isBaselineKnown = baseline.weight >= settings.knownWeight;
+	const isBaselineKnown = baseline.weight >= settings.minimumBaselineWeight;
 	if (!isBaselineKnown && baselineVersion === key.version) {
 		// A short history may consist of the regression itself, so the listed value is used instead.
-		return Math.min(maximumLimit, (isFailure ? value : 1 - value) + settings.coldTolerance);
+		return Math.min(maximumLimit, (isFailure ? value : 1 - value) + settings.coldStartTolerance);
 	}
 
 	const badness = isFailure ? baseline.upperBound : 1 - baseline.lowerBound;
-	return Math.min(maximumLimit, badness + (isBaselineKnown ? settings.tolerance : settings.coldTolerance));
+	return Math.min(maximumLimit, badness + (isBaselineKnown ? settings.tolerance : settings.coldStartTolerance));
 }
--- a/packages/policy/src/_evaluate-candidates.ts
+++ b/packages/policy/src/_evaluate-candidates.ts
@@ -1,11 +1,11 @@
 import {
-	costOf, type EscalationConfiguration, type Micros, type ModelRequest, type VersionConfiguration, versionKey,
+	calculateCost, type EscalationConfiguration, type Micros, type ModelRequest, type VersionConfiguration, versionKey,
 } from '@valehitch/core';
 import {match} from 'ts-pattern';
-import {type Candidate} from './choice.js';
+import {type Candidate} from './version-choice.js';
 import {type ChooseVersionOptions} from './choose-version.js';
-import {exposure} from './exposure.js';
-import {mayDispatch} from './may-dispatch.js';
+import {decideExposure} from './exposure.js';
+import {checkDispatch} from './check-dispatch.js';
 import {ownProperty} from './_own-property.js';
 import {qualityClass} from './quality-class.js';
 import {type QualityKey, type QualityMeasure} from './quality-digest.js';
@@ -115,7 +115,7 @@
 		kind: 'direct',
 		...target,
 		quality,
-		expectedCost: costOf(details.prices, {input: facts.promptTokens, output}),
+		expectedCost: calculateCost(details.prices, {input: facts.promptTokens, output}),
 		expectedMilliseconds: expectedMilliseconds(target),
 	};
 	const exclusion = findExclusion(context, target);
@@ -138,12 +138,12 @@
 
 function findExclusion({request, options}: EvaluationContext, target: VersionTarget): Exclusion | undefined {
 	const {
-		configuration, isServed, isolated = false, isolatedServe, isStoppedHere: isStoppedLocally, inProgress = () => 0, subject: bucketingKey = request.id,
+		configuration, isServed, isolated = false, isolatedServe, isStoppedLocally: isStoppedLocally, inProgress = () => 0, bucketingKey: bucketingKey = request.id,
 	} = options;
 	const check = {
 		...target, workspace: request.workspace, isolated, ...(isolatedServe !== undefined && {isolatedServe}),
 	};
-	const denial = match(mayDispatch(configuration, check))
+	const denial = match(checkDispatch(configuration, check))
 		.with('allowed', () => undefined)
 		.with('not-allowed', () => 'not allowed for the workspace')
 		.with('version-withdrawn', () => 'withdrawn')
@@ -165,11 +165,11 @@
 	}
 
 	return isRollingOut
-		? exposureExclusion(exposure(configuration, {...target, subject: bucketingKey, inProgress: inProgress(target)}))
+		? exposureExclusion(decideExposure(configuration, {...target, bucketingKey: bucketingKey, inProgress: inProgress(target)}))
 		: undefined;
 }
 
-function exposureExclusion(verdict: ReturnType<typeof exposure>): Exclusion | undefined {
+function exposureExclusion(verdict: ReturnType<typeof decideExposure>): Exclusion | undefined {
 	return match(verdict)
 		.with('exposed', () => undefined)
 		.with('not-running', () => ({status: 'excluded' as const, verdict: 'its rollout is not running'}))
--- a/packages/policy/src/bad-version-monitor.ts
+++ b/packages/policy/src/bad-version-monitor.ts
@@ -7,7 +7,7 @@
 import {type BadVersionAlarm, type EvidenceMeasure, type EvidenceReport} from './bad-version-evidence.js';
 import {type BadVersionSettingsByMeasure, defaultBadVersionSettings} from './bad-version-settings.js';
 import {ChangeDetector} from './change-detector.js';
-import {type QualityBook, type QualityObservation} from './quality-book.js';
+import {type QualityStore, type QualityObservation} from './quality-store.js';
 import {type VersionTarget} from './version-target.js';
 
 /** Options of `BadVersionMonitor`. */
@@ -16,13 +16,13 @@
 	/** When the instance started, as Unix time in milliseconds. */
 	readonly startedAt: number;
 	/** The quality store to which the monitor adds observations. */
-	readonly book: QualityBook;
+	readonly qualityStore: QualityStore;
 	/** Defaults to `defaultBadVersionSettings`. */
 	readonly settings?: BadVersionSettingsByMeasure;
 };
 
 /** The configuration and time at which an observation is made. */
-export type ObservationMoment = {
+export type ObservationContext = {
 	readonly configuration: EffectiveConfiguration;
 	/** Unix time in milliseconds. */
 	readonly now: number;
@@ -69,8 +69,8 @@
 	@param context The configuration in force and the time.
 	@returns The alarm, if this observation is the one that raises it.
 	*/
-	observe(observation: QualityObservation, {configuration, now}: ObservationMoment): BadVersionAlarm | undefined {
-		const {book: qualityStore} = this.#options;
+	observe(observation: QualityObservation, {configuration, now}: ObservationContext): BadVersionAlarm | undefined {
+		const {qualityStore: qualityStore} = this.#options;
 		const measure = observation.measure === 'failure' ? 'failures' : 'ratings';
 		const limit = observation.measure === 'escalation'
 			? undefined
@@ -127,8 +127,8 @@
 	*/
 	suspects(): ReadonlyArray<Pick<EvidenceReport, 'model' | 'version' | 'measure'>> {
 		return [...this.#monitored.values()]
-			.filter(({detector}) => detector.boldWealth >= suspectWealth)
-			.toSorted((left, right) => right.detector.boldWealth - left.detector.boldWealth);
+			.filter(({detector}) => detector.largestBetWealth >= suspectWealth)
+			.toSorted((left, right) => right.detector.largestBetWealth - left.detector.largestBetWealth);
 	}
 
 	/**
--- a/packages/policy/src/bad-version-settings.ts
+++ b/packages/policy/src/bad-version-settings.ts
@@ -6,9 +6,9 @@
 	/** How much the mean badness may exceed that of the baseline version, from 0 to 1. */
 	readonly tolerance: number;
 	/** The tolerance used until the baseline has `minimumBaselineWeight`. */
-	readonly coldTolerance: number;
+	readonly coldStartTolerance: number;
 	/** The weight of observations from which the baseline is considered reliable. */
-	readonly knownWeight: number;
+	readonly minimumBaselineWeight: number;
 	/** The bound on the false alarm rate. */
 	readonly detector: ChangeDetectorOptions;
 };
@@ -19,9 +19,9 @@
 /** The default settings, which allow at most one false stop in 20,000 ratings and one in 2 million outcomes. */
 export const defaultBadVersionSettings: BadVersionSettingsByMeasure = {
 	ratings: {
-		tolerance: 0.05, coldTolerance: 0.25, knownWeight: 50, detector: {falseAlarmShare: 0.05, horizon: 1000},
+		tolerance: 0.05, coldStartTolerance: 0.25, minimumBaselineWeight: 50, detector: {falseAlarmShare: 0.05, horizon: 1000},
 	},
 	failures: {
-		tolerance: 0.03, coldTolerance: 0.25, knownWeight: 50, detector: {falseAlarmShare: 0.05, horizon: 100_000},
+		tolerance: 0.03, coldStartTolerance: 0.25, minimumBaselineWeight: 50, detector: {falseAlarmShare: 0.05, horizon: 100_000},
 	},
 };
--- a/packages/policy/src/bad-version.test.ts
+++ b/packages/policy/src/bad-version.test.ts
@@ -2,7 +2,7 @@
 import {type InstanceId, toId} from '@valehitch/core';
 import fc from 'fast-check';
 import {
-	type BadVersionAlarm, BadVersionMonitor, ChangeDetector, type EvidenceReport, EvidenceTable, LocalStops, QualityBook, type QualityMeasure,
+	type BadVersionAlarm, BadVersionMonitor, ChangeDetector, type EvidenceReport, EvidenceAggregator, LocalStops, QualityStore, type QualityMeasure,
 } from './mod.js';
 import {
 	configurationOf, rollingOutVersion, settledVersion, target, testSeed,
@@ -14,12 +14,12 @@
 
 function monitorOf(name: string): BadVersionMonitor {
 	const identity = {instance: toId<InstanceId>(name), startedAt: 1};
-	return new BadVersionMonitor({...identity, book: new QualityBook(identity)});
+	return new BadVersionMonitor({...identity, qualityStore: new QualityStore(identity)});
 }
 
 test('the length of a history that a new leader receives at once does not count as evidence', t => {
 	const detector = new ChangeDetector({falseAlarmShare: 0.05, horizon: 1000});
-	detector.advance({observations: 1_000_000, logWealth: detector.logWealth.map(() => 0)});
+	detector.observeSummed({observations: 1_000_000, logWealth: detector.logWealth.map(() => 0)});
 	t.false(detector.isAlarmed);
 	t.is(detector.evidence, 1);
 });
@@ -122,8 +122,8 @@
 	t.notThrows(() => {
 		fc.assert(fc.property(valuesArbitrary, valuesArbitrary, fc.array(fc.nat(), {maxLength: 30}), (first, second, order) => {
 			const reports = [...reportsOf('a', first), ...reportsOf('b', second)];
-			const ordered = new EvidenceTable();
-			const shuffled = new EvidenceTable();
+			const ordered = new EvidenceAggregator();
+			const shuffled = new EvidenceAggregator();
 			const late = order.map(index => reports[index % reports.length]).filter(report => report !== undefined);
 			for (const report of [...late, ...reports, ...late.toReversed()]) {
 				shuffled.merge(report);
@@ -144,7 +144,7 @@
 });
 
 test('evidence that is weak on each of many instances raises the alarm in total', t => {
-	const table = new EvidenceTable();
+	const table = new EvidenceAggregator();
 	let alarm: BadVersionAlarm | undefined;
 	for (let instance = 0; instance < 40 && alarm === undefined; instance += 1) {
 		for (const report of reportsOf(`i${instance}`, [0.1, 0.2])) {
@@ -166,20 +166,20 @@
 	} as const;
 	const stops = new LocalStops({settledStopMilliseconds: 1000});
 	stops.stop(alarm, 10);
-	t.deepEqual(stops.release({configuration, now: 1e9}), []);
+	t.deepEqual(stops.releaseEnded({configuration, now: 1e9}), []);
 	t.true(stops.isStopped(newVersion));
 	const restarted = configurationOf({m: {1: settledVersion(0.85, 1), 2: rollingOutVersion(0.85, 0.05)}});
 	const progress = {
 		...restarted.rollouts['m@2'], ...newVersion, stage: 0, status: 'running', stageStartedAt: 20,
 	} as const;
-	t.deepEqual(stops.release({configuration: {...restarted, rollouts: {'m@2': progress}}, now: 30}), [newVersion]);
+	t.deepEqual(stops.releaseEnded({configuration: {...restarted, rollouts: {'m@2': progress}}, now: 30}), [newVersion]);
 	stops.stop({...alarm, ...replaced}, 10);
-	t.deepEqual(stops.release({configuration, now: 1009}), []);
-	t.deepEqual(stops.release({configuration, now: 1010}), [replaced]);
+	t.deepEqual(stops.releaseEnded({configuration, now: 1009}), []);
+	t.deepEqual(stops.releaseEnded({configuration, now: 1010}), [replaced]);
 });
 
 test('a restarted rollout restarts the test, and late ratings of the previous rollout do not count', t => {
-	const table = new EvidenceTable();
+	const table = new EvidenceAggregator();
 	const bad = reportsOf('a', Array.from({length: 60}, () => 0.1));
 	for (const report of bad) {
 		table.merge(report);
--- a/packages/policy/src/change-detector.ts
+++ b/packages/policy/src/change-detector.ts
@@ -22,7 +22,7 @@
 };
 
 /** The fraction of its wealth that each bet stakes on every observation. */
-export const fixedBets = [0.05, 0.1, 0.2, 0.35, 0.55, 0.8] as const;
+export const betFractions = [0.05, 0.1, 0.2, 0.35, 0.55, 0.8] as const;
 
 const defaultFalseAlarmShare = 0.01;
 const defaultHorizon = 1000;
@@ -43,8 +43,8 @@
 export class ChangeDetector {
 	readonly threshold: number;
 	readonly #horizon: number;
-	readonly #wealth: number[] = fixedBets.map(() => 0);
-	readonly #logWealth: number[] = fixedBets.map(() => 0);
+	readonly #wealth: number[] = betFractions.map(() => 0);
+	readonly #logWealth: number[] = betFractions.map(() => 0);
 	#count = 0;
 	#maximumEvidence = 0;
 
@@ -69,7 +69,7 @@
 	}
 
 	/** The wealth of the bet with the largest fraction, in multiples of its initial wealth. It drops quickly on good observations, so it reflects the most recent ones. */
-	get boldWealth(): number {
+	get largestBetWealth(): number {
 		return (this.#wealth.at(-1) ?? 0) * this.#horizon;
 	}
 
@@ -95,7 +95,7 @@
 
 		const excess = (badness - limit) / limit;
 		this.#count += 1;
-		for (const [index, bet] of fixedBets.entries()) {
+		for (const [index, bet] of betFractions.entries()) {
 			const growth = 1 + (bet * excess);
 			this.#updateWealth(index, {growth, added: 1 / this.#horizon});
 			this.#logWealth[index] = (this.#logWealth[index] ?? 0) + Math.log(growth);
@@ -109,7 +109,7 @@
 
 	@param evidence The evidence since the previous call.
 	*/
-	advance({observations, logWealth}: SummedEvidence): void {
+	observeSummed({observations, logWealth}: SummedEvidence): void {
 		this.#count += observations;
 		for (const [index, added] of logWealth.entries()) {
 			this.#updateWealth(index, {growth: Math.exp(added), added: Math.min(1, observations / this.#horizon)});
--- a/packages/policy/src/may-dispatch.ts
+++ b/packages/policy/src/check-dispatch.ts
@@ -4,17 +4,17 @@
 import {type VersionTarget} from './version-target.js';
 
 /** Whether a request may be sent to a version now. All values except `allowed` are reasons against it. */
-export type DispatchVerdict = 'allowed' | 'not-allowed' | 'version-withdrawn' | 'version-stopped' | 'isolated';
+export type DispatchDecision = 'allowed' | 'not-allowed' | 'version-withdrawn' | 'version-stopped' | 'isolated';
 
 /** The inputs of `checkDispatch`. */
-export type MayDispatchOptions = VersionTarget & {
+export type CheckDispatchOptions = VersionTarget & {
 	readonly workspace: WorkspaceId;
 	/** Whether the configuration lease of this instance has expired. */
 	readonly isolated: boolean;
 	/** Which versions an isolated instance may use (the setting `isolation.serve`). Defaults to `settled`. */
 	readonly isolatedServe?: 'settled' | 'all' | 'none';
 	/** Checks whether this instance has stopped the version locally. By default no version is stopped. */
-	readonly isStoppedHere?: (target: VersionTarget) => boolean;
+	readonly isStoppedLocally?: (target: VersionTarget) => boolean;
 	/** Whether the choice was below the quality target. A settled version that only this instance has stopped may then serve. */
 	readonly belowTarget?: boolean;
 };
@@ -30,7 +30,7 @@
 checkDispatch(configuration, {workspace, model, version, isolated: false}); // 'allowed'
 ```
 */
-export function mayDispatch(configuration: EffectiveConfiguration, options: MayDispatchOptions): DispatchVerdict {
+export function checkDispatch(configuration: EffectiveConfiguration, options: CheckDispatchOptions): DispatchDecision {
 	const {document, rollouts} = configuration;
 	const {model, version} = options;
 	if (!isVersionAllowed(configuration, options)) {
@@ -49,13 +49,13 @@
 		: checkInstanceState(options, isSettled);
 }
 
-function isVersionAllowed({document}: EffectiveConfiguration, {workspace, model, version}: MayDispatchOptions): boolean {
+function isVersionAllowed({document}: EffectiveConfiguration, {workspace, model, version}: CheckDispatchOptions): boolean {
 	return ownProperty(ownProperty(document.workspaces, workspace)?.allowed, model)?.includes(version) === true;
 }
 
-function checkInstanceState(options: MayDispatchOptions, isSettled: boolean): DispatchVerdict {
+function checkInstanceState(options: CheckDispatchOptions, isSettled: boolean): DispatchDecision {
 	const {
-		model, version, isolated, isolatedServe = 'settled', isStoppedHere: isStoppedLocally = () => false, belowTarget = false,
+		model, version, isolated, isolatedServe = 'settled', isStoppedLocally: isStoppedLocally = () => false, belowTarget = false,
 	} = options;
 	if (isolated && !servesWhileIsolated(isolatedServe, isSettled)) {
 		return 'isolated';
--- a/packages/policy/src/choose-version.test.ts
+++ b/packages/policy/src/choose-version.test.ts
@@ -4,7 +4,7 @@
 } from '@valehitch/core';
 import fc from 'fast-check';
 import {
-	chooseVersion, type ChooseVersionOptions, type Choice, estimate, exposure, mayDispatch,
+	chooseVersion, type ChooseVersionOptions, type VersionChoice, estimate, decideExposure, checkDispatch,
 } from './mod.js';
 import {
 	configurationOf, requestOf, rollingOutVersion, ruleOf, settledVersion, target, testSeed, yard,
@@ -37,7 +37,7 @@
 	return {configuration: configurationOf(models, forbidden), rule, isServed: () => true};
 }
 
-function chosenOf(options: ChooseVersionOptions, request = requestOf()): Choice | undefined {
+function chosenOf(options: ChooseVersionOptions, request = requestOf()): VersionChoice | undefined {
 	return chooseVersion(request, options).toMaybe().extract();
 }
 
@@ -47,7 +47,7 @@
 	const options = setUp(drawn, withCascades);
 	const choice = chosenOf(options);
 	const usable = new Set(Object.keys(options.configuration.document.models)
-		.filter(model => mayDispatch(options.configuration, {...target(model, '1'), workspace: yard, isolated: false}) === 'allowed'));
+		.filter(model => checkDispatch(options.configuration, {...target(model, '1'), workspace: yard, isolated: false}) === 'allowed'));
 	if (choice === undefined) {
 		return [...usable].every(model => options.configuration.rollouts[`${model}@1`] !== undefined);
 	}
@@ -127,9 +127,9 @@
 	t.like(chosenOf(options), {belowTarget: true, chosen: {model: target('b', '1').model}});
 	t.is(chosenOf({...options, rule: ruleOf(['a', 'b'], {whenBelowTarget: 'refuse'})}), undefined);
 	const isStoppedLocally = ({model}: {model: ModelId}): boolean => model === toId<ModelId>('b');
-	t.like(chosenOf({...options, isStoppedHere: isStoppedLocally}), {belowTarget: true, chosen: {model: target('a', '1').model}});
-	t.is(mayDispatch(configuration, {
-		...target('b', '1'), workspace: yard, isolated: false, isStoppedHere: isStoppedLocally,
+	t.like(chosenOf({...options, isStoppedLocally: isStoppedLocally}), {belowTarget: true, chosen: {model: target('a', '1').model}});
+	t.is(checkDispatch(configuration, {
+		...target('b', '1'), workspace: yard, isolated: false, isStoppedLocally: isStoppedLocally,
 	}), 'version-stopped');
 });
 
@@ -147,15 +147,15 @@
 	let newVersionCount = 0;
 	for (let index = 0; index < 5000; index += 1) {
 		const bucketingKey = `s${index}`;
-		const isNewVersion = chosenOf({...options, subject: bucketingKey})?.chosen.version === newVersion.version;
+		const isNewVersion = chosenOf({...options, bucketingKey: bucketingKey})?.chosen.version === newVersion.version;
 		newVersionCount += isNewVersion ? 1 : 0;
 		const larger = configurationOf({m: {...versions, 2: rollingOutVersion(0.86, 0.5)}});
-		t.true(!isNewVersion || exposure(larger, {...newVersion, subject: bucketingKey, inProgress: 0}) === 'exposed');
-		t.is(chosenOf({...options, subject: bucketingKey}, requestOf(`other-${index}`))?.chosen.version === newVersion.version, isNewVersion);
-		t.false(chosenOf({...options, subject: bucketingKey, isolated: true})?.chosen.version === newVersion.version);
-		t.false(chosenOf({...options, subject: bucketingKey, inProgress: () => 32})?.chosen.version === newVersion.version);
-		t.false(chosenOf({...options, subject: bucketingKey, isStoppedHere: ({version}) => version === newVersion.version})?.chosen.version === newVersion.version);
-		t.false(chosenOf({...options, subject: bucketingKey, configuration: {...configuration, rollouts: {}}})?.chosen.version === newVersion.version);
+		t.true(!isNewVersion || decideExposure(larger, {...newVersion, bucketingKey: bucketingKey, inProgress: 0}) === 'exposed');
+		t.is(chosenOf({...options, bucketingKey: bucketingKey}, requestOf(`other-${index}`))?.chosen.version === newVersion.version, isNewVersion);
+		t.false(chosenOf({...options, bucketingKey: bucketingKey, isolated: true})?.chosen.version === newVersion.version);
+		t.false(chosenOf({...options, bucketingKey: bucketingKey, inProgress: () => 32})?.chosen.version === newVersion.version);
+		t.false(chosenOf({...options, bucketingKey: bucketingKey, isStoppedLocally: ({version}) => version === newVersion.version})?.chosen.version === newVersion.version);
+		t.false(chosenOf({...options, bucketingKey: bucketingKey, configuration: {...configuration, rollouts: {}}})?.chosen.version === newVersion.version);
 	}
 
 	t.true(newVersionCount > 900 && newVersionCount < 1100, `${newVersionCount} of 5000 requests on the new version, expected about a fifth`);
--- a/packages/policy/src/choose-version.ts
+++ b/packages/policy/src/choose-version.ts
@@ -2,7 +2,7 @@
 	type EffectiveConfiguration, type Failure, failure, type ModelId, type ModelRequest, type PolicyRule, type VersionId, versionKey,
 } from '@valehitch/core';
 import {type Either, Left, Right} from 'purify-ts';
-import {type Candidate, type Choice, type Consideration} from './choice.js';
+import {type Candidate, type VersionChoice, type ConsideredCandidate} from './version-choice.js';
 import {evaluateCascades, type EvaluatedCandidate, evaluateVersions} from './_evaluate-candidates.js';
 import {type QualityKey} from './quality-digest.js';
 import {type Estimate, type Prior} from './quality-estimate.js';
@@ -22,15 +22,15 @@
 	/** The number of requests that this instance has in progress on a version. Defaults to 0. */
 	readonly inProgress?: (target: VersionTarget) => number;
 	/** Checks whether this instance has stopped a version as bad. By default no version is stopped. */
-	readonly isStoppedHere?: (target: VersionTarget) => boolean;
+	readonly isStoppedLocally?: (target: VersionTarget) => boolean;
 	/** Whether the configuration lease of this instance has expired. Defaults to false. */
 	readonly isolated?: boolean;
 	/** Which versions an isolated instance may use. Defaults to `settled`. */
 	readonly isolatedServe?: 'settled' | 'all' | 'none';
 	/** The key that assigns the request to a rollout share: the session's, if any. Defaults to the request id. */
-	readonly subject?: string;
+	readonly bucketingKey?: string;
 	/** The relative extra cost within which a rule that prefers latency takes a faster candidate. Defaults to 0.1. */
-	readonly nearlyEqualCost?: number;
+	readonly latencyCostTolerance?: number;
 };
 
 const defaultLatencyCostTolerance = 0.1;
@@ -49,7 +49,7 @@
 chooseVersion(request, {configuration, rule, isServed: () => true});
 ```
 */
-export function chooseVersion(request: ModelRequest, options: ChooseVersionOptions): Either<Failure, Choice> {
+export function chooseVersion(request: ModelRequest, options: ChooseVersionOptions): Either<Failure, VersionChoice> {
 	const context = {request, options};
 	const versions = excludeReplaced(evaluateVersions(context));
 	const evaluated = [...versions, ...evaluateCascades(context, versions)];
@@ -83,7 +83,7 @@
 	return versionKey(model, version);
 }
 
-function cheapest(eligible: readonly EvaluatedCandidate[], {rule, nearlyEqualCost: latencyCostTolerance = defaultLatencyCostTolerance}: ChooseVersionOptions): EvaluatedCandidate | undefined {
+function cheapest(eligible: readonly EvaluatedCandidate[], {rule, latencyCostTolerance: latencyCostTolerance = defaultLatencyCostTolerance}: ChooseVersionOptions): EvaluatedCandidate | undefined {
 	const [best] = eligible.toSorted((left, right) => left.candidate.expectedCost - right.candidate.expectedCost || left.order - right.order);
 	if (best === undefined || rule.prefers !== 'latency') {
 		return best;
@@ -109,7 +109,7 @@
 	return best;
 }
 
-function describeCandidates(evaluated: readonly EvaluatedCandidate[], chosen: EvaluatedCandidate): readonly Consideration[] {
+function describeCandidates(evaluated: readonly EvaluatedCandidate[], chosen: EvaluatedCandidate): readonly ConsideredCandidate[] {
 	return evaluated.map(evaluatedCandidate => ({...evaluatedCandidate.candidate, verdict: describeVerdict(evaluatedCandidate, chosen)}));
 }
 
--- a/packages/policy/src/escalation-sign.test.ts
+++ b/packages/policy/src/escalation-sign.test.ts
@@ -1,12 +1,12 @@
 import test from 'ava';
 import {type EscalationSign} from '@valehitch/core';
-import {type CheckedAnswer, escalationSign} from './mod.js';
+import {type CheckedAnswer, findEscalationSign} from './mod.js';
 
 const all: readonly EscalationSign[] = ['truncated', 'refused', 'empty', 'low-confidence'];
 const good: CheckedAnswer = {finishReason: 'stop', text: 'Coil 7', refused: false};
 
 function signOf(changes: Partial<CheckedAnswer>, signs = all): EscalationSign | undefined {
-	return escalationSign({...good, ...changes}, {
+	return findEscalationSign({...good, ...changes}, {
 		signs, minimumConfidence: 0.5, expectedShare: 0.3, acceptedQuality: 0.9,
 	});
 }
--- a/packages/policy/src/escalation-sign.ts
+++ b/packages/policy/src/escalation-sign.ts
@@ -24,7 +24,7 @@
 findEscalationSign({finishReason: 'length', text: 'The coil', refused: false}, rule.escalation); // 'truncated'
 ```
 */
-export function escalationSign(answer: CheckedAnswer, escalation: EscalationConfiguration): EscalationSign | undefined {
+export function findEscalationSign(answer: CheckedAnswer, escalation: EscalationConfiguration): EscalationSign | undefined {
 	return escalation.signs.find(sign => hasSign(sign, answer, escalation.minimumConfidence));
 }
 
--- a/packages/policy/src/evidence-table.ts
+++ b/packages/policy/src/evidence-aggregator.ts
@@ -4,7 +4,7 @@
 	type BadVersionAlarm, type EvidenceMeasure, type EvidenceReport, type VersionEvidence,
 } from './bad-version-evidence.js';
 import {type BadVersionSettingsByMeasure, defaultBadVersionSettings} from './bad-version-settings.js';
-import {ChangeDetector, fixedBets} from './change-detector.js';
+import {ChangeDetector, betFractions} from './change-detector.js';
 import {ownProperty} from './_own-property.js';
 import {type VersionTarget} from './version-target.js';
 
@@ -40,7 +40,7 @@
 }
 ```
 */
-export class EvidenceTable {
+export class EvidenceAggregator {
 	readonly #settings: BadVersionSettingsByMeasure;
 	readonly #tests = new Map<string, VersionTest>();
 	readonly #stageBaselines = new Map<string, StageBaseline>();
@@ -71,7 +71,7 @@
 		});
 		test.count += delta.count;
 		test.badness += delta.badness;
-		test.detector.advance({observations: delta.count, logWealth: delta.logWealth});
+		test.detector.observeSummed({observations: delta.count, logWealth: delta.logWealth});
 		if (!test.detector.isAlarmed || test.alarm !== undefined) {
 			return undefined;
 		}
@@ -166,7 +166,7 @@
 /** Returns the increase over the last report of the same instance, or undefined if there is none or the report is invalid. */
 function reportDelta(report: EvidenceReport, previous: LatestReport | undefined): Pick<EvidenceReport, 'count' | 'badness' | 'logWealth'> | undefined {
 	const {startedAt, count, badness, logWealth} = report;
-	if (logWealth.length !== fixedBets.length || !logWealth.every(value => Number.isFinite(value))) {
+	if (logWealth.length !== betFractions.length || !logWealth.every(value => Number.isFinite(value))) {
 		return undefined;
 	}
 
--- a/packages/policy/src/exposure.ts
+++ b/packages/policy/src/exposure.ts
@@ -6,12 +6,12 @@
 import {type VersionTarget} from './version-target.js';
 
 /** Whether a request may go to a version in rollout. All values except `exposed` are reasons against it. */
-export type ExposureVerdict = 'exposed' | 'not-running' | 'outside-share' | 'at-limit';
+export type ExposureDecision = 'exposed' | 'not-running' | 'outside-share' | 'at-limit';
 
 /** The inputs of the exposure decision. */
 export type ExposureOptions = VersionTarget & {
 	/** The session, or the request if it has no session. The same key is always assigned the same way within a stage. */
-	readonly subject: string;
+	readonly bucketingKey: string;
 	/** The number of requests that this instance has in progress on the version. */
 	readonly inProgress: number;
 };
@@ -34,8 +34,8 @@
 decideExposure(configuration, {model, version, bucketingKey: requestId, inProgress: 3}); // 'outside-share'
 ```
 */
-export function exposure(configuration: EffectiveConfiguration, options: ExposureOptions): ExposureVerdict {
-	const {model, version, subject: bucketingKey, inProgress} = options;
+export function decideExposure(configuration: EffectiveConfiguration, options: ExposureOptions): ExposureDecision {
+	const {model, version, bucketingKey: bucketingKey, inProgress} = options;
 	const key = versionKey(model, version);
 	const stage = currentStage(configuration, {model, version});
 	if (stage === undefined) {
--- a/packages/policy/src/local-stops.ts
+++ b/packages/policy/src/local-stops.ts
@@ -19,7 +19,7 @@
 };
 
 /** The configuration and time against which stops are checked. */
-export type StopsMoment = {
+export type LocalStopContext = {
 	readonly configuration: EffectiveConfiguration;
 	/** Unix time in milliseconds. */
 	readonly now: number;
@@ -75,7 +75,7 @@
 	@param context The configuration in force and the time.
 	@returns The versions that are no longer stopped here.
 	*/
-	release(context: StopsMoment): readonly VersionTarget[] {
+	releaseEnded(context: LocalStopContext): readonly VersionTarget[] {
 		const released: VersionTarget[] = [];
 		for (const [key, stop] of this.#stops) {
 			if (this.#hasEnded(stop, context)) {
@@ -87,7 +87,7 @@
 		return released;
 	}
 
-	#hasEnded({alarm: {model, version}, at}: LocalStop, {configuration, now}: StopsMoment): boolean {
+	#hasEnded({alarm: {model, version}, at}: LocalStop, {configuration, now}: LocalStopContext): boolean {
 		const state = ownProperty(ownProperty(configuration.document.models, model)?.versions, version)?.state ?? 'withdrawn';
 		const progress = ownProperty<string, RolloutProgress>(configuration.rollouts, versionKey(model, version));
 		if (state === 'withdrawn') {
--- a/packages/policy/src/quality-book.test.ts
+++ b/packages/policy/src/quality-store.test.ts
@@ -2,7 +2,7 @@
 import {type InstanceId, toId} from '@valehitch/core';
 import fc from 'fast-check';
 import {
-	estimate, QualityBook, type QualityDigest, type QualityKey,
+	estimate, QualityStore, type QualityDigest, type QualityKey,
 } from './mod.js';
 import {target, testSeed} from './_test-configuration.js';
 
@@ -12,8 +12,8 @@
 	instance: fc.nat(3), value: fc.float({min: 0, max: 1, noNaN: true}), ranAt: fc.integer({min: 0, max: 48 * hour}),
 }), {maxLength: 40});
 
-function createStore(name: string): QualityBook {
-	return new QualityBook({instance: toId<InstanceId>(name), startedAt: 1});
+function createStore(name: string): QualityStore {
+	return new QualityStore({instance: toId<InstanceId>(name), startedAt: 1});
 }
 
 test('sums merged from several instances equal those of one instance, for any order of ratings and digests and with duplicated digests', t => {
@@ -56,7 +56,7 @@
 	const prior = {value: 0.9};
 	t.true(store.estimate(estimateKey, {prior, now: hour}).lowerBound < 0.4);
 	t.true(store.estimate(estimateKey, {prior, now: 100 * hour}).lowerBound > 0.88);
-	t.is(store.forget(1000 * hour), 1);
+	t.is(store.evictDecayed(1000 * hour), 1);
 	t.is(store.size, 0);
 	t.false(store.add({...estimateKey, value: Number.NaN, ranAt: 0}));
 	t.false(store.add({...estimateKey, value: 1.5, ranAt: 0}));
@@ -72,7 +72,7 @@
 });
 
 test('the number of entries stays within the maximum', t => {
-	const store = new QualityBook({instance: toId<InstanceId>('a'), startedAt: 1, maximumEntries: 10});
+	const store = new QualityStore({instance: toId<InstanceId>('a'), startedAt: 1, maximumEntries: 10});
 	for (let index = 0; index < 50; index += 1) {
 		store.add({
 			...estimateKey, qualityClass: `yard/${index}`, value: 1, ranAt: 0,
@@ -95,18 +95,18 @@
 	}
 
 	for (let round = 0; round < 3; round += 1) {
-		entry.replaceOthers(leader.others([estimateKey], {except, now: 0}), 0);
+		entry.replaceAggregate(leader.aggregateExcept([estimateKey], {except, now: 0}), 0);
 		t.is(entry.sums(estimateKey, 0).count, 4);
 	}
 
 	const newLeader = createStore('new-leader');
 	newLeader.add({...estimateKey, value: 0.5, ranAt: 0});
-	entry.replaceOthers(newLeader.others([estimateKey], {except, now: 0}), 0);
+	entry.replaceAggregate(newLeader.aggregateExcept([estimateKey], {except, now: 0}), 0);
 	t.is(entry.sums(estimateKey, 0).count, 4);
-	entry.replaceOthers(newLeader.others([estimateKey], {except, now: 0}), 24 * hour);
+	entry.replaceAggregate(newLeader.aggregateExcept([estimateKey], {except, now: 0}), 24 * hour);
 	t.is(entry.sums(estimateKey, 0).count, 4);
 	newLeader.add({...estimateKey, value: 0.5, ranAt: 24 * hour});
-	entry.replaceOthers(newLeader.others([estimateKey], {except, now: 24 * hour}), 24 * hour);
+	entry.replaceAggregate(newLeader.aggregateExcept([estimateKey], {except, now: 24 * hour}), 24 * hour);
 	t.is(entry.sums(estimateKey, 24 * hour).count, 4);
 	t.true(entry.sums(estimateKey, 24 * hour).weight > 1);
 });
--- a/packages/policy/src/quality-book.ts
+++ b/packages/policy/src/quality-store.ts
@@ -6,7 +6,7 @@
 import {type Estimate, estimate, type Prior} from './quality-estimate.js';
 
 /** Options of `QualityStore`. */
-export type QualityBookOptions = {
+export type QualityStoreOptions = {
 	readonly instance: InstanceId;
 	/** When the instance started, as Unix time in milliseconds. */
 	readonly startedAt: number;
@@ -32,7 +32,7 @@
 };
 
 /** The instance that an aggregate leaves out, and the time of the aggregate. */
-export type OthersOptions = {
+export type AggregateOptions = {
 	readonly except: Pick<QualityDigest, 'instance' | 'startedAt'>;
 	/** Unix time in milliseconds. */
 	readonly now: number;
@@ -62,7 +62,7 @@
 store.estimate(key, {prior: {value: 0.82}, now}).lowerBound;
 ```
 */
-export class QualityBook {
+export class QualityStore {
 	readonly #source: Source;
 	readonly #ownSource: string;
 	readonly #halfLife: number;
@@ -71,7 +71,7 @@
 	readonly #estimates = new Map<string, StoredEstimate>();
 	#size = 0;
 
-	constructor({instance, startedAt, halfLife = defaultHalfLife, maximumEntries = defaultMaximumEntries}: QualityBookOptions) {
+	constructor({instance, startedAt, halfLife = defaultHalfLife, maximumEntries = defaultMaximumEntries}: QualityStoreOptions) {
 		this.#source = {instance, startedAt};
 		this.#ownSource = sourceKey(this.#source);
 		this.#halfLife = halfLife;
@@ -130,7 +130,7 @@
 	@param entries The result of `aggregateExcept` on the aggregating instance.
 	@param now Unix time in milliseconds.
 	*/
-	replaceOthers(entries: Iterable<QualityEntry>, now: number): void {
+	replaceAggregate(entries: Iterable<QualityEntry>, now: number): void {
 		const moment = {at: now, halfLife: this.#halfLife};
 		for (const entry of entries) {
 			const previous = this.#estimates.get(estimateKey(entry))?.bySource.get(aggregateSource);
@@ -147,7 +147,7 @@
 	@param options The instance to leave out, and the time.
 	@returns The entries that have observations, for `replaceAggregate`.
 	*/
-	others(keys: Iterable<QualityKey>, {except, now}: OthersOptions): readonly QualityEntry[] {
+	aggregateExcept(keys: Iterable<QualityKey>, {except, now}: AggregateOptions): readonly QualityEntry[] {
 		const excepted = sourceKey(except);
 		const entries: QualityEntry[] = [];
 		for (const key of keys) {
@@ -208,7 +208,7 @@
 	@param now Unix time in milliseconds.
 	@returns The number of removed entries.
 	*/
-	forget(now: number): number {
+	evictDecayed(now: number): number {
 		const sizeBefore = this.#size;
 		for (const [text, {bySource}] of this.#estimates) {
 			for (const [source, sums] of bySource) {
--- a/packages/policy/src/choice.ts
+++ b/packages/policy/src/version-choice.ts
@@ -2,7 +2,7 @@
 import {type VersionTarget} from './version-target.js';
 
 /** The expected quality, cost and latency of a candidate. */
-export type Expectation = {
+export type CandidateEstimate = {
 	/** The lower confidence bound of its quality, from 0 to 1. */
 	readonly quality: number;
 	/** The expected cost, including the expected cost of escalation. */
@@ -12,10 +12,10 @@
 };
 
 /** A version that answers without escalation. */
-export type DirectCandidate = Expectation & VersionTarget & {readonly kind: 'direct'};
+export type DirectCandidate = CandidateEstimate & VersionTarget & {readonly kind: 'direct'};
 
 /** A version that answers first, and one that takes over if the answer shows an escalation sign of the rule. */
-export type CascadeCandidate = Expectation & VersionTarget & {
+export type CascadeCandidate = CandidateEstimate & VersionTarget & {
 	readonly kind: 'cascade';
 	readonly escalatesTo: VersionTarget;
 	/** The expected share of requests that escalate, from 0 to 1. */
@@ -26,12 +26,12 @@
 export type Candidate = DirectCandidate | CascadeCandidate;
 
 /** A candidate and the reason why it was or was not chosen, as shown by `explain`. */
-export type Consideration = Candidate & {readonly verdict: string};
+export type ConsideredCandidate = Candidate & {readonly verdict: string};
 
 /** The chosen candidate and all candidates that were considered. */
-export type Choice = {
+export type VersionChoice = {
 	readonly chosen: Candidate;
 	/** Whether no candidate met the quality target and the best available one serves instead. */
 	readonly belowTarget: boolean;
-	readonly considered: readonly Consideration[];
+	readonly considered: readonly ConsideredCandidate[];
 };
--- a/packages/replication/src/mod.ts
+++ b/packages/replication/src/mod.ts
@@ -6,4 +6,4 @@
 export * from './replica-codec.js';
 export * from './replica-driver.js';
 export * from './state-machine.js';
-export * from './step-waiters.js';
+export * from './step-notifier.js';
--- a/packages/replication/src/replica-codec.test.ts
+++ b/packages/replication/src/replica-codec.test.ts
@@ -1,7 +1,7 @@
 import {type ReplicaMessage, toReplicaId} from '@valehitch/consensus';
 import test from 'ava';
 import {Packr} from 'msgpackr';
-import {readReplicaMessage, type ReplicaWire, writeReplicaMessage} from './replica-codec.js';
+import {decodeReplicaMessage, type EncodedReplicaMessage, encodeReplicaMessage} from './replica-codec.js';
 
 const packr = new Packr({useRecords: false, encodeUndefinedAsNil: false});
 const data = new Uint8Array([1, 2, 3]);
@@ -32,8 +32,8 @@
 
 test('each message between replicas is unchanged after encoding and decoding', t => {
 	for (const message of messages) {
-		const wire = packr.unpack(packr.pack(writeReplicaMessage(message))) as ReplicaWire;
-		t.deepEqual(plain(readReplicaMessage(wire)), plain(message));
+		const wire = packr.unpack(packr.pack(encodeReplicaMessage(message))) as EncodedReplicaMessage;
+		t.deepEqual(plain(decodeReplicaMessage(wire)), plain(message));
 	}
 });
 
--- a/packages/replication/src/replica-codec.ts
+++ b/packages/replication/src/replica-codec.ts
@@ -12,14 +12,14 @@
 type OtherMessage = Exclude<ReplicaMessage, AppendRequest | AppendReply>;
 
 /** A message between replicas with its sender and receiver. */
-export type ReplicaDelivery = {
+export type AddressedReplicaMessage = {
 	readonly from: ReplicaId;
 	readonly to: ReplicaId;
 	readonly message: ReplicaMessage;
 };
 
 /** The encoded form of a message between replicas. Heartbeats and their replies are tuples without member names, because they are sent continuously. */
-export type ReplicaWire = AppendRequestTuple | AppendReplyTuple | readonly [kind: 2, message: OtherMessage];
+export type EncodedReplicaMessage = AppendRequestTuple | AppendReplyTuple | readonly [kind: 2, message: OtherMessage];
 
 /**
 Encodes a message between replicas.
@@ -31,8 +31,8 @@
 send(to, encodeReplicaMessage(message));
 ```
 */
-export function writeReplicaMessage(message: ReplicaMessage): ReplicaWire {
-	return match<ReplicaMessage, ReplicaWire>(message)
+export function encodeReplicaMessage(message: ReplicaMessage): EncodedReplicaMessage {
+	return match<ReplicaMessage, EncodedReplicaMessage>(message)
 		.with({type: 'append-request'}, ({term, previousIndex, previousTerm, commitIndex, round, entries}) =>
 			[0, term, previousIndex, previousTerm, commitIndex, round, entries])
 		.with({type: 'append-reply'}, ({term, success, matchIndex, round}) => [1, term, success, matchIndex, round])
@@ -49,7 +49,7 @@
 driver.push({type: 'message', from, message: decodeReplicaMessage(wire)});
 ```
 */
-export function readReplicaMessage(encoded: ReplicaWire): ReplicaMessage {
+export function decodeReplicaMessage(encoded: EncodedReplicaMessage): ReplicaMessage {
 	if (encoded[0] === 0) {
 		const [, term, previousIndex, previousTerm, commitIndex, round, entries] = encoded;
 		return {
--- a/packages/replication/src/replica-driver.test.ts
+++ b/packages/replication/src/replica-driver.test.ts
@@ -4,17 +4,17 @@
 import {setTimeout as delay} from 'node:timers/promises';
 import {type ReplicaId, toReplicaId} from '@valehitch/consensus';
 import {type Failure} from '@valehitch/core';
-import {type FileFunctions, openDataFolder, systemFiles} from '@valehitch/storage';
+import {type FileSystem, openDataFolder, nodeFileSystem} from '@valehitch/storage';
 import test, {type ExecutionContext} from 'ava';
 import {ReplicaDriver} from './replica-driver.js';
 
 /** Starts a driver for the only voter of a group, on a disk that can be made full. */
 async function startDriver(t: ExecutionContext) {
 	const disk = {isFull: false, syncs: 0};
-	const files: FileFunctions = {
-		...systemFiles,
+	const files: FileSystem = {
+		...nodeFileSystem,
 		async create(file) {
-			const open = await systemFiles.create(file);
+			const open = await nodeFileSystem.create(file);
 			return {
 				...open,
 				async append(data) {
@@ -32,9 +32,9 @@
 		},
 	};
 	const directory = await mkdtemp(path.join(tmpdir(), 'valehitch-driver-'));
-	const opened = await openDataFolder(directory, {files});
+	const opened = await openDataFolder(directory, {fileSystem: files});
 	const folder = opened.unsafeCoerce();
-	const self: ReplicaId = toReplicaId('entry-1', folder.takeStored().identity);
+	const self: ReplicaId = toReplicaId('entry-1', folder.takeStoredState().identity);
 	const committed: string[] = [];
 	const failures: Failure[] = [];
 	const waiters: Array<() => void> = [];
@@ -45,7 +45,7 @@
 	};
 
 	const driver = new ReplicaDriver({
-		start: {id: self, replicas: {voters: [self], learners: []}, seed: 1},
+		replica: {id: self, replicas: {voters: [self], learners: []}, seed: 1},
 		folder,
 		clock: {now: () => new Date(0), monotonic: () => performance.now()},
 		send() {
@@ -54,7 +54,7 @@
 		apply(actions) {
 			committed.push(...actions.committed.flatMap(({payload}) => payload.type === 'command' ? [new TextDecoder().decode(payload.data)] : []));
 		},
-		onStepped: wake,
+		onStepsCompleted: wake,
 		onFailure(failed) {
 			failures.push(failed);
 			wake();
@@ -107,11 +107,11 @@
 });
 
 /** Files whose syncs can be stalled by the test. */
-function stallableFiles(disk: {isBusy: boolean; goOn: () => void}): FileFunctions {
+function stallableFiles(disk: {isBusy: boolean; goOn: () => void}): FileSystem {
 	return {
-		...systemFiles,
+		...nodeFileSystem,
 		async create(file) {
-			const open = await systemFiles.create(file);
+			const open = await nodeFileSystem.create(file);
 			return {
 				...open,
 				async sync() {
@@ -131,14 +131,14 @@
 test('messages received while the disk was busy are processed before the election timeout is evaluated', async t => {
 	const directory = await mkdtemp(path.join(tmpdir(), 'valehitch-driver-'));
 	const disk = {isBusy: false, goOn: (): void => undefined};
-	const opened = await openDataFolder(directory, {files: stallableFiles(disk)});
+	const opened = await openDataFolder(directory, {fileSystem: stallableFiles(disk)});
 	const folder = opened.unsafeCoerce();
-	const self: ReplicaId = toReplicaId('entry-1', folder.takeStored().identity);
+	const self: ReplicaId = toReplicaId('entry-1', folder.takeStoredState().identity);
 	const leader = toReplicaId('entry-2', 'other');
 	const clock = {time: 0, now: () => new Date(0), monotonic: () => clock.time};
 	const sent: string[] = [];
 	const driver = new ReplicaDriver({
-		start: {id: self, replicas: {voters: [self, leader], learners: []}, seed: 1},
+		replica: {id: self, replicas: {voters: [self, leader], learners: []}, seed: 1},
 		folder,
 		clock,
 		send(_to, {type}) {
@@ -147,7 +147,7 @@
 		apply() {
 			// Nothing is committed.
 		},
-		onStepped() {
+		onStepsCompleted() {
 			// The sent messages show when a step has run.
 		},
 		onFailure({message}) {
--- a/packages/replication/src/replica-driver.ts
+++ b/packages/replication/src/replica-driver.ts
@@ -11,7 +11,7 @@
 /** Options of a replica driver. */
 export type ReplicaDriverOptions = {
 	/** The initial state of the replica. */
-	readonly start: CreateReplicaOptions;
+	readonly replica: CreateReplicaOptions;
 	readonly folder: DataFolder;
 	readonly clock: Clock;
 	/** Sends a message to another replica; delivery is not guaranteed. */
@@ -19,7 +19,7 @@
 	/** Applies committed actions, in order, after they are written to disk. */
 	readonly apply: (actions: CommittedActions) => void;
 	/** Called after each batch of steps is written to disk. */
-	readonly onStepped: (state: ReplicaState) => void;
+	readonly onStepsCompleted: (state: ReplicaState) => void;
 	/** Called once, with the reason, when the replica stops permanently. */
 	readonly onFailure: (failed: Failure) => void;
 };
@@ -47,7 +47,7 @@
 
 	constructor(options: ReplicaDriverOptions) {
 		this.#options = options;
-		this.#state = createReplica(options.start, options.clock.monotonic());
+		this.#state = createReplica(options.replica, options.clock.monotonic());
 	}
 
 	/** The state after the last step. */
@@ -107,7 +107,7 @@
 
 		await this.#execute(batch);
 		if (!this.#isStopped) {
-			this.#options.onStepped(this.#state);
+			this.#options.onStepsCompleted(this.#state);
 		}
 	}
 
--- a/packages/replication/src/state-machine.ts
+++ b/packages/replication/src/state-machine.ts
@@ -76,7 +76,7 @@
 	}
 
 	/** The number of proposals whose result is pending. */
-	get waitingCount(): number {
+	get pendingCount(): number {
 		return this.#pending.size;
 	}
 
@@ -91,7 +91,7 @@
 	@param proposalId The proposal.
 	@returns The result, once the entry is applied, or a failure once it is known that no result will follow.
 	*/
-	async resultOf(proposalId: string): Promise<Either<Failure, Result>> {
+	async waitForResult(proposalId: string): Promise<Either<Failure, Result>> {
 		return new Promise(settle => {
 			this.#pending.set(proposalId, {settle});
 		});
@@ -103,7 +103,7 @@
 	@param proposalId The proposal.
 	@param failed The failure that the proposer receives if the result is still pending.
 	*/
-	giveUp(proposalId: string, failed: Failure): void {
+	cancelWait(proposalId: string, failed: Failure): void {
 		this.#settle(proposalId, Left(failed));
 	}
 
@@ -138,7 +138,7 @@
 	restore({lastIndex, data, replicas}: Snapshot): void {
 		this.#state = this.#options.create(lastIndex === 0 ? undefined : data);
 		this.#appliedIndex = lastIndex;
-		this.snapshotTaken();
+		this.resetSnapshotCounters();
 		this.#options.onReplicas(replicas);
 		for (const [index, proposalId] of this.#proposalsByIndex) {
 			if (index <= lastIndex) {
@@ -148,7 +148,7 @@
 	}
 
 	/** Resets the counters of the log applied since the last snapshot. */
-	snapshotTaken(): void {
+	resetSnapshotCounters(): void {
 		this.#bytesSinceSnapshot = 0;
 		this.#entriesSinceSnapshot = 0;
 	}
--- a/packages/routing/src/_end-request.ts
+++ b/packages/routing/src/_end-request.ts
@@ -2,7 +2,7 @@
 	type BillOutcome, type ErrorKind, type Failure, failure, type Outcome,
 } from '@valehitch/core';
 import {type RequestTransition} from './_request-transition.js';
-import {type AttemptLine, type CallerAction, type ClaimOutcome} from './request-action.js';
+import {type AttemptBillLine, type CallerAction, type ClaimOutcome} from './request-action.js';
 import {type AttemptState} from './request-state.js';
 
 const noUsage = {input: 0, output: 0};
@@ -84,7 +84,7 @@
 	const outcome = outcomeOfAttempts(transition.state.attempts);
 	endRequest(transition, {
 		outcome: outcome === 'unknown' ? 'unknown' : 'failed',
-		finalAction: {type: 'refuse', failure: {...reason, outcome}, partial: transition.state.delivered > 0},
+		finalAction: {type: 'refuse', failure: {...reason, outcome}, partial: transition.state.deliveredBytes > 0},
 	});
 }
 
@@ -111,8 +111,8 @@
 	unknown: 'outcome-unknown',
 } as const satisfies Record<Outcome, ErrorKind>;
 
-function billLinesOf(attempts: readonly AttemptState[]): AttemptLine[] {
-	const lines: AttemptLine[] = [];
+function billLinesOf(attempts: readonly AttemptState[]): AttemptBillLine[] {
+	const lines: AttemptBillLine[] = [];
 	for (const {number, server, target, purpose, outcome, usage} of attempts) {
 		if (server !== undefined) {
 			lines.push({
@@ -125,7 +125,7 @@
 }
 
 function clearTimers(transition: RequestTransition): void {
-	const {plan, comingBack} = transition.state;
+	const {plan, serverRetryScheduled: comingBack} = transition.state;
 	transition.emit({type: 'clear-timer', timer: 'deadline'});
 	if (plan.hedge !== undefined) {
 		transition.emit({type: 'clear-timer', timer: 'hedge'});
--- a/packages/routing/src/_handle-attempt-event.ts
+++ b/packages/routing/src/_handle-attempt-event.ts
@@ -58,7 +58,7 @@
 			handleNotRun(transition, {attempt, retryAfterMilliseconds: retryAfterMilliseconds ?? defaultRetryAfterMilliseconds});
 		})
 		.with({type: 'attempt-head'}, () => {
-			transition.updateAttempt(attempt.number, {...runningOutcome(transition, attempt), silent: false});
+			transition.updateAttempt(attempt.number, {...runningOutcome(transition, attempt), stalled: false});
 		})
 		.with({type: 'attempt-complete'}, complete => {
 			handleComplete(transition, {attempt, event: complete});
@@ -81,7 +81,7 @@
 }
 
 function handleServerChosen(transition: RequestTransition, {attempt, event: {server}}: AttemptWithEvent<'server-chosen'>): void {
-	const {draining, plan, stopping, freshConnection} = transition.state;
+	const {excludedServers: draining, plan, stopping, freshConnection} = transition.state;
 	if (transition.isTargetDisallowed) {
 		transition.removeAttempt(attempt.number);
 		abandonTarget(transition);
@@ -96,7 +96,7 @@
 
 	const {number, target, purpose, resumeFrom} = attempt;
 	transition.updateAttempt(number, {
-		status: 'sent', outcome: 'unknown', server, progressAt: transition.now,
+		status: 'sent', outcome: 'unknown', server, lastProgressAt: transition.now,
 	});
 	transition.emit({
 		type: 'dispatch', attempt: number, server, target, purpose, resumeFrom, freshConnection,
@@ -139,8 +139,8 @@
 		transition.excludeServer(attempt.server);
 	}
 
-	transition.update({denials: transition.state.denials + 1});
-	if (transition.state.denials > maximumDenials) {
+	transition.update({dispatchDenials: transition.state.dispatchDenials + 1});
+	if (transition.state.dispatchDenials > maximumDenials) {
 		waitOrGiveUp(transition, {message: 'All chosen servers are shutting down or gone', retryAfterMilliseconds: defaultRetryAfterMilliseconds});
 		return;
 	}
@@ -158,8 +158,8 @@
 Handles a connection that never opened. Nothing was sent, so the next attempt adds no load and is not charged to the budget: with an exhausted budget, a request would otherwise be refused because one server had just gone, though another one is free.
 */
 function handleNeverSent(transition: RequestTransition, attempt: AttemptState): void {
-	transition.updateAttempt(attempt.number, {status: 'ended', outcome: 'notRun', unsent: true});
-	transition.update({unreachable: transition.state.unreachable + 1});
+	transition.updateAttempt(attempt.number, {status: 'ended', outcome: 'notRun', neverSent: true});
+	transition.update({connectionFailures: transition.state.connectionFailures + 1});
 	markServerTried(transition, attempt);
 	retryOrGiveUp(transition, {
 		message: 'No connection could be opened to any of the servers that were tried',
@@ -202,8 +202,8 @@
 	transition.updateAttempt(number, {
 		...ran,
 		received: offset + length,
-		progressAt: transition.now,
-		silent: false,
+		lastProgressAt: transition.now,
+		stalled: false,
 		usage: {input: ran.usage.input, output: ran.usage.output + tokens},
 	});
 	if (transition.buffersAnswer) {
@@ -212,7 +212,7 @@
 	}
 
 	transition.cancelOthers(number);
-	transition.update({leader: number, delivered: offset + length});
+	transition.update({answeringAttempt: number, deliveredBytes: offset + length});
 	transition.emitToCaller({type: 'forward-piece', attempt: number, offset});
 }
 
@@ -225,7 +225,7 @@
 
 	transition.updateAttempt(number, {status: 'ended', outcome: 'ran', usage});
 	transition.cancelOthers(number);
-	transition.update({leader: number});
+	transition.update({answeringAttempt: number});
 	if (!transition.state.judged) {
 		settleAnswer(transition);
 		return;
@@ -236,7 +236,7 @@
 }
 
 function handleVerdict(transition: RequestTransition, event: EventOf<'attempt-judged'>): void {
-	const {stage, leader} = transition.state;
+	const {stage, answeringAttempt: leader} = transition.state;
 	if (stage !== 'judging' || event.attempt !== leader) {
 		return;
 	}
@@ -248,7 +248,7 @@
 
 	transition.emit({type: 'drop-held', attempt: event.attempt});
 	transition.update({
-		target: event.target, judged: event.judged, leader: undefined,
+		target: event.target, judged: event.judged, answeringAttempt: undefined,
 	});
 	startAttempt(transition, 'escalation');
 }
@@ -274,7 +274,7 @@
 Handles a stalled attempt by requesting another server, as for a hedge. The connection stays open, since this attempt may be the only source of an answer once its server resumes.
 */
 function handleStall(transition: RequestTransition, attempt: AttemptState): void {
-	transition.updateAttempt(attempt.number, {silent: true});
+	transition.updateAttempt(attempt.number, {stalled: true});
 	markServerTried(transition, attempt);
 	retryOrGiveUp(transition, {message: 'The server stopped sending data', retryAfterMilliseconds: defaultRetryAfterMilliseconds});
 }
@@ -292,7 +292,7 @@
 
 function markServerTried(transition: RequestTransition, {server}: AttemptState): void {
 	if (server !== undefined) {
-		transition.update({tried: [...transition.state.tried, server]});
+		transition.update({triedServers: [...transition.state.triedServers, server]});
 	}
 }
 
--- a/packages/routing/src/_handle-external-event.ts
+++ b/packages/routing/src/_handle-external-event.ts
@@ -6,7 +6,7 @@
 	abandonTarget, hasAttemptsLeft, retryServerSelection, startAttempt,
 } from './_start-attempt.js';
 import {type RequestTarget} from './request-plan.js';
-import {type RequestTimer, type SurroundingsEvent} from './request-event.js';
+import {type RequestTimer, type ExternalEvent} from './request-event.js';
 
 /**
 Handles an event from outside the request's own attempts, such as a timer or a configuration change.
@@ -14,7 +14,7 @@
 @param transition The transition in progress.
 @param event The event.
 */
-export function handleExternalEvent(transition: RequestTransition, event: SurroundingsEvent): void {
+export function handleExternalEvent(transition: RequestTransition, event: ExternalEvent): void {
 	match(event)
 		.with({type: 'timer'}, ({timer}) => {
 			handleTimer(transition, timer);
@@ -69,13 +69,13 @@
 	}
 
 	const {prefillMilliseconds, decodeMilliseconds} = plan.hedge;
-	const hedgeAt = slow.progressAt + (slow.received > slow.resumeFrom ? decodeMilliseconds : prefillMilliseconds);
+	const hedgeAt = slow.lastProgressAt + (slow.received > slow.resumeFrom ? decodeMilliseconds : prefillMilliseconds);
 	if (transition.now < hedgeAt) {
 		transition.emit({type: 'set-timer', timer: 'hedge', at: hedgeAt});
 		return;
 	}
 
-	if (slow.target.type === 'version' || transition.state.delivered === 0) {
+	if (slow.target.type === 'version' || transition.state.deliveredBytes === 0) {
 		transition.update({hedged: true});
 		startAttempt(transition, 'hedge');
 	}
@@ -90,7 +90,7 @@
 
 	if (stage === 'waiting') {
 		transition.emit({type: 'clear-timer', timer: 'come-back'});
-		transition.update({stage: 'running', comingBack: false});
+		transition.update({stage: 'running', serverRetryScheduled: false});
 	}
 
 	if (transition.state.stage === 'running') {
@@ -108,7 +108,7 @@
 	const {plan, attempts, stage} = transition.state;
 	const mayHaveRun = outcomeOfAttempts(attempts) !== 'notRun';
 	transition.update({callerLeft: true});
-	if (plan.finishWithoutCaller === true && mayHaveRun && stage !== 'ended') {
+	if (plan.finishAfterCallerLeaves === true && mayHaveRun && stage !== 'ended') {
 		return;
 	}
 
@@ -117,7 +117,7 @@
 
 /** Completes the answer once the bill is settled. */
 function finishAnswer(transition: RequestTransition): void {
-	const {stage, leader} = transition.state;
+	const {stage, answeringAttempt: leader} = transition.state;
 	if (stage !== 'settling' || leader === undefined) {
 		return;
 	}
--- a/packages/routing/src/_handle-preparation-event.ts
+++ b/packages/routing/src/_handle-preparation-event.ts
@@ -3,7 +3,7 @@
 import {endRequest, refuseRequest} from './_end-request.js';
 import {type RequestTransition} from './_request-transition.js';
 import {startAttempt} from './_start-attempt.js';
-import {type ClaimAnswer, type PreparationEvent} from './request-event.js';
+import {type ClaimResult, type PreparationEvent} from './request-event.js';
 import {type RequestTarget} from './request-plan.js';
 import {type RequestStage} from './request-state.js';
 
@@ -76,7 +76,7 @@
 }
 
 function takeClaim(transition: RequestTransition): void {
-	if (!transition.state.plan.claimed) {
+	if (!transition.state.plan.requiresClaim) {
 		openBill(transition);
 		return;
 	}
@@ -91,7 +91,7 @@
 }
 
 type ClaimAnsweredOptions = {
-	readonly answer: ClaimAnswer;
+	readonly answer: ClaimResult;
 	readonly retryAfterMilliseconds: number;
 };
 
--- a/packages/routing/src/_request-transition.ts
+++ b/packages/routing/src/_request-transition.ts
@@ -32,12 +32,12 @@
 
 	/** The live attempts that are not stalled. */
 	get activeAttempts(): AttemptState[] {
-		return this.liveAttempts.filter(({silent}) => !silent);
+		return this.liveAttempts.filter(({stalled: silent}) => !silent);
 	}
 
 	/** Whether new attempts on the current target are disallowed. */
 	get isTargetDisallowed(): boolean {
-		const {lost, target} = this.#state;
+		const {disallowedTargets: lost, target} = this.#state;
 		return lost.some(other => isSameTarget(other, target));
 	}
 
@@ -82,17 +82,17 @@
 
 	/** Disallows new attempts on a target. */
 	disallowTarget(target: RequestTarget): void {
-		const {lost} = this.#state;
+		const {disallowedTargets: lost} = this.#state;
 		if (!lost.some(other => isSameTarget(other, target))) {
-			this.update({lost: [...lost, target]});
+			this.update({disallowedTargets: [...lost, target]});
 		}
 	}
 
 	/** Excludes a server that is shutting down or gone from further attempts. */
 	excludeServer(server: ServerId): void {
-		const {draining} = this.#state;
+		const {excludedServers: draining} = this.#state;
 		if (draining.length < maximumExcludedServers && !draining.includes(server)) {
-			this.update({draining: [...draining, server]});
+			this.update({excludedServers: [...draining, server]});
 		}
 	}
 
--- a/packages/routing/src/_start-attempt.ts
+++ b/packages/routing/src/_start-attempt.ts
@@ -24,7 +24,7 @@
 		return;
 	}
 
-	const {nextAttempt, target, attempts, delivered} = transition.state;
+	const {nextAttemptNumber: nextAttempt, target, attempts, deliveredBytes: delivered} = transition.state;
 	const attempt: AttemptState = {
 		number: nextAttempt,
 		purpose,
@@ -32,15 +32,15 @@
 		target,
 		status: 'choosing',
 		outcome: 'notRun',
-		silent: false,
-		unsent: false,
+		stalled: false,
+		neverSent: false,
 		server: undefined,
 		resumeFrom: delivered,
 		received: delivered,
-		progressAt: transition.now,
+		lastProgressAt: transition.now,
 		usage: noUsage,
 	};
-	transition.update({nextAttempt: nextAttempt + 1, attempts: [...attempts, attempt]});
+	transition.update({nextAttemptNumber: nextAttempt + 1, attempts: [...attempts, attempt]});
 	chooseServer(transition, attempt);
 }
 
@@ -59,7 +59,7 @@
 export function chooseServer(transition: RequestTransition, {
 	number, purpose, target, budgeted,
 }: AttemptState): void {
-	const excluded = [...transition.state.draining, ...transition.state.tried];
+	const excluded = [...transition.state.excludedServers, ...transition.state.triedServers];
 	for (const {server} of transition.liveAttempts) {
 		if (server !== undefined) {
 			excluded.push(server);
@@ -116,9 +116,9 @@
 		return;
 	}
 
-	const {plan, comingBack, stopping} = transition.state;
+	const {plan, serverRetryScheduled: comingBack, stopping} = transition.state;
 	const hasLiveAttempt = transition.liveAttempts.length > 0;
-	const wait = Math.min(plan.comeBackMilliseconds ?? 0, options.retryAfterMilliseconds);
+	const wait = Math.min(plan.serverRetryMilliseconds ?? 0, options.retryAfterMilliseconds);
 	const fitsDeadline = wait > 0 && transition.now + wait < plan.deadline;
 	if (!fitsDeadline || stopping || !isWorthWaiting(transition) || !mayRetry(transition)) {
 		if (!hasLiveAttempt) {
@@ -130,7 +130,7 @@
 
 	transition.update({stage: hasLiveAttempt ? 'running' : 'waiting'});
 	if (!comingBack) {
-		transition.update({comingBack: true});
+		transition.update({serverRetryScheduled: true});
 		transition.emit({type: 'set-timer', timer: 'come-back', at: transition.now + wait});
 	}
 }
@@ -138,7 +138,7 @@
 /**
 Tells whether the request gains anything by waiting for a server. A request that did not run is refused at once, since its caller can retry it safely. One that a server has reported as failed would fail again.
 */
-function isWorthWaiting({state: {attempts, delivered, reportedFailure}}: RequestTransition): boolean {
+function isWorthWaiting({state: {attempts, deliveredBytes: delivered, reportedFailure}}: RequestTransition): boolean {
 	return delivered > 0 || (!reportedFailure && outcomeOfAttempts(attempts) !== 'notRun');
 }
 
@@ -148,14 +148,14 @@
 @param transition The transition in progress.
 */
 export function retryServerSelection(transition: RequestTransition): void {
-	transition.update({comingBack: false});
+	transition.update({serverRetryScheduled: false});
 	const isWaiting = transition.state.stage === 'waiting' || transition.state.stage === 'running';
 	if (!isWaiting || transition.activeAttempts.length > 0) {
 		return;
 	}
 
-	transition.update({tried: [], unreachable: 0});
-	retryOrGiveUp(transition, {message: 'No server is available for the request', retryAfterMilliseconds: transition.state.plan.comeBackMilliseconds ?? 0});
+	transition.update({triedServers: [], connectionFailures: 0});
+	retryOrGiveUp(transition, {message: 'No server is available for the request', retryAfterMilliseconds: transition.state.plan.serverRetryMilliseconds ?? 0});
 }
 
 /**
@@ -197,12 +197,12 @@
 */
 export function hasAttemptsLeft({state}: RequestTransition): boolean {
 	const {plan, target, attempts} = state;
-	const attemptCount = attempts.filter(attempt => attempt.target === target && attempt.server !== undefined && !attempt.unsent).length;
+	const attemptCount = attempts.filter(attempt => attempt.target === target && attempt.server !== undefined && !attempt.neverSent).length;
 	return attemptCount < maximumAttemptsOf(plan);
 }
 
 /** Tells whether as many connections have failed to open as the attempt limit allows, which bounds how many unreachable servers are tried before the request waits or is refused. */
-function hasReachedConnectionLimit({state: {plan, unreachable}}: RequestTransition): boolean {
+function hasReachedConnectionLimit({state: {plan, connectionFailures: unreachable}}: RequestTransition): boolean {
 	return unreachable >= maximumAttemptsOf(plan);
 }
 
@@ -211,7 +211,7 @@
 }
 
 function mayRetry(transition: RequestTransition): boolean {
-	const {plan, target, attempts, delivered} = transition.state;
+	const {plan, target, attempts, deliveredBytes: delivered} = transition.state;
 	if (!hasAttemptsLeft(transition) || transition.now >= plan.deadline) {
 		return false;
 	}
@@ -224,7 +224,7 @@
 }
 
 function nextPurpose({state}: RequestTransition): AttemptPurpose {
-	if (state.delivered > 0) {
+	if (state.deliveredBytes > 0) {
 		return 'resume';
 	}
 
--- a/packages/routing/src/_test-request-audit.ts
+++ b/packages/routing/src/_test-request-audit.ts
@@ -2,9 +2,9 @@
 	outcomeOf, type ServerId, toId,
 } from '@valehitch/core';
 import {
-	type AttemptLine, type CallerAction, type ClaimOutcome, type RequestAction,
+	type AttemptBillLine, type CallerAction, type ClaimOutcome, type RequestAction,
 } from './request-action.js';
-import {type ClaimAnswer} from './request-event.js';
+import {type ClaimResult} from './request-event.js';
 import {type RequestPlan, type RequestTarget} from './request-plan.js';
 
 export type Dispatch = Extract<RequestAction, {readonly type: 'dispatch'}>;
@@ -79,7 +79,7 @@
 		this.#claim = 'pending';
 	}
 
-	claimAnswered(answer: ClaimAnswer): void {
+	claimAnswered(answer: ClaimResult): void {
 		if (this.#claim === 'pending' && answer !== 'no-quorum') {
 			this.#claim = claimByAnswer[answer];
 		}
@@ -99,7 +99,7 @@
 		this.#bill.held++;
 	}
 
-	settleBill(lines: readonly AttemptLine[]): void {
+	settleBill(lines: readonly AttemptBillLine[]): void {
 		this.#bill.settled++;
 		assertInvariant(new Set(lines.map(({attempt}) => attempt)).size === lines.length, 'billed an attempt twice');
 		for (const {dispatch, ran} of this.runs) {
@@ -120,7 +120,7 @@
 		assertInvariant(!this.stopped.has(target), 'dispatched to a disallowed target');
 		assertInvariant(!this.draining.has(server), 'dispatched to a server that is draining');
 		assertInvariant(this.#bill.opened === 1 && this.#bill.held > 0 && this.#bill.settled === 0, 'dispatched without an open bill');
-		assertInvariant(!this.#plan.claimed || this.#claim === 'taken', 'dispatched without the claim');
+		assertInvariant(!this.#plan.requiresClaim || this.#claim === 'taken', 'dispatched without the claim');
 		assertInvariant(this.ending === 'none', 'dispatched after the final answer');
 		assertInvariant(purpose !== 'hedge' || this.#plan.repeatable, 'hedged a request that is not repeatable');
 		assertInvariant(!this.isConnectionLost || dispatch.freshConnection, 'reused a connection after a reused one had broken');
--- a/packages/routing/src/_test-simulated-world.ts
+++ b/packages/routing/src/_test-simulated-world.ts
@@ -5,8 +5,8 @@
 	assertInvariant, type Dispatch, RequestAudit, type Run, servers, targets,
 } from './_test-request-audit.js';
 import {type RequestAction} from './request-action.js';
-import {type DispatchDenial, type RequestEvent} from './request-event.js';
-import {startRequest, stepRequest} from './request-life.js';
+import {type DispatchDenialReason, type RequestEvent} from './request-event.js';
+import {startRequest, stepRequest} from './request-state-machine.js';
 import {type RequestPlan, type RequestTarget} from './request-plan.js';
 import {type RequestState} from './request-state.js';
 
@@ -263,7 +263,7 @@
 		this.#enqueue({type: 'attempt-connection-lost', attempt: run.dispatch.attempt, message: 'Closed'});
 	}
 
-	#denialOf(target: RequestTarget, server: ServerId): DispatchDenial | undefined {
+	#denialOf(target: RequestTarget, server: ServerId): DispatchDenialReason | undefined {
 		if (this.#stopped.has(target)) {
 			return 'version-stopped';
 		}
--- a/packages/routing/src/admission.test.ts
+++ b/packages/routing/src/admission-controller.test.ts
@@ -2,7 +2,7 @@
 import test from 'ava';
 import fc from 'fast-check';
 import {type AdmissionRequest} from './admission-request.js';
-import {Admission} from './admission.js';
+import {AdmissionController} from './admission-controller.js';
 
 const seed = 20_261_202;
 const never = Number.MAX_SAFE_INTEGER;
@@ -98,7 +98,7 @@
 		pick: fc.nat(30),
 	});
 	fc.assert(fc.property(fc.array(step, {maxLength: 120, size: 'max'}), steps => {
-		const admission = new Admission({capacity: 500, maximumWaiting: 100_000});
+		const admission = new AdmissionController({capacity: 500, maximumQueueLength: 100_000});
 		const reference = new ReferenceAdmission(500);
 		// Irrational weights keep start times from being equal by chance.
 		const weights = [1, Math.SQRT2, Math.E, Math.PI, Math.sqrt(7)];
@@ -110,7 +110,7 @@
 				const answer = admission.offer(request, id);
 				t.is(reference.offer(request).length > 0, answer.type === 'admitted');
 			} else if (kind === 'leave') {
-				t.deepEqual(admission.leave(toId(`r${pick}`)), reference.admitted.has(toId(`r${pick}`)) ? [] : reference.leave(toId(`r${pick}`)));
+				t.deepEqual(admission.cancel(toId(`r${pick}`)), reference.admitted.has(toId(`r${pick}`)) ? [] : reference.leave(toId(`r${pick}`)));
 			} else {
 				const released = [...reference.admitted.keys()][pick % Math.max(1, reference.admitted.size)] ?? toId<RequestId>('none');
 				t.deepEqual(admission.release(released, {tokens: cost, now: id}), reference.release(released, cost));
@@ -122,7 +122,7 @@
 test('shares tokens within the bound of fair queueing, without starvation', t => {
 	const anyWorkspaces = fc.array(fc.record({weight: fc.integer({min: 1, max: 9}), largest: fc.integer({min: 1, max: 500})}), {minLength: 2, maxLength: 10});
 	fc.assert(fc.property(anyWorkspaces, fc.integer({min: 1, max: 1_000_000}), (workspaces, start) => {
-		const admission = new Admission({capacity: 1, maximumWaiting: never});
+		const admission = new AdmissionController({capacity: 1, maximumQueueLength: never});
 		const served = workspaces.map(() => 0);
 		const requests = new Map<RequestId, {readonly index: number; readonly cost: number}>();
 		let draw = start;
@@ -159,7 +159,7 @@
 });
 
 test('refuses only requests that exceed the deadline or the queue limit, and tells when to retry', t => {
-	const admission = new Admission({capacity: 100, maximumWaiting: 4});
+	const admission = new AdmissionController({capacity: 100, maximumQueueLength: 4});
 	t.is(admission.offer(requestOf(0), 0).type, 'admitted');
 	t.is(admission.offer(requestOf(1), 0).type, 'queued');
 	t.deepEqual(admission.release(toId('r0'), {tokens: 100, now: 0}), ['r1']);
@@ -178,7 +178,7 @@
 });
 
 test('forgets the workspaces when nothing is in progress', t => {
-	const admission = new Admission({capacity: 100});
+	const admission = new AdmissionController({capacity: 100});
 	for (let id = 0; id < 50; id++) {
 		admission.offer(requestOf(id, {workspace: workspaceOf(id)}), 0);
 	}
@@ -194,7 +194,7 @@
 
 // Throughput that is measured while nothing is queued reflects the demand; used as a capacity, it would refuse requests that the servers can handle.
 test('the throughput of an unsaturated pool is not taken for its capacity', t => {
-	const admission = new Admission({capacity: 1000});
+	const admission = new AdmissionController({capacity: 1000});
 	const serviceMilliseconds = 500;
 	let now = 0;
 	for (let id = 0; id < 20; id++) {
@@ -212,7 +212,7 @@
 
 // Such a rate would refuse requests for waits that do not occur.
 test('a rate measured before or across a stall of the servers is not used after it', t => {
-	const admission = new Admission({capacity: 100});
+	const admission = new AdmissionController({capacity: 100});
 	const serviceMilliseconds = 100;
 	let now = 0;
 	let id = 0;
--- a/packages/routing/src/admission.ts
+++ b/packages/routing/src/admission-controller.ts
@@ -5,7 +5,7 @@
 import {StartTimeHeap} from './_start-time-heap.js';
 import {WorkspaceQueue} from './_workspace-queue.js';
 import {
-	type AdmissionAnswer, type AdmissionOptions, type AdmissionRequest, type ReleaseOptions,
+	type AdmissionDecision, type AdmissionControllerOptions, type AdmissionRequest, type ReleaseOptions,
 } from './admission-request.js';
 
 type AdmittedRequest = {
@@ -30,7 +30,7 @@
 }
 ```
 */
-export class Admission {
+export class AdmissionController {
 	readonly #maximumWaiting: number;
 	readonly #queues = new Map<WorkspaceId, WorkspaceQueue>();
 	readonly #waiting = new Map<RequestId, AdmissionRequest>();
@@ -44,7 +44,7 @@
 	#virtualTime = 0;
 	#lastArrival = 0;
 
-	constructor({capacity, maximumWaiting = 1024}: AdmissionOptions) {
+	constructor({capacity, maximumQueueLength: maximumWaiting = 1024}: AdmissionControllerOptions) {
 		this.#capacity = capacity;
 		this.#maximumWaiting = maximumWaiting;
 	}
@@ -71,7 +71,7 @@
 	@param now Milliseconds on the monotonic clock.
 	@returns The decision: admitted; queued, with the expected wait; or refused, with the time after which a retry may succeed.
 	*/
-	offer(request: AdmissionRequest, now: number): AdmissionAnswer {
+	offer(request: AdmissionRequest, now: number): AdmissionDecision {
 		const queue = this.#getQueue(request);
 		const freeSlots = this.#maximumWaiting - this.#waiting.size;
 		this.#enqueue(queue, request);
@@ -85,7 +85,7 @@
 			waitMilliseconds, now, freeSlots, queuedOfWorkspace: queue.length - 1,
 		});
 		if (refusal !== undefined) {
-			this.leave(request.id);
+			this.cancel(request.id);
 			return {type: 'refused', failure: refusal};
 		}
 
@@ -126,7 +126,7 @@
 	@param id The request.
 	@returns The queued requests that it was blocking and that are admitted now, in order.
 	*/
-	leave(id: RequestId): RequestId[] {
+	cancel(id: RequestId): RequestId[] {
 		const request = this.#waiting.get(id);
 		const queue = request && this.#queues.get(request.workspace);
 		if (request === undefined || queue === undefined) {
--- a/packages/routing/src/admission-request.ts
+++ b/packages/routing/src/admission-request.ts
@@ -17,17 +17,17 @@
 };
 
 /** The decision on an offered request. */
-export type AdmissionAnswer
+export type AdmissionDecision
 	= | {readonly type: 'admitted'}
 		| {readonly type: 'queued'; readonly waitMilliseconds: number}
 		| {readonly type: 'refused'; readonly failure: Failure};
 
 /** The limits of an admission controller. */
-export type AdmissionOptions = {
+export type AdmissionControllerOptions = {
 	/** The initial number of tokens that may be in progress at once. */
 	readonly capacity: number;
 	/** The maximum number of queued requests over all workspaces; 1024 by default. */
-	readonly maximumWaiting?: number;
+	readonly maximumQueueLength?: number;
 };
 
 /** The options for releasing an admitted request. */
--- a/packages/routing/src/choose-home-scope.ts
+++ b/packages/routing/src/choose-affinity-scope.ts
@@ -1,12 +1,12 @@
 /** The servers among which a prompt prefix has its preferred servers: none, those of the own availability zone, or all. */
-export type HomeScope = 'none' | 'zone' | 'all';
+export type AffinityScope = 'none' | 'zone' | 'all';
 
 /** The options of `chooseAffinityScope`. */
-export type ChooseHomeScopeOptions = {
+export type ChooseAffinityScopeOptions = {
 	/** The tokens that the prompt shares with other prompts about the same subject. */
 	readonly sharedTokens: number;
 	/** The share of such requests whose subject occurred in a recent request, from 0 to 1. */
-	readonly repeatShare: number;
+	readonly repeatRate: number;
 	/** The size of the request in bytes, which are transferred to another zone. */
 	readonly bytes: number;
 	/** How many bytes between zones cost as much as processing one prompt token; 20 by default, from the prices of a deployment with engines of 100 tokens per millisecond. */
@@ -27,6 +27,6 @@
 chooseAffinityScope({sharedTokens: 5400, repeatRate: 0.3, bytes: 12_000}); // 'all'
 ```
 */
-export function chooseHomeScope({sharedTokens, repeatShare, bytes, bytesPerToken = 20}: ChooseHomeScopeOptions): HomeScope {
+export function chooseAffinityScope({sharedTokens, repeatRate: repeatShare, bytes, bytesPerToken = 20}: ChooseAffinityScopeOptions): AffinityScope {
 	return sharedTokens * repeatShare * bytesPerToken > bytes ? 'all' : 'none';
 }
--- a/packages/routing/src/decision-ring.ts
+++ b/packages/routing/src/decision-history.ts
@@ -40,7 +40,7 @@
 };
 
 /** The limits of a decision history. */
-export type DecisionRingOptions = {
+export type DecisionHistoryOptions = {
 	/** The maximum number of requests; the oldest one is evicted first; 2048 by default. */
 	readonly capacity?: number;
 	/** The maximum number of versions, of attempts, and of servers per attempt that are recorded per request; 8 by default. */
@@ -57,12 +57,12 @@
 history.get(request);
 ```
 */
-export class DecisionRing {
+export class DecisionHistory {
 	readonly #capacity: number;
 	readonly #maximumEntries: number;
 	readonly #records = new Map<RequestId, DecisionRecord>();
 
-	constructor({capacity = 2048, maximumEntries = 8}: DecisionRingOptions = {}) {
+	constructor({capacity = 2048, maximumEntries = 8}: DecisionHistoryOptions = {}) {
 		this.#capacity = capacity;
 		this.#maximumEntries = maximumEntries;
 	}
@@ -77,7 +77,7 @@
 
 	@param record The record.
 	*/
-	begin(record: DecisionRecord): void {
+	add(record: DecisionRecord): void {
 		this.#records.set(record.request, {
 			...record,
 			versions: record.versions.slice(0, this.#maximumEntries),
@@ -95,7 +95,7 @@
 	@param request The request; ignored if its record was evicted.
 	@param decision The attempt.
 	*/
-	attempt(request: RequestId, decision: AttemptDecision): void {
+	recordAttempt(request: RequestId, decision: AttemptDecision): void {
 		const record = this.#records.get(request);
 		if (record === undefined) {
 			return;
@@ -114,7 +114,7 @@
 	@param request The request; ignored if its record was evicted.
 	@param ending How it ended.
 	*/
-	end(request: RequestId, ending: string): void {
+	recordEnd(request: RequestId, ending: string): void {
 		const record = this.#records.get(request);
 		if (record !== undefined) {
 			this.#records.set(request, {...record, ending});
--- a/packages/routing/src/hedge-policy.ts
+++ b/packages/routing/src/hedge-policy.ts
@@ -12,7 +12,7 @@
 /** When an attempt counts as slow. */
 export type HedgePolicyOptions = {
 	/** The quantile of the latency history above which an attempt counts as slow; 0.95 by default. */
-	readonly share?: number;
+	readonly quantile?: number;
 	/** The minimum delay in milliseconds, so that jitter does not trigger hedges; 20 by default. */
 	readonly minimumMilliseconds?: number;
 };
@@ -41,16 +41,16 @@
 ```
 */
 export function hedgeDelays(request: HedgedRequest, options: HedgeDelaysOptions): HedgeDelays | undefined {
-	const {history, share = 0.95, minimumMilliseconds = 20} = options;
+	const {history, quantile: share = 0.95, minimumMilliseconds = 20} = options;
 	const stage: AttemptStage = request.streamed ? 'prefill' : 'whole';
 	const key = stageKey(request);
-	const slowPrefill = history.quantile(key, {stage, share});
+	const slowPrefill = history.quantile(key, {stage, quantile: share});
 	if (slowPrefill === undefined) {
 		return undefined;
 	}
 
 	const prefillMilliseconds = Math.max(minimumMilliseconds, slowPrefill);
-	const gap = history.quantile(key, {stage: 'decode', share: gapQuantile(share)}) ?? 0;
+	const gap = history.quantile(key, {stage: 'decode', quantile: gapQuantile(share)}) ?? 0;
 	// A hedge has to process the whole prompt again before it can take over.
 	return {prefillMilliseconds, decodeMilliseconds: Math.max(prefillMilliseconds, decodeFactor * gap)};
 }
--- a/packages/routing/src/mod.ts
+++ b/packages/routing/src/mod.ts
@@ -4,27 +4,27 @@
 @module
 */
 export type * from './admission-request.js';
-export * from './admission.js';
-export * from './choose-home-scope.js';
-export * from './decision-ring.js';
+export * from './admission-controller.js';
+export * from './choose-affinity-scope.js';
+export * from './decision-history.js';
 export * from './fingerprint-request.js';
 export * from './hedge-policy.js';
 export * from './outlier-ejection.js';
-export * from './prefix-shares.js';
+export * from './prefix-frequencies.js';
 export * from './rendezvous-score.js';
 export type * from './request-action.js';
 export type * from './request-event.js';
-export * from './request-life.js';
+export * from './request-state-machine.js';
 export type * from './request-plan.js';
 export type * from './request-state.js';
-export * from './repeat-share.js';
+export * from './repeat-rate.js';
 export * from './retry-budget.js';
-export * from './retry-window.js';
+export * from './windowed-retry-budget.js';
 export * from './server-choice.js';
 export * from './server-load.js';
 export type * from './server-view.js';
 export * from './session-token.js';
 export * from './stage-history.js';
-export * from './suspect-book.js';
+export * from './suspect-registry.js';
 export type * from './suspect-record.js';
-export * from './zone-suspicion.js';
+export * from './zone-failure-detector.js';
--- a/packages/routing/src/prefix-shares.ts
+++ b/packages/routing/src/prefix-frequencies.ts
@@ -1,5 +1,5 @@
 /** The limits of the counters. */
-export type PrefixSharesOptions = {
+export type PrefixFrequenciesOptions = {
 	/** The maximum number of counted prefixes; 64 by default. A prefix whose share exceeds 1 divided by this number is always counted. */
 	readonly maximumPrefixes?: number;
 	/** The number of requests after which all counts are halved; 1000 by default. */
@@ -17,13 +17,13 @@
 chooseServer(views, {target, excluded, zone, random, prefix, prefixShare: share});
 ```
 */
-export class PrefixShares {
+export class PrefixFrequencies {
 	readonly #maximumPrefixes: number;
 	readonly #halvingCount: number;
 	readonly #counts = new Map<number, number>();
 	#total = 0;
 
-	constructor({maximumPrefixes = 64, halvingCount = 1000}: PrefixSharesOptions = {}) {
+	constructor({maximumPrefixes = 64, halvingCount = 1000}: PrefixFrequenciesOptions = {}) {
 		this.#maximumPrefixes = maximumPrefixes;
 		this.#halvingCount = halvingCount;
 	}
--- a/packages/routing/src/repeat-share.ts
+++ b/packages/routing/src/repeat-rate.ts
@@ -1,7 +1,7 @@
-import {RecentMap} from '@valehitch/core';
+import {LruMap} from '@valehitch/core';
 
 /** The limits of the memory of subjects. */
-export type RepeatShareOptions = {
+export type RepeatRateOptions = {
 	/** How long a subject is remembered after its last request, in milliseconds; 30,000 by default, about as long as a server of usual size and traffic caches a part of a prompt. */
 	readonly memoryMilliseconds?: number;
 	/** The maximum number of remembered subjects; 1024 by default, which covers 30 s at 34 requests per second in about 100 KB. */
@@ -26,20 +26,20 @@
 repeatRate.value; // decreases with each new subject
 ```
 */
-export class RepeatShare {
+export class RepeatRate {
 	readonly #memoryMilliseconds: number;
 	/** The time of the latest request for each subject. */
-	readonly #lastSeenAt: RecentMap<string, number>;
+	readonly #lastSeenAt: LruMap<string, number>;
 	#repeatCount = initialRepeatCount;
 	#count = initialCount;
 
-	constructor({memoryMilliseconds = 30_000, maximumSubjects = 1024}: RepeatShareOptions = {}) {
+	constructor({memoryMilliseconds = 30_000, maximumSubjects = 1024}: RepeatRateOptions = {}) {
 		this.#memoryMilliseconds = memoryMilliseconds;
-		this.#lastSeenAt = new RecentMap(maximumSubjects);
+		this.#lastSeenAt = new LruMap(maximumSubjects);
 	}
 
 	/** The share of the latest requests whose subject was repeated, from 0 to 1. */
-	get share(): number {
+	get value(): number {
 		return this.#repeatCount / this.#count;
 	}
 
@@ -49,7 +49,7 @@
 	@param subject The subject of the request.
 	@param now Milliseconds on the monotonic clock.
 	*/
-	note(subject: string, now: number): void {
+	record(subject: string, now: number): void {
 		const seenAt = this.#lastSeenAt.peek(subject);
 		const isRepeat = seenAt !== undefined && now - seenAt <= this.#memoryMilliseconds;
 		this.#repeatCount += isRepeat ? 1 : 0;
--- a/packages/routing/src/request-action.ts
+++ b/packages/routing/src/request-action.ts
@@ -11,7 +11,7 @@
 export type ClaimOutcome = 'done' | 'released' | 'unknown';
 
 /** One attempt as a line of the bill; the adapter adds the price. */
-export type AttemptLine = {
+export type AttemptBillLine = {
 	readonly attempt: number;
 	readonly server: ServerId;
 	readonly target: RequestTarget;
@@ -34,7 +34,7 @@
 		/** Answered by `bill-opened` or `bill-not-possible`. */
 		| {readonly type: 'open-bill'}
 		/** Answered by `bill-settled`; the adapter stores it and resends it until it is acknowledged, even after the end of the request. */
-		| {readonly type: 'settle-bill'; readonly outcome: BillOutcome; readonly lines: readonly AttemptLine[]}
+		| {readonly type: 'settle-bill'; readonly outcome: BillOutcome; readonly lines: readonly AttemptBillLine[]}
 		/** Answered by `version-chosen` or `no-version`. */
 		| {readonly type: 'choose-version'; readonly lost: RequestTarget};
 
--- a/packages/routing/src/request-event.ts
+++ b/packages/routing/src/request-event.ts
@@ -2,13 +2,13 @@
 import {type RequestTarget} from './request-plan.js';
 
 /** The result of a claim on an idempotency key. */
-export type ClaimAnswer = 'taken' | 'in-progress' | 'done' | 'unknown' | 'key-reused' | 'no-quorum';
+export type ClaimResult = 'taken' | 'in-progress' | 'done' | 'unknown' | 'key-reused' | 'no-quorum';
 
 /** The timers of a request. */
 export type RequestTimer = 'hedge' | 'deadline' | 'come-back';
 
 /** Why the check right before a dispatch denied it. */
-export type DispatchDenial = 'version-withdrawn' | 'version-stopped' | 'not-allowed' | 'server-draining' | 'server-gone';
+export type DispatchDenialReason = 'version-withdrawn' | 'version-stopped' | 'not-allowed' | 'server-draining' | 'server-gone';
 
 /** Why no server was chosen: none is eligible, or the retry or hedge budget is exhausted. */
 export type NoServerReason = 'none' | 'budget';
@@ -20,7 +20,7 @@
 		/** The session name was claimed; the target is the one that the first writer pinned. */
 		| {readonly type: 'session-pinned'; readonly target: RequestTarget}
 		| {readonly type: 'session-refused'; readonly failure: Failure}
-		| {readonly type: 'claim-answered'; readonly answer: ClaimAnswer; readonly retryAfterMilliseconds?: number}
+		| {readonly type: 'claim-answered'; readonly answer: ClaimResult; readonly retryAfterMilliseconds?: number}
 		/** A second instance has stored the opened bill. */
 		| {readonly type: 'bill-opened'}
 		| {readonly type: 'bill-not-possible'; readonly failure: Failure}
@@ -33,7 +33,7 @@
 	= | {readonly type: 'server-chosen'; readonly attempt: number; readonly server: ServerId}
 		| {readonly type: 'no-server'; readonly attempt: number; readonly reason: NoServerReason; readonly retryAfterMilliseconds: number}
 		/** The check right before the dispatch denied it; nothing was sent. */
-		| {readonly type: 'dispatch-denied'; readonly attempt: number; readonly reason: DispatchDenial}
+		| {readonly type: 'dispatch-denied'; readonly attempt: number; readonly reason: DispatchDenialReason}
 		/** The connection never opened, so no byte of the request was sent. */
 		| {readonly type: 'attempt-never-sent'; readonly attempt: number}
 		/** The server reported that it did not run the request. */
@@ -56,7 +56,7 @@
 		| {readonly type: 'attempt-judged'; readonly attempt: number; readonly verdict: 'escalated'; readonly target: RequestTarget; readonly judged: boolean};
 
 /** The events from outside the attempts of a request. */
-export type SurroundingsEvent
+export type ExternalEvent
 	= | {readonly type: 'timer'; readonly timer: RequestTimer}
 		/** The target gets no new attempts from now on; attempts in progress continue. */
 		| {readonly type: 'permission-lost'; readonly target: RequestTarget}
@@ -68,4 +68,4 @@
 		| {readonly type: 'instance-stopping'};
 
 /** Every event that a request can receive. */
-export type RequestEvent = PreparationEvent | AttemptEvent | SurroundingsEvent;
+export type RequestEvent = PreparationEvent | AttemptEvent | ExternalEvent;
--- a/packages/routing/src/request-plan.ts
+++ b/packages/routing/src/request-plan.ts
@@ -22,7 +22,7 @@
 	/** Whether the request may run more than once. */
 	readonly repeatable: boolean;
 	/** Whether the idempotency key must be claimed before the first dispatch; true for requests that have a key and are not repeatable. */
-	readonly claimed: boolean;
+	readonly requiresClaim: boolean;
 	/** Whether pieces are forwarded to the caller as they arrive; otherwise they are buffered until the answer is complete. */
 	readonly streamed: boolean;
 	/** Whether the answer of the first target is judged before any of it is forwarded to the caller. */
@@ -36,7 +36,7 @@
 	/** The maximum number of attempts per target whose connection opened, hedges and resumes included, and of connections that fail to open between two server retries; 4 by default. */
 	readonly maximumAttempts?: number;
 	/** The longest wait, in milliseconds, before servers are tried again when none is left and the request may have run; 0, the default, gives up at once. */
-	readonly comeBackMilliseconds?: number;
+	readonly serverRetryMilliseconds?: number;
 	/** Whether an attempt continues after the caller has left, so that the claim can store its answer; false by default. */
-	readonly finishWithoutCaller?: boolean;
+	readonly finishAfterCallerLeaves?: boolean;
 };
--- a/packages/routing/src/request-life.test.ts
+++ b/packages/routing/src/request-state-machine.test.ts
@@ -4,7 +4,7 @@
 import {targets} from './_test-request-audit.js';
 import {SimulatedWorld} from './_test-simulated-world.js';
 import {type RequestEvent} from './request-event.js';
-import {startRequest, stepRequest} from './request-life.js';
+import {startRequest, stepRequest} from './request-state-machine.js';
 import {type RequestPlan} from './request-plan.js';
 
 const seed = 20_261_202;
@@ -18,15 +18,15 @@
 	target: fc.constantFrom(...targets),
 	session: fc.constantFrom('none', 'token', 'name'),
 	repeatable: fc.boolean(),
-	claimed: fc.boolean(),
+	requiresClaim: fc.boolean(),
 	streamed: fc.boolean(),
 	judged: fc.boolean(),
 	deadline: fc.constant(1000),
 	promptTokens: fc.constant(7),
 	hedge: fc.constant({prefillMilliseconds: 10, decodeMilliseconds: 5}),
 	maximumAttempts: fc.integer({min: 1, max: 5}),
-	comeBackMilliseconds: fc.constantFrom(0, 20),
-	finishWithoutCaller: fc.boolean(),
+	serverRetryMilliseconds: fc.constantFrom(0, 20),
+	finishAfterCallerLeaves: fc.boolean(),
 } satisfies {readonly [Key in keyof RequestPlan]: fc.Arbitrary<RequestPlan[Key]>});
 
 test('a request keeps its invariants under random events', t => {
@@ -58,7 +58,7 @@
 
 const server = 'engine-1' as ServerId;
 const plainPlan: RequestPlan = {
-	target: targets[0]!, session: 'none', repeatable: false, claimed: false, streamed: false, judged: false, deadline: 1000, promptTokens: 7,
+	target: targets[0]!, session: 'none', repeatable: false, requiresClaim: false, streamed: false, judged: false, deadline: 1000, promptTokens: 7,
 };
 
 /** Returns the server requests among the actions of the last of some events. */
@@ -122,7 +122,7 @@
 });
 
 const waitingPlan: RequestPlan = {
-	...plainPlan, repeatable: true, streamed: true, comeBackMilliseconds: 50,
+	...plainPlan, repeatable: true, streamed: true, serverRetryMilliseconds: 50,
 };
 const startedRequest: readonly RequestEvent[] = [{type: 'admitted'}, {type: 'bill-opened'}, {type: 'server-chosen', attempt: 1, server}];
 const broken: RequestEvent = {type: 'attempt-broken', attempt: 1, message: 'Cut'};
@@ -170,7 +170,7 @@
 	const resumed = lastStep([...startedRequest, silent, noServer(2), {
 		type: 'attempt-piece', attempt: 1, offset: 0, length: 3, tokens: 1,
 	}, {type: 'timer', timer: 'come-back'}]);
-	t.is(resumed.state.delivered, 3);
+	t.is(resumed.state.deliveredBytes, 3);
 	t.deepEqual(resumed.actions, []);
 });
 
--- a/packages/routing/src/request-life.ts
+++ b/packages/routing/src/request-state-machine.ts
@@ -3,7 +3,7 @@
 import {handlePreparationEvent} from './_handle-preparation-event.js';
 import {handleExternalEvent} from './_handle-external-event.js';
 import {type RequestAction} from './request-action.js';
-import {type PreparationEvent, type RequestEvent, type SurroundingsEvent} from './request-event.js';
+import {type PreparationEvent, type RequestEvent, type ExternalEvent} from './request-event.js';
 import {type RequestPlan} from './request-plan.js';
 import {type RequestState} from './request-state.js';
 
@@ -40,17 +40,17 @@
 			claim: 'none',
 			bill: 'none',
 			attempts: [],
-			nextAttempt: 1,
-			denials: 0,
-			draining: [],
-			tried: [],
+			nextAttemptNumber: 1,
+			dispatchDenials: 0,
+			excludedServers: [],
+			triedServers: [],
 			freshConnection: false,
-			leader: undefined,
-			delivered: 0,
-			lost: [],
+			answeringAttempt: undefined,
+			deliveredBytes: 0,
+			disallowedTargets: [],
 			hedged: false,
-			comingBack: false,
-			unreachable: 0,
+			serverRetryScheduled: false,
+			connectionFailures: 0,
 			reportedFailure: false,
 			stopping: false,
 			callerLeft: false,
@@ -90,10 +90,10 @@
 	return {state: transition.state, actions: transition.actions};
 }
 
-const externalEventTypes: ReadonlySet<string> = new Set<SurroundingsEvent['type']>([
+const externalEventTypes: ReadonlySet<string> = new Set<ExternalEvent['type']>([
 	'timer', 'permission-lost', 'server-draining', 'caller-left', 'bill-settled', 'instance-stopping',
 ]);
 
-function isExternalEvent(event: PreparationEvent | SurroundingsEvent): event is SurroundingsEvent {
+function isExternalEvent(event: PreparationEvent | ExternalEvent): event is ExternalEvent {
 	return externalEventTypes.has(event.type);
 }
--- a/packages/routing/src/request-state.ts
+++ b/packages/routing/src/request-state.ts
@@ -19,9 +19,9 @@
 	/** Whether it ran; `unknown` from the dispatch until the server responds. */
 	readonly outcome: Outcome;
 	/** Whether it has stalled; it stays open, since its server may still resume. */
-	readonly silent: boolean;
+	readonly stalled: boolean;
 	/** Whether its connection never opened. */
-	readonly unsent: boolean;
+	readonly neverSent: boolean;
 	/** The server; undefined until one is chosen. */
 	readonly server: ServerId | undefined;
 	/** The offset in the answer at which it starts. */
@@ -29,7 +29,7 @@
 	/** The offset up to which its pieces have arrived without a gap. */
 	readonly received: number;
 	/** When the last piece arrived, or when it was dispatched if none has, in milliseconds on the monotonic clock. */
-	readonly progressAt: number;
+	readonly lastProgressAt: number;
 	readonly usage: TokenUsage;
 };
 
@@ -46,27 +46,27 @@
 	/** The attempts that were dispatched, and those that wait for a server. */
 	readonly attempts: readonly AttemptState[];
 	/** The number of the next attempt. */
-	readonly nextAttempt: number;
+	readonly nextAttemptNumber: number;
 	/** The number of dispatches that were denied because the chosen server was shutting down or gone. */
-	readonly denials: number;
+	readonly dispatchDenials: number;
 	/** Servers that are shutting down or gone, and get no further attempts of this request. */
-	readonly draining: readonly ServerId[];
+	readonly excludedServers: readonly ServerId[];
 	/** Servers on which an attempt failed or stalled; they become eligible again after a wait. */
-	readonly tried: readonly ServerId[];
+	readonly triedServers: readonly ServerId[];
 	/** Whether further attempts open new connections, since a reused connection broke during the request. */
 	readonly freshConnection: boolean;
 	/** The number of the attempt that provides the answer; undefined until its first piece is forwarded or it completes. */
-	readonly leader: number | undefined;
+	readonly answeringAttempt: number | undefined;
 	/** The bytes of the answer that were forwarded to the caller. */
-	readonly delivered: number;
+	readonly deliveredBytes: number;
 	/** Targets that get no new attempts of this request. */
-	readonly lost: readonly RequestTarget[];
+	readonly disallowedTargets: readonly RequestTarget[];
 	/** Whether the hedge was started; a request has at most one. */
 	readonly hedged: boolean;
 	/** Whether the `come-back` timer is set, which triggers another server selection. */
-	readonly comingBack: boolean;
+	readonly serverRetryScheduled: boolean;
 	/** The number of connections that failed to open since the last server retry. */
-	readonly unreachable: number;
+	readonly connectionFailures: number;
 	/** Whether a server reported that the request ran and failed, so that it would fail again. */
 	readonly reportedFailure: boolean;
 	readonly stopping: boolean;
--- a/packages/routing/src/retry-budget.test.ts
+++ b/packages/routing/src/retry-budget.test.ts
@@ -6,7 +6,7 @@
 
 test('allows no more additional attempts than the ratio, the minimum rate and the burst permit', t => {
 	fc.assert(fc.property(fc.array(fc.record({isRetry: fc.boolean(), elapsed: fc.nat(50)}), {maxLength: 500, size: 'max'}), steps => {
-		const budget = new RetryBudget({share: 0.1, floorPerSecond: 0.2, burst: 10});
+		const budget = new RetryBudget({ratio: 0.1, minimumPerSecond: 0.2, burst: 10});
 		let now = 0;
 		let first = 0;
 		let additional = 0;
--- a/packages/routing/src/retry-budget.ts
+++ b/packages/routing/src/retry-budget.ts
@@ -1,11 +1,11 @@
-import {RecentMap} from '@valehitch/core';
+import {LruMap} from '@valehitch/core';
 
 /** The limits of a retry budget. */
 export type RetryBudgetOptions = {
 	/** The additional attempts allowed per first attempt; 0.1 by default. */
-	readonly share?: number;
+	readonly ratio?: number;
 	/** The additional attempts allowed per second without any traffic; 0.2 by default. */
-	readonly floorPerSecond?: number;
+	readonly minimumPerSecond?: number;
 	/** The maximum number of additional attempts that can accumulate; 10 by default. */
 	readonly burst?: number;
 	/** The maximum number of keys; the least recently used one is evicted first; 4096 by default. */
@@ -33,13 +33,13 @@
 */
 export class RetryBudget {
 	readonly #options: Required<RetryBudgetOptions>;
-	readonly #buckets: RecentMap<string, Bucket>;
+	readonly #buckets: LruMap<string, Bucket>;
 
 	constructor(options: RetryBudgetOptions = {}) {
 		this.#options = {
-			share: 0.1, floorPerSecond: 0.2, burst: 10, maximumKeys: 4096, ...options,
+			ratio: 0.1, minimumPerSecond: 0.2, burst: 10, maximumKeys: 4096, ...options,
 		};
-		this.#buckets = new RecentMap(this.#options.maximumKeys);
+		this.#buckets = new LruMap(this.#options.maximumKeys);
 	}
 
 	/** The number of tracked keys. */
@@ -55,7 +55,7 @@
 	*/
 	deposit(key: string, now: number): void {
 		const bucket = this.#bucketOf(key, now);
-		bucket.tokens = Math.min(this.#options.burst, bucket.tokens + this.#options.share);
+		bucket.tokens = Math.min(this.#options.burst, bucket.tokens + this.#options.ratio);
 	}
 
 	/**
@@ -76,8 +76,8 @@
 	}
 
 	#bucketOf(key: string, now: number): Bucket {
-		const {floorPerSecond, burst} = this.#options;
-		const bucket = this.#buckets.touch(key, () => ({tokens: 1, filledAt: now}));
+		const {minimumPerSecond: floorPerSecond, burst} = this.#options;
+		const bucket = this.#buckets.getOrCreate(key, () => ({tokens: 1, filledAt: now}));
 		const elapsed = Math.max(0, now - bucket.filledAt);
 		bucket.tokens = Math.min(burst, bucket.tokens + (floorPerSecond * elapsed / millisecondsPerSecond));
 		bucket.filledAt = Math.max(bucket.filledAt, now);
--- a/packages/routing/src/server-choice.test.ts
+++ b/packages/routing/src/server-choice.test.ts
@@ -1,8 +1,8 @@
 import {type ServerId, toId, type ZoneId} from '@valehitch/core';
 import test from 'ava';
 import fc from 'fast-check';
-import {chooseServer, type ServerChoiceOptions, type ServerWish} from './server-choice.js';
-import {serverLoad, startedCapacity} from './server-load.js';
+import {chooseServer, type ServerChoiceOptions, type ServerCriteria} from './server-choice.js';
+import {serverLoad, effectiveCapacity} from './server-load.js';
 import {type ServerView} from './server-view.js';
 
 const seed = 20_261_202;
@@ -14,8 +14,8 @@
 		id: toId<ServerId>(`engine-${index}`),
 		zone: zones[0]!,
 		capacity: 8,
-		reportedActive: 0,
-		ownAtReport: 0,
+		reportedInFlight: 0,
+		ownInFlightAtReport: 0,
 		reportAge: 100,
 		ownInFlight: 0,
 		draining: false,
@@ -27,7 +27,7 @@
 	};
 }
 
-function choose(servers: readonly ServerView[], options: Partial<ServerWish & ServerChoiceOptions> = {}): string | undefined {
+function choose(servers: readonly ServerView[], options: Partial<ServerCriteria & ServerChoiceOptions> = {}): string | undefined {
 	return chooseServer(servers, {
 		target, excluded: new Set(), zone: zones[0]!, random: () => 0.5, ...options,
 	}).map(({server}) => server).toMaybe().extract();
@@ -38,8 +38,8 @@
 const serverMembers = {
 	zone: fc.constantFrom(...zones),
 	capacity: fc.integer({min: 1, max: 16}),
-	reportedActive: fc.nat(20),
-	ownAtReport: fc.nat(5),
+	reportedInFlight: fc.nat(20),
+	ownInFlightAtReport: fc.nat(5),
 	reportAge: fc.nat(20_000),
 	ownInFlight: fc.nat(10),
 	draining: fc.boolean(),
@@ -92,22 +92,22 @@
 test('counts a request of this instance once, whether or not the report included it', t => {
 	const reportAge = 0;
 	t.is(serverLoad(viewOf(1, {
-		reportedActive: 5, ownAtReport: 2, ownInFlight: 4, reportAge,
+		reportedInFlight: 5, ownInFlightAtReport: 2, ownInFlight: 4, reportAge,
 	})), 7);
 	t.is(serverLoad(viewOf(1, {
-		reportedActive: 0, ownAtReport: 0, ownInFlight: 4, reportAge,
+		reportedInFlight: 0, ownInFlightAtReport: 0, ownInFlight: 4, reportAge,
 	})), 4);
 	t.is(serverLoad(viewOf(1, {
-		reportedActive: 5, ownAtReport: 5, ownInFlight: 0, reportAge,
+		reportedInFlight: 5, ownInFlightAtReport: 5, ownInFlight: 0, reportAge,
 	})), 0);
-	const old = serverLoad(viewOf(1, {reportedActive: 6, ownInFlight: 1, reportAge: 60_000}), {meanOthers: 0.25});
+	const old = serverLoad(viewOf(1, {reportedInFlight: 6, ownInFlight: 1, reportAge: 60_000}), {meanOtherLoad: 0.25});
 	t.true(Math.abs(old - 3) < 1e-6, 'the load of other instances decays to the mean as a report ages');
 });
 
 test('the capacity of a new server ramps up', t => {
-	t.is(startedCapacity(viewOf(1, {uptime: 0})), 0.8);
-	t.is(startedCapacity(viewOf(1, {uptime: 15_000})), 4);
-	t.is(startedCapacity(viewOf(1, {uptime: 90_000})), 8);
+	t.is(effectiveCapacity(viewOf(1, {uptime: 0})), 0.8);
+	t.is(effectiveCapacity(viewOf(1, {uptime: 15_000})), 4);
+	t.is(effectiveCapacity(viewOf(1, {uptime: 90_000})), 8);
 });
 
 test('stays in its own zone unless that is empty or much busier than the others', t => {
--- a/packages/routing/src/server-choice.ts
+++ b/packages/routing/src/server-choice.ts
@@ -2,16 +2,16 @@
 	type Failure, failure, type RandomSource, type ServerId, type ZoneId,
 } from '@valehitch/core';
 import {type Either, Left, Right} from 'purify-ts';
-import {type HomeScope} from './choose-home-scope.js';
-import {type ServerVerdict} from './decision-ring.js';
+import {type AffinityScope} from './choose-affinity-scope.js';
+import {type ServerVerdict} from './decision-history.js';
 import {rendezvousScore} from './rendezvous-score.js';
 import {
-	othersOn, serverLoad, type ServerLoadOptions, startedCapacity,
+	reportedOtherLoad, serverLoad, type ServerLoadOptions, effectiveCapacity,
 } from './server-load.js';
 import {type ServerView} from './server-view.js';
 
 /** The requirements that a server must meet. */
-export type ServerWish = {
+export type ServerCriteria = {
 	/** The key of the version, as formatted by `versionKey`, or the name of the service. */
 	readonly target: string;
 	readonly excluded: ReadonlySet<ServerId>;
@@ -20,7 +20,7 @@
 	/** The share of this instance's requests that have the prefix, from 0 to 1; 0 by default. */
 	readonly prefixShare?: number;
 	/** The servers among which the preferred ones of the prefix are found; by default `zone`, the servers that would be chosen from without a prefix. */
-	readonly homeScope?: HomeScope;
+	readonly homeScope?: AffinityScope;
 };
 
 /** How a server is chosen. */
@@ -71,7 +71,7 @@
 chooseServer(views, {target: 'tag-small@1.0', excluded: new Set(), zone, random});
 ```
 */
-export function chooseServer(servers: readonly ServerView[], options: ServerWish & ServerChoiceOptions): Either<Failure, ServerChoice> {
+export function chooseServer(servers: readonly ServerView[], options: ServerCriteria & ServerChoiceOptions): Either<Failure, ServerChoice> {
 	const considered: ServerVerdict[] = [];
 	const views: ServerView[] = [];
 	for (const server of servers) {
@@ -85,7 +85,7 @@
 
 	const meanOthers = meanOtherLoadOf(views);
 	const eligible = views.map(server => ({
-		server, load: serverLoad(server, {meanOthers, ...options}), capacity: startedCapacity(server, options),
+		server, load: serverLoad(server, {meanOtherLoad: meanOthers, ...options}), capacity: effectiveCapacity(server, options),
 	}));
 	const pool = selectZonePool(eligible, options);
 	if (pool.length === 0) {
@@ -113,7 +113,7 @@
 }
 
 /** Chooses among the preferred servers of the prefix, which are those with the highest rendezvous scores whose load is within the bound. */
-function choosePreferredServer(pool: readonly Candidate[], options: ServerWish & ServerChoiceOptions): Candidate | undefined {
+function choosePreferredServer(pool: readonly Candidate[], options: ServerCriteria & ServerChoiceOptions): Candidate | undefined {
 	const {prefix, prefixShare = 0, loadBound = 1.25, homeScope = 'zone'} = options;
 	if (prefix === undefined || homeScope === 'none') {
 		return undefined;
@@ -176,7 +176,7 @@
 	let others = 0;
 	let capacity = 0;
 	for (const server of servers) {
-		others += othersOn(server);
+		others += reportedOtherLoad(server);
 		capacity += server.capacity;
 	}
 
@@ -194,7 +194,7 @@
 
 const notLoadedReason = 'does not have it loaded';
 
-function ineligibilityReason(server: ServerView, {target, excluded}: ServerWish): string | undefined {
+function ineligibilityReason(server: ServerView, {target, excluded}: ServerCriteria): string | undefined {
 	if (!server.loaded.has(target)) {
 		return notLoadedReason;
 	}
--- a/packages/routing/src/server-load.ts
+++ b/packages/routing/src/server-load.ts
@@ -3,9 +3,9 @@
 /** How load is estimated. */
 export type ServerLoadOptions = {
 	/** The time constant in milliseconds with which the reported load of other instances decays towards the mean over the servers; 150 by default. */
-	readonly fadeMilliseconds?: number;
+	readonly reportDecayMilliseconds?: number;
 	/** The mean load from other instances per unit of capacity; 0 by default. */
-	readonly meanOthers?: number;
+	readonly meanOtherLoad?: number;
 	/** The time in milliseconds over which a new server ramps up to its full capacity; 30,000 by default. */
 	readonly slowStartMilliseconds?: number;
 };
@@ -25,9 +25,9 @@
 serverLoad(server); // 8, for 5 requests of other instances by the report and 3 of this one
 ```
 */
-export function serverLoad(server: ServerView, {fadeMilliseconds = 150, meanOthers = 0}: ServerLoadOptions = {}): number {
+export function serverLoad(server: ServerView, {reportDecayMilliseconds: fadeMilliseconds = 150, meanOtherLoad: meanOthers = 0}: ServerLoadOptions = {}): number {
 	const reportWeight = Math.exp(-server.reportAge / fadeMilliseconds);
-	return server.ownInFlight + (othersOn(server) * reportWeight) + (meanOthers * server.capacity * (1 - reportWeight));
+	return server.ownInFlight + (reportedOtherLoad(server) * reportWeight) + (meanOthers * server.capacity * (1 - reportWeight));
 }
 
 /**
@@ -40,8 +40,8 @@
 reportedOtherLoad({...server, reportedInFlight: 5, ownInFlightAtReport: 2}); // 3
 ```
 */
-export function othersOn(server: ServerView): number {
-	return Math.max(0, server.reportedActive - server.ownAtReport);
+export function reportedOtherLoad(server: ServerView): number {
+	return Math.max(0, server.reportedInFlight - server.ownInFlightAtReport);
 }
 
 /**
@@ -55,7 +55,7 @@
 effectiveCapacity({...server, capacity: 8, uptime: 15_000}); // 4
 ```
 */
-export function startedCapacity(server: ServerView, {slowStartMilliseconds = 30_000}: ServerLoadOptions = {}): number {
+export function effectiveCapacity(server: ServerView, {slowStartMilliseconds = 30_000}: ServerLoadOptions = {}): number {
 	const share = slowStartMilliseconds === 0 ? 1 : server.uptime / slowStartMilliseconds;
 	return server.capacity * Math.min(1, Math.max(minimumCapacityShare, share));
 }
--- a/packages/routing/src/server-view.ts
+++ b/packages/routing/src/server-view.ts
@@ -7,9 +7,9 @@
 	/** The number of requests that it processes concurrently. */
 	readonly capacity: number;
 	/** The requests of all instances that were in progress according to its last report. */
-	readonly reportedActive: number;
+	readonly reportedInFlight: number;
 	/** The requests of this instance among the reported ones. */
-	readonly ownAtReport: number;
+	readonly ownInFlightAtReport: number;
 	/** The age of the report in milliseconds. */
 	readonly reportAge: number;
 	/** The requests of this instance that are in progress on it now. */
--- a/packages/routing/src/stage-history.test.ts
+++ b/packages/routing/src/stage-history.test.ts
@@ -15,7 +15,7 @@
 		}
 
 		const exact = times.toSorted((one, other) => one - other)[Math.ceil(share * times.length) - 1]!;
-		const estimate = history.quantile('v', {stage: 'prefill', share})!;
+		const estimate = history.quantile('v', {stage: 'prefill', quantile: share})!;
 		t.true(Math.abs(estimate - exact) <= 0.05 * exact, `Estimated ${estimate}, expected ${exact}`);
 	}), {seed, numRuns: 300, includeErrorInReport: true});
 });
@@ -29,10 +29,10 @@
 	};
 
 	record(29, 100);
-	t.is(history.quantile('v', {stage: 'decode', share: 0.5}), undefined);
+	t.is(history.quantile('v', {stage: 'decode', quantile: 0.5}), undefined);
 	record(5000, 100);
 	record(2500, 400);
-	t.true(Math.abs(history.quantile('v', {stage: 'decode', share: 0.5})! - 400) <= 20);
+	t.true(Math.abs(history.quantile('v', {stage: 'decode', quantile: 0.5})! - 400) <= 20);
 });
 
 test('keeps a bounded number of sketches', t => {
--- a/packages/routing/src/stage-history.ts
+++ b/packages/routing/src/stage-history.ts
@@ -53,7 +53,7 @@
 	@param key The version, and anything else that its durations depend on.
 	@param options The stage, and its duration in milliseconds.
 	*/
-	record(key: string, {stage, milliseconds}: StageTime): void {
+	record(key: string, {stage, milliseconds}: StageDuration): void {
 		const sketch = this.#sketchOf(`${stage} ${key}`);
 		const bucket = bucketOf(milliseconds);
 		sketch.counts[bucket] = (sketch.counts[bucket] ?? 0) + 1;
@@ -70,7 +70,7 @@
 	@param options The stage, and the quantile from 0 to 1.
 	@returns The duration in milliseconds, or undefined while there is too little history.
 	*/
-	quantile(key: string, {stage, share}: StageQuantile): number | undefined {
+	quantile(key: string, {stage, quantile: share}: StageQuantile): number | undefined {
 		const sketch = this.#sketches.get(`${stage} ${key}`);
 		if (sketch === undefined || sketch.total < this.#options.minimumCount) {
 			return undefined;
@@ -101,7 +101,7 @@
 }
 
 /** The duration of a stage. */
-export type StageTime = {
+export type StageDuration = {
 	readonly stage: AttemptStage;
 	readonly milliseconds: number;
 };
@@ -109,7 +109,7 @@
 /** A quantile of the durations of a stage. */
 export type StageQuantile = {
 	readonly stage: AttemptStage;
-	readonly share: number;
+	readonly quantile: number;
 };
 
 function bucketOf(milliseconds: number): number {
--- a/packages/routing/src/suspect-record.ts
+++ b/packages/routing/src/suspect-record.ts
@@ -1,7 +1,7 @@
 import {type RequestFingerprint} from '@valehitch/core';
 
 /** A process of a backend server that exited while the request was in progress on it. */
-export type ServerEnd = {
+export type ServerExit = {
 	/** Identifies the process; a server that restarts under the same id is a different process. */
 	readonly process: string;
 	/** When it exited, in milliseconds since the epoch on the clock of the instance that observed it. */
@@ -13,7 +13,7 @@
 /** A request during which server processes exited; records of several instances are merged by union. */
 export type SuspectRecord = {
 	readonly fingerprint: RequestFingerprint;
-	readonly ends: readonly ServerEnd[];
+	readonly ends: readonly ServerExit[];
 };
 
 /**
@@ -24,4 +24,4 @@
 - `doubtful`: two exits; additionally, it runs on one server at a time;
 - `quarantined`: three exits; it is sent to no server.
 */
-export type SuspectStanding = 'unknown' | 'suspect' | 'doubtful' | 'quarantined';
+export type SuspectStatus = 'unknown' | 'suspect' | 'doubtful' | 'quarantined';
