--- a/packages/routing/src/suspect-book.test.ts
+++ b/packages/routing/src/suspect-registry.test.ts
@@ -1,33 +1,33 @@
 import {type RequestFingerprint} from '@valehitch/core';
 import test from 'ava';
-import {SuspectBook} from './suspect-book.js';
+import {SuspectRegistry} from './suspect-registry.js';
 
 const fingerprint = 'f1' as RequestFingerprint;
 const start = 1_700_000_000_000;
 const minute = 60_000;
 
 /** Creates a registry with the exits of the given processes during one request, a second apart. */
-function registryWith(processes: readonly string[], registry = new SuspectBook()): SuspectBook {
+function registryWith(processes: readonly string[], registry = new SuspectRegistry()): SuspectRegistry {
 	for (const [index, process] of processes.entries()) {
-		registry.noteEnd(fingerprint, {process, at: start + (index * 1000)});
+		registry.recordExit(fingerprint, {process, at: start + (index * 1000)});
 	}
 
 	return registry;
 }
 
 test('a request is quarantined after three processes exited during it, each counted once', t => {
-	const standings = [[], ['a'], ['a', 'a'], ['a', 'b'], ['a', 'b', 'a'], ['a', 'b', 'c']].map(processes => registryWith(processes).standing(fingerprint, start + minute));
+	const standings = [[], ['a'], ['a', 'a'], ['a', 'b'], ['a', 'b', 'a'], ['a', 'b', 'c']].map(processes => registryWith(processes).status(fingerprint, start + minute));
 	t.deepEqual(standings, ['unknown', 'suspect', 'suspect', 'doubtful', 'doubtful', 'quarantined']);
-	t.is(registryWith(['a', 'b', 'c']).standing('f2' as RequestFingerprint, start), 'unknown');
+	t.is(registryWith(['a', 'b', 'c']).status('f2' as RequestFingerprint, start), 'unknown');
 });
 
 test('a complete answer clears the exits before it, but none after it', t => {
 	const registry = registryWith(['a', 'b', 'c']);
 	t.true(registry.clear(fingerprint));
 	t.false(registry.clear(fingerprint));
-	t.is(registry.standing(fingerprint, start + minute), 'unknown');
-	registry.noteEnd(fingerprint, {process: 'd', at: start + minute});
-	t.is(registry.standing(fingerprint, start + minute), 'suspect');
+	t.is(registry.status(fingerprint, start + minute), 'unknown');
+	registry.recordExit(fingerprint, {process: 'd', at: start + minute});
+	t.is(registry.status(fingerprint, start + minute), 'suspect');
 	t.false(registry.clear('f2' as RequestFingerprint));
 });
 
@@ -36,7 +36,7 @@
 	const other = registryWith(['b', 'c']);
 	other.clear(fingerprint);
 	const third = registryWith(['d']);
-	const [forward, backward] = [new SuspectBook(), new SuspectBook()];
+	const [forward, backward] = [new SuspectRegistry(), new SuspectRegistry()];
 	for (const {records} of [one, other, third, one]) {
 		forward.merge(records);
 	}
@@ -45,7 +45,7 @@
 		backward.merge(records);
 	}
 
-	const ends = (registry: SuspectBook) => registry.get(fingerprint)?.ends.map(({process, isCleared}) => `${process} ${isCleared}`).toSorted();
+	const ends = (registry: SuspectRegistry) => registry.get(fingerprint)?.ends.map(({process, isCleared}) => `${process} ${isCleared}`).toSorted();
 	t.deepEqual(ends(forward), ['a false', 'b true', 'c true', 'd false']);
 	t.deepEqual(ends(backward), ends(forward));
 	t.deepEqual(forward.merge(backward.records), []);
@@ -53,57 +53,57 @@
 
 test('a record is shared from two exits on, with all its later changes', t => {
 	const registry = registryWith(['a']);
-	t.deepEqual(registry.told, []);
+	t.deepEqual(registry.sharedRecords, []);
 	registryWith(['b'], registry);
 	const {cursor} = registry;
-	t.deepEqual(registry.told.map(({ends}) => ends.length), [2]);
+	t.deepEqual(registry.sharedRecords.map(({ends}) => ends.length), [2]);
 	t.deepEqual(registry.changedSince(cursor), []);
 	registry.clear(fingerprint);
 	t.deepEqual(registry.changedSince(cursor).map(({ends}) => ends.every(({isCleared}) => isCleared)), [true]);
 });
 
 test('a record that was cleared before it was restored is shared', t => {
-	const cleared = new SuspectBook();
+	const cleared = new SuspectRegistry();
 	for (const process of ['a', 'b', 'c']) {
-		cleared.noteEnd(fingerprint, {process, at: 0});
+		cleared.recordExit(fingerprint, {process, at: 0});
 	}
 
-	const other = new SuspectBook();
+	const other = new SuspectRegistry();
 	other.merge(cleared.records);
 	cleared.clear(fingerprint);
-	const restored = new SuspectBook();
+	const restored = new SuspectRegistry();
 	restored.merge(cleared.records);
-	other.merge(restored.told);
-	t.is(other.standing(fingerprint, 0), 'unknown');
+	other.merge(restored.sharedRecords);
+	t.is(other.status(fingerprint, 0), 'unknown');
 });
 
 test('a quarantine ends after ten minutes, and one more exit within the hour starts another', t => {
 	const registry = registryWith(['a', 'b', 'c', 'd']);
-	t.is(registry.standing(fingerprint, start + (9 * minute)), 'quarantined');
-	t.is(registry.standing(fingerprint, start + (11 * minute)), 'doubtful');
-	registry.noteEnd(fingerprint, {process: 'e', at: start + (11 * minute)});
-	t.is(registry.standing(fingerprint, start + (11 * minute)), 'quarantined');
-	t.is(registry.standing(fingerprint, start + (22 * minute)), 'doubtful');
-	t.is(registry.standing(fingerprint, start + (72 * minute)), 'unknown');
-	registry.forget(start + (72 * minute));
+	t.is(registry.status(fingerprint, start + (9 * minute)), 'quarantined');
+	t.is(registry.status(fingerprint, start + (11 * minute)), 'doubtful');
+	registry.recordExit(fingerprint, {process: 'e', at: start + (11 * minute)});
+	t.is(registry.status(fingerprint, start + (11 * minute)), 'quarantined');
+	t.is(registry.status(fingerprint, start + (22 * minute)), 'doubtful');
+	t.is(registry.status(fingerprint, start + (72 * minute)), 'unknown');
+	registry.deleteExpired(start + (72 * minute));
 	t.true(registry.isEmpty);
 });
 
 test('many new suspects do not evict a quarantined request', t => {
-	const registry = registryWith(['a', 'b', 'c'], new SuspectBook({capacity: 8}));
+	const registry = registryWith(['a', 'b', 'c'], new SuspectRegistry({capacity: 8}));
 	for (let index = 0; index < 100; index++) {
-		registry.noteEnd(`other ${index}` as RequestFingerprint, {process: `p${index}`, at: start + minute});
+		registry.recordExit(`other ${index}` as RequestFingerprint, {process: `p${index}`, at: start + minute});
 	}
 
 	t.is(registry.records.length, 8);
-	t.is(registry.standing(fingerprint, start + minute), 'quarantined');
+	t.is(registry.status(fingerprint, start + minute), 'quarantined');
 });
 
 test('the number of exits per request is limited to the latest ones', t => {
 	const registry = registryWith(Array.from({length: 40}, (_, index) => `p${index}`));
 	t.is(registry.get(fingerprint)?.ends.length, 8);
 	t.is(registry.get(fingerprint)?.ends.at(-1)?.process, 'p39');
-	t.false(registry.noteEnd(fingerprint, {process: 'p0', at: start}));
+	t.false(registry.recordExit(fingerprint, {process: 'p0', at: start}));
 });
 
 /** Returns a deterministic generator of numbers from 0 to 1 (Park and Miller, 1988). */
@@ -124,18 +124,18 @@
 	const waves = 2000;
 	let quarantined = 0;
 	for (let wave = 0; wave < waves; wave++) {
-		const registry = new SuspectBook();
+		const registry = new SuspectRegistry();
 		let innocent = Array.from({length: requestsPerServer}, (_, index) => `innocent ${index}` as RequestFingerprint);
 		for (let exit = 0; exit < 3; exit++) {
 			const crashingAt = Math.floor(random() * servers);
 			// All of them are on the first server; those that are retried on another server than the crashing request are answered there.
 			innocent = innocent.filter(() => exit === 0 || Math.floor(random() * servers) === crashingAt);
 			for (const known of [fingerprint, ...innocent]) {
-				registry.noteEnd(known, {process: `${exit}`, at: start});
+				registry.recordExit(known, {process: `${exit}`, at: start});
 			}
 		}
 
-		quarantined += registry.records.filter(record => record.fingerprint !== fingerprint && registry.standing(record.fingerprint, start) === 'quarantined').length;
+		quarantined += registry.records.filter(record => record.fingerprint !== fingerprint && registry.status(record.fingerprint, start) === 'quarantined').length;
 	}
 
 	return quarantined / (waves * requestsPerServer);
@@ -147,22 +147,22 @@
 	});
 
 	test(`with ${instances} instances and ${servers} servers, the simultaneous exit of a zone of servers quarantines no request and shares no record`, t => {
-		const registry = new SuspectBook({capacity: servers * requestsPerServer});
+		const registry = new SuspectRegistry({capacity: servers * requestsPerServer});
 		for (let server = 0; server < servers / 3; server++) {
 			for (let request = 0; request < requestsPerServer; request++) {
-				registry.noteEnd(`${server} ${request}` as RequestFingerprint, {process: `${server}`, at: start});
+				registry.recordExit(`${server} ${request}` as RequestFingerprint, {process: `${server}`, at: start});
 			}
 		}
 
-		t.true(registry.records.every(record => registry.standing(record.fingerprint, start) === 'suspect'));
-		t.deepEqual(registry.told, []);
+		t.true(registry.records.every(record => registry.status(record.fingerprint, start) === 'suspect'));
+		t.deepEqual(registry.sharedRecords, []);
 	});
 }
 
 // Copies of one request in progress on several servers of a zone that fails can quarantine it by chance.
 test('an identical request from many callers stays quarantined only until one server has answered it', t => {
 	const registry = registryWith(['a', 'b', 'c', 'd']);
-	t.is(registry.standing(fingerprint, start), 'quarantined');
+	t.is(registry.status(fingerprint, start), 'quarantined');
 	registry.clear(fingerprint);
-	t.is(registry.standing(fingerprint, start), 'unknown');
+	t.is(registry.status(fingerprint, start), 'unknown');
 });
--- a/packages/routing/src/suspect-book.ts
+++ b/packages/routing/src/suspect-registry.ts
@@ -1,11 +1,11 @@
 import {type RequestFingerprint} from '@valehitch/core';
-import {type ServerEnd, type SuspectRecord, type SuspectStanding} from './suspect-record.js';
+import {type ServerExit, type SuspectRecord, type SuspectStatus} from './suspect-record.js';
 
 /** An exit that an instance observed. */
-export type SeenEnd = Pick<ServerEnd, 'process' | 'at'>;
+export type ObservedExit = Pick<ServerExit, 'process' | 'at'>;
 
 /** The limits of a registry. */
-export type SuspectBookOptions = {
+export type SuspectRegistryOptions = {
 	/** The maximum number of requests; 512 by default. */
 	readonly capacity?: number;
 };
@@ -44,12 +44,12 @@
 registry.status(fingerprint, Date.now()); // 'suspect'
 ```
 */
-export class SuspectBook {
+export class SuspectRegistry {
 	readonly #capacity: number;
 	readonly #entries = new Map<RequestFingerprint, Entry>();
 	#lastChange = 0;
 
-	constructor({capacity = defaultCapacity}: SuspectBookOptions = {}) {
+	constructor({capacity = defaultCapacity}: SuspectRegistryOptions = {}) {
 		this.#capacity = capacity;
 	}
 
@@ -69,7 +69,7 @@
 	}
 
 	/** The records that are shared with other instances. */
-	get told(): readonly SuspectRecord[] {
+	get sharedRecords(): readonly SuspectRecord[] {
 		return this.changedSince(0);
 	}
 
@@ -107,7 +107,7 @@
 	@param now Milliseconds since the epoch.
 	@returns The status.
 	*/
-	standing(fingerprint: RequestFingerprint, now: number): SuspectStanding {
+	status(fingerprint: RequestFingerprint, now: number): SuspectStatus {
 		const ends = countExits(this.get(fingerprint), now);
 		if (ends >= quarantineThreshold) {
 			return 'quarantined';
@@ -127,7 +127,7 @@
 	@param end The process, and when it exited.
 	@returns Whether the record changed.
 	*/
-	noteEnd(fingerprint: RequestFingerprint, end: SeenEnd): boolean {
+	recordExit(fingerprint: RequestFingerprint, end: ObservedExit): boolean {
 		return this.merge([{fingerprint, ends: [{...end, isCleared: false}]}]).length > 0;
 	}
 
@@ -166,7 +166,7 @@
 
 	@param now Milliseconds since the epoch.
 	*/
-	forget(now: number): void {
+	deleteExpired(now: number): void {
 		for (const [fingerprint, {record: {ends}}] of this.#entries) {
 			if (ends.every(({at}) => now - at >= retentionMilliseconds)) {
 				this.#entries.delete(fingerprint);
@@ -204,7 +204,7 @@
 	}
 }
 
-function unclearedExits({ends}: SuspectRecord): readonly ServerEnd[] {
+function unclearedExits({ends}: SuspectRecord): readonly ServerExit[] {
 	return ends.filter(({isCleared}) => !isCleared);
 }
 
@@ -224,7 +224,7 @@
 }
 
 /** Returns the union of two lists, limited to the latest exits, or undefined if the second adds nothing to the first. */
-function mergeExits(known: readonly ServerEnd[], added: readonly ServerEnd[]): readonly ServerEnd[] | undefined {
+function mergeExits(known: readonly ServerExit[], added: readonly ServerExit[]): readonly ServerExit[] | undefined {
 	const merged = new Map(known.map(end => [end.process, end]));
 	for (const end of added) {
 		const before = merged.get(end.process);
--- a/packages/routing/src/retry-window.test.ts
+++ b/packages/routing/src/windowed-retry-budget.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import fc from 'fast-check';
-import {RetryWindow} from './retry-window.js';
+import {WindowedRetryBudget} from './windowed-retry-budget.js';
 
 const seed = 20_261_202;
 const share = 0.5;
@@ -21,7 +21,7 @@
 
 test('in every window that ends with an additional attempt, the ratio and the minimum limit the additional attempts', t => {
 	fc.assert(fc.property(fc.array(fc.record({isAdditional: fc.boolean(), elapsed: fc.nat(80)}), {maxLength: 400, size: 'max'}), steps => {
-		const budget = new RetryWindow({share, slack, windowMilliseconds});
+		const budget = new WindowedRetryBudget({ratio: share, minimumPerWindow: slack, windowMilliseconds});
 		const counted: Counted[] = [];
 		let now = 0;
 		for (const {isAdditional, elapsed} of steps) {
@@ -42,7 +42,7 @@
 });
 
 test('the unused budget is available at once when many requests lose their server together', t => {
-	const budget = new RetryWindow({share, slack: 0, windowMilliseconds});
+	const budget = new WindowedRetryBudget({ratio: share, minimumPerWindow: 0, windowMilliseconds});
 	for (let now = 0; now < 900; now += 10) {
 		budget.deposit('key', now);
 	}
@@ -54,7 +54,7 @@
 });
 
 test('keeps a bounded number of keys', t => {
-	const budget = new RetryWindow({maximumKeys: 3});
+	const budget = new WindowedRetryBudget({maximumKeys: 3});
 	for (let key = 0; key < 10; key++) {
 		budget.deposit(String(key), 0);
 	}
--- a/packages/routing/src/retry-window.ts
+++ b/packages/routing/src/windowed-retry-budget.ts
@@ -1,11 +1,11 @@
-import {RecentMap} from '@valehitch/core';
+import {LruMap} from '@valehitch/core';
 
 /** The limits of a windowed retry budget. */
-export type RetryWindowOptions = {
+export type WindowedRetryBudgetOptions = {
 	/** The additional attempts allowed per first attempt in the window; 0.1 by default. */
-	readonly share?: number;
+	readonly ratio?: number;
 	/** The additional attempts allowed per window without any traffic; 2 by default. */
-	readonly slack?: number;
+	readonly minimumPerWindow?: number;
 	/** The length of the window in milliseconds; 10,000 by default. */
 	readonly windowMilliseconds?: number;
 	/** The maximum number of keys; the least recently used one is evicted first; 4096 by default. */
@@ -35,15 +35,15 @@
 retries.withdraw('tag-small', now);
 ```
 */
-export class RetryWindow {
-	readonly #options: Required<RetryWindowOptions>;
-	readonly #slotsByKey: RecentMap<string, readonly TimeSlot[]>;
+export class WindowedRetryBudget {
+	readonly #options: Required<WindowedRetryBudgetOptions>;
+	readonly #slotsByKey: LruMap<string, readonly TimeSlot[]>;
 
-	constructor(options: RetryWindowOptions = {}) {
+	constructor(options: WindowedRetryBudgetOptions = {}) {
 		this.#options = {
-			share: 0.1, slack: 2, windowMilliseconds: 10_000, maximumKeys: 4096, ...options,
+			ratio: 0.1, minimumPerWindow: 2, windowMilliseconds: 10_000, maximumKeys: 4096, ...options,
 		};
-		this.#slotsByKey = new RecentMap(this.#options.maximumKeys);
+		this.#slotsByKey = new LruMap(this.#options.maximumKeys);
 	}
 
 	/** The number of tracked keys. */
@@ -90,7 +90,7 @@
 	}
 
 	#allowsAdditional(key: string, current: TimeSlot): boolean {
-		const {share, slack} = this.#options;
+		const {ratio: share, minimumPerWindow: slack} = this.#options;
 		let initial = 0;
 		let additional = 0;
 		for (const slot of this.#slotsByKey.peek(key) ?? []) {
--- a/packages/routing/src/zone-suspicion.ts
+++ b/packages/routing/src/zone-failure-detector.ts
@@ -1,13 +1,13 @@
 import {type ServerId, type ZoneId} from '@valehitch/core';
 
 /** When a zone is suspected, and for how long. */
-export type ZoneSuspicionOptions = {
+export type ZoneFailureDetectorOptions = {
 	/** The number of servers of a zone that must be unreachable without any contact with the zone in between; 2 by default, since a single server may have failed on its own. */
-	readonly leastServers?: number;
+	readonly minimumServers?: number;
 	/** The duration of the first suspicion in milliseconds; 1000 by default. It doubles with each further suspicion until there is contact with the zone. */
-	readonly firstMilliseconds?: number;
+	readonly initialMilliseconds?: number;
 	/** The maximum duration of a suspicion in milliseconds, after which the zone is tried again; 4000 by default. */
-	readonly longestMilliseconds?: number;
+	readonly maximumMilliseconds?: number;
 };
 
 type ZoneState = {
@@ -29,13 +29,13 @@
 zones.isSuspect(zone, now); // true once two servers were unreachable
 ```
 */
-export class ZoneSuspicion {
-	readonly #options: Required<ZoneSuspicionOptions>;
+export class ZoneFailureDetector {
+	readonly #options: Required<ZoneFailureDetectorOptions>;
 	readonly #zones = new Map<ZoneId, ZoneState>();
 
-	constructor(options: ZoneSuspicionOptions = {}) {
+	constructor(options: ZoneFailureDetectorOptions = {}) {
 		this.#options = {
-			leastServers: 2, firstMilliseconds: 1000, longestMilliseconds: 4000, ...options,
+			minimumServers: 2, initialMilliseconds: 1000, maximumMilliseconds: 4000, ...options,
 		};
 	}
 
@@ -45,8 +45,8 @@
 	@param zone The server's zone.
 	@param options The server, and the time in milliseconds on the monotonic clock.
 	*/
-	unreachable(zone: ZoneId, {server, now}: {readonly server: ServerId; readonly now: number}): void {
-		const {leastServers, firstMilliseconds, longestMilliseconds} = this.#options;
+	recordUnreachable(zone: ZoneId, {server, now}: {readonly server: ServerId; readonly now: number}): void {
+		const {minimumServers: leastServers, initialMilliseconds: firstMilliseconds, maximumMilliseconds: longestMilliseconds} = this.#options;
 		const health = this.#zones.get(zone) ?? {unreachable: new Set(), suspectUntil: 0, suspicionCount: 0};
 		this.#zones.set(zone, health);
 		health.unreachable.add(server);
@@ -63,7 +63,7 @@
 
 	@param zone The zone.
 	*/
-	heard(zone: ZoneId): void {
+	recordContact(zone: ZoneId): void {
 		this.#zones.delete(zone);
 	}
 
@@ -73,7 +73,7 @@
 	@param zone The zone.
 	@param server The server.
 	*/
-	forget(zone: ZoneId, server: ServerId): void {
+	forgetServer(zone: ZoneId, server: ServerId): void {
 		this.#zones.get(zone)?.unreachable.delete(server);
 	}
 
--- a/packages/settings/src/_find-offset.ts
+++ b/packages/settings/src/_find-offset.ts
@@ -16,7 +16,7 @@
 		}
 
 		const isLast = index === finding.path.length - 1;
-		offset = (isLast && !finding.atKey ? offsetOf(step.value) : undefined) ?? offsetOf(step.key) ?? offset;
+		offset = (isLast && !finding.concernsKey ? offsetOf(step.value) : undefined) ?? offsetOf(step.key) ?? offset;
 		node = step.value;
 	}
 
--- a/packages/settings/src/check-references.ts
+++ b/packages/settings/src/check-references.ts
@@ -66,7 +66,7 @@
 		const model = getOwnValue<ModelConfiguration>(configuration.models, name);
 		if (model === undefined) {
 			yield {
-				path: [...path, 'allowed', name], got: `the model ${quote(name)}`, wanted: 'a model under models', atKey: true,
+				path: [...path, 'allowed', name], got: `the model ${quote(name)}`, wanted: 'a model under models', concernsKey: true,
 			};
 			continue;
 		}
--- a/packages/settings/src/document-kind.ts
+++ b/packages/settings/src/detect-document-kind.ts
@@ -17,7 +17,7 @@
 detectDocumentKind('models: {}'); // 'configuration'
 ```
 */
-export function documentKind(text: string): DocumentKind | undefined {
+export function detectDocumentKind(text: string): DocumentKind | undefined {
 	const keys = readTopLevelKeys(text);
 	const settingsKeyCount = keys.filter(key => settingsKeys.has(key)).length;
 	const configurationKeyCount = keys.filter(key => configurationKeys.has(key)).length;
--- a/packages/settings/src/finding.ts
+++ b/packages/settings/src/finding.ts
@@ -9,5 +9,5 @@
 	/** A description of the expected value. */
 	readonly wanted: string;
 	/** Whether the problem is the key rather than its value; false by default. */
-	readonly atKey?: boolean | undefined;
+	readonly concernsKey?: boolean | undefined;
 };
--- a/packages/settings/src/mod.ts
+++ b/packages/settings/src/mod.ts
@@ -4,7 +4,7 @@
 @module
 */
 export * from './check-references.js';
-export * from './document-kind.js';
+export * from './detect-document-kind.js';
 export * from './document-problem.js';
 export type * from './finding.js';
 export * from './format-path.js';
--- a/packages/settings/src/settings.test.ts
+++ b/packages/settings/src/settings.test.ts
@@ -3,7 +3,7 @@
 import test from 'ava';
 import {Left, Right} from 'purify-ts';
 import {
-	documentKind, formatProblem, parseConfiguration, parseSettings, type DocumentProblem,
+	detectDocumentKind, formatProblem, parseConfiguration, parseSettings, type DocumentProblem,
 } from './mod.js';
 
 const examples = new URL('../../../examples/', import.meta.url);
@@ -25,9 +25,9 @@
 test('the example documents are valid', t => {
 	t.true(parseSettings(settingsText, 'embedded.yaml').isRight());
 	t.true(parseConfiguration(configurationText, 'configuration.yaml').isRight());
-	t.is(documentKind(settingsText), 'settings');
-	t.is(documentKind(configurationText), 'configuration');
-	t.is(documentKind('other: 1'), undefined);
+	t.is(detectDocumentKind(settingsText), 'settings');
+	t.is(detectDocumentKind(configurationText), 'configuration');
+	t.is(detectDocumentKind('other: 1'), undefined);
 });
 
 test('optional sections have defaults, and metrics are disabled by default', t => {
--- a/packages/settings/src/settings.ts
+++ b/packages/settings/src/settings.ts
@@ -8,7 +8,7 @@
 export type LogLevel = 'trace' | 'debug' | 'info' | 'warn' | 'error' | 'fatal';
 
 /** What an instance continues to serve after its configuration lease has expired. */
-export type IsolationServe = 'settled' | 'all' | 'none';
+export type IsolationMode = 'settled' | 'all' | 'none';
 
 /** An address to listen on. */
 export type ListenAddress = {
@@ -97,11 +97,11 @@
 /** The behavior of an instance that cannot reach the control role. */
 export type IsolationSettings = {
 	/** The versions that are still served: `settled`, `all` or `none`; `settled` by default. */
-	readonly serve: IsolationServe;
+	readonly serve: IsolationMode;
 };
 
 /** The thresholds at which one measure classifies a version as bad. */
-export type BadVersionSettings = {
+export type BadVersionThresholds = {
 	/** The tolerated difference from the version it replaces; 0.05 for ratings and 0.03 for failures by default, 0.001 to 1. */
 	readonly tolerance: number;
 	/** The maximum share of false alarms within each horizon; 0.05 by default, 0.000001 to 0.5. */
@@ -113,9 +113,9 @@
 /** The thresholds at which a version is classified as bad. */
 export type BadVersionsSettings = {
 	/** The thresholds for ratings; optional. */
-	readonly ratings: BadVersionSettings;
+	readonly ratings: BadVersionThresholds;
 	/** The thresholds for the share of failures; optional. */
-	readonly failures: BadVersionSettings;
+	readonly failures: BadVersionThresholds;
 };
 
 /** Logging settings. */
--- a/packages/soak/src/bin/soak.ts
+++ b/packages/soak/src/bin/soak.ts
@@ -23,14 +23,14 @@
 let failedRuns = 0;
 for (let run = 0; run < runs && performance.now() < deadline; run++) {
 	const seed = firstSeed + run;
-	const {faults, record, broken: foundViolations} = await runSoak({
+	const {faults, record, violations: foundViolations} = await runSoak({
 		seed,
 		length: Number(values.seconds) * millisecondsPerSecond,
 		gap: Number(values.gap),
 		controls: Number(values.controls),
 		entries: Number(values.entries),
 	});
-	const servedCount = record.requests.filter(({status, isWhole}) => status === 200 && isWhole).length;
+	const servedCount = record.requests.filter(({status, isComplete: isWhole}) => status === 200 && isWhole).length;
 	const counts = `${faults.length} faults, ${record.requests.length} requests, ${servedCount} served whole, ${record.configurations.length} configurations`;
 	process.stdout.write(`seed ${seed}: ${counts}, ${foundViolations.length} broken\n`);
 	for (const line of foundViolations) {
--- a/packages/soak/src/find-broken-promises.test.ts
+++ b/packages/soak/src/find-violations.test.ts
@@ -1,12 +1,12 @@
 import test from 'ava';
-import {findBrokenPromises} from './find-broken-promises.js';
+import {findViolations} from './find-violations.js';
 import {
-	emptyRecord, type SeenRequest, type SoakRecord, wholeAnswer,
+	emptyRecord, type ObservedRequest, type SoakRecord, completeResponse,
 } from './soak-record.js';
 
 const limits = {revocation: 2500, shutdown: 2500, configuration: 2000};
-const request: SeenRequest = {
-	id: '1-1', kind: 'unsafe', key: 'key-1', entry: 'front-1:1', sentAt: 1000, status: 200, text: wholeAnswer('1-1', 'unsafe'), isWhole: true,
+const request: ObservedRequest = {
+	id: '1-1', kind: 'unsafe', key: 'key-1', entry: 'front-1:1', sentAt: 1000, status: 200, text: completeResponse('1-1', 'unsafe'), isComplete: true,
 };
 const shutdown = {server: 'i-1', acknowledgedAt: -2000, control: 'core-1:1'};
 const run = {id: '1-1', server: 'i-1', at: 1010};
@@ -15,29 +15,29 @@
 };
 
 test('a valid record has no violations', t => {
-	t.deepEqual(findBrokenPromises(validRecord, limits), []);
-	t.deepEqual(findBrokenPromises({...validRecord, reads: [{version: 1, askedAt: 5000, control: 'core-1'}], shutdowns: [{server: 'i-1', acknowledgedAt: 900, control: 'core-1:1'}]}, limits), []);
+	t.deepEqual(findViolations(validRecord, limits), []);
+	t.deepEqual(findViolations({...validRecord, reads: [{version: 1, askedAt: 5000, control: 'core-1'}], shutdowns: [{server: 'i-1', acknowledgedAt: 900, control: 'core-1:1'}]}, limits), []);
 	const cutOff = {ip: 'front-1', from: -2500, to: 500};
-	t.deepEqual(findBrokenPromises({...validRecord, shutdowns: [shutdown], disturbances: [cutOff]}, limits), []);
+	t.deepEqual(findViolations({...validRecord, shutdowns: [shutdown], disturbances: [cutOff]}, limits), []);
 });
 
 const violatingRecords: ReadonlyArray<readonly [what: string, record: SoakRecord]> = [
 	['at most once', {...validRecord, runs: [run, {...run, server: 'i-2'}]}],
 	['not run', {...validRecord, requests: [{...request, status: 503, text: ''}]}],
 	['whole answers', {...validRecord, requests: [{...request, text: 'done'}]}],
-	['own answers', {...validRecord, requests: [{...request, text: 'done 1-2', isWhole: false}]}],
+	['own answers', {...validRecord, requests: [{...request, text: 'done 1-2', isComplete: false}]}],
 	['keys taken away', {...validRecord, requests: [{...request, sentAt: 4000}], revocations: [{key: 'key-1', acknowledgedAt: 1400}]}],
 	['shutdown of servers', {...validRecord, shutdowns: [shutdown]}],
 	['shutdown of servers', {...validRecord, shutdowns: [shutdown], disturbances: [{ip: 'front-2', from: -2500, to: 500}]}],
 	['configuration', {...validRecord, reads: [{version: 0, askedAt: 3000, control: 'core-1'}]}],
 	['configuration', {...validRecord, finalVersion: undefined}],
 	['recovery', {...validRecord, unrecovered: ['front-1']}],
-	['processes', {...validRecord, ends: ['front-1 does not run at the end']}],
+	['processes', {...validRecord, unexpectedExits: ['front-1 does not run at the end']}],
 ];
 
 for (const [index, [what, record]] of violatingRecords.entries()) {
 	test(`a violation is found: ${what} (${index})`, t => {
-		const violations = findBrokenPromises(record, limits);
+		const violations = findViolations(record, limits);
 		t.is(violations.length, 1);
 		t.true(violations[0]?.startsWith(`${what}:`));
 	});
--- a/packages/soak/src/find-broken-promises.ts
+++ b/packages/soak/src/find-violations.ts
@@ -1,7 +1,7 @@
-import {type Disturbance, type SoakRecord, wholeAnswer} from './soak-record.js';
+import {type Disturbance, type SoakRecord, completeResponse} from './soak-record.js';
 
 /** The time limits that the settings of the deployment guarantee, in milliseconds. */
-export type PromiseBounds = {
+export type GuaranteeLimits = {
 	/** From the acknowledgement that a key was revoked until it no longer works. */
 	readonly revocation: number;
 	/** From the acknowledgement that a server shuts down until the last request runs on it. */
@@ -26,7 +26,7 @@
 findViolations(record, {revocation: 5000, shutdown: 2500, configuration: 2000});
 ```
 */
-export function findBrokenPromises(record: SoakRecord, limits: PromiseBounds): readonly string[] {
+export function findViolations(record: SoakRecord, limits: GuaranteeLimits): readonly string[] {
 	return [
 		...findRunViolations(record),
 		...findResponseViolations(record),
@@ -62,8 +62,8 @@
 /** A complete response with status 200 is the expected response to this very request, and an incomplete one a prefix of it. */
 function findResponseViolations({requests}: SoakRecord): readonly string[] {
 	const violations: string[] = [];
-	for (const {id, kind, status, text, isWhole, entry} of requests) {
-		const expected = wholeAnswer(id, kind);
+	for (const {id, kind, status, text, isComplete: isWhole, entry} of requests) {
+		const expected = completeResponse(id, kind);
 		if (status !== successStatus) {
 			continue;
 		}
@@ -78,7 +78,7 @@
 	return violations;
 }
 
-function findRevocationViolations({requests, runs, revocations}: SoakRecord, {revocation}: PromiseBounds): readonly string[] {
+function findRevocationViolations({requests, runs, revocations}: SoakRecord, {revocation}: GuaranteeLimits): readonly string[] {
 	const executedIds = new Set(runs.map(({id}) => id));
 	const violations: string[] = [];
 	for (const {key, acknowledgedAt} of revocations) {
@@ -93,7 +93,7 @@
 }
 
 /** An instance that is partitioned can't learn of a shutdown, so a run is a violation only if both instances were reachable from before the acknowledgement until the run. */
-function findShutdownViolations({requests, runs, shutdowns, disturbances}: SoakRecord, {shutdown}: PromiseBounds): readonly string[] {
+function findShutdownViolations({requests, runs, shutdowns, disturbances}: SoakRecord, {shutdown}: GuaranteeLimits): readonly string[] {
 	const entryByRequest = new Map(requests.map(({id, entry}) => [id, entry]));
 	const violations: string[] = [];
 	for (const {server, acknowledgedAt, control} of shutdowns) {
@@ -121,7 +121,7 @@
 }
 
 /** No read returns an older version than one acknowledged more than the limit before, and the final version is no older than the newest acknowledged one. */
-function findConfigurationViolations({reads, configurations, finalVersion}: SoakRecord, {configuration}: PromiseBounds): readonly string[] {
+function findConfigurationViolations({reads, configurations, finalVersion}: SoakRecord, {configuration}: GuaranteeLimits): readonly string[] {
 	const violations: string[] = [];
 	for (const {version, askedAt, control} of reads) {
 		const newest = newestVersion(configurations.filter(({acknowledgedAt}) => acknowledgedAt + configuration < askedAt));
@@ -138,7 +138,7 @@
 	return violations;
 }
 
-function findRecoveryViolations({unrecovered, ends: exits}: SoakRecord): readonly string[] {
+function findRecoveryViolations({unrecovered, unexpectedExits: exits}: SoakRecord): readonly string[] {
 	return [
 		...unrecovered.map(entry => `recovery: ${entry} did not serve again`),
 		...exits.map(end => `processes: ${end}`),
--- a/packages/soak/src/inflict-fault.ts
+++ b/packages/soak/src/inject-fault.ts
@@ -1,16 +1,16 @@
 import {rm, writeFile} from 'node:fs/promises';
 import {setTimeout as sleep} from 'node:timers/promises';
-import {catchesSignal, type PlatformDeployment, type PlatformMember} from '@valehitch/testing';
+import {catchesSignal, type PlatformDeployment, type PlatformInstance} from '@valehitch/testing';
 import {match, P} from 'ts-pattern';
 import {type Fault, type FaultKind} from './plan-faults.js';
-import {misbehaviourFile} from './soak-environment.js';
+import {faultFile} from './soak-environment.js';
 import {type SoakNetwork} from './soak-network.js';
 import {type SoakOperator} from './soak-operator.js';
 import {type SoakRecord} from './soak-record.js';
 import {type SoakServers} from './soak-servers.js';
 
 /** The targets of faults. */
-export type InflictFaultOptions = {
+export type InjectFaultOptions = {
 	readonly deployment: PlatformDeployment;
 	readonly network: SoakNetwork;
 	readonly servers: SoakServers;
@@ -40,10 +40,10 @@
 await injectFault(fault, {deployment, network, servers, operator, serverHost, record});
 ```
 */
-export async function inflictFault(fault: Fault, options: InflictFaultOptions): Promise<void> {
+export async function injectFault(fault: Fault, options: InjectFaultOptions): Promise<void> {
 	const {kind, duration, pick} = fault;
 	const {deployment, network, servers, operator, serverHost, record} = options;
-	const member = pickItem(deployment.members, pick);
+	const member = pickItem(deployment.instances, pick);
 	const control = pickItem(deployment.controls, pick);
 	const entry = pickItem(deployment.entries, pick);
 	const from = performance.now();
@@ -72,8 +72,8 @@
 		.with('reset', () => {
 			network.reset(member.ip);
 		})
-		.with(P.union('disk-full', 'disk-slow'), async () => writeFaultFile(misbehaviourFile(control.folder, 'disk'), {text: kind === 'disk-full' ? 'full' : 'slow', duration}))
-		.with('clock-step', async () => writeFaultFile(misbehaviourFile(member.folder, 'clock'), {text: '', duration}))
+		.with(P.union('disk-full', 'disk-slow'), async () => writeFaultFile(faultFile(control.folder, 'disk'), {text: kind === 'disk-full' ? 'full' : 'slow', duration}))
+		.with('clock-step', async () => writeFaultFile(faultFile(member.folder, 'clock'), {text: '', duration}))
 		.with('settings', async () => {
 			await member.writeSettings({isFounding: false, seeds: [control.address]});
 			await reloadSettings(member);
@@ -81,7 +81,7 @@
 			await member.writeSettings({isFounding: false});
 		})
 		.with('settings-missing', async () => {
-			if (member.process.runtime < startupMilliseconds) {
+			if (member.process.uptimeMilliseconds < startupMilliseconds) {
 				// A process can't start without settings, and the platform guarantees that they exist at startup.
 				return;
 			}
@@ -93,8 +93,8 @@
 		})
 		.with('server-shutdown', async () => servers.shutDown(pick))
 		.with('server-crash', async () => servers.crash(pick))
-		.with('configuration', async () => operator.change())
-		.with('revoke', async () => operator.revoke())
+		.with('configuration', async () => operator.submitConfiguration())
+		.with('revoke', async () => operator.revokeOldestKey())
 		.exhaustive();
 	if (disturbingFaults.has(kind)) {
 		record.disturbances.push(...affectedMembers(fault, deployment).map(({ip}) => ({ip, from, to: performance.now()})));
@@ -102,7 +102,7 @@
 }
 
 /** Returns the processes that a fault affects. */
-function affectedMembers({kind, pick}: Fault, {controls, members}: PlatformDeployment): readonly PlatformMember[] {
+function affectedMembers({kind, pick}: Fault, {controls, instances: members}: PlatformDeployment): readonly PlatformInstance[] {
 	if (kind === 'kill-all-controls') {
 		return controls;
 	}
@@ -116,13 +116,13 @@
 	await rm(file, {force: true});
 }
 
-async function killAndRestart(members: readonly PlatformMember[], duration: number): Promise<void> {
+async function killAndRestart(members: readonly PlatformInstance[], duration: number): Promise<void> {
 	await Promise.all(members.map(async ({process}) => process.kill('SIGKILL')));
 	await sleep(duration);
 	await Promise.all(members.map(async member => restart(member)));
 }
 
-async function restart({process, writeSettings}: PlatformMember): Promise<void> {
+async function restart({process, writeSettings}: PlatformInstance): Promise<void> {
 	await writeSettings({isFounding: false});
 	process.start();
 }
@@ -132,7 +132,7 @@
 
 While the runtime starts, before any code of the program runs, there is no handler and the signal terminates the process. At a load average of 45 on 8 cores, this lasted 0.5 to 0.7 s. start-signals.test.ts checks that the program installs its handler before it loads anything else.
 */
-async function reloadSettings({process}: PlatformMember): Promise<void> {
+async function reloadSettings({process}: PlatformInstance): Promise<void> {
 	while (process.pid !== undefined && !(await catchesSignal(process.pid, 'SIGHUP'))) {
 		await sleep(handlerPollMilliseconds);
 	}
@@ -147,7 +147,7 @@
 };
 
 async function disruptLinks(network: SoakNetwork, {links, duration, delay = 0}: LinkFault): Promise<void> {
-	const removeRules = links.map(link => network.harm(link, {isSilent: delay === 0, delay}));
+	const removeRules = links.map(link => network.addLinkFault(link, {isSilent: delay === 0, delay}));
 	await sleep(duration);
 	for (const removeRule of removeRules) {
 		removeRule();
--- a/packages/soak/src/mod.ts
+++ b/packages/soak/src/mod.ts
@@ -3,7 +3,7 @@
 
 @module
 */
-export * from './find-broken-promises.js';
+export * from './find-violations.js';
 export type {Fault, FaultKind} from './plan-faults.js';
 export * from './run-soak.js';
 export type * from './soak-record.js';
--- a/packages/soak/src/preload/misbehave.ts
+++ b/packages/soak/src/preload/misbehave.ts
@@ -9,7 +9,7 @@
 import process from 'node:process';
 import {setTimeout as sleep} from 'node:timers/promises';
 import {
-	folderVariable, misbehaviourFile, proxyPorts, selfVariable,
+	dataFolderVariable, faultFile, proxyPorts, addressVariable,
 } from '../soak-environment.js';
 
 type ConnectOptions = {
@@ -25,9 +25,9 @@
 /** How often to check whether the clock fault is on. */
 const clockPollMilliseconds = 100;
 
-const {[selfVariable]: ownAddress = '127.0.0.1', [folderVariable]: dataFolder = ''} = process.env;
-const diskFile = misbehaviourFile(dataFolder, 'disk');
-const clockFile = misbehaviourFile(dataFolder, 'clock');
+const {[addressVariable]: ownAddress = '127.0.0.1', [dataFolderVariable]: dataFolder = ''} = process.env;
+const diskFile = faultFile(dataFolder, 'disk');
+const clockFile = faultFile(dataFolder, 'clock');
 
 /** Binds a connection to the address of its instance, because proxies identify instances by source address, and replaces the port of a peer with that of its proxy. */
 function routeThroughProxy(options: ConnectOptions): void {
--- a/packages/soak/src/run-soak.ts
+++ b/packages/soak/src/run-soak.ts
@@ -1,13 +1,13 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import {fileURLToPath} from 'node:url';
 import {
-	PlatformDeployment, type PlatformMember, seededRandom, waitUntil,
+	PlatformDeployment, type PlatformInstance, seededRandom, waitUntil,
 } from '@valehitch/testing';
-import {findBrokenPromises} from './find-broken-promises.js';
-import {inflictFault} from './inflict-fault.js';
+import {findViolations} from './find-violations.js';
+import {injectFault} from './inject-fault.js';
 import {type Fault, planFaults} from './plan-faults.js';
 import {SoakCallers} from './soak-callers.js';
-import {folderVariable, proxyPorts, selfVariable} from './soak-environment.js';
+import {dataFolderVariable, proxyPorts, addressVariable} from './soak-environment.js';
 import {SoakNetwork} from './soak-network.js';
 import {SoakOperator} from './soak-operator.js';
 import {emptyRecord, type RequestKind, type SoakRecord} from './soak-record.js';
@@ -31,7 +31,7 @@
 	readonly faults: readonly Fault[];
 	readonly record: SoakRecord;
 	/** A line for each violated guarantee. */
-	readonly broken: readonly string[];
+	readonly violations: readonly string[];
 };
 
 const revocationMilliseconds = 2500;
@@ -63,8 +63,8 @@
 	const now = (): number => performance.now();
 	const network = new SoakNetwork();
 	const deployment = await PlatformDeployment.prepare({
-		controls, entries, revocation: revocationMilliseconds, environment: ({ip, folder}) => ({
-			NODE_OPTIONS: `--import ${fileURLToPath(new URL('preload/misbehave.js', import.meta.url))}`, [selfVariable]: ip, [folderVariable]: folder,
+		controlCount: controls, entryCount: entries, revocationMilliseconds: revocationMilliseconds, environment: ({ip, folder}) => ({
+			NODE_OPTIONS: `--import ${fileURLToPath(new URL('preload/misbehave.js', import.meta.url))}`, [addressVariable]: ip, [dataFolderVariable]: folder,
 		}),
 	});
 	const controlAddresses = deployment.controls.map(({address}) => address);
@@ -76,12 +76,12 @@
 		record, random, now, seed, entries: deployment.entries.map(({address}) => address), keys: () => operator.keys,
 	});
 	try {
-		await addProxies(deployment.members, network);
-		for (const {process} of deployment.members) {
+		await addProxies(deployment.instances, network);
+		for (const {process} of deployment.instances) {
 			process.start();
 		}
 
-		await operator.change();
+		await operator.submitConfiguration();
 		await servers.start();
 		await waitUntilServing({callers, operator, entries: deployment.entries}, entry => {
 			throw new Error(`Got no successful response from ${entry}, wanted one before the faults start`);
@@ -104,7 +104,7 @@
 			record.unrecovered.push(entry);
 		});
 		record.finalVersion = await readFinalVersion(operator, controlAddresses);
-		record.ends.push(...deployment.members.filter(({process}) => !process.isRunning).map(member => describeExit(member)));
+		record.unexpectedExits.push(...deployment.instances.filter(({process}) => !process.isRunning).map(member => describeExit(member)));
 	} finally {
 		callers.close();
 		servers.close();
@@ -112,34 +112,34 @@
 		await deployment.stop();
 	}
 
-	return {faults, record, broken: findBrokenPromises(record, limits)};
+	return {faults, record, violations: findViolations(record, limits)};
 }
 
 /** Describes the exit of a process that should be running. The signal distinguishes a fault that has not restarted it yet from an exit of its own. */
-function describeExit({name, process: {lastEnd}}: PlatformMember): string {
-	const {code, signal, runtime} = lastEnd ?? {};
+function describeExit({name, process: {lastExit: lastEnd}}: PlatformInstance): string {
+	const {code, signal, runMilliseconds: runtime} = lastEnd ?? {};
 	return `${name} does not run at the end: ended by ${signal ?? `code ${code ?? 'unknown'}`} after ${Math.round(runtime ?? 0)} ms`;
 }
 
-async function addProxies(members: readonly PlatformMember[], network: SoakNetwork): Promise<void> {
+async function addProxies(members: readonly PlatformInstance[], network: SoakNetwork): Promise<void> {
 	for (const {ip} of members) {
-		await network.protect({host: ip, port: proxyPorts.proxied, target: {host: ip, port: proxyPorts.peers}});
+		await network.addProxy({host: ip, port: proxyPorts.proxied, target: {host: ip, port: proxyPorts.peers}});
 	}
 }
 
 /** Injects each fault at its time, without waiting for earlier ones to end, so that faults overlap. */
-async function injectFaults(faults: readonly Fault[], options: Parameters<typeof inflictFault>[1]): Promise<void> {
+async function injectFaults(faults: readonly Fault[], options: Parameters<typeof injectFault>[1]): Promise<void> {
 	const start = performance.now();
 	await Promise.all(faults.map(async fault => {
 		await sleep(Math.max(0, fault.at - (performance.now() - start)));
-		await inflictFault(fault, options);
+		await injectFault(fault, options);
 	}));
 }
 
 async function pollConfigurations({operator, controls, until}: {readonly operator: SoakOperator; readonly controls: readonly string[]; readonly until: number}): Promise<void> {
 	await Promise.all(controls.map(async control => {
 		while (performance.now() < until) {
-			await operator.read(control);
+			await operator.readConfiguration(control);
 			await sleep(pollIntervalMilliseconds);
 		}
 	}));
@@ -148,7 +148,7 @@
 type ServiceCheckOptions = {
 	readonly callers: SoakCallers;
 	readonly operator: SoakOperator;
-	readonly entries: readonly PlatformMember[];
+	readonly entries: readonly PlatformInstance[];
 };
 
 /** Waits until each entry instance serves each kind of request. */
@@ -158,7 +158,7 @@
 			await waitUntil(async () => {
 				const status = await callers.send({kind, entry: address, key: operator.validKeys[0]!});
 				return status === successStatus || undefined;
-			}, {what: `${kind} at ${name}`, timeoutMilliseconds: recoveryMilliseconds, everyMilliseconds: 200});
+			}, {description: `${kind} at ${name}`, timeoutMilliseconds: recoveryMilliseconds, intervalMilliseconds: 200});
 		} catch (error) {
 			onTimeout(`${name} for ${kind}: ${error instanceof Error ? error.message : String(error)}`);
 		}
@@ -169,7 +169,7 @@
 	const end = performance.now() + recoveryMilliseconds;
 	while (performance.now() < end) {
 		for (const control of controls) {
-			const version = await operator.read(control);
+			const version = await operator.readConfiguration(control);
 			if (version !== undefined) {
 				return version;
 			}
--- a/packages/soak/src/soak-callers.ts
+++ b/packages/soak/src/soak-callers.ts
@@ -1,8 +1,8 @@
 import {Agent} from 'node:http';
 import {setTimeout as sleep} from 'node:timers/promises';
 import {type RandomSource} from '@valehitch/core';
-import {ask} from '@valehitch/testing';
-import {callerHost, pathOf} from './soak-configuration.js';
+import {sendForResponse} from '@valehitch/testing';
+import {callerHost, requestPath} from './soak-configuration.js';
 import {type RequestKind, type SoakRecord} from './soak-record.js';
 
 /** Options for the callers of a soak. */
@@ -77,10 +77,10 @@
 		const {record, now, seed} = this.#options;
 		const id = `${seed}-${++this.#sentCount}`;
 		const sentAt = now();
-		const {status, text, isWhole} = await ask({
+		const {status, text, isComplete: isWhole} = await sendForResponse({
 			method: kind === 'safe' ? 'GET' : 'POST',
 			address: entry,
-			path: pathOf(kind),
+			path: requestPath(kind),
 			agent: this.#agent,
 			timeout: responseTimeoutMilliseconds,
 			headers: {
@@ -92,7 +92,7 @@
 			},
 		});
 		record.requests.push({
-			id, kind, key, entry, sentAt, status, text, isWhole,
+			id, kind, key, entry, sentAt, status, text, isComplete: isWhole,
 		});
 		return status;
 	}
--- a/packages/soak/src/soak-configuration.ts
+++ b/packages/soak/src/soak-configuration.ts
@@ -15,7 +15,7 @@
 requestPath('safe');
 ```
 */
-export function pathOf(kind: RequestKind): string {
+export function requestPath(kind: RequestKind): string {
 	return `${paths[kind]}7`;
 }
 
--- a/packages/soak/src/soak-environment.ts
+++ b/packages/soak/src/soak-environment.ts
@@ -1,8 +1,8 @@
 /** The environment variable with the address of the process that the preloaded module runs in. */
-export const selfVariable = 'SOAK_SELF';
+export const addressVariable = 'SOAK_SELF';
 
 /** The environment variable with the data folder of the process. Files next to the folder turn faults on. */
-export const folderVariable = 'SOAK_FOLDER';
+export const dataFolderVariable = 'SOAK_FOLDER';
 
 /**
 Returns the path of the file that turns a fault on. The file is next to the data folder rather than in it, because a fault may remove the folder.
@@ -15,7 +15,7 @@
 faultFile('/tmp/soak/core-1', 'disk');
 ```
 */
-export function misbehaviourFile(folder: string, what: 'disk' | 'clock'): string {
+export function faultFile(folder: string, what: 'disk' | 'clock'): string {
 	return `${folder}.${what}`;
 }
 
--- a/packages/soak/src/soak-network.ts
+++ b/packages/soak/src/soak-network.ts
@@ -28,7 +28,7 @@
 	@param options Where the proxy listens, and the address to forward to.
 	@returns The proxy.
 	*/
-	async protect(options: {readonly host: string; readonly port: number; readonly target: {readonly host: string; readonly port: number}}): Promise<LoopbackProxy> {
+	async addProxy(options: {readonly host: string; readonly port: number; readonly target: {readonly host: string; readonly port: number}}): Promise<LoopbackProxy> {
 		const proxy = await LoopbackProxy.start({...options, ruleOf: (from, to) => this.#ruleOf(from, to)});
 		this.#proxies.set(`${options.target.host}:${options.target.port}`, proxy);
 		return proxy;
@@ -41,7 +41,7 @@
 	@param rule The fault.
 	@returns A function that removes the fault.
 	*/
-	harm(link: Link, rule: LinkRule): () => void {
+	addLinkFault(link: Link, rule: LinkRule): () => void {
 		const linkRule = {...link, ...rule};
 		this.#rules.add(linkRule);
 		return () => {
--- a/packages/soak/src/soak-operator.ts
+++ b/packages/soak/src/soak-operator.ts
@@ -1,5 +1,5 @@
 import {setTimeout as sleep} from 'node:timers/promises';
-import {ask, call} from '@valehitch/testing';
+import {sendForResponse, sendForStatus} from '@valehitch/testing';
 import {soakConfiguration} from './soak-configuration.js';
 import {type SoakRecord} from './soak-record.js';
 
@@ -56,12 +56,12 @@
 	}
 
 	/** Submits the next configuration, after any that is still unacknowledged. */
-	async change(): Promise<void> {
+	async submitConfiguration(): Promise<void> {
 		return this.#enqueue(async () => this.#submit(this.#keys));
 	}
 
 	/** Submits a configuration with a new key in place of the oldest, which it revokes. */
-	async revoke(): Promise<void> {
+	async revokeOldestKey(): Promise<void> {
 		return this.#enqueue(async () => {
 			const [revokedKey, ...validKeys] = [...this.#keys, `key-${++this.#keyCount}`];
 			this.#keys = validKeys;
@@ -78,10 +78,10 @@
 	@param control The address of the instance.
 	@returns The version; undefined if the instance returned none.
 	*/
-	async read(control: string): Promise<number | undefined> {
+	async readConfiguration(control: string): Promise<number | undefined> {
 		const {record, now} = this.#options;
 		const askedAt = now();
-		const {status, text, isWhole} = await ask({
+		const {status, text, isComplete: isWhole} = await sendForResponse({
 			method: 'GET', address: control, path: '/-/config', headers: {}, timeout: callTimeoutMilliseconds,
 		});
 		if (status !== acknowledgedStatus || !isWhole) {
@@ -118,7 +118,7 @@
 		const version = ++this.#version;
 		while (!this.#isStopped) {
 			for (const address of controls) {
-				const status = await call({
+				const status = await sendForStatus({
 					method: 'PUT', address, path: '/-/config', body: soakConfiguration(version, keys), timeout: callTimeoutMilliseconds,
 				});
 				if (status === acknowledgedStatus) {
--- a/packages/soak/src/soak-record.ts
+++ b/packages/soak/src/soak-record.ts
@@ -2,7 +2,7 @@
 export type RequestKind = 'safe' | 'unsafe' | 'streaming';
 
 /** One request as observed by its caller. */
-export type SeenRequest = {
+export type ObservedRequest = {
 	readonly id: string;
 	readonly kind: RequestKind;
 	readonly key: string;
@@ -13,11 +13,11 @@
 	readonly status: number;
 	readonly text: string;
 	/** Whether the body was received completely. */
-	readonly isWhole: boolean;
+	readonly isComplete: boolean;
 };
 
 /** One execution of a request as observed by a backend server. */
-export type SeenRun = {
+export type ObservedRun = {
 	readonly id: string;
 	readonly server: string;
 	/** The time on the clock of the soak, in milliseconds. */
@@ -25,13 +25,13 @@
 };
 
 /** A configuration that an operator submitted and a control instance acknowledged. */
-export type SeenConfiguration = {
+export type AcknowledgedConfiguration = {
 	readonly version: number;
 	readonly acknowledgedAt: number;
 };
 
 /** One read of the configuration by an operator. */
-export type SeenRead = {
+export type ConfigurationRead = {
 	readonly version: number;
 	readonly askedAt: number;
 	readonly control: string;
@@ -46,10 +46,10 @@
 
 /** All external observations of a soak; the guarantees are checked against these alone. */
 export type SoakRecord = {
-	readonly requests: SeenRequest[];
-	readonly runs: SeenRun[];
-	readonly configurations: SeenConfiguration[];
-	readonly reads: SeenRead[];
+	readonly requests: ObservedRequest[];
+	readonly runs: ObservedRun[];
+	readonly configurations: AcknowledgedConfiguration[];
+	readonly reads: ConfigurationRead[];
 	/** The revoked keys, and when each revocation was acknowledged. */
 	readonly revocations: Array<{readonly key: string; readonly acknowledgedAt: number}>;
 	/** The backend servers that announced a shutdown, and when each announcement was acknowledged. */
@@ -59,7 +59,7 @@
 	/** What did not recover in time after the last fault: entry instances that did not serve, or an operator whose change was not acknowledged. */
 	readonly unrecovered: string[];
 	/** The processes that should be running at the end of the soak but are not. */
-	readonly ends: string[];
+	readonly unexpectedExits: string[];
 	/** The version of the configuration read at the end; undefined if no read succeeded. */
 	finalVersion: number | undefined;
 };
@@ -75,7 +75,7 @@
 */
 export function emptyRecord(): SoakRecord {
 	return {
-		requests: [], runs: [], configurations: [], reads: [], revocations: [], shutdowns: [], disturbances: [], unrecovered: [], ends: [], finalVersion: undefined,
+		requests: [], runs: [], configurations: [], reads: [], revocations: [], shutdowns: [], disturbances: [], unrecovered: [], unexpectedExits: [], finalVersion: undefined,
 	};
 }
 
@@ -90,8 +90,8 @@
 completeResponse('7-1', 'safe');
 ```
 */
-export function wholeAnswer(id: string, kind: RequestKind): string {
-	return kind === 'streaming' ? eventsOf(id).map((event, index) => `id: ${index + 1}\ndata: ${event}\n\n`).join('') : `done ${id}`;
+export function completeResponse(id: string, kind: RequestKind): string {
+	return kind === 'streaming' ? streamEvents(id).map((event, index) => `id: ${index + 1}\ndata: ${event}\n\n`).join('') : `done ${id}`;
 }
 
 /**
@@ -104,6 +104,6 @@
 streamEvents('7-1');
 ```
 */
-export function eventsOf(id: string): readonly string[] {
+export function streamEvents(id: string): readonly string[] {
 	return ['one', 'two', 'three', 'four', 'five'].map(word => `${word} of ${id}`);
 }
--- a/packages/soak/src/soak-servers.ts
+++ b/packages/soak/src/soak-servers.ts
@@ -1,8 +1,8 @@
 import {
-	BackendStandIn, type StandInAnswer, type StandInRun,
+	FakeBackendServer, type FakeBackendResponse, type ExecutedRequest,
 } from '@valehitch/testing';
 import {type SoakNetwork} from './soak-network.js';
-import {eventsOf, type SoakRecord, wholeAnswer} from './soak-record.js';
+import {streamEvents, type SoakRecord, completeResponse} from './soak-record.js';
 
 /** Options for the backend servers of a soak. */
 export type SoakServersOptions = {
@@ -18,7 +18,7 @@
 type SoakServer = {
 	readonly id: string;
 	readonly service: SoakService;
-	readonly backend: BackendStandIn;
+	readonly backend: FakeBackendServer;
 	isDraining: boolean;
 };
 
@@ -112,10 +112,10 @@
 		const {network, host} = this.#options;
 		const id = `i-${++this.#serverCount}`;
 		let announcedPort = 0;
-		const backend = await BackendStandIn.start({
+		const backend = await FakeBackendServer.start({
 			id, service, host, answer: run => this.#recordRun(id, run), announcedPort: () => announcedPort,
 		});
-		const proxy = await network.protect({host, port: 0, target: {host, port: backend.port}});
+		const proxy = await network.addProxy({host, port: 0, target: {host, port: backend.port}});
 		announcedPort = proxy.port;
 		const server = {
 			id, service, backend, isDraining: false,
@@ -124,11 +124,11 @@
 		await this.#announce(server, 'ready');
 	}
 
-	#recordRun(id: string, {id: request, model}: StandInRun): StandInAnswer {
+	#recordRun(id: string, {id: request, model}: ExecutedRequest): FakeBackendResponse {
 		this.#options.record.runs.push({id: request, server: id, at: this.#options.now()});
 		return model === undefined
-			? {events: [wholeAnswer(request, 'safe')]}
-			: {events: eventsOf(request), gap: eventIntervalMilliseconds, confidence: model === 'small' && request.endsWith('3') ? 20 : 90};
+			? {events: [completeResponse(request, 'safe')]}
+			: {events: streamEvents(request), gap: eventIntervalMilliseconds, confidence: model === 'small' && request.endsWith('3') ? 20 : 90};
 	}
 
 	/** Sends an announcement to one control instance after another until one acknowledges it, and returns that instance. */
--- a/packages/storage/src/_folder-access.ts
+++ b/packages/storage/src/_folder-access.ts
@@ -1,7 +1,7 @@
-import {type FileFunctions} from './file-functions.js';
+import {type FileSystem} from './file-system.js';
 
 /** A folder and the file system that it is on. */
 export type FolderAccess = {
 	readonly folder: string;
-	readonly fileSystem: FileFunctions;
+	readonly fileSystem: FileSystem;
 };
--- a/packages/storage/src/_segment-writer.ts
+++ b/packages/storage/src/_segment-writer.ts
@@ -4,10 +4,10 @@
 import {type FolderAccess} from './_folder-access.js';
 import {type BatchRecord, formatVersion, type SegmentHeader} from './_records.js';
 import {type ClosedSegment, sealFrame} from './_replay-log.js';
-import {type OpenFile} from './file-functions.js';
+import {type WritableFile} from './file-system.js';
 
 type ActiveSegment = {
-	readonly file: OpenFile;
+	readonly file: WritableFile;
 	readonly sequence: number;
 	bytes: number;
 	highestIndex: number;
@@ -115,7 +115,7 @@
 	}
 }
 
-async function sealAndClose(file: OpenFile): Promise<void> {
+async function sealAndClose(file: WritableFile): Promise<void> {
 	try {
 		await file.append(sealFrame);
 		await file.sync();
--- a/packages/storage/src/small-file.test.ts
+++ b/packages/storage/src/atomic-file.test.ts
@@ -3,14 +3,14 @@
 import {tmpdir} from 'node:os';
 import path from 'node:path';
 import test from 'ava';
-import {systemFiles} from './file-functions.js';
-import {SmallFile} from './small-file.js';
+import {nodeFileSystem} from './file-system.js';
+import {AtomicFile} from './atomic-file.js';
 
 test('a read returns the last content written, and a failed write keeps the old content', async t => {
 	const folder = await mkdtemp(path.join(tmpdir(), 'valehitch-small-'));
 	t.teardown(async () => rm(folder, {recursive: true}));
 	const name = path.join(folder, 'servers.json');
-	const file = new SmallFile(name);
+	const file = new AtomicFile(name);
 	const read = async () => {
 		const bytes = await file.read();
 		return bytes.map(data => data && Buffer.from(data).toString()).extract();
@@ -21,12 +21,12 @@
 	t.true(first.isRight());
 	t.is(await read(), 'one');
 	const files = {
-		...systemFiles,
+		...nodeFileSystem,
 		async rename() {
 			throw new Error('ENOSPC: no space left on device');
 		},
 	};
-	const broken = new SmallFile(name, {files});
+	const broken = new AtomicFile(name, {fileSystem: files});
 	const second = await broken.replace(Buffer.from('two'));
 	t.true(second.isLeft());
 	t.is(await read(), 'one');
--- a/packages/storage/src/small-file.ts
+++ b/packages/storage/src/atomic-file.ts
@@ -3,12 +3,12 @@
 import {type Either, Left, Right} from 'purify-ts';
 import {replaceFile} from './_replace-file.js';
 import {toStorageFailure} from './data-folder.js';
-import {type FileFunctions, systemFiles} from './file-functions.js';
+import {type FileSystem, nodeFileSystem} from './file-system.js';
 
 /** Options for `AtomicFile`. */
-export type SmallFileOptions = {
+export type AtomicFileOptions = {
 	/** The file system to use; that of the machine by default. */
-	readonly files?: FileFunctions;
+	readonly fileSystem?: FileSystem;
 };
 
 /**
@@ -21,16 +21,16 @@
 const bytes = await file.read();
 ```
 */
-export class SmallFile {
+export class AtomicFile {
 	readonly #folder: string;
 	readonly #name: string;
-	readonly #fileSystem: FileFunctions;
+	readonly #fileSystem: FileSystem;
 
 	/**
 	@param file The path of the file; its folder must exist.
 	@param options The file system to use.
 	*/
-	constructor(file: string, {files: fileSystem = systemFiles}: SmallFileOptions = {}) {
+	constructor(file: string, {fileSystem: fileSystem = nodeFileSystem}: AtomicFileOptions = {}) {
 		this.#folder = path.dirname(file);
 		this.#name = path.basename(file);
 		this.#fileSystem = fileSystem;
--- a/packages/storage/src/data-folder.test.ts
+++ b/packages/storage/src/data-folder.test.ts
@@ -7,7 +7,7 @@
 import test from 'ava';
 import {Right} from 'purify-ts';
 import {
-	type DataFolder, type FileFunctions, openDataFolder, type OpenFile, type StoredState,
+	type DataFolder, type FileSystem, openDataFolder, type WritableFile, type StoredState,
 } from './mod.js';
 
 const seed = 20_241;
@@ -17,12 +17,12 @@
 type MemoryFile = {data: Uint8Array; synced: Uint8Array};
 
 /** An in-memory file system that discards unsynced data on a crash and fails at a chosen operation. */
-class MemoryFileSystem implements FileFunctions {
+class MemoryFileSystem implements FileSystem {
 	operationsUntilFailure = Number.POSITIVE_INFINITY;
 	current = new Map<string, MemoryFile>();
 	#durable = new Map<string, MemoryFile>();
 
-	readonly makeFolder = async () => {
+	readonly createFolder = async () => {
 		this.#countOperation('ENOSPC');
 	};
 
@@ -69,7 +69,7 @@
 		return this.crash({kept: 1, keepsNames: true});
 	}
 
-	#open(file: string): OpenFile {
+	#open(file: string): WritableFile {
 		const node = this.current.get(file) ?? {data: Buffer.alloc(0), synced: Buffer.alloc(0)};
 		this.current.set(file, node);
 		return {
@@ -101,7 +101,7 @@
 
 async function openFolder(files: MemoryFileSystem, segmentBytes = 256) {
 	return openDataFolder(folder, {
-		files, segmentBytes, lock: async () => Right(async () => undefined), newIdentity: () => 'one',
+		fileSystem: files, segmentBytes, lock: async () => Right(async () => undefined), generateIdentity: () => 'one',
 	});
 }
 
@@ -114,7 +114,7 @@
 
 async function readStoredState(files: MemoryFileSystem): Promise<StoredState> {
 	const opened = await openOrThrow(files);
-	return opened.takeStored();
+	return opened.takeStoredState();
 }
 
 function entry(index: number, term = 1): LogEntry {
@@ -149,7 +149,7 @@
 	const opened = await openFolder(files);
 	return opened.caseOf<readonly number[] | string>({
 		Left: ({message}) => message,
-		Right: found => found.takeStored().entries.map(({index}) => index),
+		Right: found => found.takeStoredState().entries.map(({index}) => index),
 	});
 }
 
@@ -172,8 +172,8 @@
 		identity: 'one', isNew: true, hardState: {term: 0}, snapshot: undefined,
 	});
 	const second = await openOrThrow(files);
-	t.like(second.takeStored(), {identity: 'one', isNew: false});
-	t.throws(() => second.takeStored(), {instanceOf: RangeError});
+	t.like(second.takeStoredState(), {identity: 'one', isNew: false});
+	t.throws(() => second.takeStoredState(), {instanceOf: RangeError});
 });
 
 test('a torn write at any byte of the last record loses only that record', async t => {
@@ -256,7 +256,7 @@
 	const earlier = files.copy();
 	writeSynced(earlier, {file: `${folder}/state-0000000000000009.snapshot`, data: Buffer.from('not a snapshot')});
 	const again = await openOrThrow(earlier.copy());
-	t.is(again.takeStored().snapshot?.lastIndex, 4);
+	t.is(again.takeStoredState().snapshot?.lastIndex, 4);
 	t.regex(again.warnings.join(','), /Fell back/v);
 	writeSynced(earlier, {file: `${folder}/state-0000000000000040.snapshot`, data: Buffer.from('not a snapshot')});
 	t.regex(String(await readEntryIndexes(earlier)), /damaged snapshot/v);
@@ -377,7 +377,7 @@
 
 		files = files.crash(operation);
 		opened = await openOrThrow(files);
-		const stored = opened.takeStored();
+		const stored = opened.takeStoredState();
 		assertStoredState(model, {stored, unacknowledged});
 		model.entries = [...stored.entries];
 		model.snapshot = stored.snapshot;
--- a/packages/storage/src/data-folder.ts
+++ b/packages/storage/src/data-folder.ts
@@ -13,7 +13,7 @@
 
 /** The parts that a `DataFolder` is constructed from. */
 export type DataFolderParts = {
-	readonly place: FolderAccess;
+	readonly access: FolderAccess;
 	readonly segmentBytes: number;
 	readonly identity: string;
 	readonly isNew: boolean;
@@ -22,7 +22,7 @@
 };
 
 /** Write counters since the folder was opened. */
-export type WrittenCounts = {
+export type WriteCounters = {
 	/** Batches that were written and synced. */
 	readonly batches: number;
 	/** Bytes written to log segments. */
@@ -57,7 +57,7 @@
 	#lastWrite: Promise<unknown> = Promise.resolve();
 	#lastSnapshotWrite: Promise<void> | undefined;
 
-	constructor({place: access, segmentBytes, identity, isNew, loaded, unlock}: DataFolderParts) {
+	constructor({access: access, segmentBytes, identity, isNew, loaded, unlock}: DataFolderParts) {
 		const {snapshot, entries, log} = loaded;
 		this.#access = access;
 		this.#segmentBytes = segmentBytes;
@@ -77,7 +77,7 @@
 		return this.#failure;
 	}
 
-	get written(): WrittenCounts {
+	get writeCounters(): WriteCounters {
 		return {batches: this.#batchCount, segmentBytes: this.#segmentWriter.bytesWritten};
 	}
 
@@ -91,7 +91,7 @@
 	@returns The stored state.
 	@throws {RangeError} If the state was already taken.
 	*/
-	takeStored(): StoredState {
+	takeStoredState(): StoredState {
 		const storedState = this.#storedState;
 		if (storedState === undefined) {
 			throw new RangeError('The stored state was already taken');
@@ -122,7 +122,7 @@
 	}
 
 	/** Starts the first segment of this run; called once by `openDataFolder`. */
-	async begin(keepsEarlier: boolean): Promise<void> {
+	async startFirstSegment(keepsEarlier: boolean): Promise<void> {
 		await this.#startSegment(keepsEarlier);
 		if (!keepsEarlier) {
 			await this.#segmentWriter.removeClosed();
--- a/packages/storage/src/file-functions.ts
+++ b/packages/storage/src/file-system.ts
@@ -3,7 +3,7 @@
 } from 'node:fs/promises';
 
 /** A file open for writing. */
-export type OpenFile = {
+export type WritableFile = {
 	/** Appends all of the data to the file. */
 	readonly append: (data: Uint8Array) => Promise<void>;
 	/** Truncates the file to a length in bytes. */
@@ -14,15 +14,15 @@
 };
 
 /** The file system operations that this package uses. They are injected so that tests can simulate failures. */
-export type FileFunctions = {
-	readonly makeFolder: (folder: string) => Promise<void>;
+export type FileSystem = {
+	readonly createFolder: (folder: string) => Promise<void>;
 	/** Lists the file names in a folder. */
 	readonly list: (folder: string) => Promise<readonly string[]>;
 	readonly read: (file: string) => Promise<Uint8Array>;
 	/** Opens a file for appending; creates it if it does not exist. */
-	readonly openForAppend: (file: string) => Promise<OpenFile>;
+	readonly openForAppend: (file: string) => Promise<WritableFile>;
 	/** Creates an empty file, or truncates an existing one, and opens it for writing. */
-	readonly create: (file: string) => Promise<OpenFile>;
+	readonly create: (file: string) => Promise<WritableFile>;
 	readonly rename: (from: string, to: string) => Promise<void>;
 	readonly remove: (file: string) => Promise<void>;
 	/** Flushes a folder's directory entries to the disk. */
@@ -32,8 +32,8 @@
 const ownerOnly = 0o600;
 
 /** The file system of the machine. */
-export const systemFiles: FileFunctions = {
-	async makeFolder(folder) {
+export const nodeFileSystem: FileSystem = {
+	async createFolder(folder) {
 		await mkdir(folder, {recursive: true});
 	},
 	list: async folder => readdir(folder),
@@ -54,7 +54,7 @@
 	},
 };
 
-function toOpenFile(handle: FileHandle): OpenFile {
+function toOpenFile(handle: FileHandle): WritableFile {
 	return {
 		async append(data) {
 			await handle.appendFile(data);
--- a/packages/storage/src/mod.ts
+++ b/packages/storage/src/mod.ts
@@ -3,9 +3,9 @@
 
 @module
 */
-export {DataFolder, type WrittenCounts} from './data-folder.js';
-export * from './file-functions.js';
+export {DataFolder, type WriteCounters as WrittenCounts} from './data-folder.js';
+export * from './file-system.js';
 export * from './lock-folder.js';
 export * from './open-data-folder.js';
-export * from './small-file.js';
+export * from './atomic-file.js';
 export type * from './stored-state.js';
--- a/packages/storage/src/open-data-folder.ts
+++ b/packages/storage/src/open-data-folder.ts
@@ -6,7 +6,7 @@
 import {loadFolder} from './_load-folder.js';
 import {type FolderAccess} from './_folder-access.js';
 import {DataFolder, toStorageFailure} from './data-folder.js';
-import {type FileFunctions, systemFiles} from './file-functions.js';
+import {type FileSystem, nodeFileSystem} from './file-system.js';
 import {lockFolder, type Unlock} from './lock-folder.js';
 
 /** Options for `openDataFolder`. */
@@ -14,11 +14,11 @@
 	/** Segment size in bytes at which a new segment is started; 4 194 304 by default. */
 	readonly segmentBytes?: number;
 	/** The file system to use; that of the machine by default. */
-	readonly files?: FileFunctions;
+	readonly fileSystem?: FileSystem;
 	/** Acquires the lock that excludes other processes; `lockFolder` by default. */
 	readonly lock?: (folder: string) => Promise<Either<Failure, Unlock>>;
 	/** Generates the identity of an empty folder; a random UUID by default. */
-	readonly newIdentity?: () => string;
+	readonly generateIdentity?: () => string;
 };
 
 const defaultSegmentBytes = 4_194_304;
@@ -38,10 +38,10 @@
 ```
 */
 export async function openDataFolder(folder: string, options: DataFolderOptions = {}): Promise<Either<Failure, DataFolder>> {
-	const fileSystem = options.files ?? systemFiles;
+	const fileSystem = options.fileSystem ?? nodeFileSystem;
 	const access = {folder, fileSystem};
 	try {
-		await fileSystem.makeFolder(folder);
+		await fileSystem.createFolder(folder);
 		const locked = await (options.lock ?? lockFolder)(folder);
 		return await locked.caseOf<Promise<Either<Failure, DataFolder>>>({
 			Left: async failed => Left(failed),
@@ -55,12 +55,12 @@
 async function openLockedFolder(access: FolderAccess, unlock: Unlock, options: DataFolderOptions): Promise<Either<Failure, DataFolder>> {
 	try {
 		await removeTemporaryFiles(access);
-		const identity = await readOrCreateIdentity(access, options.newIdentity ?? randomUUID);
+		const identity = await readOrCreateIdentity(access, options.generateIdentity ?? randomUUID);
 		const loaded = await loadFolder(access, identity.identity);
 		const opened = new DataFolder({
-			...identity, place: access, loaded, unlock, segmentBytes: options.segmentBytes ?? defaultSegmentBytes,
+			...identity, access: access, loaded, unlock, segmentBytes: options.segmentBytes ?? defaultSegmentBytes,
 		});
-		await opened.begin(loaded.keepsEarlier);
+		await opened.startFirstSegment(loaded.keepsEarlier);
 		return Right(opened);
 	} catch (error) {
 		await unlock();
--- a/packages/testing/src/_bad-version-trial.ts
+++ b/packages/testing/src/_bad-version-trial.ts
@@ -2,7 +2,7 @@
 	type EffectiveConfiguration, type InstanceId, type ModelId, type RandomSource, toId, toRevision, type VersionConfiguration, type VersionId, versionKey,
 } from '@valehitch/core';
 import {
-	BadVersionMonitor, ChangeDetector, defaultBadVersionSettings, EvidenceTable, QualityBook, type VersionTarget,
+	BadVersionMonitor, ChangeDetector, defaultBadVersionSettings, EvidenceAggregator, QualityStore, type VersionTarget,
 } from '@valehitch/policy';
 import {seededRandom} from './_seeded-random.js';
 
@@ -16,7 +16,7 @@
 };
 
 /** Number of requests that the new version served between its degradation and its stop, by detector; undefined where the detector did not stop it. */
-export type TrialResult = Readonly<Record<string, number | undefined>>;
+export type DetectionResult = Readonly<Record<string, number | undefined>>;
 
 const requestsPerSecond = 25;
 const durationSeconds = 1200;
@@ -71,7 +71,7 @@
 runBadVersionTrial({seed: 1, rating: 0.45, failureShare: 0.01});
 ```
 */
-export function runBadVersionTrial(trial: BadVersionTrial): TrialResult {
+export function runBadVersionTrial(trial: BadVersionTrial): DetectionResult {
 	const random = seededRandom(trial.seed);
 	const rules = [...windowRules(), pairRule(), monitorRule('e-detector, each instance alone', false), monitorRule('e-detector, and the sum of all', true)];
 	const served = new Map(rules.map(({name}) => [name, 0]));
@@ -190,10 +190,10 @@
 }
 
 function monitorRule(name: string, combinesEvidence: boolean): DetectorRule {
-	const book = new QualityBook({instance: toId<InstanceId>('all'), startedAt: 0});
-	const table = new EvidenceTable();
+	const book = new QualityStore({instance: toId<InstanceId>('all'), startedAt: 0});
+	const table = new EvidenceAggregator();
 	const stopped = new Set<number>();
-	const monitors = Array.from({length: instances}, (_, index) => new BadVersionMonitor({instance: toId<InstanceId>(`i${index}`), startedAt: 0, book}));
+	const monitors = Array.from({length: instances}, (_, index) => new BadVersionMonitor({instance: toId<InstanceId>(`i${index}`), startedAt: 0, qualityStore: book}));
 	return {
 		name,
 		hasStopped: instance => stopped.has(instance),
--- a/packages/testing/src/_bench-admission.ts
+++ b/packages/testing/src/_bench-admission.ts
@@ -1,7 +1,7 @@
 import {performance} from 'node:perf_hooks';
 import {type RequestId, toId, type WorkspaceId} from '@valehitch/core';
-import {Admission, type AdmissionRequest} from '@valehitch/routing';
-import {exponential, quantileOf} from './_bench-tools.js';
+import {AdmissionController, type AdmissionRequest} from '@valehitch/routing';
+import {sampleExponential, quantileOf} from './_bench-tools.js';
 import {seededRandom} from './_seeded-random.js';
 
 const capacityTokens = 40_000;
@@ -34,8 +34,8 @@
 	const perSecond = capacityTokens / 1000 * tokensPerSecondPerRequest / 1000;
 	for (let workspace = 0; workspace <= smallWorkspaces; workspace++) {
 		const rate = workspace === 0 ? 2 * perSecond : perSecond / 20;
-		for (let at = exponential(1000 / rate, random); at < simulatedMilliseconds; at += exponential(1000 / rate, random)) {
-			const tokens = 100 + Math.round(exponential(900, random));
+		for (let at = sampleExponential(1000 / rate, random); at < simulatedMilliseconds; at += sampleExponential(1000 / rate, random)) {
+			const tokens = 100 + Math.round(sampleExponential(900, random));
 			generated.push({
 				at, tokens, request: {
 					id: toId<RequestId>(`r${generated.length}`),
@@ -55,7 +55,7 @@
 
 /** Simulates admission of the arrivals; without `fair`, all belong to one workspace, which makes the queue first come, first served. */
 function simulate(list: readonly Arrival[], {fair, refusesEarly, usesP90 = false}: {readonly fair: boolean; readonly refusesEarly: boolean; readonly usesP90?: boolean}): Outcome {
-	const admission = new Admission({capacity: capacityTokens, maximumWaiting: 100_000});
+	const admission = new AdmissionController({capacity: capacityTokens, maximumQueueLength: 100_000});
 	const byId = new Map(list.map(arrival => [arrival.request.id, arrival]));
 	const completions: Array<{at: number; id: RequestId}> = [];
 	const outcome: Outcome = {
@@ -76,7 +76,7 @@
 	const cancelOverdue = (now: number) => {
 		const left = refusesEarly ? list : [];
 		for (let next = left[nextDeadlineIndex]; next !== undefined && next.at + deadlineMilliseconds <= now; next = left[++nextDeadlineIndex]) {
-			for (const id of admission.leave(next.request.id)) {
+			for (const id of admission.cancel(next.request.id)) {
 				startRequest(id, now);
 			}
 		}
@@ -140,7 +140,7 @@
 }
 
 function benchSpeed(): string {
-	const admission = new Admission({capacity: 1000, maximumWaiting: 10_000});
+	const admission = new AdmissionController({capacity: 1000, maximumQueueLength: 10_000});
 	const total = 200_000;
 	const running: RequestId[] = [];
 	const start = performance.now();
--- a/packages/testing/src/_bench-hedge.ts
+++ b/packages/testing/src/_bench-hedge.ts
@@ -4,7 +4,7 @@
 import {
 	hedgeDelays, type HedgeDelays, RetryBudget, StageHistory,
 } from '@valehitch/routing';
-import {exponential, quantileOf} from './_bench-tools.js';
+import {sampleExponential, quantileOf} from './_bench-tools.js';
 import {seededRandom} from './_seeded-random.js';
 
 const requests = 40_000;
@@ -37,8 +37,8 @@
 /** Draws a random attempt: prefill takes 30 ms plus 0.12 ms per token, and eight times as long in 2 % of the attempts. */
 function drawAttempt(promptTokens: number, random: RandomSource): Attempt {
 	const slowdown = random() < slowShare ? 8 : 1;
-	const prefill = slowdown * (30 + (0.12 * promptTokens)) * (0.7 + exponential(0.3, random));
-	const pause = random() < stallShare ? exponential(stallMilliseconds, random) : 0;
+	const prefill = slowdown * (30 + (0.12 * promptTokens)) * (0.7 + sampleExponential(0.3, random));
+	const pause = random() < stallShare ? sampleExponential(stallMilliseconds, random) : 0;
 	return {prefill, pause, pauseAfter: 1 + Math.floor(random() * (tokens - 1))};
 }
 
@@ -81,8 +81,8 @@
 	return {
 		name: `${name}, prompts of like size`,
 		delays(promptTokens, history) {
-			const late = history.quantile(sizeClassOf(promptTokens), {stage: 'prefill', share});
-			const median = history.quantile(sizeClassOf(promptTokens), {stage: 'prefill', share: 0.5});
+			const late = history.quantile(sizeClassOf(promptTokens), {stage: 'prefill', quantile: share});
+			const median = history.quantile(sizeClassOf(promptTokens), {stage: 'prefill', quantile: 0.5});
 			const delay = Math.max(20, late ?? 0, medianFactor * (median ?? 0));
 			return late === undefined ? undefined : {prefillMilliseconds: delay, decodeMilliseconds: delay};
 		},
@@ -96,7 +96,7 @@
 	{
 		name: 'p95 of the whole answer',
 		delays(_, history) {
-			const whole = history.quantile('all prompts', {stage: 'whole', share: 0.95});
+			const whole = history.quantile('all prompts', {stage: 'whole', quantile: 0.95});
 			return whole === undefined ? undefined : {prefillMilliseconds: whole, decodeMilliseconds: whole};
 		},
 	},
@@ -110,7 +110,7 @@
 function simulateRule(seed: number, rule: HedgeRule, share: number): string {
 	const random = seededRandom(seed);
 	const history = new StageHistory();
-	const budget = new RetryBudget({share, burst: 20});
+	const budget = new RetryBudget({ratio: share, burst: 20});
 	const firsts: number[] = [];
 	const lasts: number[] = [];
 	let hedges = 0;
--- a/packages/testing/src/_bench-life.ts
+++ b/packages/testing/src/_bench-request-lifecycle.ts
@@ -1,9 +1,9 @@
 import {performance} from 'node:perf_hooks';
 import {type RequestId, toId} from '@valehitch/core';
 import {
-	DecisionRing, RetryBudget, type RequestEvent, type RequestPlan, type RequestState, StageHistory, startRequest, stepRequest,
+	DecisionHistory, RetryBudget, type RequestEvent, type RequestPlan, type RequestState, StageHistory, startRequest, stepRequest,
 } from '@valehitch/routing';
-import {heapOf} from './_bench-tools.js';
+import {measureHeapBytes} from './_bench-tools.js';
 
 const requests = 50_000;
 const pieces = 20;
@@ -13,7 +13,7 @@
 	target: {type: 'version', model: toId('tag-small'), version: toId('1.0')},
 	session: 'none',
 	repeatable: true,
-	claimed: false,
+	requiresClaim: false,
 	streamed: true,
 	judged: false,
 	deadline: 60_000,
@@ -58,7 +58,7 @@
 console.log(benchLife().join('\n'));
 ```
 */
-export function benchLife(): string[] {
+export function benchRequestLifecycle(): string[] {
 	const events = createEvents();
 	const untilLastChunk = events.slice(0, -2);
 	runRequest(events);
@@ -68,7 +68,7 @@
 	}
 
 	const seconds = (performance.now() - start) / 1000;
-	const state = heapOf(() => Array.from({length: liveRequests}, () => runRequest(untilLastChunk))) / liveRequests;
+	const state = measureHeapBytes(() => Array.from({length: liveRequests}, () => runRequest(untilLastChunk))) / liveRequests;
 	return [
 		`life: ${Math.round(requests / seconds)} requests/s, ${Math.round(requests * events.length / seconds)} events/s, ${events.length} events each`,
 		`life: ${Math.round(state)} bytes of state for a request that streams`,
@@ -77,21 +77,21 @@
 }
 
 function measureMemory(): string[] {
-	const ring = heapOf(() => {
-		const created = new DecisionRing({capacity: liveRequests});
+	const ring = measureHeapBytes(() => {
+		const created = new DecisionHistory({capacity: liveRequests});
 		for (let index = 0; index < liveRequests; index++) {
 			const request = toId<RequestId>(`r${index}`);
-			created.begin({
+			created.add({
 				request, workspace: toId('mills'), at: index, versions: [{model: toId('tag-small'), version: toId('1.0'), verdict: 'chosen'}], attempts: [],
 			});
-			created.attempt(request, {
+			created.recordAttempt(request, {
 				attempt: 1, purpose: 'first', servers: Array.from({length: 8}, () => ({server: toId('engine-1'), verdict: 'busier'})), outcome: 'ran', reason: 'complete',
 			});
 		}
 
 		return created;
 	});
-	const history = heapOf(() => {
+	const history = measureHeapBytes(() => {
 		const created = new StageHistory();
 		for (let index = 0; index < 1000; index++) {
 			created.record(String(index), {stage: 'prefill', milliseconds: index});
@@ -99,7 +99,7 @@
 
 		return created;
 	});
-	const budget = heapOf(() => {
+	const budget = measureHeapBytes(() => {
 		const created = new RetryBudget();
 		for (let index = 0; index < 4000; index++) {
 			created.deposit(`mills/${index}`, 0);
--- a/packages/testing/src/_bench-server-choice.ts
+++ b/packages/testing/src/_bench-server-choice.ts
@@ -1,9 +1,9 @@
 import {performance} from 'node:perf_hooks';
 import {type ServerId, toId, type ZoneId} from '@valehitch/core';
 import {
-	chooseServer, prefixHash, PrefixShares, type ServerView,
+	chooseServer, prefixHash, PrefixFrequencies, type ServerView,
 } from '@valehitch/routing';
-import {exponential, quantileOf} from './_bench-tools.js';
+import {sampleExponential, quantileOf} from './_bench-tools.js';
 import {seededRandom} from './_seeded-random.js';
 
 const capacity = 8;
@@ -46,8 +46,8 @@
 		id: engine.id,
 		zone,
 		capacity,
-		reportedActive: engine.reportedActive,
-		ownAtReport: engine.ownAtReport[instance] ?? 0,
+		reportedInFlight: engine.reportedActive,
+		ownInFlightAtReport: engine.ownAtReport[instance] ?? 0,
 		reportAge: now - engine.reportedAt,
 		ownInFlight: engine.ownInFlight[instance] ?? 0,
 		draining: false,
@@ -68,10 +68,10 @@
 		ownInFlight: Array.from({length: instances}, () => 0), ownAtReport: Array.from({length: instances}, () => 0), cache: new Set(),
 	}));
 	const ends: Array<{at: number; engine: Engine; instance: number}> = [];
-	const shares = Array.from({length: instances}, () => new PrefixShares());
+	const shares = Array.from({length: instances}, () => new PrefixFrequencies());
 	const loads: number[] = [];
 	let hits = 0;
-	for (let now = 0; now < simulatedMilliseconds; now += exponential(1000 / requestsPerSecond, random)) {
+	for (let now = 0; now < simulatedMilliseconds; now += sampleExponential(1000 / requestsPerSecond, random)) {
 		while (ends[0] !== undefined && ends[0].at <= now) {
 			const {engine, instance} = ends.shift()!;
 			engine.active--;
@@ -92,7 +92,7 @@
 		const hash = prefixHash(`prompt ${prefix}`);
 		const share = shares[instance]!.count(hash);
 		const choice = chooseServer(views, {
-			target, excluded, zone, random, samples, loadBound, fadeMilliseconds,
+			target, excluded, zone, random, samples, loadBound, reportDecayMilliseconds: fadeMilliseconds,
 			...(affinity && {prefix: hash, prefixShare: spread ? share : 0}),
 		});
 		const id = choice.map(({server}) => server).toMaybe().extract();
@@ -106,7 +106,7 @@
 			engine.cache.delete(engine.cache.values().next().value!);
 		}
 
-		const end = now + exponential(meanServiceMilliseconds, random);
+		const end = now + sampleExponential(meanServiceMilliseconds, random);
 		const insertionIndex = ends.findIndex(({at}) => at > end);
 		ends.splice(insertionIndex === -1 ? ends.length : insertionIndex, 0, {at: end, engine, instance});
 	}
@@ -166,8 +166,8 @@
 		id: toId(`engine-${index}`),
 		zone: toId(`zone-${index % 7}`),
 		capacity,
-		reportedActive: index % 9,
-		ownAtReport: 0,
+		reportedInFlight: index % 9,
+		ownInFlightAtReport: 0,
 		reportAge: 500,
 		ownInFlight: index % 3,
 		draining: false,
--- a/packages/testing/src/_bench-tools.ts
+++ b/packages/testing/src/_bench-tools.ts
@@ -30,7 +30,7 @@
 exponential(600, random);
 ```
 */
-export function exponential(mean: number, random: RandomSource): number {
+export function sampleExponential(mean: number, random: RandomSource): number {
 	return -mean * Math.log(1 - random());
 }
 
@@ -44,7 +44,7 @@
 heapOf(() => Array.from({length: 1000}, () => ({})));
 ```
 */
-export function heapOf(make: () => unknown): number {
+export function measureHeapBytes(make: () => unknown): number {
 	setFlagsFromString('--expose-gc');
 	const collect = runInNewContext('gc') as () => void;
 	collect();
--- a/packages/testing/src/_control-commands.ts
+++ b/packages/testing/src/_control-commands.ts
@@ -5,13 +5,13 @@
 	type Bill, type ChangeId, type Configuration, type InstanceId, type Micros, type RequestId, type ServerId, toId, toRevision, type VersionConfiguration, type VersionId, type WorkspaceId,
 } from '@valehitch/core';
 import fc from 'fast-check';
-import {type ControlOracle, type Listed, oracleModel as model} from './_control-oracle.js';
+import {type ControlOracle, type ListedState, oracleModel as model} from './_control-oracle.js';
 
 const stages = [{share: 0.1, minimumRatings: 0, minimumSeconds: 0}, {share: 1, minimumRatings: 0, minimumSeconds: 0}];
 const numberedName = (prefix: string, maximum: number) => fc.integer({min: 1, max: maximum}).map(number => `${prefix}${number}`);
-const listed = fc.constantFrom<Listed>('absent', 'settled', 'rolling-out', 'rolling-out', 'withdrawn');
+const listed = fc.constantFrom<ListedState>('absent', 'settled', 'rolling-out', 'rolling-out', 'withdrawn');
 const version = fc.constantFrom(toId<VersionId>('a'), toId<VersionId>('b'));
-function documentOf(states: Readonly<Record<string, Listed>>): Configuration {
+function documentOf(states: Readonly<Record<string, ListedState>>): Configuration {
 	const versions: Record<string, VersionConfiguration> = {};
 	for (const [version, state] of Object.entries(states)) {
 		if (state !== 'absent') {
@@ -52,7 +52,7 @@
 );
 
 /** Creates a command once its time and the state's revision are known. */
-export type Maker = (now: {readonly at: number; readonly oracle: ControlOracle}) => Command;
+export type CommandFactory = (now: {readonly at: number; readonly oracle: ControlOracle}) => Command;
 /** Settles one of the open claims as its owner, so that long claim lifetimes are covered. */
 function settleOpenClaim(oracle: ControlOracle, {choice, settlement: given, at}: {readonly choice: number; readonly settlement: ClaimSettlement; readonly at: number}): Command {
 	const open = oracle.claims.filter(({state}) => state === 'open');
@@ -63,10 +63,10 @@
 }
 
 /** Generates any command over a small set of names, so that commands affect each other. */
-export const anyCommand: fc.Arbitrary<Maker> = fc.oneof(
+export const anyCommand: fc.Arbitrary<CommandFactory> = fc.oneof(
 	fc.record({
 		change: numberedName('c', 6), a: listed, b: listed, isStale: fc.constantFrom(false, false, true),
-	}).map(({change, a, b, isStale}): Maker => ({at, oracle}) => ({
+	}).map(({change, a, b, isStale}): CommandFactory => ({at, oracle}) => ({
 		type: 'apply-configuration',
 		changeId: toId<ChangeId>(change),
 		digest: `${a}/${b}`,
@@ -74,29 +74,29 @@
 		document: documentOf({a, b}),
 		at,
 	})),
-	fc.record({version, fromStage: fc.integer({min: 0, max: 1})}).map((found): Maker => ({at}) => ({
+	fc.record({version, fromStage: fc.integer({min: 0, max: 1})}).map((found): CommandFactory => ({at}) => ({
 		type: 'advance-rollout', model, ...found, at,
 	})),
-	version.map((found): Maker => ({at}) => ({
+	version.map((found): CommandFactory => ({at}) => ({
 		type: 'stop-version', model, version: found, reason: 'bad', at,
 	})),
 	fc.record({
 		...claimed, requestDigest: fc.constantFrom('d1', 'd1', 'd1', 'd2'), instance: numberedName('i', 2).map(id => toId<InstanceId>(id)),
-	}).map((found): Maker => ({at}) => ({type: 'take-claim', ...found, at})),
-	fc.record({...claimed, settlement}).map((found): Maker => ({at}) => ({type: 'settle-claim', ...found, at})),
-	fc.record({choice: fc.nat(20), settlement}).map(({choice, settlement: given}): Maker => ({at, oracle}) => settleOpenClaim(oracle, {choice, settlement: given, at})),
-	numberedName('i', 2).map((instance): Maker => ({at}) => ({type: 'instance-lost', instance: toId<InstanceId>(instance), at})),
-	fc.array(fc.tuple(fc.integer({min: 1, max: 12}), fc.boolean()), {maxLength: 4}).map((bills): Maker => ({at}) => ({
+	}).map((found): CommandFactory => ({at}) => ({type: 'take-claim', ...found, at})),
+	fc.record({...claimed, settlement}).map((found): CommandFactory => ({at}) => ({type: 'settle-claim', ...found, at})),
+	fc.record({choice: fc.nat(20), settlement}).map(({choice, settlement: given}): CommandFactory => ({at, oracle}) => settleOpenClaim(oracle, {choice, settlement: given, at})),
+	numberedName('i', 2).map((instance): CommandFactory => ({at}) => ({type: 'instance-lost', instance: toId<InstanceId>(instance), at})),
+	fc.array(fc.tuple(fc.integer({min: 1, max: 12}), fc.boolean()), {maxLength: 4}).map((bills): CommandFactory => ({at}) => ({
 		type: 'record-bills', bills: bills.map(([number, hasOrigin]) => billOf(number, {hasOrigin, at})),
 	})),
 	fc.record({
 		orderId: numberedName('o', 5).map(id => toId<OrderId>(id)), server: numberedName('s', 2).map(id => toId<ServerId>(id)), role: numberedName('role', 2),
-	}).map(({role, ...found}): Maker => ({at}) => ({
+	}).map(({role, ...found}): CommandFactory => ({at}) => ({
 		type: 'issue-order', ...found, order: {type: 'set-role', role}, at,
 	})),
-	fc.record({orderId: numberedName('o', 5).map(id => toId<OrderId>(id)), outcome: fc.constantFrom('done' as const, 'failed' as const)}).map((found): Maker => ({at, oracle}) => ({
+	fc.record({orderId: numberedName('o', 5).map(id => toId<OrderId>(id)), outcome: fc.constantFrom('done' as const, 'failed' as const)}).map((found): CommandFactory => ({at, oracle}) => ({
 		type: 'complete-order', ...found, fencing: {term: 1, sequence: oracle.orders.find(({id}) => id === found.orderId)?.index ?? 0}, at,
 	})),
 	// Clock readings are as frequent as all other commands together, from leaders whose clocks are right or wrong by seconds, hours or years.
-	{weight: 12, arbitrary: fc.constantFrom(0, 0, 0, 0, 0, 0, 5000, -5000, 10_000_000, -10_000_000, 100_000_000_000).map((error): Maker => ({at}) => ({type: 'expire', at: at + error}))},
+	{weight: 12, arbitrary: fc.constantFrom(0, 0, 0, 0, 0, 0, 5000, -5000, 10_000_000, -10_000_000, 100_000_000_000).map((error): CommandFactory => ({at}) => ({type: 'expire', at: at + error}))},
 );
--- a/packages/testing/src/_control-oracle.ts
+++ b/packages/testing/src/_control-oracle.ts
@@ -26,7 +26,7 @@
 export const oracleModel = toId<ModelId>('m');
 
 /** The state of a version in a document. */
-export type Listed = VersionState | 'absent';
+export type ListedState = VersionState | 'absent';
 type Progress = {status: string; stage: number};
 type OracleClaim = {
 	workspace: string; key: string; digest: string; owner: string; instance: string; takenAt: number;
@@ -36,14 +36,14 @@
 type OracleRun = {instance: string; startedAt: number; heardAt: number; isForgotten: boolean};
 type OracleOrder = {id: string; server: string; role: string; index: number; outcome: string};
 /** The compared part of a command's result: the error kind, or some members of the answer. */
-export type Verdict = Readonly<Record<string, unknown>>;
+export type ResultSummary = Readonly<Record<string, unknown>>;
 
 /** A reference model of the replicated state, made of plain lists that are not optimized for size. */
 export class ControlOracle {
 	revision = 0;
-	listed: Record<string, Listed> = {};
+	listed: Record<string, ListedState> = {};
 	progress: Record<string, Progress | undefined> = {};
-	remembered: Array<{id: string; digest: string; verdict: Verdict}> = [];
+	remembered: Array<{id: string; digest: string; verdict: ResultSummary}> = [];
 	claims: OracleClaim[] = [];
 	orders: OracleOrder[] = [];
 	readonly billed = new Set<string>();
@@ -71,7 +71,7 @@
 		return existing.isForgotten;
 	}
 
-	carryOut(command: Command, index: number): Verdict | undefined {
+	apply(command: Command, index: number): ResultSummary | undefined {
 		return match(command)
 			.with({type: 'apply-configuration'}, found => this.#applyConfiguration(found))
 			.with({type: 'advance-rollout'}, found => this.#advanceRollout(found))
@@ -86,7 +86,7 @@
 			.exhaustive();
 	}
 
-	#advanceRollout(command: AdvanceRolloutCommand): Verdict {
+	#advanceRollout(command: AdvanceRolloutCommand): ResultSummary {
 		const progress = this.progress[command.version];
 		if (progress?.status !== 'running' || progress.stage !== command.fromStage) {
 			return {kind: progress === undefined ? 'not-found' : 'revision-conflict'};
@@ -98,7 +98,7 @@
 		return {revision: this.revision};
 	}
 
-	#stopVersion({version}: StopVersionCommand): Verdict {
+	#stopVersion({version}: StopVersionCommand): ResultSummary {
 		if (['absent', 'withdrawn'].includes(this.listed[version] ?? 'absent')) {
 			return {kind: 'not-found'};
 		}
@@ -108,7 +108,7 @@
 		return {revision: this.revision};
 	}
 
-	#expire(at: number): Verdict {
+	#expire(at: number): ResultSummary {
 		this.#elapsed += Math.min(Math.max(0, at - (this.#readAt ?? at)), 20_000);
 		this.#readAt = at;
 		for (const run of this.#runs) {
@@ -120,7 +120,7 @@
 		return {revision: this.revision};
 	}
 
-	#issueOrder(command: IssueOrderCommand, index: number): Verdict {
+	#issueOrder(command: IssueOrderCommand, index: number): ResultSummary {
 		const existing = this.orders.find(({id}) => id === command.orderId);
 		const role = command.order.type === 'set-role' ? command.order.role : '';
 		if (existing !== undefined) {
@@ -137,7 +137,7 @@
 		return {sequence: index, outcome: 'open'};
 	}
 
-	#completeOrder(command: CompleteOrderCommand): Verdict {
+	#completeOrder(command: CompleteOrderCommand): ResultSummary {
 		const existing = this.orders.find(({id, index: issued}) => id === command.orderId && issued === command.fencing.sequence);
 		if (existing === undefined) {
 			return {kind: 'not-found'};
@@ -147,7 +147,7 @@
 		return {sequence: existing.index, outcome: existing.outcome};
 	}
 
-	#applyConfiguration({changeId, digest, expectedRevision, document}: ApplyConfigurationCommand): Verdict {
+	#applyConfiguration({changeId, digest, expectedRevision, document}: ApplyConfigurationCommand): ResultSummary {
 		const earlier = this.remembered.find(({id}) => id === changeId);
 		if (earlier !== undefined) {
 			return earlier.digest === digest ? earlier.verdict : {kind: 'change-id-reused'};
@@ -156,7 +156,7 @@
 		const isCurrent = expectedRevision === this.revision;
 		const verdict = isCurrent ? {revision: ++this.revision} : {kind: 'revision-conflict', currentRevision: this.revision};
 		for (const version of isCurrent ? ['a', 'b'] : []) {
-			const wanted: Listed = document.models[oracleModel]?.versions[version as VersionId]?.state ?? 'absent';
+			const wanted: ListedState = document.models[oracleModel]?.versions[version as VersionId]?.state ?? 'absent';
 			const before = this.progress[version];
 			const isOver = before?.status === 'stopped' || before?.status === 'completed';
 			const following = wanted === 'settled' ? before && {...before, status: 'completed'} : before ?? {status: 'running', stage: 0};
@@ -168,7 +168,7 @@
 		return verdict;
 	}
 
-	#takeClaim({workspace, key, requestDigest, request, instance}: TakeClaimCommand): Verdict {
+	#takeClaim({workspace, key, requestDigest, request, instance}: TakeClaimCommand): ResultSummary {
 		const existing = this.#findClaim(workspace, key);
 		if (existing !== undefined && existing.digest !== requestDigest) {
 			return {claim: 'key-reused'};
@@ -205,7 +205,7 @@
 		return {claim: 'taken'};
 	}
 
-	#settleClaim({workspace, key, request, settlement}: SettleClaimCommand): Verdict {
+	#settleClaim({workspace, key, request, settlement}: SettleClaimCommand): ResultSummary {
 		const existing = this.#findClaim(workspace, key);
 		if (existing === undefined) {
 			return {claim: 'expired'};
@@ -231,7 +231,7 @@
 		}
 	}
 
-	#markUnknown(hasEnded: (claim: OracleClaim) => boolean): Verdict {
+	#markUnknown(hasEnded: (claim: OracleClaim) => boolean): ResultSummary {
 		for (const claim of this.claims) {
 			if (claim.state === 'open' && hasEnded(claim)) {
 				this.#closeClaim(claim, 'unknown');
@@ -253,14 +253,14 @@
 	}
 }
 
-function claimResult({state, owner, hasBody}: OracleClaim, asking: string): Verdict {
+function claimResult({state, owner, hasBody}: OracleClaim, asking: string): ResultSummary {
 	const open = owner === asking ? 'taken' : 'in-progress';
 	return {claim: state === 'open' ? open : state, ...(state === 'done' && {hasBody})};
 }
 
 /** Extracts the members of a command's result that are compared with the oracle. */
-export function factsOf(result: CommandResult): Verdict {
-	return result.caseOf<Verdict>({
+export function summarizeResult(result: CommandResult): ResultSummary {
+	return result.caseOf<ResultSummary>({
 		Left: ({kind, details}) => ({kind, ...(details?.currentRevision !== undefined && {currentRevision: details.currentRevision})}),
 		Right(answer) {
 			if ('claim' in answer) {
--- a/packages/testing/src/_demo-plan.ts
+++ b/packages/testing/src/_demo-plan.ts
@@ -9,7 +9,7 @@
 };
 
 /** Requests sent one after another, such as the turns of a session. */
-export type DemoErrand = readonly DemoRequest[];
+export type DemoRequestSequence = readonly DemoRequest[];
 
 export const workspace = 'yard';
 export const workspaceKey = 'yard-key';
@@ -88,9 +88,9 @@
 };
 
 /** Plans the given number of requests; the plan is the same in every run. */
-export function planErrands(count: number): readonly DemoErrand[] {
+export function planRequestSequences(count: number): readonly DemoRequestSequence[] {
 	const random = seededRandom(seed);
-	const sequences: DemoErrand[] = [];
+	const sequences: DemoRequestSequence[] = [];
 	for (let planned = 0; planned < count;) {
 		const sequence = planRequestSequence(random, planned).slice(0, count - planned);
 		sequences.push(sequence);
@@ -100,7 +100,7 @@
 	return sequences;
 }
 
-function planRequestSequence(random: () => number, number: number): DemoErrand {
+function planRequestSequence(random: () => number, number: number): DemoRequestSequence {
 	const sample = random();
 	const crate = Math.floor(random() * 1000);
 	if (sample < 0.5) {
--- a/packages/testing/src/_demo-report.ts
+++ b/packages/testing/src/_demo-report.ts
@@ -21,7 +21,7 @@
 const microsecondsInMillisecond = 1000;
 
 /** Compares the complete responses with the bills, request by request. */
-export function matchBills(results: readonly DemoResult[], bills: readonly LedgerBill[]): BillComparison {
+export function compareBills(results: readonly DemoResult[], bills: readonly LedgerBill[]): BillComparison {
 	const answered = results.filter(({isWhole}) => isWhole).map(({requestId}) => requestId);
 	const billed = bills.map(({request}) => request);
 	const answeredSet = new Set(answered.filter(id => id !== ''));
@@ -36,9 +36,9 @@
 }
 
 /** Formats the table that the demo prints. */
-export function reportOf(results: readonly DemoResult[], bills: readonly LedgerBill[]): DemoReport {
+export function formatDemoReport(results: readonly DemoResult[], bills: readonly LedgerBill[]): DemoReport {
 	const whole = results.filter(({isWhole}) => isWhole);
-	const match = matchBills(results, bills);
+	const match = compareBills(results, bills);
 	const latencies = latenciesOf(whole);
 	let cost = 0;
 	for (const {total} of bills) {
--- a/packages/testing/src/_demo-traffic.ts
+++ b/packages/testing/src/_demo-traffic.ts
@@ -1,9 +1,9 @@
 import {
-	type DemoErrand, type DemoRequest, workspaceKey,
+	type DemoRequestSequence, type DemoRequest, workspaceKey,
 } from './_demo-plan.js';
-import {type ChatMessage, fakeAnswer} from './fake-answer.js';
+import {type ChatMessage, generateFakeTokens} from './fake-answer.js';
 import {
-	callService, type CallResult, chatStreamed, chatWhole,
+	callService, type CallResult, requestChatStream, requestChat,
 } from './http-client.js';
 
 /** The result of a request. */
@@ -29,7 +29,7 @@
 const defaultAnswerTokens = 16;
 
 /** Sends the requests of all sequences. */
-export async function sendTraffic(sequences: readonly DemoErrand[], options: DemoTrafficOptions): Promise<void> {
+export async function sendTraffic(sequences: readonly DemoRequestSequence[], options: DemoTrafficOptions): Promise<void> {
 	const traffic = new TrafficSender(options);
 	const queue = sequences.values();
 	await Promise.all(Array.from({length: options.concurrency}, async () => traffic.runWorker(queue)));
@@ -43,7 +43,7 @@
 		this.#options = options;
 	}
 
-	async runWorker(queue: Iterator<DemoErrand, undefined>): Promise<void> {
+	async runWorker(queue: Iterator<DemoRequestSequence, undefined>): Promise<void> {
 		const next = queue.next();
 		if (next.done) {
 			return;
@@ -53,7 +53,7 @@
 		return this.runWorker(queue);
 	}
 
-	async #sendSequence([request, ...later]: DemoErrand, conversation: Conversation): Promise<void> {
+	async #sendSequence([request, ...later]: DemoRequestSequence, conversation: Conversation): Promise<void> {
 		if (!request) {
 			return;
 		}
@@ -73,7 +73,7 @@
 		const messages = [...conversation.messages];
 		const result = kind === 'turn'
 			? await sendTurn(entry, conversation)
-			: await chatWhole(entry, {key: workspaceKey, messages, headers: {'Valehitch-Class': kind}});
+			: await requestChat(entry, {key: workspaceKey, messages, headers: {'Valehitch-Class': kind}});
 		conversation.messages.push({role: 'assistant', content: result.text});
 		return {...result, kind, isWhole: result.done && result.text === expectedText(result, messages)};
 	}
@@ -88,7 +88,7 @@
 }
 
 async function sendTurn(entry: string, conversation: Conversation): Promise<CallResult> {
-	const result = await chatStreamed(entry, {
+	const result = await requestChatStream(entry, {
 		key: workspaceKey, messages: conversation.messages, headers: {'Valehitch-Class': 'turn', 'Valehitch-Session': conversation.session},
 	});
 	conversation.session = headerText(result, 'valehitch-session') || conversation.session;
@@ -97,7 +97,7 @@
 
 function expectedText(result: CallResult, messages: readonly ChatMessage[]): string {
 	const version = `${headerText(result, 'valehitch-model')}@${headerText(result, 'valehitch-version')}`;
-	return fakeAnswer({version, messages, tokens: defaultAnswerTokens}).join('');
+	return generateFakeTokens({version, messages, tokens: defaultAnswerTokens}).join('');
 }
 
 /** Returns a response header, or an empty string if there is none. */
--- a/packages/testing/src/_distribution-trial.ts
+++ b/packages/testing/src/_distribution-trial.ts
@@ -10,7 +10,7 @@
 import {trialConfiguration} from './_zone-trial.js';
 
 /** Measurements for one deployment size; rates are per daemon and second. */
-export type DistributionFigures = {
+export type DistributionMeasurements = {
 	readonly daemons: number;
 	readonly engines: number;
 	readonly seconds: number;
@@ -49,9 +49,9 @@
 const waitOptions = {timeoutMilliseconds: 120_000, everyMilliseconds: 20};
 
 /** Starts the given number of daemons, announces engines with changing loads, and measures the otherwise idle deployment. */
-export async function measureDistribution(daemons: number, seconds: number): Promise<DistributionFigures> {
+export async function measureDistribution(daemons: number, seconds: number): Promise<DistributionMeasurements> {
 	const deployment = await startDeployment({
-		daemons: planDaemons(daemons), backends: [], configuration: trialConfiguration('settled'), startMilliseconds: 120_000, settings: {logging: {level: 'warn'}},
+		daemons: planDaemons(daemons), backends: [], configuration: trialConfiguration('settled'), startTimeoutMilliseconds: 120_000, settings: {logging: {level: 'warn'}},
 	});
 	const engines = Math.round(daemons * enginesPerDaemon);
 	const announcers = announceEngines(deployment, engines);
@@ -103,7 +103,7 @@
 	await waitUntil(async () => {
 		const {servers, isolated} = await fetchStatus(daemon);
 		return servers.length === engines && !isolated ? true : undefined;
-	}, {what: `${daemon.instance} to list ${engines} engines`, ...waitOptions});
+	}, {description: `${daemon.instance} to list ${engines} engines`, ...waitOptions});
 }
 
 async function fetchStatus(daemon: RunningDaemon): Promise<Status> {
@@ -117,7 +117,7 @@
 
 type Samples = {readonly before: readonly Status[]; readonly after: readonly Status[]; readonly seconds: number};
 
-function ratesOf({before, after, seconds}: Samples): Omit<DistributionFigures, 'daemons' | 'engines' | 'seconds' | 'heldMilliseconds' | 'inForceMilliseconds'> {
+function ratesOf({before, after, seconds}: Samples): Omit<DistributionMeasurements, 'daemons' | 'engines' | 'seconds' | 'heldMilliseconds' | 'inForceMilliseconds'> {
 	const rate = (read: (status: Status) => number): number[] => after.map((status, index) => {
 		const earlier = before[index];
 		return earlier === undefined ? 0 : (read(status) - read(earlier)) / seconds;
@@ -136,7 +136,7 @@
 	};
 }
 
-async function measureChanges(deployment: Deployment): Promise<Pick<DistributionFigures, 'heldMilliseconds' | 'inForceMilliseconds'>> {
+async function measureChanges(deployment: Deployment): Promise<Pick<DistributionMeasurements, 'heldMilliseconds' | 'inForceMilliseconds'>> {
 	const heldMilliseconds: number[] = [];
 	const inForceMilliseconds: number[] = [];
 	let revision = 1;
@@ -158,14 +158,14 @@
 	await waitUntil(async () => {
 		const status = await fetchStatus(daemon);
 		return status.revision >= revision || undefined;
-	}, {what: `${daemon.instance} to have revision ${revision}`, ...waitOptions});
+	}, {description: `${daemon.instance} to have revision ${revision}`, ...waitOptions});
 }
 
 async function waitUntilInForce({daemons: [first]}: Deployment): Promise<void> {
 	await waitUntil(async () => {
 		const status = first === undefined ? undefined : await fetchStatus(first);
 		return status?.inForce.complete === true || undefined;
-	}, {what: 'the change to be in force', ...waitOptions});
+	}, {description: 'the change to be in force', ...waitOptions});
 }
 
 function mean(values: readonly number[]): number {
--- a/packages/testing/src/_entry-deployment.ts
+++ b/packages/testing/src/_entry-deployment.ts
@@ -105,7 +105,7 @@
 	}
 
 	/** Returns the log lines of all daemons about a request, to diagnose failures that are hard to reproduce. */
-	async linesAbout(request: string): Promise<readonly string[]> {
+	async readLogLines(request: string): Promise<readonly string[]> {
 		const lines: string[] = [];
 		for (const {process: {logFile}} of this.deployment.daemons) {
 			const log = await readFile(logFile, 'utf8');
@@ -126,7 +126,7 @@
 			}
 
 			return bills;
-		}, {what: 'the bills', timeoutMilliseconds: 40_000});
+		}, {description: 'the bills', timeoutMilliseconds: 40_000});
 	}
 }
 
@@ -151,7 +151,7 @@
 		configuration: entryConfiguration(),
 		settings: options.settings ?? {},
 		// A long timeout, since a busy machine starts eight processes slowly.
-		startMilliseconds: 90_000,
+		startTimeoutMilliseconds: 90_000,
 	});
 	t.teardown(async () => {
 		await deployment.stop();
--- a/packages/testing/src/_isolation-trial.ts
+++ b/packages/testing/src/_isolation-trial.ts
@@ -1,13 +1,13 @@
-import {type IsolationServe} from '@valehitch/settings';
+import {type IsolationMode} from '@valehitch/settings';
 import {
-	askFor, askForLabels, cutZone, distributionStatus, findDaemon, type Seen, startZoneTrial, trialConfiguration,
+	sendChatRequest, callLabelsService, partitionZone, distributionStatus, findDaemon, type RequestResult, startZoneTrial, trialConfiguration,
 } from './_zone-trial.js';
 import {type RunningDaemon} from './deployment.js';
 import {waitUntil} from './wait-until.js';
 
 /** Numbers of requests that an isolated instance served and refused, by what they asked for. */
-export type IsolationFigures = {
-	readonly serve: IsolationServe;
+export type IsolationCounts = {
+	readonly serve: IsolationMode;
 	/** Whether the requests were sent before the change was in force, or after. */
 	readonly phase: 'before in force' | 'in force';
 	readonly settled: Counts;
@@ -16,33 +16,33 @@
 	readonly plainService: Counts;
 };
 
-type Counts = Readonly<Record<Seen, number>>;
+type Counts = Readonly<Record<RequestResult, number>>;
 
 const rounds = 5;
 const requestsPerRound = 10;
 
 /** Isolates a zone, withdraws a version in the others, and counts what an entry instance in the isolated zone serves. */
-export async function measureIsolation(serve: IsolationServe): Promise<readonly IsolationFigures[]> {
+export async function measureIsolation(serve: IsolationMode): Promise<readonly IsolationCounts[]> {
 	const {deployment, session, revision: before} = await startZoneTrial({leaseMilliseconds: 6000, serve});
 	try {
 		const leader = findDaemon(deployment, 'control-a');
 		const isolatedDaemon = findDaemon(deployment, 'entry-c');
-		await cutZone(deployment, 'zone-c');
+		await partitionZone(deployment, 'zone-c');
 		const revision = await deployment.apply(trialConfiguration('withdrawn'), {replaces: before, by: leader});
 		const early = await countRound(isolatedDaemon, session);
 		await waitUntil(async () => {
 			const status = await distributionStatus(leader);
 			return status.inForce.complete && status.revision >= revision ? true : undefined;
-		}, {what: 'the change to be in force', timeoutMilliseconds: 60_000});
+		}, {description: 'the change to be in force', timeoutMilliseconds: 60_000});
 		const late = await countRounds(isolatedDaemon, session);
 		return [{serve, phase: 'before in force', ...early}, {serve, phase: 'in force', ...late}];
 	} finally {
-		await cutZone(deployment);
+		await partitionZone(deployment);
 		await deployment.stop();
 	}
 }
 
-type RoundCounts = Pick<IsolationFigures, 'settled' | 'withdrawn' | 'plainService'>;
+type RoundCounts = Pick<IsolationCounts, 'settled' | 'withdrawn' | 'plainService'>;
 
 async function countRounds(daemon: RunningDaemon, session: string): Promise<RoundCounts> {
 	let all = await countRound(daemon, session);
@@ -60,14 +60,14 @@
 
 async function countRound(daemon: RunningDaemon, session: string): Promise<RoundCounts> {
 	const [settled, withdrawn, plainService] = await Promise.all([
-		count(async () => askFor(daemon)),
-		count(async () => askFor(daemon, session)),
-		count(async () => askForLabels(daemon)),
+		count(async () => sendChatRequest(daemon)),
+		count(async () => sendChatRequest(daemon, session)),
+		count(async () => callLabelsService(daemon)),
 	]);
 	return {settled, withdrawn, plainService};
 }
 
-async function count(ask: () => Promise<Seen>): Promise<Counts> {
+async function count(ask: () => Promise<RequestResult>): Promise<Counts> {
 	const seen = await Promise.all(Array.from({length: requestsPerRound}, async () => ask()));
 	const served = seen.filter(one => one === 'served').length;
 	return {served, refused: seen.length - served};
--- a/packages/testing/src/_place-deployment.ts
+++ b/packages/testing/src/_prepare-deployment.ts
@@ -1,7 +1,7 @@
 import {writeFile} from 'node:fs/promises';
 import path from 'node:path';
 import {fileURLToPath} from 'node:url';
-import {deploymentKeys, type PlacedDaemon, settingsFile} from './_settings-file.js';
+import {deploymentKeys, type DaemonWithPorts, formatSettings} from './_settings-file.js';
 import {
 	type BackendPlan, type DaemonPlan, type DeploymentOptions, type RunningBackend, type RunningDaemon,
 } from './deployment-plan.js';
@@ -14,7 +14,7 @@
 const workspaceDaemon = path.join(packageFolder, '../daemon/dist/bin/valehitchd.js');
 
 /** Allocates free ports for each daemon. */
-export async function placeDaemons(plans: readonly DaemonPlan[]): Promise<readonly PlacedDaemon[]> {
+export async function allocateDaemonPorts(plans: readonly DaemonPlan[]): Promise<readonly DaemonWithPorts[]> {
 	const ports = await freePorts(plans.length * portsPerDaemon);
 	return plans.map((plan, index) => {
 		const [callers = 0, backends = 0, operators = 0, peers = 0] = ports.slice(index * portsPerDaemon);
@@ -27,7 +27,7 @@
 }
 
 type WriteDaemonOptions = {
-	readonly placed: readonly PlacedDaemon[];
+	readonly placed: readonly DaemonWithPorts[];
 	readonly folder: string;
 	readonly options: DeploymentOptions;
 };
@@ -39,10 +39,10 @@
 };
 
 /** Writes a daemon's settings file and prepares its process. */
-export async function writeDaemon(daemon: PlacedDaemon, {placed, folder, options}: WriteDaemonOptions): Promise<RunningDaemon> {
+export async function prepareDaemon(daemon: DaemonWithPorts, {placed, folder, options}: WriteDaemonOptions): Promise<RunningDaemon> {
 	const {instance, ports} = daemon;
 	const file = path.join(folder, `${instance}.yaml`);
-	await writeFile(file, settingsFile(daemon, {folder, daemons: placed, overrides: options.settings}));
+	await writeFile(file, formatSettings(daemon, {folder, daemons: placed, overrides: options.settings}));
 	return {
 		...daemon,
 		callers: `http://127.0.0.1:${ports.callers}`,
@@ -56,7 +56,7 @@
 }
 
 /** Allocates a free port for each fake backend server and prepares its process. */
-export async function placeBackends({daemons, folder, plans}: PlaceBackendsOptions): Promise<readonly RunningBackend[]> {
+export async function prepareBackends({daemons, folder, plans}: PlaceBackendsOptions): Promise<readonly RunningBackend[]> {
 	const ports = await freePorts(plans.length);
 	const addresses = daemons.map(daemon => `http://127.0.0.1:${daemon.ports.backends}`);
 	return plans.map((plan, index) => {
--- a/packages/testing/src/_settings-file.ts
+++ b/packages/testing/src/_settings-file.ts
@@ -18,7 +18,7 @@
 	readonly peers: number;
 };
 
-export type PlacedDaemon = {
+export type DaemonWithPorts = {
 	readonly instance: string;
 	readonly zone: string;
 	readonly roles: readonly DaemonRole[];
@@ -27,7 +27,7 @@
 
 export type SettingsFileOptions = {
 	readonly folder: string;
-	readonly daemons: readonly PlacedDaemon[];
+	readonly daemons: readonly DaemonWithPorts[];
 	/** Top-level settings that replace the generated ones. */
 	readonly overrides?: Readonly<Record<string, unknown>> | undefined;
 };
@@ -35,7 +35,7 @@
 const host = '127.0.0.1';
 
 /** Formats the settings of a daemon as JSON, which is also valid YAML. */
-export function settingsFile(daemon: PlacedDaemon, options: SettingsFileOptions): string {
+export function formatSettings(daemon: DaemonWithPorts, options: SettingsFileOptions): string {
 	const {instance, zone, roles, ports} = daemon;
 	const settings = {
 		instance,
@@ -67,6 +67,6 @@
 	return createHash('sha256').update(key).digest('hex');
 }
 
-function hasControlRole({roles}: PlacedDaemon): boolean {
+function hasControlRole({roles}: DaemonWithPorts): boolean {
 	return roles.includes('control');
 }
--- a/packages/testing/src/_zone-trial.ts
+++ b/packages/testing/src/_zone-trial.ts
@@ -4,7 +4,7 @@
 	type BackendPlan, type DaemonPlan, type Deployment, type RunningDaemon, startDeployment,
 } from './deployment.js';
 import {
-	callOperator, callService, chatStreamed, chatWhole,
+	callOperator, callService, requestChatStream, requestChat,
 } from './http-client.js';
 import {waitUntil} from './wait-until.js';
 
@@ -90,7 +90,7 @@
 		daemons: trialDaemons,
 		backends: trialBackends,
 		configuration: trialConfiguration('settled'),
-		startMilliseconds: 60_000,
+		startTimeoutMilliseconds: 60_000,
 		settings: {
 			faults: true,
 			isolation: {serve},
@@ -106,12 +106,12 @@
 
 async function beginSession(daemon: RunningDaemon): Promise<string> {
 	return waitUntil(async () => {
-		const {headers} = await chatWhole(daemon.callers, {
+		const {headers} = await requestChat(daemon.callers, {
 			key, model: 'fresh', messages: question, headers: {'Valehitch-Session': 'new'},
 		});
 		const token = headers['valehitch-session'];
 		return typeof token === 'string' ? token : undefined;
-	}, {what: 'a session', timeoutMilliseconds: 60_000});
+	}, {description: 'a session', timeoutMilliseconds: 60_000});
 }
 
 export async function distributionStatus(daemon: RunningDaemon): Promise<DistributionStatus> {
@@ -123,11 +123,11 @@
 	await waitUntil(async () => {
 		const {isolated} = await distributionStatus(daemon);
 		return isolated ? undefined : true;
-	}, {what: `${daemon.instance} to hold a lease`, timeoutMilliseconds: 60_000});
+	}, {description: `${daemon.instance} to hold a lease`, timeoutMilliseconds: 60_000});
 }
 
 /** Cuts the links between a zone and all others, or restores all links if no zone is given. */
-export async function cutZone(deployment: Deployment, zone?: string): Promise<void> {
+export async function partitionZone(deployment: Deployment, zone?: string): Promise<void> {
 	await Promise.all(deployment.daemons.map(async daemon => {
 		const cut = deployment.daemons
 			.filter(other => zone !== undefined && (other.zone === zone) !== (daemon.zone === zone))
@@ -142,15 +142,15 @@
 }
 
 /** The result of a request, as observed by the caller within a few seconds. */
-export type Seen = 'served' | 'refused';
+export type RequestResult = 'served' | 'refused';
 
 /**
 Sends a request for the settled version or, with a session, for the version whose state changes.
 
 A started stream counts as served, since an isolated zone may not be able to reach the ledger before the stream ends.
 */
-export async function askFor(daemon: RunningDaemon, session?: string): Promise<Seen> {
-	const {text, status, connectionError} = await chatStreamed(daemon.callers, {
+export async function sendChatRequest(daemon: RunningDaemon, session?: string): Promise<RequestResult> {
+	const {text, status, connectionError} = await requestChatStream(daemon.callers, {
 		key,
 		model: session === undefined ? 'steady' : 'fresh',
 		messages: question,
@@ -169,7 +169,7 @@
 }
 
 /** Calls the plain service and returns whether the instance served or refused the call. */
-export async function askForLabels(daemon: RunningDaemon): Promise<Seen> {
+export async function callLabelsService(daemon: RunningDaemon): Promise<RequestResult> {
 	const {status} = await callService(daemon.callers, {
 		key, service: 'labels', path: '/print', body: '{}', timeoutMilliseconds: requestTimeoutMilliseconds,
 	});
--- a/packages/testing/src/announcer.test.ts
+++ b/packages/testing/src/announcer.test.ts
@@ -44,7 +44,7 @@
 		capacity: 4,
 		active: () => 2,
 	});
-	await waitUntil(async () => registry.announcements.length >= 3 || undefined, {what: 'renewals'});
+	await waitUntil(async () => registry.announcements.length >= 3 || undefined, {description: 'renewals'});
 	await announcer.announceShutdown();
 	t.true(registry.announcements.at(-1)?.shuttingDown);
 	await announcer.stop();
@@ -67,14 +67,14 @@
 	});
 	fake.start();
 	t.teardown(async () => fake.kill());
-	await waitUntil(async () => registry.announcements[0], {what: 'an announcement'});
+	await waitUntil(async () => registry.announcements[0], {description: 'an announcement'});
 	t.is(String(registry.announcements[0]?.service), 'labels');
 	t.is(registry.announcements[0]?.kind, 'service');
 	t.deepEqual(await fake.stop(), {code: 0, signal: undefined});
 	t.true(registry.announcements.some(announcement => announcement.shuttingDown));
 	const seen = registry.announcements.length;
 	fake.start();
-	await waitUntil(async () => registry.announcements[seen], {what: 'an announcement after the restart'});
+	await waitUntil(async () => registry.announcements[seen], {description: 'an announcement after the restart'});
 	t.deepEqual(await fake.kill(), {code: undefined, signal: 'SIGKILL'});
 	t.regex(await readFile(fake.logFile, 'utf8'), /labels-1 listens on/v);
 });
--- a/packages/testing/src/bad-version-process.test.ts
+++ b/packages/testing/src/bad-version-process.test.ts
@@ -3,7 +3,7 @@
 import * as z from 'zod';
 import {deploymentKeys, digestOf} from './_settings-file.js';
 import {type Deployment, type RunningDaemon, startDeployment} from './deployment.js';
-import {callOperator, chatWhole} from './http-client.js';
+import {callOperator, requestChat} from './http-client.js';
 import {sendRequest} from './send-request.js';
 import {waitUntil} from './wait-until.js';
 
@@ -53,7 +53,7 @@
 		],
 		backends: [{server: 'engine-1', zone: 'prairie-south-a', models: [`${model}@${goodVersion}`, `${model}@${badVersion}`]}],
 		configuration: document,
-		startMilliseconds: timeoutMilliseconds,
+		startTimeoutMilliseconds: timeoutMilliseconds,
 	});
 	t.teardown(async () => {
 		await deployment.stop();
@@ -63,7 +63,7 @@
 }
 
 async function sendChat({callers}: RunningDaemon) {
-	return chatWhole(callers, {key, messages: [{role: 'user', content: 'Tag coil 7'}], maxTokens: 4});
+	return requestChat(callers, {key, messages: [{role: 'user', content: 'Tag coil 7'}], maxTokens: 4});
 }
 
 /** Sends a request to one instance and a bad rating of it to another. */
@@ -98,7 +98,7 @@
 	return waitUntil(async () => {
 		const {revision, rollouts} = await fetchConfiguration(daemon);
 		return rollouts[`${model}@${badVersion}`]?.status === 'stopped' ? revision : undefined;
-	}, {what: `${daemon.instance} to report the version as stopped`, timeoutMilliseconds});
+	}, {description: `${daemon.instance} to report the version as stopped`, timeoutMilliseconds});
 }
 
 async function assertRefuses(t: ExecutionContext, daemon: RunningDaemon): Promise<void> {
@@ -115,7 +115,7 @@
 		await sendAndRate(server, rater);
 		const scopes = await fetchStopScopes(rater);
 		return scopes.includes('instance') || undefined;
-	}, {what: 'the instance to stop the version', timeoutMilliseconds, everyMilliseconds: 5});
+	}, {description: 'the instance to stop the version', timeoutMilliseconds, intervalMilliseconds: 5});
 	t.deepEqual(await fetchStopScopes(server), []);
 
 	const stoppedAt = await Promise.all(deployment.daemons.map(async daemon => waitUntilStopped(daemon)));
--- a/packages/testing/src/bin/bench-bad-version.ts
+++ b/packages/testing/src/bin/bench-bad-version.ts
@@ -4,7 +4,7 @@
 @module
 */
 import process from 'node:process';
-import {type BadVersionTrial, runBadVersionTrial, type TrialResult} from '../_bad-version-trial.js';
+import {type BadVersionTrial, runBadVersionTrial, type DetectionResult} from '../_bad-version-trial.js';
 
 const seeds = Number(process.argv[2] ?? 100);
 const firstSeed = 20_261_202;
@@ -21,7 +21,7 @@
 
 console.log(`Requests served by the degraded version before each rule stopped it, ${seeds} seeds from ${firstSeed}`);
 for (const {name, degradesTo} of scenarios) {
-	const results: TrialResult[] = [];
+	const results: DetectionResult[] = [];
 	for (let index = 0; index < seeds; index += 1) {
 		results.push(runBadVersionTrial({seed: firstSeed + (index * 104_729), ...degradesTo}));
 	}
--- a/packages/testing/src/bin/bench-choice.ts
+++ b/packages/testing/src/bin/bench-choice.ts
@@ -7,7 +7,7 @@
 import {
 	type EffectiveConfiguration, type InstanceId, type ModelId, type ModelRequest, type PolicyRule, type RequestId, toId, toRevision, type VersionConfiguration, type VersionId, type WorkspaceId,
 } from '@valehitch/core';
-import {chooseVersion, QualityBook, type QualityKey} from '@valehitch/policy';
+import {chooseVersion, QualityStore, type QualityKey} from '@valehitch/policy';
 
 const rounds = 20_000;
 const sizes = [2, 4, 8, 16] as const;
@@ -58,7 +58,7 @@
 
 for (const withCascades of [false, true]) {
 	for (const size of sizes) {
-		const book = new QualityBook({instance: toId<InstanceId>('i'), startedAt: 0});
+		const book = new QualityStore({instance: toId<InstanceId>('i'), startedAt: 0});
 		const options = {
 			configuration: configurationOf(size),
 			rule: ruleOf(withCascades),
@@ -78,7 +78,7 @@
 for (const size of estimateCounts) {
 	globalThis.gc?.();
 	const before = process.memoryUsage().heapUsed;
-	const book = new QualityBook({instance: toId<InstanceId>('i'), startedAt: 0});
+	const book = new QualityStore({instance: toId<InstanceId>('i'), startedAt: 0});
 	for (let index = 0; index < size; index += 1) {
 		book.add({
 			model: toId<ModelId>('m'), version: toId<VersionId>('v'), qualityClass: `${workspace}/rule-${index}`, measure: 'rating', value: 0.5, ranAt: 0,
--- a/packages/testing/src/bin/bench-control.ts
+++ b/packages/testing/src/bin/bench-control.ts
@@ -75,7 +75,7 @@
 
 async function measureCommits(running: Deployment): Promise<void> {
 	const network = await PeerNetwork.listen<unknown>({
-		self: toId<InstanceId>('bench'), key: deploymentKeys.peers, host: '127.0.0.1', port: 0, onMessage: ignoreMessage, onRequest: async () => undefined, onFailure: ignoreMessage,
+		self: toId<InstanceId>('bench'), key: deploymentKeys.peers, host: '127.0.0.1', port: 0, onMessage: ignoreMessage, onRequest: async () => undefined, onHandlerError: ignoreMessage,
 	});
 	const ask = async (instance: string, message: unknown): Promise<unknown> => {
 		const daemon = running.daemons.find(candidate => candidate.instance === instance);
@@ -131,7 +131,7 @@
 	const read = performance.now();
 	const data = opened.unsafeCoerce();
 	const state = new ControlState();
-	for (const {index, term, payload} of data.takeStored().entries) {
+	for (const {index, term, payload} of data.takeStoredState().entries) {
 		if (payload.type === 'command') {
 			state.apply(packr.unpack(payload.data) as Command, {index, term});
 		}
@@ -155,7 +155,7 @@
 async function fillFolder(folder: string, length: number): Promise<void> {
 	const opened = await openDataFolder(folder);
 	const data = opened.unsafeCoerce();
-	const votedFor = toReplicaId('entry-1', data.takeStored().identity);
+	const votedFor = toReplicaId('entry-1', data.takeStoredState().identity);
 	for (let first = 1; first <= length; first += batchLength) {
 		const entries = Array.from({length: Math.min(batchLength, length + 1 - first)}, (_, offset): LogEntry => ({
 			index: first + offset, term: 1, payload: {type: 'command', data: packr.pack(createClaim())},
--- a/packages/testing/src/bin/bench-distribution.ts
+++ b/packages/testing/src/bin/bench-distribution.ts
@@ -1,10 +1,10 @@
 #!/usr/bin/env node
 import process from 'node:process';
 import {parseArgs} from 'node:util';
-import {type DistributionFigures, measureDistribution} from '../_distribution-trial.js';
+import {type DistributionMeasurements, measureDistribution} from '../_distribution-trial.js';
 
 const {values} = parseArgs({options: {sizes: {type: 'string', default: '3,7,14,28'}, seconds: {type: 'string', default: '20'}}});
-const results: DistributionFigures[] = [];
+const results: DistributionMeasurements[] = [];
 for (const size of values.sizes.split(',')) {
 	results.push(await measureDistribution(Number(size), Number(values.seconds)));
 }
--- a/packages/testing/src/bin/bench-isolation.ts
+++ b/packages/testing/src/bin/bench-isolation.ts
@@ -1,8 +1,8 @@
 #!/usr/bin/env node
 import process from 'node:process';
-import {type IsolationFigures, measureIsolation} from '../_isolation-trial.js';
+import {type IsolationCounts, measureIsolation} from '../_isolation-trial.js';
 
-const results: IsolationFigures[] = [];
+const results: IsolationCounts[] = [];
 for (const serve of ['settled', 'all', 'none'] as const) {
 	results.push(...await measureIsolation(serve));
 }
--- a/packages/testing/src/bin/bench-routing.ts
+++ b/packages/testing/src/bin/bench-routing.ts
@@ -2,12 +2,12 @@
 import process from 'node:process';
 import {benchAdmission} from '../_bench-admission.js';
 import {benchHedge} from '../_bench-hedge.js';
-import {benchLife} from '../_bench-life.js';
+import {benchRequestLifecycle} from '../_bench-request-lifecycle.js';
 import {benchServerChoice} from '../_bench-server-choice.js';
 
 const seed = Number(process.argv[2] ?? 20_261_202);
 const benchmarks = {
-	life: benchLife, admission: benchAdmission, server: benchServerChoice, hedge: benchHedge,
+	life: benchRequestLifecycle, admission: benchAdmission, server: benchServerChoice, hedge: benchHedge,
 } as const;
 process.stdout.write(`seed ${seed}, Node ${process.version}\n`);
 for (const [name, runBenchmark] of Object.entries(benchmarks)) {
--- a/packages/testing/src/bin/capacity.ts
+++ b/packages/testing/src/bin/capacity.ts
@@ -3,11 +3,11 @@
 import path from 'node:path';
 import process from 'node:process';
 import {parseArgs} from 'node:util';
-import {measureMembers, measureRequests, measureServers} from '../capacity/experiments.js';
+import {measureDaemons, measureRequests, measureServers} from '../capacity/experiments.js';
 import {exitOnSignal} from '../exit-on-signal.js';
 import {formatSeries, type Series} from '../capacity/series.js';
 
-const experiments = {servers: measureServers, requests: measureRequests, members: measureMembers} as const;
+const experiments = {servers: measureServers, requests: measureRequests, members: measureDaemons} as const;
 
 exitOnSignal();
 const {values: flags} = parseArgs({
@@ -24,7 +24,7 @@
 for (const [name, experiment] of Object.entries(experiments)) {
 	if (selectedNames.has(name)) {
 		const series = await experiment({
-			seconds: Number(flags.seconds), say: reportProgress, ...(sizes && {sizes}),
+			seconds: Number(flags.seconds), reportProgress: reportProgress, ...(sizes && {sizes}),
 		});
 		allSeries.push(...series);
 	}
--- a/packages/testing/src/bin/demo.ts
+++ b/packages/testing/src/bin/demo.ts
@@ -4,9 +4,9 @@
 import process from 'node:process';
 import {inspect, parseArgs} from 'node:util';
 import {
-	demoBackends, demoConfiguration, demoDaemons, planErrands, workspace, workspaceKey,
+	demoBackends, demoConfiguration, demoDaemons, planRequestSequences, workspace, workspaceKey,
 } from '../_demo-plan.js';
-import {type DemoReport, matchBills, reportOf} from '../_demo-report.js';
+import {type DemoReport, compareBills, formatDemoReport} from '../_demo-report.js';
 import {type DemoResult, sendTraffic} from '../_demo-traffic.js';
 import {deploymentKeys} from '../_settings-file.js';
 import {type Deployment, type LedgerBill, startDeployment} from '../deployment.js';
@@ -61,7 +61,7 @@
 async function run(running: Deployment): Promise<DemoReport> {
 	const results: DemoResult[] = [];
 	print(`Sending ${requestCount} requests, ${concurrency} at a time`);
-	await sendTraffic(planErrands(requestCount), {
+	await sendTraffic(planRequestSequences(requestCount), {
 		entries: running.daemons.map(({callers}) => callers),
 		concurrency,
 		onResult(result) {
@@ -72,7 +72,7 @@
 			}
 		},
 	});
-	return reportOf(results, await readBills(running, results));
+	return formatDemoReport(results, await readBills(running, results));
 }
 
 /** Reads the ledger until it matches the responses, since bills can be recorded slightly later. */
@@ -81,8 +81,8 @@
 	try {
 		await waitUntil(async () => {
 			bills = await running.ledger(workspace);
-			return matchBills(results, bills).isMatch || undefined;
-		}, {what: 'bills that match the responses', timeoutMilliseconds: ledgerTimeoutMilliseconds, everyMilliseconds: 200});
+			return compareBills(results, bills).isMatch || undefined;
+		}, {description: 'bills that match the responses', timeoutMilliseconds: ledgerTimeoutMilliseconds, intervalMilliseconds: 200});
 	} catch (error) {
 		print(inspect(error));
 	}
--- a/packages/testing/src/bin/measure.ts
+++ b/packages/testing/src/bin/measure.ts
@@ -5,8 +5,8 @@
 import {parseArgs} from 'node:util';
 import {exitOnSignal} from '../exit-on-signal.js';
 import {type Fault, faults} from '../measure/fault.js';
-import {judge, type Verdict} from '../measure/judge.js';
-import {measureOwnCost, type OwnCost} from '../measure/own-cost.js';
+import {computeCellMetrics, type CellMetrics} from '../measure/cell-metrics.js';
+import {measureRouterOverhead, type RouterOverhead} from '../measure/router-overhead.js';
 import {type Comparison, formatComparison} from '../measure/report.js';
 import {runCell} from '../measure/run-cell.js';
 import {planRequests} from '../measure/schedule.js';
@@ -59,13 +59,13 @@
 
 await writeReport();
 
-async function measureOverhead([workload]: readonly Workload[]): Promise<readonly OwnCost[]> {
+async function measureOverhead([workload]: readonly Workload[]): Promise<readonly RouterOverhead[]> {
 	const requests = Number(flags['own-cost-requests']);
 	if (workload === undefined || requests === 0) {
 		return [];
 	}
 
-	const costs = await measureOwnCost(workload, {folder: path.join(flags.folder, 'own-cost'), requests});
+	const costs = await measureRouterOverhead(workload, {folder: path.join(flags.folder, 'own-cost'), requests});
 	for (const {router, form, cpuMicroseconds, logBytes, answered} of costs) {
 		print(`${router}, ${form}: ${cpuMicroseconds.toFixed(0)} microseconds of processor time and ${logBytes.toFixed(0)} log bytes per request, ${answered} of ${requests} answered`);
 	}
@@ -82,13 +82,13 @@
 	};
 }
 
-async function measureSystem(workload: Workload, fault: Fault, start: StartSystem): Promise<Verdict> {
+async function measureSystem(workload: Workload, fault: Fault, start: StartSystem): Promise<CellMetrics> {
 	const folder = path.join(flags.folder, `${workload.name}-${fault.name}-${start.name}`);
 	const requests = planRequests(workload, {seconds, seed});
 	const records = await runCell({
 		workload, fault, requests, seconds, folder, start,
 	});
-	return judge(records, workload);
+	return computeCellMetrics(records, workload);
 }
 
 async function writeReport(): Promise<void> {
--- a/packages/testing/src/bin/write-error-table.ts
+++ b/packages/testing/src/bin/write-error-table.ts
@@ -1,6 +1,6 @@
 import {readFile, writeFile} from 'node:fs/promises';
-import {withErrorTable} from '../error-table.js';
+import {replaceErrorTable} from '../error-table.js';
 
 const pageUrl = new URL('../../../../docs/API.md', import.meta.url);
 const page = await readFile(pageUrl, 'utf8');
-await writeFile(pageUrl, withErrorTable(page));
+await writeFile(pageUrl, replaceErrorTable(page));
--- a/packages/testing/src/capacity/_measure-usage.ts
+++ b/packages/testing/src/capacity/_measure-usage.ts
@@ -1,7 +1,7 @@
 import {setTimeout as delay} from 'node:timers/promises';
 import {type Deployment, type RunningDaemon} from '../deployment.js';
-import {readUsage} from '../process-usage.js';
-import {type SizeFigures} from './series.js';
+import {readProcessUsage} from '../process-usage.js';
+import {type MeasuredQuantities} from './series.js';
 
 const millisecondsPerSecond = 1000;
 const microsecondsPerSecond = 1_000_000;
@@ -25,7 +25,7 @@
 };
 
 /** Measures memory, processor time and traffic over an interval and returns the mean over the daemons. */
-export async function measureUsage({deployment, daemons = deployment.daemons, seconds}: MeasureUsageOptions): Promise<SizeFigures> {
+export async function measureUsage({deployment, daemons = deployment.daemons, seconds}: MeasureUsageOptions): Promise<MeasuredQuantities> {
 	const before = await Promise.all(daemons.map(async daemon => sampleOf(deployment, daemon)));
 	await delay(seconds * millisecondsPerSecond);
 	const after = await Promise.all(daemons.map(async daemon => sampleOf(deployment, daemon)));
@@ -43,7 +43,7 @@
 
 async function sampleOf(deployment: Deployment, daemon: RunningDaemon): Promise<Sample> {
 	const {traffic} = await deployment.status(daemon);
-	const usage = await readUsage(daemon.process.pid ?? 0);
+	const usage = await readProcessUsage(daemon.process.pid ?? 0);
 	return {
 		at: performance.now(),
 		...usage,
--- a/packages/testing/src/capacity/experiments.ts
+++ b/packages/testing/src/capacity/experiments.ts
@@ -4,11 +4,11 @@
 } from '../deployment.js';
 import {deploymentKeys, digestOf} from '../_settings-file.js';
 import {startAnnouncer} from '../announcer.js';
-import {chatStreamed} from '../http-client.js';
+import {requestChatStream} from '../http-client.js';
 import {sendRequest} from '../send-request.js';
 import {waitUntil} from '../wait-until.js';
 import {measureUsage} from './_measure-usage.js';
-import {type Series, type SizedFigures, seriesOf} from './series.js';
+import {type Series, type SizedMeasurement, toSeries} from './series.js';
 
 /** Options of an experiment. */
 export type ExperimentOptions = {
@@ -17,7 +17,7 @@
 	/** The sizes to measure at; those of the experiment by default. */
 	readonly sizes?: readonly number[];
 	/** Receives progress messages. */
-	readonly say: (line: string) => void;
+	readonly reportProgress: (line: string) => void;
 };
 
 const workspaceKey = 'capacity-key';
@@ -86,23 +86,23 @@
 await measureDaemons({seconds: 5, reportProgress: console.log});
 ```
 */
-export async function measureMembers(options: ExperimentOptions): Promise<readonly Series[]> {
-	const {seconds, say: reportProgress, sizes = daemonSizes} = options;
-	const measured: SizedFigures[] = [];
+export async function measureDaemons(options: ExperimentOptions): Promise<readonly Series[]> {
+	const {seconds, reportProgress: reportProgress, sizes = daemonSizes} = options;
+	const measured: SizedMeasurement[] = [];
 	for (const size of sizes) {
 		reportProgress(`${size} daemons`);
 		const deployment = await start(daemonPlans(size));
 		try {
 			const stop = await announceServers(deployment, 13);
 			await delay(settleMilliseconds);
-			measured.push({size, figures: await measureUsage({deployment, seconds})});
+			measured.push({size, quantities: await measureUsage({deployment, seconds})});
 			await stop();
 		} finally {
 			await deployment.stop();
 		}
 	}
 
-	return seriesOf('daemon', measured);
+	return toSeries('daemon', measured);
 }
 
 type SingleDaemonOptions = ExperimentOptions & {
@@ -111,27 +111,27 @@
 	readonly load: (deployment: Deployment, size: number) => Promise<() => Promise<void>>;
 };
 
-async function measureSingleDaemon(sizes: readonly number[], {per, load, seconds, say: reportProgress}: SingleDaemonOptions): Promise<readonly Series[]> {
-	const measured: SizedFigures[] = [];
+async function measureSingleDaemon(sizes: readonly number[], {per, load, seconds, reportProgress: reportProgress}: SingleDaemonOptions): Promise<readonly Series[]> {
+	const measured: SizedMeasurement[] = [];
 	for (const size of sizes) {
 		reportProgress(`${size} × ${per}`);
 		const deployment = await start(daemonPlans(1));
 		try {
 			const stop = await load(deployment, size);
 			await delay(settleMilliseconds);
-			measured.push({size, figures: await measureUsage({deployment, seconds})});
+			measured.push({size, quantities: await measureUsage({deployment, seconds})});
 			await stop();
 		} finally {
 			await deployment.stop();
 		}
 	}
 
-	return seriesOf(per, measured);
+	return toSeries(per, measured);
 }
 
 async function start(daemons: readonly DaemonPlan[]): Promise<Deployment> {
 	return startDeployment({
-		daemons, backends: [engine], configuration, startMilliseconds: startTimeoutMilliseconds,
+		daemons, backends: [engine], configuration, startTimeoutMilliseconds: startTimeoutMilliseconds,
 	});
 }
 
@@ -158,7 +158,7 @@
 	await waitUntil(async () => {
 		const statuses = await Promise.all(deployment.daemons.map(async daemon => deployment.status(daemon)));
 		return statuses.every(({servers}) => servers.length > count) || undefined;
-	}, {what: `${count} announced servers`, timeoutMilliseconds: startTimeoutMilliseconds});
+	}, {description: `${count} announced servers`, timeoutMilliseconds: startTimeoutMilliseconds});
 	return async () => {
 		await Promise.all(announcers.map(async announcer => announcer.stop()));
 	};
@@ -169,7 +169,7 @@
 	const [backend] = deployment.backends;
 	await sendRequest(`${backend?.address ?? ''}/test/behaviour`, {method: 'POST', body: JSON.stringify({tokenMilliseconds, answerTokens})});
 	const abort = new AbortController();
-	const streams = Array.from({length: count}, async (_, index) => chatStreamed(daemon?.callers ?? '', {
+	const streams = Array.from({length: count}, async (_, index) => requestChatStream(daemon?.callers ?? '', {
 		key: workspaceKey, messages: [{role: 'user', content: `Stream ${index}`}], signal: abort.signal, timeoutMilliseconds: startTimeoutMilliseconds,
 	}));
 	return async () => {
--- a/packages/testing/src/capacity/series.ts
+++ b/packages/testing/src/capacity/series.ts
@@ -13,12 +13,12 @@
 };
 
 /** The measured quantities at one size, by name. */
-export type SizeFigures = Readonly<Record<string, {readonly value: number; readonly unit: string}>>;
+export type MeasuredQuantities = Readonly<Record<string, {readonly value: number; readonly unit: string}>>;
 
 /** A size and the quantities measured at it. */
-export type SizedFigures = {
+export type SizedMeasurement = {
 	readonly size: number;
-	readonly figures: SizeFigures;
+	readonly quantities: MeasuredQuantities;
 };
 
 /**
@@ -33,9 +33,9 @@
 toSeries('known server', [{size: 0, quantities: base}, {size: 150, quantities: loaded}]);
 ```
 */
-export function seriesOf(per: string, measured: readonly SizedFigures[]): readonly Series[] {
-	return Object.entries(measured[0]?.figures ?? {}).map(([quantity, {unit}]) => {
-		const points = measured.map(({size, figures: quantities}) => ({size, value: quantities[quantity]?.value ?? Number.NaN}));
+export function toSeries(per: string, measured: readonly SizedMeasurement[]): readonly Series[] {
+	return Object.entries(measured[0]?.quantities ?? {}).map(([quantity, {unit}]) => {
+		const points = measured.map(({size, quantities: quantities}) => ({size, value: quantities[quantity]?.value ?? Number.NaN}));
 		return {
 			quantity, unit, per, points, fit: fitLine(points),
 		};
@@ -53,8 +53,8 @@
 ```
 */
 export function formatSeries({quantity, unit, per, points, fit}: Series): string {
-	const formattedPoints = points.map(({size, value}) => `${size}: ${formatFigure(value)}`).join(', ');
-	return `${quantity}, ${unit} per ${per}: slope ${formatFigure(fit.slope)}, at 0 ${formatFigure(fit.intercept)}, residual ${formatFigure(fit.residual)} (${formattedPoints})`;
+	const formattedPoints = points.map(({size, value}) => `${size}: ${formatNumber(value)}`).join(', ');
+	return `${quantity}, ${unit} per ${per}: slope ${formatNumber(fit.slope)}, at 0 ${formatNumber(fit.intercept)}, residual ${formatNumber(fit.residual)} (${formattedPoints})`;
 }
 
 /**
@@ -67,6 +67,6 @@
 formatNumber(0.123456); // '0.123'
 ```
 */
-export function formatFigure(value: number): string {
+export function formatNumber(value: number): string {
 	return Math.abs(value) >= 100 ? value.toFixed(0) : value.toPrecision(3);
 }
--- a/packages/testing/src/control-failures.test.ts
+++ b/packages/testing/src/control-failures.test.ts
@@ -48,7 +48,7 @@
 async function startControl(t: ExecutionContext, settings: Readonly<Record<string, unknown>> = {}): Promise<Deployment> {
 	t.timeout(4 * waitMilliseconds);
 	const deployment = await startDeployment({
-		daemons: plans, backends: [], configuration: documentWith(1), startMilliseconds: waitMilliseconds, settings: {faults: true, ...settings},
+		daemons: plans, backends: [], configuration: documentWith(1), startTimeoutMilliseconds: waitMilliseconds, settings: {faults: true, ...settings},
 	});
 	t.teardown(async () => {
 		for (const {process} of deployment.daemons) {
@@ -75,7 +75,7 @@
 	return waitUntil(async () => {
 		const answer = await put(daemon, sent);
 		return answer.status === 503 ? undefined : answer;
-	}, {what: `a response to change ${sent.changeId}`, timeoutMilliseconds: waitMilliseconds});
+	}, {description: `a response to change ${sent.changeId}`, timeoutMilliseconds: waitMilliseconds});
 }
 
 function revisionOf({body}: ControlResponse): number {
@@ -88,7 +88,7 @@
 		const {body} = await callOperator(`${by?.operators ?? ''}/v1/status`, {key: deploymentKeys.operators});
 		const {leader} = statusSchema.parse(body);
 		return deployment.daemons.find(({instance}) => instance === leader);
-	}, {what: 'a leader', timeoutMilliseconds: waitMilliseconds});
+	}, {description: 'a leader', timeoutMilliseconds: waitMilliseconds});
 }
 
 async function otherDaemons(deployment: Deployment, excluded: RunningDaemon): Promise<readonly [RunningDaemon, RunningDaemon]> {
@@ -105,7 +105,7 @@
 		const {body} = await callOperator(`${daemon.operators}/v1/configuration`, {key: deploymentKeys.operators});
 		const {revision, document} = configurationSchema.parse(body);
 		return (revision === expected.revision && document.workspaces.yard.weight === expected.weight) || undefined;
-	}, {what: `revision ${expected.revision} on ${daemon.instance}`, timeoutMilliseconds: waitMilliseconds});
+	}, {description: `revision ${expected.revision} on ${daemon.instance}`, timeoutMilliseconds: waitMilliseconds});
 }
 
 async function identityOf(folder: string): Promise<string> {
@@ -127,7 +127,7 @@
 		const logs = await Promise.all(deployment.daemons.map(async ({process}) => readFile(process.logFile, 'utf8')));
 		const lines = logs.flatMap(log => log.split('\n'));
 		return lines.some(line => line.includes(`"event":"${expected.event}"`) && line.includes(expected.text)) || undefined;
-	}, {what: `an event ${expected.event} about ${expected.text}`, timeoutMilliseconds: waitMilliseconds});
+	}, {description: `an event ${expected.event} about ${expected.text}`, timeoutMilliseconds: waitMilliseconds});
 }
 
 test.serial('changes continue after the leader is killed, and none is lost', async t => {
--- a/packages/testing/src/control-repair.test.ts
+++ b/packages/testing/src/control-repair.test.ts
@@ -49,7 +49,7 @@
 		daemons: plans,
 		backends: [],
 		configuration: {models: {}, services: {}, workspaces: {}},
-		startMilliseconds: waitMilliseconds,
+		startTimeoutMilliseconds: waitMilliseconds,
 		settings: {controlLimits, controlLog: {snapshotEntries: 100}},
 	});
 	t.teardown(async () => {
@@ -79,7 +79,7 @@
 	const network = await PeerNetwork.listen<unknown>({
 		self: toId<InstanceId>('recorder'), key: deploymentKeys.peers, host: '127.0.0.1', port: 0, onMessage() {
 			// No daemon sends messages to this test.
-		}, onRequest: async () => undefined, onFailure(_from, error) {
+		}, onRequest: async () => undefined, onHandlerError(_from, error) {
 			throw error;
 		},
 	});
@@ -100,7 +100,7 @@
 		}
 
 		return replies.at(-1)?.data?.result.value.claim.answer.body === undefined ? undefined : true;
-	}, {what: 'the limits of the settings', timeoutMilliseconds: waitMilliseconds});
+	}, {description: 'the limits of the settings', timeoutMilliseconds: waitMilliseconds});
 }
 
 async function proposeUntilRecorded(network: PeerNetwork<unknown>, {deployment, command}: {readonly deployment: Deployment; readonly command: Command}): Promise<void> {
@@ -109,7 +109,7 @@
 		const reply = await network.request({instance: toId<InstanceId>(daemon?.instance ?? ''), host: '127.0.0.1', port: daemon?.ports.peers ?? 0}, {scope: 'control', type: 'propose', command});
 		const parsed = replySchema.safeParse(reply.orDefault(undefined));
 		return (parsed.success && parsed.data.result.ok) || undefined;
-	}, {what: 'bills to be recorded', timeoutMilliseconds: waitMilliseconds});
+	}, {description: 'bills to be recorded', timeoutMilliseconds: waitMilliseconds});
 }
 
 async function identityOf(folder: string): Promise<string> {
@@ -127,7 +127,7 @@
 	await waitUntil(async () => {
 		const logs = await Promise.all(deployment.daemons.map(async ({process}) => readFile(process.logFile, 'utf8')));
 		return logs.some(log => log.split('\n').some(line => line.includes('"event":"replica-added"') && line.includes(identity))) || undefined;
-	}, {what: `the repair of ${daemon.instance}`, timeoutMilliseconds: waitMilliseconds});
+	}, {description: `the repair of ${daemon.instance}`, timeoutMilliseconds: waitMilliseconds});
 }
 
 function firstDaemon({daemons: [daemon]}: Deployment): RunningDaemon {
@@ -142,7 +142,7 @@
 	return waitUntil(async () => {
 		const {status, body} = await callOperator(`${daemon.operators}/v1/ledger?after=${after}`, {key: deploymentKeys.operators});
 		return status === 200 ? pageSchema.parse(body) : undefined;
-	}, {what: `the page after ${after}`, timeoutMilliseconds: waitMilliseconds});
+	}, {description: `the page after ${after}`, timeoutMilliseconds: waitMilliseconds});
 }
 
 async function fetchAllRequests(daemon: RunningDaemon): Promise<readonly string[]> {
@@ -171,7 +171,7 @@
 			const names = await readdir(path.join(deployment.folder, 'data', daemon.instance, 'bills'));
 			return names.length > 0 || undefined;
 		},
-		{what: `archived bills on ${daemon.instance}`, timeoutMilliseconds: waitMilliseconds},
+		{description: `archived bills on ${daemon.instance}`, timeoutMilliseconds: waitMilliseconds},
 	)));
 	// No pause: each disk is deleted as soon as the previous replica is reported as added.
 	for (const daemon of deployment.daemons) {
--- a/packages/testing/src/control-state.test.ts
+++ b/packages/testing/src/control-state.test.ts
@@ -8,7 +8,7 @@
 import fc from 'fast-check';
 import {anyCommand} from './_control-commands.js';
 import {
-	ControlOracle, factsOf, oracleLimits, oracleModel as model,
+	ControlOracle, summarizeResult, oracleLimits, oracleModel as model,
 } from './_control-oracle.js';
 
 const seed = Number(process.env.VALEHITCH_FUZZ_SEED ?? 20_261_202);
@@ -86,9 +86,9 @@
 			sent.push(first);
 			for (const command of [first, ...withTime(resent, at)]) {
 				const result = replica.apply(command);
-				const verdict = oracle.carryOut(command, replica.index);
+				const verdict = oracle.apply(command, replica.index);
 				if (verdict !== undefined) {
-					assert.deepEqual(factsOf(result), verdict);
+					assert.deepEqual(summarizeResult(result), verdict);
 				}
 
 				if (command.type === 'record-bills') {
@@ -125,6 +125,6 @@
 	assert.equal(new Set(bills.map(({request}) => request)).size, bills.length, 'no bill occurs twice');
 	for (const workspace of ['w0', 'w1'].map(id => toId<WorkspaceId>(id))) {
 		const workspaceBills = bills.filter(bill => bill.workspace === workspace);
-		assert.deepEqual(state.totalOf(workspace), {bills: workspaceBills.length, micros: workspaceBills.reduce((sum, {total}) => sum + total, 0)});
+		assert.deepEqual(state.workspaceTotal(workspace), {bills: workspaceBills.length, micros: workspaceBills.reduce((sum, {total}) => sum + total, 0)});
 	}
 }
--- a/packages/testing/src/crashing-requests.test.ts
+++ b/packages/testing/src/crashing-requests.test.ts
@@ -1,7 +1,7 @@
 import test, {type ExecutionContext} from 'ava';
-import {ask, BackendStandIn, call} from './platform/backend-stand-in.js';
+import {sendForResponse, FakeBackendServer, sendForStatus} from './platform/fake-backend-server.js';
 import {PlatformDeployment} from './platform/platform-deployment.js';
-import {slowDisk} from './platform/slow-disk.js';
+import {slowDiskEnvironment} from './platform/slow-disk.js';
 import {waitUntil} from './wait-until.js';
 
 const host = 'desk.example';
@@ -24,7 +24,7 @@
 	readonly sends: number[] = [];
 	/** Times at which servers exited because of it, in milliseconds. */
 	readonly exits: number[] = [];
-	readonly #running = new Set<BackendStandIn>();
+	readonly #running = new Set<FakeBackendServer>();
 	#started = 0;
 	#isStopped = false;
 
@@ -35,7 +35,7 @@
 	*/
 	async start(port?: number): Promise<void> {
 		this.#started++;
-		const server: BackendStandIn = await BackendStandIn.start({
+		const server: FakeBackendServer = await FakeBackendServer.start({
 			id: `i-${this.#started}`,
 			service: 'models',
 			host: '127.0.0.1',
@@ -50,7 +50,7 @@
 				setTimeout(() => {
 					void this.#exit(server);
 				}, exitDelayMilliseconds);
-				return {confidence: 90, firstAfter: 10 * exitDelayMilliseconds};
+				return {confidence: 90, firstEventDelay: 10 * exitDelayMilliseconds};
 			},
 		});
 		this.#running.add(server);
@@ -69,7 +69,7 @@
 		this.#running.clear();
 	}
 
-	async #exit(server: BackendStandIn): Promise<void> {
+	async #exit(server: FakeBackendServer): Promise<void> {
 		if (!this.#running.delete(server)) {
 			return;
 		}
@@ -90,7 +90,7 @@
 };
 
 async function start(t: ExecutionContext, environment: Readonly<Record<string, string>> = {}): Promise<Started> {
-	const deployment = await PlatformDeployment.start({entries: 3, environment: () => environment});
+	const deployment = await PlatformDeployment.start({entryCount: 3, environment: () => environment});
 	const servers = new CrashingServers();
 	await Promise.all(Array.from({length: serverCount}, async () => servers.start()));
 	const announceTimer = setInterval(() => {
@@ -102,15 +102,15 @@
 		await deployment.stop();
 	});
 	await waitUntil(async () => {
-		const statuses = await Promise.all(deployment.controls.map(async ({address}) => call({
+		const statuses = await Promise.all(deployment.controls.map(async ({address}) => sendForStatus({
 			method: 'PUT', address, path: '/-/config', body: configuration,
 		})));
 		return statuses.includes(200) || undefined;
-	}, {what: 'an acknowledged configuration'});
+	}, {description: 'an acknowledged configuration'});
 	await waitUntil(async () => {
 		const answers = await Promise.all(deployment.entries.map(async (_, index) => sendDraft(deployment, {entry: index, path: '/drafts/first'})));
 		return answers.every(({status}) => status === 200) || undefined;
-	}, {what: 'a response of each entry instance'});
+	}, {description: 'a response of each entry instance'});
 	return {deployment, servers};
 }
 
@@ -131,7 +131,7 @@
 
 async function sendDraft({entries}: PlatformDeployment, {entry, path}: {readonly entry: number; readonly path: string}) {
 	attempts++;
-	return ask({
+	return sendForResponse({
 		method: 'POST', address: entries[entry % entries.length]!.address, path, body: {draft: path}, headers: {
 			Host: host, 'Attempt-Id': `a${attempts}`, 'Deadline-Ms': '8000', Authorization: 'Bearer k1', Model: '*', 'Token-Usage': '100,20', 'Prompt-Prefix': `1:50,${attempts}:50`,
 		},
@@ -139,7 +139,7 @@
 }
 
 async function listQuarantine(address: string): Promise<string> {
-	const {text} = await ask({
+	const {text} = await sendForResponse({
 		method: 'GET', address, path: '/-/quarantine', headers: {},
 	});
 	return text;
@@ -179,16 +179,16 @@
 	// All instances serve other requests again: each of twelve, but on a busy machine not necessarily at the first try.
 	const exits = servers.exits.length;
 	await Promise.all(Array.from({length: 12}, async (_, entry) => waitUntil(async () => {
-		const {status, isWhole} = await sendDraft(deployment, {entry, path: `/drafts/${entry}`});
+		const {status, isComplete: isWhole} = await sendDraft(deployment, {entry, path: `/drafts/${entry}`});
 		return (status === 200 && isWhole) || undefined;
-	}, {what: `a response to request ${entry}`})));
+	}, {description: `a response to request ${entry}`})));
 	t.is(servers.exits.length, exits);
 });
 
 test('a request sent in many concurrent copies stays quarantined when all processes restart, until an operator lifts the quarantine', async t => {
 	const {deployment, servers} = await start(t);
 	const copies = await sendCopies(deployment);
-	t.true(copies.every(({status, isWhole}) => status !== 200 || !isWhole));
+	t.true(copies.every(({status, isComplete: isWhole}) => status !== 200 || !isWhole));
 	await waitUntilListedByAll(deployment);
 	// Saving starts when the request is listed, and takes two syncs.
 	await sleep(saveMilliseconds);
@@ -201,19 +201,19 @@
 	const fingerprint = /\((?<fingerprint>[\da-f]{32})\)/v.exec(refused[0]!.text)?.groups?.fingerprint;
 	const {address} = (deployment.controls[1]!);
 	// Entry instances serve requests once two control instances run; the third may still be starting.
-	const listed = await waitUntil(async () => await listQuarantine(address) || undefined, {what: 'a list of the second control instance'});
+	const listed = await waitUntil(async () => await listQuarantine(address) || undefined, {description: 'a list of the second control instance'});
 	t.true(listed.includes(fingerprint!));
-	t.is(await call({method: 'DELETE', address, path: '/-/quarantine/other'}), 404);
-	t.is(await call({method: 'DELETE', address, path: `/-/quarantine/${fingerprint}`}), 200);
+	t.is(await sendForStatus({method: 'DELETE', address, path: '/-/quarantine/other'}), 404);
+	t.is(await sendForStatus({method: 'DELETE', address, path: `/-/quarantine/${fingerprint}`}), 200);
 	await waitUntil(async () => {
 		await sendDraft(deployment, {entry: 0, path: deadlyPath});
 		return servers.sends.length > sends || undefined;
-	}, {what: 'a send after the quarantine was lifted'});
+	}, {description: 'a send after the quarantine was lifted'});
 });
 
 // Guards against listing the quarantine before any disk has saved the third exit.
 test('a request that is listed as quarantined stays so when all processes restart, however slow their disks are', async t => {
-	const {deployment, servers} = await start(t, slowDisk({file: 'suspects.json', fileMilliseconds: slowSaveMilliseconds}));
+	const {deployment, servers} = await start(t, slowDiskEnvironment({delayedFile: 'suspects.json', replaceMilliseconds: slowSaveMilliseconds}));
 	await sendCopies(deployment);
 	await waitUntilListedByAll(deployment);
 	await restartAll(deployment);
@@ -225,18 +225,18 @@
 
 // Guards against acknowledging the operator's request before the instance's disk has saved it.
 test('a quarantine that an operator has lifted stays lifted when all processes restart', async t => {
-	const {deployment, servers} = await start(t, slowDisk({file: 'suspects.json', fileMilliseconds: slowSaveMilliseconds}));
+	const {deployment, servers} = await start(t, slowDiskEnvironment({delayedFile: 'suspects.json', replaceMilliseconds: slowSaveMilliseconds}));
 	await sendCopies(deployment);
 	const [list] = await waitUntilListedByAll(deployment);
 	const fingerprint = /[\da-f]{32}/v.exec(list!)?.[0];
 	await sleep(3 * slowSaveMilliseconds);
-	t.is(await call({method: 'DELETE', address: deployment.controls[0]!.address, path: `/-/quarantine/${fingerprint}`}), 200);
+	t.is(await sendForStatus({method: 'DELETE', address: deployment.controls[0]!.address, path: `/-/quarantine/${fingerprint}`}), 200);
 	await restartAll(deployment);
 	const sends = servers.sends.length;
 	t.true(await waitUntil(async () => {
 		await sendDraft(deployment, {entry: 0, path: deadlyPath});
 		return servers.sends.length > sends || undefined;
-	}, {what: 'a send after the quarantine was lifted'}));
+	}, {description: 'a send after the quarantine was lifted'}));
 });
 
 /** Sends many concurrent copies of the deadly request to all entry instances. */
@@ -249,13 +249,13 @@
 	return waitUntil(async () => {
 		const lists = await Promise.all(deployment.controls.map(async ({address}) => listQuarantine(address)));
 		return lists.every(list => list.includes('process')) ? lists : undefined;
-	}, {what: 'all control instances to list a request'});
+	}, {description: 'all control instances to list a request'});
 }
 
 /** Kills all processes at once, restarts them, and waits until each entry instance serves requests. */
 async function restartAll(deployment: PlatformDeployment): Promise<void> {
-	await Promise.all(deployment.members.map(async member => member.process.kill('SIGKILL')));
-	for (const member of deployment.members) {
+	await Promise.all(deployment.instances.map(async member => member.process.kill('SIGKILL')));
+	for (const member of deployment.instances) {
 		await member.writeSettings({isFounding: false});
 		member.process.start();
 	}
@@ -263,5 +263,5 @@
 	await waitUntil(async () => {
 		const answers = await Promise.all(deployment.entries.map(async (_, entry) => sendDraft(deployment, {entry, path: `/drafts/after-${entry}`})));
 		return answers.every(({status}) => status === 200) || undefined;
-	}, {what: 'a response of each entry instance after the restart of all processes'});
+	}, {description: 'a response of each entry instance after the restart of all processes'});
 }
--- a/packages/testing/src/deployment-plan.ts
+++ b/packages/testing/src/deployment-plan.ts
@@ -35,7 +35,7 @@
 	/** The daemon's script; the one built in this repository by default. */
 	readonly daemonScript?: string;
 	/** Timeout of each startup step, in milliseconds; 20 000 by default. */
-	readonly startMilliseconds?: number;
+	readonly startTimeoutMilliseconds?: number;
 };
 
 /** A daemon of a running deployment. */
--- a/packages/testing/src/deployment.ts
+++ b/packages/testing/src/deployment.ts
@@ -3,7 +3,7 @@
 import {tmpdir} from 'node:os';
 import path from 'node:path';
 import * as z from 'zod';
-import {placeBackends, placeDaemons, writeDaemon} from './_place-deployment.js';
+import {prepareBackends, allocateDaemonPorts, prepareDaemon} from './_prepare-deployment.js';
 import {deploymentKeys} from './_settings-file.js';
 import {type DeploymentOptions, type RunningBackend, type RunningDaemon} from './deployment-plan.js';
 import {callOperator} from './http-client.js';
@@ -52,11 +52,11 @@
 export async function startDeployment(options: DeploymentOptions): Promise<Deployment> {
 	const folder = path.resolve(options.folder ?? await mkdtemp(path.join(tmpdir(), 'valehitch-')));
 	await mkdir(path.join(folder, 'data'), {recursive: true});
-	const placed = await placeDaemons(options.daemons);
-	const daemons = await Promise.all(placed.map(async daemon => writeDaemon(daemon, {placed, folder, options})));
-	const backends = await placeBackends({daemons, folder, plans: options.backends});
+	const placed = await allocateDaemonPorts(options.daemons);
+	const daemons = await Promise.all(placed.map(async daemon => prepareDaemon(daemon, {placed, folder, options})));
+	const backends = await prepareBackends({daemons, folder, plans: options.backends});
 	const deployment = new Deployment({
-		folder, daemons, backends, startMilliseconds: options.startMilliseconds,
+		folder, daemons, backends, startMilliseconds: options.startTimeoutMilliseconds,
 	});
 	try {
 		await deployment.start(options.configuration);
@@ -233,7 +233,7 @@
 	}
 
 	#waitOptions(what: string): WaitOptions {
-		return this.#timeoutMilliseconds === undefined ? {what} : {what, timeoutMilliseconds: this.#timeoutMilliseconds};
+		return this.#timeoutMilliseconds === undefined ? {description: what} : {description: what, timeoutMilliseconds: this.#timeoutMilliseconds};
 	}
 }
 
--- a/packages/testing/src/distribution.test.ts
+++ b/packages/testing/src/distribution.test.ts
@@ -1,7 +1,7 @@
 import {readFile} from 'node:fs/promises';
 import test, {type ExecutionContext} from 'ava';
 import {
-	askFor, askForLabels, cutZone, distributionStatus, findDaemon, startZoneTrial, trialConfiguration, waitUntilLeased, type ZoneTrial, type ZoneTrialOptions,
+	sendChatRequest, callLabelsService, partitionZone, distributionStatus, findDaemon, startZoneTrial, trialConfiguration, waitUntilLeased, type ZoneTrial, type ZoneTrialOptions,
 } from './_zone-trial.js';
 import {type RunningDaemon} from './deployment.js';
 import {waitUntil} from './wait-until.js';
@@ -26,7 +26,7 @@
 	await waitUntil(async () => {
 		const {inForce, revision: current} = await distributionStatus(daemon);
 		return inForce.complete && current >= revision ? true : undefined;
-	}, {what: `revision ${revision} in force everywhere`, ...waitOptions});
+	}, {description: `revision ${revision} in force everywhere`, ...waitOptions});
 }
 
 test.serial('a change takes effect on all 7 daemons, and all learn of a server shutdown', async t => {
@@ -37,8 +37,8 @@
 	for (const daemon of deployment.daemons) {
 		const {revision: current} = await distributionStatus(daemon);
 		t.is(current, revision, `${daemon.instance} has an older revision although the change is in force`);
-		t.is(await askFor(daemon, session), 'refused');
-		t.is(await askFor(daemon), 'served');
+		t.is(await sendChatRequest(daemon, session), 'refused');
+		t.is(await sendChatRequest(daemon), 'served');
 	}
 
 	const engine = deployment.backends.find(({server}) => server === 'engine-b');
@@ -47,7 +47,7 @@
 		await waitUntil(async () => {
 			const log = await readFile(daemon.process.logFile, 'utf8');
 			return log.split('\n').some(line => line.includes('server-draining') && line.includes('engine-b')) || undefined;
-		}, {what: `${daemon.instance} to learn that engine-b shuts down`, ...waitOptions});
+		}, {description: `${daemon.instance} to learn that engine-b shuts down`, ...waitOptions});
 		const {servers} = await distributionStatus(daemon);
 		t.false(servers.some(({server, state}) => server === 'engine-b' && state === 'joined'));
 	}
@@ -61,7 +61,7 @@
 		await Promise.all(daemons.map(async daemon => waitUntil(async () => {
 			const {members} = await distributionStatus(daemon);
 			return members === expected || undefined;
-		}, {what: `${daemon.instance} to report ${expected} members`, ...waitOptions})));
+		}, {description: `${daemon.instance} to report ${expected} members`, ...waitOptions})));
 	};
 
 	await waitForMembers(deployment.daemons, deployment.daemons.length);
@@ -71,28 +71,28 @@
 	await deployment.waitUntilHealthy(stopped);
 	await waitForMembers(deployment.daemons, deployment.daemons.length);
 	await waitUntilLeased(stopped);
-	t.is(await askFor(stopped), 'served');
+	t.is(await sendChatRequest(stopped), 'served');
 });
 
 test.serial('a suspended instance delays a change until its lease expires, and serves no withdrawn version when it resumes', async t => {
 	const {deployment, session, revision: before} = await startTrial(t, {leaseMilliseconds: 20_000});
 	const leader = findDaemon(deployment, 'control-a');
 	const suspended = findDaemon(deployment, 'entry-b');
-	t.is(await askFor(suspended, session), 'served');
+	t.is(await sendChatRequest(suspended, session), 'served');
 	suspended.process.signal('SIGSTOP');
 	const revision = await deployment.apply(trialConfiguration('withdrawn'), {replaces: before, by: leader});
 	await waitUntil(async () => {
 		const {inForce} = await distributionStatus(leader);
 		return !inForce.complete && inForce.waitingFor.join(',') === 'zone-b' ? true : undefined;
-	}, {what: 'only zone-b to be missing', ...waitOptions});
+	}, {description: 'only zone-b to be missing', ...waitOptions});
 	await waitUntilInForce(leader, revision);
 	suspended.process.signal('SIGCONT');
-	t.is(await askFor(suspended, session), 'refused');
-	t.is(await askFor(suspended), 'served');
+	t.is(await sendChatRequest(suspended, session), 'refused');
+	t.is(await sendChatRequest(suspended), 'served');
 	await waitUntilLeased(suspended);
 	const {revision: current} = await distributionStatus(suspended);
 	t.is(current, revision);
-	t.is(await askFor(suspended, session), 'refused');
+	t.is(await sendChatRequest(suspended, session), 'refused');
 });
 
 test.serial('an isolated zone serves settled versions, refuses the version in roll-out, and catches up without revisions going back', async t => {
@@ -106,20 +106,20 @@
 		return isolated;
 	};
 
-	await cutZone(deployment, 'zone-c');
+	await partitionZone(deployment, 'zone-c');
 	const revision = await deployment.apply(trialConfiguration('withdrawn'), {replaces: before, by: leader});
 	await waitUntilInForce(leader, revision);
 	t.true(await recordRevision());
-	t.is(await askFor(isolatedDaemon, session), 'refused');
-	t.is(await askFor(isolatedDaemon), 'served');
-	t.is(await askForLabels(isolatedDaemon), 'served');
+	t.is(await sendChatRequest(isolatedDaemon, session), 'refused');
+	t.is(await sendChatRequest(isolatedDaemon), 'served');
+	t.is(await callLabelsService(isolatedDaemon), 'served');
 
-	await cutZone(deployment);
-	await waitUntil(async () => await recordRevision() ? undefined : true, {what: 'the zone to regain a lease', ...waitOptions});
+	await partitionZone(deployment);
+	await waitUntil(async () => await recordRevision() ? undefined : true, {description: 'the zone to regain a lease', ...waitOptions});
 	await waitUntil(async () => {
 		await recordRevision();
 		return revisions.at(-1) === revision || undefined;
-	}, {what: 'the zone to catch up', ...waitOptions});
-	t.is(await askFor(isolatedDaemon, session), 'refused');
+	}, {description: 'the zone to catch up', ...waitOptions});
+	t.is(await sendChatRequest(isolatedDaemon, session), 'refused');
 	t.deepEqual(revisions, revisions.toSorted((left, right) => left - right));
 });
--- a/packages/testing/src/emulator/draw-request.ts
+++ b/packages/testing/src/emulator/draw-request.ts
@@ -1,18 +1,18 @@
 import {type RandomSource} from '@valehitch/core';
-import {exponential} from '../_bench-tools.js';
-import {type LoadShape, type RequestKind} from './load-shape.js';
+import {sampleExponential} from '../_bench-tools.js';
+import {type LoadScenario, type RequestKind} from './load-scenario.js';
 
 /** A request as sent by its caller. */
 export type CallerRequest = {
 	readonly kind: RequestKind;
 	/** The index of the entry instance that receives the request. */
 	readonly entry: number;
-	readonly subject: string;
-	readonly ownTokens: number;
+	readonly promptKey: string;
+	readonly uniqueTokens: number;
 	/** From 0 to 1; a model gives a correct response if its capability is at least this. */
-	readonly hardness: number;
+	readonly difficulty: number;
 	/** An error added to the confidence of every model in its response, fixed for each request so that a model reports the same confidence every time. */
-	readonly doubt: number;
+	readonly confidenceError: number;
 };
 
 /** The maximum error of a model's confidence, on a scale from 0 to 1. */
@@ -25,15 +25,15 @@
 @param random The random source.
 @returns The request.
 */
-export function drawRequest({kinds, entries}: Pick<LoadShape, 'kinds' | 'entries'>, random: RandomSource): CallerRequest {
+export function drawRequest({kinds, entries}: Pick<LoadScenario, 'kinds' | 'entries'>, random: RandomSource): CallerRequest {
 	const kind = drawKind(kinds, random);
 	return {
 		kind,
 		entry: Math.floor(random() * entries),
-		subject: `${kind.name} ${Math.floor(random() * kind.subjects)}`,
-		ownTokens: Math.ceil(exponential(kind.ownTokens, random)),
-		hardness: random(),
-		doubt: (random() - 0.5) * 2 * maximumConfidenceError,
+		promptKey: `${kind.name} ${Math.floor(random() * kind.distinctPrefixes)}`,
+		uniqueTokens: Math.ceil(sampleExponential(kind.meanUniqueTokens, random)),
+		difficulty: random(),
+		confidenceError: (random() - 0.5) * 2 * maximumConfidenceError,
 	};
 }
 
--- a/packages/testing/src/emulator/emulated-engine.ts
+++ b/packages/testing/src/emulator/emulated-engine.ts
@@ -1,38 +1,38 @@
-import {type EmulatedPart, PromptCache} from './prompt-cache.js';
+import {type PromptSegment, PromptCache} from './prompt-cache.js';
 
 /** A model that an engine runs. */
 export type EmulatedModel = {
 	readonly id: string;
 	/** The factor by which a step and the prefill take longer than with the smallest model. */
-	readonly pace: number;
+	readonly slowdownFactor: number;
 	/** The maximum difficulty, from 0 to 1, at which the responses are correct. */
-	readonly ability: number;
+	readonly capability: number;
 };
 
 /** The performance parameters of an engine. */
-export type EngineSheet = {
+export type EngineParameters = {
 	/** The maximum number of requests in the running batch. */
 	readonly slots: number;
 	/** The maximum number of queued requests; further requests are rejected while all slots are in use. */
-	readonly queue: number;
+	readonly queueLimit: number;
 	/** The capacity of the prompt cache, in tokens. */
-	readonly memoryTokens: number;
+	readonly cacheTokens: number;
 	/** The prefill rate of the smallest model, in prompt tokens per millisecond. */
-	readonly readTokens: number;
+	readonly prefillTokensPerMillisecond: number;
 	/** The duration of a step with the smallest model. */
 	readonly stepMilliseconds: number;
 	/** The maximum number of prompt tokens prefilled in one step, so that a long prompt does not stall decoding of the other requests. */
-	readonly chunkTokens: number;
+	readonly prefillChunkTokens: number;
 };
 
 /** A request to an engine. */
-export type EngineWork = {
+export type EngineRequest = {
 	readonly id: number;
 	readonly model: EmulatedModel;
 	/** The leading segments of the prompt, which other prompts may share, in order. */
-	readonly parts: readonly EmulatedPart[];
+	readonly segments: readonly PromptSegment[];
 	/** The number of prompt tokens after the shared segments. */
-	readonly ownTokens: number;
+	readonly uniqueTokens: number;
 	readonly outputTokens: number;
 };
 
@@ -44,15 +44,15 @@
 };
 
 /** Callbacks for the progress of requests. */
-export type EngineEvents = {
+export type EngineCallbacks = {
 	/** Called at the first output token. */
-	readonly onFirst: (id: number, prompt: PromptTokens) => void;
+	readonly onFirstToken: (id: number, prompt: PromptTokens) => void;
 	/** Called at the last output token. */
-	readonly onDone: (id: number) => void;
+	readonly onComplete: (id: number) => void;
 };
 
 type RunningRequest = {
-	readonly request: EngineWork;
+	readonly request: EngineRequest;
 	readonly cachedTokens: number;
 	readonly prefillTokens: number;
 	remainingPrefillTokens: number;
@@ -73,16 +73,16 @@
 ```
 */
 export class EmulatedEngine {
-	readonly #parameters: EngineSheet;
-	readonly #events: EngineEvents;
+	readonly #parameters: EngineParameters;
+	readonly #events: EngineCallbacks;
 	readonly #cache: PromptCache;
-	readonly #queue: EngineWork[] = [];
+	readonly #queue: EngineRequest[] = [];
 	readonly #running = new Map<number, RunningRequest>();
 
-	constructor(parameters: EngineSheet, events: EngineEvents) {
+	constructor(parameters: EngineParameters, events: EngineCallbacks) {
 		this.#parameters = parameters;
 		this.#events = events;
-		this.#cache = new PromptCache(parameters.memoryTokens);
+		this.#cache = new PromptCache(parameters.cacheTokens);
 	}
 
 	/** Whether any request is running or queued. */
@@ -96,8 +96,8 @@
 	@param request The request.
 	@returns Whether the request was queued; false if all slots and the queue are full.
 	*/
-	offer(request: EngineWork): boolean {
-		if (this.#queue.length >= this.#parameters.queue && this.#running.size >= this.#parameters.slots) {
+	tryEnqueue(request: EngineRequest): boolean {
+		if (this.#queue.length >= this.#parameters.queueLimit && this.#running.size >= this.#parameters.slots) {
 			return false;
 		}
 
@@ -137,16 +137,16 @@
 	*/
 	step(): number {
 		this.#admit();
-		const {stepMilliseconds, readTokens: prefillTokensPerMillisecond, chunkTokens: prefillChunkTokens} = this.#parameters;
+		const {stepMilliseconds, prefillTokensPerMillisecond: prefillTokensPerMillisecond, prefillChunkTokens: prefillChunkTokens} = this.#parameters;
 		let pace = 1;
 		let remainingChunk = prefillChunkTokens;
 		let prefillMilliseconds = 0;
 		for (const running of this.#running.values()) {
-			pace = Math.max(pace, running.request.model.pace);
+			pace = Math.max(pace, running.request.model.slowdownFactor);
 			const prefilled = Math.min(remainingChunk, running.remainingPrefillTokens);
 			remainingChunk -= prefilled;
 			running.remainingPrefillTokens -= prefilled;
-			prefillMilliseconds += prefilled * running.request.model.pace / prefillTokensPerMillisecond;
+			prefillMilliseconds += prefilled * running.request.model.slowdownFactor / prefillTokensPerMillisecond;
 		}
 
 		return (stepMilliseconds * pace) + prefillMilliseconds;
@@ -160,12 +160,12 @@
 			}
 
 			if (running.remainingOutputTokens === running.request.outputTokens) {
-				this.#events.onFirst(id, {cached: running.cachedTokens, prefilled: running.prefillTokens});
+				this.#events.onFirstToken(id, {cached: running.cachedTokens, prefilled: running.prefillTokens});
 			}
 
 			running.remainingOutputTokens--;
 			if (running.remainingOutputTokens <= 0 && this.#running.delete(id)) {
-				this.#events.onDone(id);
+				this.#events.onComplete(id);
 			}
 		}
 	}
@@ -178,12 +178,12 @@
 			}
 
 			let sharedTokens = 0;
-			for (const {tokens} of request.parts) {
+			for (const {tokens} of request.segments) {
 				sharedTokens += tokens;
 			}
 
-			const cachedTokens = this.#cache.read(request.model.id, request.parts);
-			const prefillTokens = sharedTokens + request.ownTokens - cachedTokens;
+			const cachedTokens = this.#cache.access(request.model.id, request.segments);
+			const prefillTokens = sharedTokens + request.uniqueTokens - cachedTokens;
 			this.#running.set(request.id, {
 				request, cachedTokens, prefillTokens, remainingPrefillTokens: prefillTokens, remainingOutputTokens: request.outputTokens,
 			});
--- a/packages/testing/src/emulator/emulated-entry.ts
+++ b/packages/testing/src/emulator/emulated-entry.ts
@@ -2,15 +2,15 @@
 	type Clock, type InstanceId, type RandomSource, type ServerId, toId, type ZoneId,
 } from '@valehitch/core';
 import {
-	EntryServers, LatencyBook, RepeatBook, type ServerRecord,
+	EntryServers, LatencyEstimator, RepeatTracker, type ServerRecord,
 } from '@valehitch/gateway';
 
 /** The routing state of an emulated entry instance. */
 export type EmulatedEntry = {
 	readonly zone: ZoneId;
 	readonly servers: EntryServers;
-	readonly latencies: LatencyBook;
-	readonly repeats: RepeatBook;
+	readonly latencies: LatencyEstimator;
+	readonly repeats: RepeatTracker;
 };
 
 /** Options of `createEmulatedEntry`. */
@@ -22,7 +22,7 @@
 	readonly engines: ReadonlyArray<{readonly id: ServerId; readonly zone: ZoneId}>;
 	readonly slots: number;
 	/** Returns the load of a server that other instances reported to this one. */
-	readonly othersOn: (server: ServerId, servers: EntryServers) => number;
+	readonly peerLoadAt: (server: ServerId, servers: EntryServers) => number;
 };
 
 /** The only service of an emulation. */
@@ -36,16 +36,16 @@
 @param options The instance's zone, engines and sources of time and randomness.
 @returns The instance.
 */
-export function makeEntry({zone, clock, random, engines, slots, othersOn: peerLoadAt}: EmulatedEntryOptions): EmulatedEntry {
+export function createEmulatedEntry({zone, clock, random, engines, slots, peerLoadAt: peerLoadAt}: EmulatedEntryOptions): EmulatedEntry {
 	const servers: EntryServers = new EntryServers({
 		zone,
 		random,
-		share: {
-			othersOn: server => peerLoadAt(server, servers),
-			noteChange() {
+		loads: {
+			peerLoadAt: server => peerLoadAt(server, servers),
+			recordChange() {
 				// `SharedLoads` publishes all loads at once.
 			},
-			forget() {
+			discardServer() {
 				// Emulated engines never restart under the same id.
 			},
 		},
@@ -56,8 +56,8 @@
 	const records = engines.map((engine): ServerRecord => ({
 		id: engine.id, service: emulatedService, host: '127.0.0.1', port: 1, zone: engine.zone, version: toId('v1'), slots, state: 'ready', sequence: 1, isSilent: false,
 	}));
-	servers.take(records, {source, now: 0});
+	servers.applyRecords(records, {source, now: 0});
 	return {
-		zone, servers, latencies: new LatencyBook(clock), repeats: new RepeatBook(),
+		zone, servers, latencies: new LatencyEstimator(clock), repeats: new RepeatTracker(),
 	};
 }
--- a/packages/testing/src/emulator/event-queue.ts
+++ b/packages/testing/src/emulator/event-queue.ts
@@ -34,7 +34,7 @@
 	@param delay The delay from now, in milliseconds; a negative delay counts as 0.
 	@param run Runs the event.
 	*/
-	add(delay: number, run: () => void): void {
+	schedule(delay: number, run: () => void): void {
 		this.#heap.push({at: this.#now + Math.max(0, delay), order: this.#order++, run});
 		this.#siftUp(this.#heap.length - 1);
 	}
--- a/packages/testing/src/emulator/load-result.ts
+++ b/packages/testing/src/emulator/load-result.ts
@@ -5,22 +5,22 @@
 	readonly good: number;
 	readonly late: number;
 	/** Responses on time from a model whose capability is below the difficulty of the request. */
-	readonly tooHard: number;
+	readonly incorrect: number;
 	/** Requests without a response. */
-	readonly lost: number;
+	readonly failed: number;
 	readonly sends: number;
 	/** Prompt tokens that engines prefilled; `tokensCached` counts those found in a prompt cache. */
-	readonly tokensRead: number;
-	readonly tokensKept: number;
+	readonly tokensPrefilled: number;
+	readonly tokensCached: number;
 };
 
 /** A result to accumulate counts in. */
-export type CountedResult = {-readonly [Name in keyof LoadResult]: number};
+export type MutableLoadResult = {-readonly [Name in keyof LoadResult]: number};
 
 /** Returns a result with all counts at 0. */
-export function emptyResult(): CountedResult {
+export function emptyResult(): MutableLoadResult {
 	return {
-		requests: 0, good: 0, late: 0, tooHard: 0, lost: 0, sends: 0, tokensRead: 0, tokensKept: 0,
+		requests: 0, good: 0, late: 0, incorrect: 0, failed: 0, sends: 0, tokensPrefilled: 0, tokensCached: 0,
 	};
 }
 
@@ -30,7 +30,7 @@
 @param results The results of several simulations.
 @returns The sum of each count.
 */
-export function addResults(results: readonly LoadResult[]): LoadResult {
+export function sumResults(results: readonly LoadResult[]): LoadResult {
 	const sum = emptyResult();
 	for (const result of results) {
 		for (const name of Object.keys(sum) as Array<keyof LoadResult>) {
--- a/packages/testing/src/emulator/load-shape.ts
+++ b/packages/testing/src/emulator/load-scenario.ts
@@ -1,5 +1,5 @@
 import {type RandomSource} from '@valehitch/core';
-import {type EmulatedModel, type EngineSheet} from './emulated-engine.js';
+import {type EmulatedModel, type EngineParameters} from './emulated-engine.js';
 
 /** A kind of request. */
 export type RequestKind = {
@@ -9,10 +9,10 @@
 	/** The number of prompt tokens that all requests with the same prefix share. */
 	readonly sharedTokens: number;
 	/** The mean of the number of unique prompt tokens, which is exponentially distributed. */
-	readonly ownTokens: number;
+	readonly meanUniqueTokens: number;
 	readonly outputTokens: number;
 	/** The number of different prefixes, which are equally frequent. */
-	readonly subjects: number;
+	readonly distinctPrefixes: number;
 	/** The target time to the first token, in milliseconds; a response that exceeds it is late. */
 	readonly targetLatency: number;
 };
@@ -23,31 +23,31 @@
 	readonly engine: number;
 	/** The start of the fault, in milliseconds from the start of the load. */
 	readonly at: number;
-	readonly milliseconds: number;
+	readonly durationMilliseconds: number;
 	/** The factor by which the steps of the engine take longer; infinity stops the engine. */
-	readonly slower: number;
+	readonly slowdownFactor: number;
 };
 
 /** A deployment and the load on it. */
-export type LoadShape = {
+export type LoadScenario = {
 	readonly zones: number;
 	readonly entries: number;
 	readonly engines: number;
-	readonly sheet: EngineSheet;
+	readonly engineParameters: EngineParameters;
 	/** The models, from the smallest to the largest. */
 	readonly models: readonly EmulatedModel[];
 	readonly kinds: readonly RequestKind[];
 	readonly requestsPerSecond: number;
-	readonly milliseconds: number;
+	readonly durationMilliseconds: number;
 	/** The one-way network latency between two zones, in milliseconds. */
-	readonly crossing: number;
+	readonly interZoneLatency: number;
 	readonly faults: readonly EngineFault[];
 };
 
 /** The parameters of a customer's deployment from which load scenarios are drawn. */
-export type CustomerSheet = Pick<LoadShape, 'zones' | 'entries' | 'engines' | 'sheet' | 'models' | 'kinds'> & {
+export type CustomerProfile = Pick<LoadScenario, 'zones' | 'entries' | 'engines' | 'engineParameters' | 'models' | 'kinds'> & {
 	/** The request rate on a day of low load. */
-	readonly calmRequestsPerSecond: number;
+	readonly lowRequestsPerSecond: number;
 };
 
 const interZoneLatencyMilliseconds = 1.4;
@@ -68,18 +68,18 @@
 const scenario = drawScenario(profile, {random: seededRandom(7), milliseconds: 20_000});
 ```
 */
-export function drawLoad(profile: CustomerSheet, {random, milliseconds}: {readonly random: RandomSource; readonly milliseconds: number}): LoadShape {
-	const {calmRequestsPerSecond: lowRequestsPerSecond, kinds, ...rest} = profile;
+export function drawScenario(profile: CustomerProfile, {random, milliseconds}: {readonly random: RandomSource; readonly milliseconds: number}): LoadScenario {
+	const {lowRequestsPerSecond: lowRequestsPerSecond, kinds, ...rest} = profile;
 	const faults = Array.from({length: Math.floor(random() * (maximumFaults + 1))}, (): EngineFault => ({
 		engine: Math.floor(random() * profile.engines),
 		at: random() * milliseconds,
-		milliseconds: random() * maximumFaultMilliseconds,
-		slower: random() < 0.5 ? Number.POSITIVE_INFINITY : 1 + (random() * (maximumSlowdownFactor - 1)),
+		durationMilliseconds: random() * maximumFaultMilliseconds,
+		slowdownFactor: random() < 0.5 ? Number.POSITIVE_INFINITY : 1 + (random() * (maximumSlowdownFactor - 1)),
 	}));
 	return {
 		...rest,
-		milliseconds,
-		crossing: interZoneLatencyMilliseconds,
+		durationMilliseconds: milliseconds,
+		interZoneLatency: interZoneLatencyMilliseconds,
 		kinds: kinds.map(kind => ({...kind, weight: kind.weight * (0.5 + random())})),
 		requestsPerSecond: lowRequestsPerSecond * (1 + (random() * (maximumLoadFactor - 1))),
 		faults,
--- a/packages/testing/src/emulator/prompt-cache.ts
+++ b/packages/testing/src/emulator/prompt-cache.ts
@@ -1,5 +1,5 @@
 /** A segment of a prompt that other prompts may share. */
-export type EmulatedPart = {
+export type PromptSegment = {
 	readonly id: string;
 	readonly tokens: number;
 };
@@ -38,7 +38,7 @@
 	@param segments The segments, in prompt order.
 	@returns The number of tokens in the cached prefix.
 	*/
-	read(model: string, segments: readonly EmulatedPart[]): number {
+	access(model: string, segments: readonly PromptSegment[]): number {
 		let cachedTokens = 0;
 		let isCached = true;
 		let key = model;
--- a/packages/testing/src/emulator/stepping-engine.ts
+++ b/packages/testing/src/emulator/scheduled-engine.ts
@@ -1,16 +1,16 @@
 import {type ServerId, type ZoneId} from '@valehitch/core';
 import {
-	EmulatedEngine, type EngineEvents, type EngineSheet, type EngineWork,
+	EmulatedEngine, type EngineCallbacks, type EngineParameters, type EngineRequest,
 } from './emulated-engine.js';
 import {type EventQueue} from './event-queue.js';
 
 /** Options of `ScheduledEngine`. */
-export type SteppingEngineOptions = {
+export type ScheduledEngineOptions = {
 	readonly id: ServerId;
 	readonly zone: ZoneId;
-	readonly sheet: EngineSheet;
+	readonly parameters: EngineParameters;
 	readonly queue: EventQueue;
-	readonly events: EngineEvents;
+	readonly callbacks: EngineCallbacks;
 };
 
 /**
@@ -24,7 +24,7 @@
 engine.recover();
 ```
 */
-export class SteppingEngine {
+export class ScheduledEngine {
 	readonly id: ServerId;
 	readonly zone: ZoneId;
 	readonly #engine: EmulatedEngine;
@@ -32,7 +32,7 @@
 	#isStepping = false;
 	#slowdownFactor = 1;
 
-	constructor({id, zone, sheet: parameters, queue, events: callbacks}: SteppingEngineOptions) {
+	constructor({id, zone, parameters: parameters, queue, callbacks: callbacks}: ScheduledEngineOptions) {
 		this.id = id;
 		this.zone = zone;
 		this.#queue = queue;
@@ -50,8 +50,8 @@
 	@param request The request.
 	@returns Whether the request was queued.
 	*/
-	offer(request: EngineWork): boolean {
-		const isQueued = !this.isStopped && this.#engine.offer(request);
+	tryEnqueue(request: EngineRequest): boolean {
+		const isQueued = !this.isStopped && this.#engine.tryEnqueue(request);
 		this.#scheduleStep();
 		return isQueued;
 	}
@@ -88,7 +88,7 @@
 		}
 
 		this.#isStepping = true;
-		this.#queue.add(this.#slowdownFactor * this.#engine.step(), () => {
+		this.#queue.schedule(this.#slowdownFactor * this.#engine.step(), () => {
 			this.#isStepping = false;
 			this.#engine.finishStep();
 			this.#scheduleStep();
--- a/packages/testing/src/emulator/told-loads.ts
+++ b/packages/testing/src/emulator/shared-loads.ts
@@ -1,5 +1,5 @@
 import {type ServerId, toId} from '@valehitch/core';
-import {type EntryServers, type KnownEntry, nearEntriesOf} from '@valehitch/gateway';
+import {type EntryServers, type ActiveEntry, selectLoadSharingPeers} from '@valehitch/gateway';
 import {type EmulatedEntry} from './emulated-entry.js';
 
 type PublishedLoads = ReadonlyMap<ServerId, number>;
@@ -14,7 +14,7 @@
 sharedLoads.peerLoadAt(server, servers);
 ```
 */
-export class ToldLoads {
+export class SharedLoads {
 	readonly #entries: ReadonlyMap<EntryServers, EmulatedEntry>;
 	/** The other instances whose loads each instance receives. */
 	readonly #sources = new Map<EntryServers, readonly EntryServers[]>();
@@ -26,16 +26,16 @@
 	*/
 	constructor(entries: readonly EmulatedEntry[], known: 'near' | 'all') {
 		this.#entries = new Map(entries.map(entry => [entry.servers, entry]));
-		const names = entries.map(({zone}, index): KnownEntry => ({instance: toId(`entry-${String(index).padStart(4, '0')}`), zone}));
+		const names = entries.map(({zone}, index): ActiveEntry => ({instance: toId(`entry-${String(index).padStart(4, '0')}`), zone}));
 		const byName = new Map(names.map(({instance}, index) => [instance, entries[index]!.servers]));
 		for (const [index, {servers}] of entries.entries()) {
-			const sources = known === 'all' ? names.filter((_, other) => other !== index).map(({instance}) => instance) : nearEntriesOf(names[index]!, names);
+			const sources = known === 'all' ? names.filter((_, other) => other !== index).map(({instance}) => instance) : selectLoadSharingPeers(names[index]!, names);
 			this.#sources.set(servers, sources.map(name => byName.get(name)!));
 		}
 	}
 
 	/** Publishes the current loads. */
-	tell(): void {
+	publish(): void {
 		const own = new Map<EntryServers, PublishedLoads>();
 		for (const servers of this.#entries.keys()) {
 			own.set(servers, new Map(servers.loads));
@@ -54,7 +54,7 @@
 	@param servers The servers of the instance that asks.
 	@returns The sum of the loads published to that instance.
 	*/
-	othersOn(server: ServerId, servers: EntryServers): number {
+	peerLoadAt(server: ServerId, servers: EntryServers): number {
 		return this.#peerLoads.get(servers)?.get(server) ?? 0;
 	}
 }
