--- a/packages/testing/src/emulator/play-load.ts
+++ b/packages/testing/src/emulator/simulate-load.ts
@@ -4,21 +4,21 @@
 import {
 	chooseNextModel, type Route, type SendLoad,
 } from '@valehitch/gateway';
-import {type HomeScope} from '@valehitch/routing';
-import {exponential} from '../_bench-tools.js';
-import {type DecisionPolicy} from './decision-policy.js';
+import {type AffinityScope} from '@valehitch/routing';
+import {sampleExponential} from '../_bench-tools.js';
+import {type SimulationPolicy} from './simulation-policy.js';
 import {type CallerRequest, drawRequest} from './draw-request.js';
 import {type EmulatedModel, type PromptTokens} from './emulated-engine.js';
-import {type EmulatedEntry, emulatedService, makeEntry} from './emulated-entry.js';
+import {type EmulatedEntry, emulatedService, createEmulatedEntry} from './emulated-entry.js';
 import {EventQueue} from './event-queue.js';
 import {emptyResult, type LoadResult} from './load-result.js';
-import {type LoadShape} from './load-shape.js';
-import {SteppingEngine} from './stepping-engine.js';
-import {ToldLoads} from './told-loads.js';
+import {type LoadScenario} from './load-scenario.js';
+import {ScheduledEngine} from './scheduled-engine.js';
+import {SharedLoads} from './shared-loads.js';
 
 /** Options of `simulateLoad`. */
-export type PlayLoadOptions = {
-	readonly policy: DecisionPolicy;
+export type SimulateLoadOptions = {
+	readonly policy: SimulationPolicy;
 	/** The random source of the requests, separate so that every policy gets the same requests. */
 	readonly loadRandom: RandomSource;
 	/** The random source of routing decisions. */
@@ -28,7 +28,7 @@
 type Request = Omit<CallerRequest, 'entry'> & {
 	readonly route: Route['id'];
 	readonly entry: EmulatedEntry;
-	readonly homeScope: HomeScope | undefined;
+	readonly homeScope: AffinityScope | undefined;
 	readonly arrivedAt: number;
 	readonly excluded: Set<ServerId>;
 	model: EmulatedModel;
@@ -37,7 +37,7 @@
 
 type Send = {
 	readonly request: Request;
-	readonly engine: SteppingEngine;
+	readonly engine: ScheduledEngine;
 	readonly load: SendLoad;
 	readonly sentAt: number;
 	/** Whether the response has started. The outcome is counted then, and later failures are not simulated. */
@@ -68,42 +68,42 @@
 const {good, requests} = simulateLoad(scenario, {policy: productPolicy, loadRandom: seededRandom(7), decisionRandom: seededRandom(8)});
 ```
 */
-export function playLoad(scenario: LoadShape, options: PlayLoadOptions): LoadResult {
+export function simulateLoad(scenario: LoadScenario, options: SimulateLoadOptions): LoadResult {
 	return new LoadSimulation(scenario, options).run();
 }
 
 class LoadSimulation {
-	readonly #scenario: LoadShape;
-	readonly #policy: DecisionPolicy;
+	readonly #scenario: LoadScenario;
+	readonly #policy: SimulationPolicy;
 	readonly #loadRandom: RandomSource;
 	readonly #decisionRandom: RandomSource;
 	readonly #queue = new EventQueue();
-	readonly #engines: readonly SteppingEngine[];
+	readonly #engines: readonly ScheduledEngine[];
 	readonly #entries: readonly EmulatedEntry[];
 	readonly #sends = new Map<number, Send>();
-	readonly #sharedLoads: ToldLoads | undefined;
+	readonly #sharedLoads: SharedLoads | undefined;
 	#lastSendId = 0;
 	readonly #result = emptyResult();
 
-	constructor(scenario: LoadShape, {policy, loadRandom, decisionRandom}: PlayLoadOptions) {
+	constructor(scenario: LoadScenario, {policy, loadRandom, decisionRandom}: SimulateLoadOptions) {
 		this.#scenario = scenario;
 		this.#policy = policy;
 		this.#loadRandom = loadRandom;
 		this.#decisionRandom = decisionRandom;
 		this.#engines = Array.from({length: scenario.engines}, (_, index) => this.#makeEngine(index));
 		this.#entries = Array.from({length: scenario.entries}, (_, index) => this.#makeEntry(index));
-		this.#sharedLoads = policy.knownLoads === 'none' ? undefined : new ToldLoads(this.#entries, policy.knownLoads);
+		this.#sharedLoads = policy.knownLoads === 'none' ? undefined : new SharedLoads(this.#entries, policy.knownLoads);
 	}
 
 	run(): LoadResult {
 		for (const fault of this.#scenario.faults) {
 			const engine = this.#engines[fault.engine]!;
-			this.#queue.add(fault.at, () => {
-				for (const id of engine.slowDown(fault.slower)) {
+			this.#queue.schedule(fault.at, () => {
+				for (const id of engine.slowDown(fault.slowdownFactor)) {
 					this.#retryElsewhere(id);
 				}
 			});
-			this.#queue.add(fault.at + fault.milliseconds, () => {
+			this.#queue.schedule(fault.at + fault.durationMilliseconds, () => {
 				engine.recover();
 			});
 		}
@@ -113,21 +113,21 @@
 		}
 
 		this.#scheduleArrivals();
-		this.#queue.runUntil(this.#scenario.milliseconds + drainMilliseconds);
+		this.#queue.runUntil(this.#scenario.durationMilliseconds + drainMilliseconds);
 		return this.#result;
 	}
 
-	#makeEngine(index: number): SteppingEngine {
-		return new SteppingEngine({
+	#makeEngine(index: number): ScheduledEngine {
+		return new ScheduledEngine({
 			id: toId<ServerId>(`engine-${index}`),
 			zone: this.#zoneOf(index),
-			sheet: this.#scenario.sheet,
+			parameters: this.#scenario.engineParameters,
 			queue: this.#queue,
-			events: {
-				onFirst: (id, prompt) => {
+			callbacks: {
+				onFirstToken: (id, prompt) => {
 					this.#handleFirstToken(id, prompt);
 				},
-				onDone: id => {
+				onComplete: id => {
 					this.#endSend(id);
 				},
 			},
@@ -135,13 +135,13 @@
 	}
 
 	#makeEntry(index: number): EmulatedEntry {
-		return makeEntry({
+		return createEmulatedEntry({
 			zone: this.#zoneOf(index),
 			clock: {monotonic: () => this.#queue.now},
 			random: this.#decisionRandom,
 			engines: this.#engines,
-			slots: this.#scenario.sheet.slots,
-			othersOn: (server, servers) => this.#sharedLoads?.othersOn(server, servers) ?? 0,
+			slots: this.#scenario.engineParameters.slots,
+			peerLoadAt: (server, servers) => this.#sharedLoads?.peerLoadAt(server, servers) ?? 0,
 		});
 	}
 
@@ -149,21 +149,21 @@
 		return toId<ZoneId>(`zone-${index % this.#scenario.zones}`);
 	}
 
-	#publishLoads(sharedLoads: ToldLoads): void {
-		sharedLoads.tell();
-		this.#queue.add(publishIntervalMilliseconds, () => {
+	#publishLoads(sharedLoads: SharedLoads): void {
+		sharedLoads.publish();
+		this.#queue.schedule(publishIntervalMilliseconds, () => {
 			this.#publishLoads(sharedLoads);
 		});
 	}
 
 	#scheduleArrivals(): void {
-		if (this.#queue.now > this.#scenario.milliseconds) {
+		if (this.#queue.now > this.#scenario.durationMilliseconds) {
 			return;
 		}
 
 		this.#send(this.#createRequest());
 		this.#result.requests++;
-		this.#queue.add(exponential(1000 / this.#scenario.requestsPerSecond, this.#loadRandom), () => {
+		this.#queue.schedule(sampleExponential(1000 / this.#scenario.requestsPerSecond, this.#loadRandom), () => {
 			this.#scheduleArrivals();
 		});
 	}
@@ -177,74 +177,74 @@
 		};
 	}
 
-	#homeScope({repeats}: EmulatedEntry, {kind, subject: promptKey, ownTokens: uniqueTokens}: CallerRequest): HomeScope | undefined {
-		const {homeScope: chooseAffinityScope} = this.#policy;
+	#homeScope({repeats}: EmulatedEntry, {kind, promptKey: promptKey, uniqueTokens: uniqueTokens}: CallerRequest): AffinityScope | undefined {
+		const {chooseAffinityScope: chooseAffinityScope} = this.#policy;
 		if (chooseAffinityScope === undefined || kind.sharedTokens === 0) {
 			return undefined;
 		}
 
-		const routeRepeats = repeats.of(toId<Route['id']>(kind.name));
-		routeRepeats.note(promptKey, this.#queue.now);
-		return chooseAffinityScope({sharedTokens: kind.sharedTokens, repeatShare: routeRepeats.share, bytes: bytesPerToken * (kind.sharedTokens + uniqueTokens)});
+		const routeRepeats = repeats.forRoute(toId<Route['id']>(kind.name));
+		routeRepeats.record(promptKey, this.#queue.now);
+		return chooseAffinityScope({sharedTokens: kind.sharedTokens, repeatRate: routeRepeats.value, bytes: bytesPerToken * (kind.sharedTokens + uniqueTokens)});
 	}
 
 	#send(request: Request): void {
-		const {entry: {servers, zone}, model, subject: promptKey, homeScope, excluded} = request;
+		const {entry: {servers, zone}, model, promptKey: promptKey, homeScope, excluded} = request;
 		const {now} = this.#queue;
 		if (request.sends >= maximumSends) {
-			this.#result.lost++;
+			this.#result.failed++;
 			return;
 		}
 
-		const record = servers.find({
-			service: emulatedService, isWanted: () => true, excluded, now, subject: homeScope === undefined ? undefined : {name: `${promptKey} ${model.id}`, homeScope},
+		const record = servers.choose({
+			service: emulatedService, isAcceptable: () => true, excluded, now, promptKey: homeScope === undefined ? undefined : {name: `${promptKey} ${model.id}`, homeScope},
 		});
 		const engine = this.#engines.find(({id}) => id === record?.id);
 		if (engine === undefined) {
-			this.#result.lost++;
+			this.#result.failed++;
 			return;
 		}
 
 		request.sends++;
 		this.#result.sends++;
 		const id = ++this.#lastSendId;
-		const networkLatency = engine.zone === zone ? 0 : this.#scenario.crossing;
+		const networkLatency = engine.zone === zone ? 0 : this.#scenario.interZoneLatency;
 		this.#sends.set(id, {
-			request, engine, load: servers.begin(engine.id, Math.max(1, this.#expectedLatency(request) / loadUnitMilliseconds)), sentAt: now, hasBegun: false,
+			request, engine, load: servers.beginSend(engine.id, Math.max(1, this.#expectedLatency(request) / loadUnitMilliseconds)), sentAt: now, hasBegun: false,
 		});
-		this.#queue.add(networkLatency, () => {
+		this.#queue.schedule(networkLatency, () => {
 			this.#deliver(id, engine);
 		});
-		if (this.#policy.givesUp && request.sends < maximumSends) {
-			this.#queue.add(Math.max(minimumSilenceMilliseconds, silenceFactor * this.#expectedLatency(request)), () => {
+		if (this.#policy.abandonsSilentServers && request.sends < maximumSends) {
+			this.#queue.schedule(Math.max(minimumSilenceMilliseconds, silenceFactor * this.#expectedLatency(request)), () => {
 				this.#abandon(id);
 			});
 		}
 	}
 
-	#expectedLatency({entry: {latencies}, route, model, kind, ownTokens: uniqueTokens}: Request): number {
+	#expectedLatency({entry: {latencies}, route, model, kind, uniqueTokens: uniqueTokens}: Request): number {
 		const fallback = kind.targetLatency / silenceFactor;
 		const tokens = kind.sharedTokens + uniqueTokens;
-		return latencies.expected(`${route} ${model.id}`, this.#policy.countsTokens ? {tokens, fallback} : {fallback});
+		return latencies.estimate(`${route} ${model.id}`, this.#policy.scalesWithPrompt ? {tokens, fallback} : {fallback});
 	}
 
 	/** Delivers a request to its engine, which may be stopped or full. */
-	#deliver(id: number, engine: SteppingEngine): void {
+	#deliver(id: number, engine: ScheduledEngine): void {
 		const send = this.#sends.get(id);
 		if (send === undefined) {
 			return;
 		}
 
-		const {request: {model, kind, subject: promptKey, ownTokens: uniqueTokens, entry}} = send;
+		const {request: {model, kind, promptKey: promptKey, uniqueTokens: uniqueTokens, entry}} = send;
 		const segments = kind.sharedTokens === 0 ? [] : [{id: promptKey, tokens: kind.sharedTokens}];
-		if (engine.offer({
-			id, model, parts: segments, ownTokens: uniqueTokens, outputTokens: kind.outputTokens,
+		if (engine.tryEnqueue({
+			id, model, segments: segments, uniqueTokens: uniqueTokens, outputTokens: kind.outputTokens,
 		})) {
 			return;
 		}
 
 		if (engine.isStopped) {
-			entry.servers.record(engine.id, 'unreachable', this.#queue.now);
+			entry.servers.recordResult(engine.id, 'unreachable', this.#queue.now);
 		}
 
 		this.#retryElsewhere(id);
@@ -268,21 +268,21 @@
 	}
 
 	#handleFirstToken(id: number, {cached, prefilled}: PromptTokens): void {
-		this.#result.tokensRead += prefilled;
-		this.#result.tokensKept += cached;
+		this.#result.tokensPrefilled += prefilled;
+		this.#result.tokensCached += cached;
 		const send = this.#sends.get(id);
 		if (send === undefined) {
 			return;
 		}
 
 		const {request, engine, load, sentAt} = send;
-		const {entry: {servers, latencies}, kind, route, model, hardness: difficulty, arrivedAt, ownTokens: uniqueTokens} = request;
+		const {entry: {servers, latencies}, kind, route, model, difficulty: difficulty, arrivedAt, uniqueTokens: uniqueTokens} = request;
 		const {now} = this.#queue;
-		servers.hear(engine.id, now);
-		servers.record(engine.id, 'answered', now);
-		load.answerBegins();
+		servers.recordData(engine.id, now);
+		servers.recordResult(engine.id, 'answered', now);
+		load.markAnswerStarted();
 		send.hasBegun = true;
-		latencies.note(`${route} ${model.id}`, {milliseconds: now - sentAt, tokens: this.#policy.countsTokens ? kind.sharedTokens + uniqueTokens : 0});
+		latencies.record(`${route} ${model.id}`, {milliseconds: now - sentAt, tokens: this.#policy.scalesWithPrompt ? kind.sharedTokens + uniqueTokens : 0});
 		const largerModel = this.#chooseLargerModel(request);
 		if (largerModel !== undefined) {
 			request.model = largerModel;
@@ -295,29 +295,29 @@
 
 		if (now - arrivedAt > kind.targetLatency) {
 			this.#result.late++;
-		} else if (difficulty > model.ability) {
-			this.#result.tooHard++;
+		} else if (difficulty > model.capability) {
+			this.#result.incorrect++;
 		} else {
 			this.#result.good++;
 		}
 	}
 
 	/** Chooses a larger model to escalate to, depending on the confidence of the model that responded. */
-	#chooseLargerModel({entry: {latencies}, kind, route, model, hardness: difficulty, doubt: confidenceError, arrivedAt, sends}: Request): EmulatedModel | undefined {
-		if (!this.#policy.steps || sends >= maximumSends) {
+	#chooseLargerModel({entry: {latencies}, kind, route, model, difficulty: difficulty, confidenceError: confidenceError, arrivedAt, sends}: Request): EmulatedModel | undefined {
+		if (!this.#policy.escalates || sends >= maximumSends) {
 			return undefined;
 		}
 
 		const {models} = this.#scenario;
 		const largest = models.at(-1)!;
-		const confidence = 0.5 + model.ability - difficulty + confidenceError;
+		const confidence = 0.5 + model.capability - difficulty + confidenceError;
 		const next = chooseNextModel({
 			sizes: models.map(({id}) => toId<ModelId>(id)),
 			current: toId<ModelId>(model.id),
 			confidence: 100 * Math.min(1, Math.max(0, confidence)),
-			leastConfidence: minimumConfidence,
+			minimumConfidence: minimumConfidence,
 			timeLeft: kind.targetLatency - (this.#queue.now - arrivedAt),
-			expectedTime: latencies.expected(`${route} ${largest.id}`, {fallback: 0.35 * kind.targetLatency}),
+			expectedLatency: latencies.estimate(`${route} ${largest.id}`, {fallback: 0.35 * kind.targetLatency}),
 		});
 		return models.find(({id}) => id === next);
 	}
--- a/packages/testing/src/entry-failures.test.ts
+++ b/packages/testing/src/entry-failures.test.ts
@@ -2,9 +2,9 @@
 import {
 	callerKeys, sorted, startEntryDeployment, versions,
 } from './_entry-deployment.js';
-import {fakeAnswer} from './fake-answer.js';
+import {generateFakeTokens} from './fake-answer.js';
 import {
-	callService, type CallResult, chatStreamed, chatWhole,
+	callService, type CallResult, requestChatStream, requestChat,
 } from './http-client.js';
 import {waitUntil} from './wait-until.js';
 
@@ -19,7 +19,7 @@
 }
 
 function completeText(text: string): string {
-	return fakeAnswer({version: versions.first, messages: messagesOf(text), tokens}).join('');
+	return generateFakeTokens({version: versions.first, messages: messagesOf(text), tokens}).join('');
 }
 
 // The other engine may be delayed by a busy machine when the first one is killed.
@@ -28,11 +28,11 @@
 	const behaviour = {answerTokens: tokens, tokenMilliseconds: 25};
 	await Promise.all([entry.setBehaviour('engine-1', behaviour), entry.setBehaviour('engine-2', behaviour)]);
 	const texts = Array.from({length: 8}, (_, index) => `Trace coil ${index}`);
-	const answers = texts.map(async (text, index) => chatStreamed(entry.callers(index % 3), {key, messages: messagesOf(text)}));
+	const answers = texts.map(async (text, index) => requestChatStream(entry.callers(index % 3), {key, messages: messagesOf(text)}));
 	const started = await waitUntil(async () => {
 		const runs = await entry.runs('engine-1');
 		return runs.length >= 2 || undefined;
-	}, {what: 'streams on the first engine'});
+	}, {description: 'streams on the first engine'});
 	t.true(started);
 	await entry.backend('engine-1').process.kill('SIGKILL');
 	const results = await Promise.all(answers);
@@ -62,15 +62,15 @@
 	const entry = await startEntryDeployment(t, {settings: {timing}});
 	await entry.setBehaviour('engine-1', {stall: true, answerTokens: tokens});
 	await entry.setBehaviour('engine-2', {answerTokens: tokens});
-	const results = await Promise.all(Array.from({length: 6}, async (_, index) => chatStreamed(entry.callers(index % 3), {key, messages: messagesOf(`Stall ${index}`)})));
+	const results = await Promise.all(Array.from({length: 6}, async (_, index) => requestChatStream(entry.callers(index % 3), {key, messages: messagesOf(`Stall ${index}`)})));
 	t.deepEqual(results.map(({done, text}) => [done, text]), results.map((_, index) => [true, completeText(`Stall ${index}`)]));
 	const stalled = await waitUntil(async () => {
 		const runs = await entry.runs('engine-1');
 		return runs.every(({cancelled}) => cancelled === true) ? runs : undefined;
-	}, {what: 'the stalled runs to be cancelled'});
+	}, {description: 'the stalled runs to be cancelled'});
 	t.true(stalled.length > 0);
 	await entry.setBehaviour('engine-2', {stall: true});
-	const failed = await chatStreamed(entry.callers(0), {key, messages: messagesOf('Stall everywhere')});
+	const failed = await requestChatStream(entry.callers(0), {key, messages: messagesOf('Stall everywhere')});
 	t.false(failed.done);
 	t.false(failed.text.includes('amber'));
 	t.not(failed.problem?.outcome, 'notRun');
@@ -84,7 +84,7 @@
 	await Promise.all([pace('engine-1', 400), pace('engine-2', 20)]);
 	const ask = async (index: number): Promise<CallResult> => {
 		const options = {key, messages: messagesOf(`Coil ${index}`), headers: {'Valehitch-Class': `c${index}`}};
-		return index % 2 === 0 ? chatWhole(entry.callers(index % 3), options) : chatStreamed(entry.callers(index % 3), options);
+		return index % 2 === 0 ? requestChat(entry.callers(index % 3), options) : requestChatStream(entry.callers(index % 3), options);
 	};
 
 	const results = await Promise.all(Array.from({length: 24}, async (_, index) => ask(index)));
@@ -110,7 +110,7 @@
 	const replayed = await waitUntil(async () => {
 		const answer = await print(2, 'print-7');
 		return answer.status === 200 ? answer : undefined;
-	}, {what: 'the replayed response'});
+	}, {description: 'the replayed response'});
 	t.is(replayed.headers['valehitch-replayed'], 'true');
 	t.true(replayed.text.includes('"run":1'));
 	const reused = await print(0, 'print-7', '{"label":8}');
@@ -126,7 +126,7 @@
 	const afterCut = await waitUntil(async () => {
 		const answer = await print(2, 'print-9');
 		return answer.status === 409 ? undefined : answer;
-	}, {what: 'the settled claim'});
+	}, {description: 'the settled claim'});
 	t.deepEqual([afterCut.status, afterCut.problem?.kind, afterCut.problem?.outcome], [502, 'outcome-unknown', 'unknown']);
 	t.is(await countRuns(), 3);
 
@@ -137,7 +137,7 @@
 	const released = await waitUntil(async () => {
 		const answer = await print(1, 'print-10');
 		return answer.status === 200 ? answer : undefined;
-	}, {what: 'the released claim'});
+	}, {description: 'the released claim'});
 	t.is(released.headers['valehitch-replayed'], undefined);
 	t.is(await countRuns(), 4);
 });
--- a/packages/testing/src/entry-lifecycle.test.ts
+++ b/packages/testing/src/entry-lifecycle.test.ts
@@ -3,9 +3,9 @@
 	callerKeys, entryConfiguration, type EntryDeployment, sorted, startEntryDeployment, versions,
 } from './_entry-deployment.js';
 import {deploymentKeys} from './_settings-file.js';
-import {fakeAnswer} from './fake-answer.js';
+import {generateFakeTokens} from './fake-answer.js';
 import {
-	callOperator, callService, type CallResult, chatStreamed, chatWhole,
+	callOperator, callService, type CallResult, requestChatStream, requestChat,
 } from './http-client.js';
 import {waitUntil} from './wait-until.js';
 
@@ -24,12 +24,12 @@
 		key, service: 'labels', path: '/print', body: '{"label":7}', headers: {'Idempotency-Key': 'print-7'},
 	});
 	const first = print(1);
-	const streamed = chatStreamed(entry.callers(1), {key, messages: messagesOf('Trace coil 7')});
+	const streamed = requestChatStream(entry.callers(1), {key, messages: messagesOf('Trace coil 7')});
 	await waitUntil(async () => {
 		const prints = await entry.runs('labels-1');
 		const chats = await entry.runs('engine-1');
 		return (prints.length === 1 && chats.length === 1) || undefined;
-	}, {what: 'both requests to reach their servers'});
+	}, {description: 'both requests to reach their servers'});
 	const [run] = await entry.runs('labels-1');
 	const [chat] = await entry.runs('engine-1');
 	await entry.daemon(1).process.kill('SIGKILL');
@@ -40,7 +40,7 @@
 	const resent = await waitUntil(async () => {
 		const answer = await print(2);
 		return answer.status === 409 ? undefined : answer;
-	}, {what: 'the claim of the killed instance to be closed', timeoutMilliseconds: 60_000});
+	}, {description: 'the claim of the killed instance to be closed', timeoutMilliseconds: 60_000});
 	t.deepEqual([resent.status, resent.problem?.kind, resent.problem?.outcome], [502, 'outcome-unknown', 'unknown']);
 	t.is(await entry.countRuns('labels-1'), 1);
 	// The servers know both request ids; the caller of the stream may not have received the response headers.
@@ -55,7 +55,7 @@
 	await Promise.all(['engine-1', 'engine-2'].map(async server => entry.setBehaviour(server, {answerTokens: tokens, tokenMilliseconds: 20})));
 	const load = new Load(entry, 1);
 	load.begin(6);
-	await waitUntil(async () => load.results.length > 12 || undefined, {what: 'load'});
+	await waitUntil(async () => load.results.length > 12 || undefined, {description: 'load'});
 	const stopped = entry.daemon(1).process.stop();
 	const end = await stopped;
 	await load.end();
@@ -64,7 +64,7 @@
 		const isWhole = result.done && result.text === completeText(text);
 		const isRefused = result.status === 503 && result.problem?.kind === 'shutting-down' && result.problem.outcome === 'notRun' && result.headers['retry-after'] !== undefined;
 		const isUnreachable = result.status === 0 && result.text === '';
-		const lines = isWhole || isRefused || isUnreachable ? [] : await entry.linesAbout(result.problem?.requestId ?? text);
+		const lines = isWhole || isRefused || isUnreachable ? [] : await entry.readLogLines(result.problem?.requestId ?? text);
 		t.true(isWhole || isRefused || isUnreachable, `${text}: ${JSON.stringify(result)}\n${lines.join('\n')}`);
 	}
 
@@ -76,12 +76,12 @@
 test.serial('a version withdrawn under load gets no new requests, and its sessions end', async t => {
 	const entry = await startEntryDeployment(t);
 	await Promise.all(['engine-1', 'engine-2'].map(async server => entry.setBehaviour(server, {answerTokens: tokens, tokenMilliseconds: 5})));
-	const begun = await chatWhole(entry.callers(0), {key, messages: messagesOf('Begin'), headers: {'Valehitch-Session': 'new'}});
+	const begun = await requestChat(entry.callers(0), {key, messages: messagesOf('Begin'), headers: {'Valehitch-Session': 'new'}});
 	const token = String(begun.headers['valehitch-session']);
 	t.is(begun.headers['valehitch-version'], '1.0');
 	const load = new Load(entry, 2);
 	load.begin(6);
-	await waitUntil(async () => load.results.length > 6 || undefined, {what: 'load'});
+	await waitUntil(async () => load.results.length > 6 || undefined, {description: 'load'});
 	const revision = await entry.deployment.apply(entryConfiguration({first: 'withdrawn', next: 'settled'}), {replaces: 1});
 	await Promise.all(entry.deployment.daemons.map(async daemon => entry.deployment.waitUntilReady(daemon, {revision, servers: []})));
 	const runsOfFirst = async () => {
@@ -90,10 +90,10 @@
 	};
 
 	const before = await runsOfFirst();
-	const sessions = await Promise.all([0, 1, 2].map(async index => chatWhole(entry.callers(index), {key, messages: messagesOf('Go on'), headers: {'Valehitch-Session': token}})));
+	const sessions = await Promise.all([0, 1, 2].map(async index => requestChat(entry.callers(index), {key, messages: messagesOf('Go on'), headers: {'Valehitch-Session': token}})));
 	t.deepEqual(sessions.map(({status, problem}) => [status, problem?.kind, problem?.outcome]), sessions.map(() => [410, 'session-ended', 'notRun']));
 	const seen = load.results.length;
-	await waitUntil(async () => load.results.length > seen + 12 || undefined, {what: 'load on the next version'});
+	await waitUntil(async () => load.results.length > seen + 12 || undefined, {description: 'load on the next version'});
 	await load.end();
 	t.is(await runsOfFirst(), before);
 	t.true(load.results.every(([, {done}]) => done));
@@ -103,7 +103,7 @@
 test.serial('with a third of the capacity left, requests that cannot be served in time are refused with a retry time', async t => {
 	const entry = await startEntryDeployment(t, {engines: 3, capacity: 2});
 	await Promise.all(['engine-1', 'engine-2', 'engine-3'].map(async server => entry.setBehaviour(server, {answerTokens: tokens, firstTokenMilliseconds: 200})));
-	const send = async (index: number, headers: Readonly<Record<string, string>>) => chatWhole(entry.callers(index % 3), {
+	const send = async (index: number, headers: Readonly<Record<string, string>>) => requestChat(entry.callers(index % 3), {
 		key, messages: messagesOf(`Coil ${index}`), headers,
 	});
 	const ask = async (index: number) => send(index, {'Valehitch-Deadline-Milliseconds': '1500'});
@@ -117,7 +117,7 @@
 	await waitUntil(async () => {
 		const statuses = await Promise.all(entry.deployment.daemons.map(async daemon => entry.deployment.status(daemon)));
 		return statuses.every(({servers}) => servers.every(server => server.server === 'engine-1' || server.server === 'labels-1' || server.shuttingDown === true)) || undefined;
-	}, {what: 'the removal of two engines'});
+	}, {description: 'the removal of two engines'});
 	const results = await Promise.all(Array.from({length: 120}, async (_, index) => ask(index)));
 	const whole = results.filter(({done}) => done);
 	const refused = results.filter(({done}) => !done);
@@ -130,13 +130,13 @@
 	const again = await waitUntil(async () => {
 		const answer = await ask(0);
 		return answer.done || undefined;
-	}, {what: 'a response after the overload'});
+	}, {description: 'a response after the overload'});
 	t.true(again);
 });
 
 test.serial('every instance explains the decisions of a request', async t => {
 	const entry = await startEntryDeployment(t, {engines: 1});
-	const {requestId} = await chatWhole(entry.callers(1), {key, messages: messagesOf('Explain')});
+	const {requestId} = await requestChat(entry.callers(1), {key, messages: messagesOf('Explain')});
 	const answers = await Promise.all(entry.deployment.daemons.map(async ({operators}) => callOperator(`${operators}/v1/explain/${requestId}`, {key: deploymentKeys.operators})));
 	for (const {status, body} of answers) {
 		t.is(status, 200);
@@ -152,7 +152,7 @@
 });
 
 function completeText(text: string): string {
-	return fakeAnswer({version: versions.first, messages: messagesOf(text), tokens}).join('');
+	return generateFakeTokens({version: versions.first, messages: messagesOf(text), tokens}).join('');
 }
 
 /** Callers that send requests to one instance in a loop. */
@@ -180,7 +180,7 @@
 	async #sendRequests(caller: number): Promise<void> {
 		for (let turn = 0; !this.#ended; turn++) {
 			const text = `Coil ${caller} turn ${turn}`;
-			const result = await chatStreamed(this.#entry.callers(this.#index), {key, messages: messagesOf(text)});
+			const result = await requestChatStream(this.#entry.callers(this.#index), {key, messages: messagesOf(text)});
 			this.results.push([text, result]);
 			if (result.status === 0) {
 				return;
--- a/packages/testing/src/entry-requests.test.ts
+++ b/packages/testing/src/entry-requests.test.ts
@@ -3,8 +3,8 @@
 import {text as readText} from 'node:stream/consumers';
 import test from 'ava';
 import {callerKeys, startEntryDeployment} from './_entry-deployment.js';
-import {chatWhole} from './http-client.js';
-import {sendRequest, type TextAnswer} from './send-request.js';
+import {requestChat} from './http-client.js';
+import {sendRequest, type TextResponse} from './send-request.js';
 
 const limits = {bodyBytes: 4096, headerBytes: 4096};
 const goodBody = JSON.stringify({model: 'auto', messages: [{role: 'user', content: 'Tag coil 7'}]});
@@ -81,7 +81,7 @@
 
 test('each malformed request gets its specific error with the outcome notRun, and nothing runs', async t => {
 	const entry = await startEntryDeployment(t, {engines: 1, settings: {limits}});
-	const send = async (testCase: Case): Promise<TextAnswer> => sendRequest(`${entry.callers(1)}${testCase.path ?? '/v1/chat/completions'}`, {
+	const send = async (testCase: Case): Promise<TextResponse> => sendRequest(`${entry.callers(1)}${testCase.path ?? '/v1/chat/completions'}`, {
 		method: testCase.method ?? 'POST', headers: {...yard, ...testCase.headers}, body: testCase.body ?? goodBody,
 	});
 	for (const testCase of cases) {
@@ -96,12 +96,12 @@
 	}
 
 	t.regex(await sendRaw(entry.daemon(1).ports.callers, ['Content-Length: 5', 'Content-Length: 6']), /^HTTP\/1\.1 400 /v);
-	const issued = await chatWhole(entry.callers(1), {key: callerKeys.yard, messages: [{role: 'user', content: 'Begin'}], headers: {'Valehitch-Session': 'new'}});
+	const issued = await requestChat(entry.callers(1), {key: callerKeys.yard, messages: [{role: 'user', content: 'Begin'}], headers: {'Valehitch-Session': 'new'}});
 	t.is(issued.status, 200);
 	const token = String(issued.headers['valehitch-session']);
-	const stolen = await chatWhole(entry.callers(2), {key: callerKeys.mill, messages: [{role: 'user', content: 'Go on'}], headers: {'Valehitch-Session': token}});
+	const stolen = await requestChat(entry.callers(2), {key: callerKeys.mill, messages: [{role: 'user', content: 'Go on'}], headers: {'Valehitch-Session': token}});
 	t.deepEqual([stolen.status, stolen.problem?.kind, stolen.problem?.outcome], [422, 'session-invalid', 'notRun']);
-	const own = await chatWhole(entry.callers(2), {key: callerKeys.yard, messages: [{role: 'user', content: 'Go on'}], headers: {'Valehitch-Session': token}});
+	const own = await requestChat(entry.callers(2), {key: callerKeys.yard, messages: [{role: 'user', content: 'Go on'}], headers: {'Valehitch-Session': token}});
 	t.is(own.status, 200);
 	const runs = [...await entry.runs('engine-1'), ...await entry.runs('labels-1')];
 	t.deepEqual(runs.map(({requestId}) => requestId), [issued.requestId, own.requestId]);
--- a/packages/testing/src/error-table.ts
+++ b/packages/testing/src/error-table.ts
@@ -1,4 +1,4 @@
-import {errorAnswers} from '@valehitch/core';
+import {errorResponses} from '@valehitch/core';
 
 /** The marker line in docs/API.md before the table. */
 export const errorTableStart = '<!-- The table of errors, made by npm run docs:errors -->';
@@ -14,8 +14,8 @@
 const table = errorTable();
 ```
 */
-export function errorTable(): string {
-	const rows = Object.entries(errorAnswers)
+export function formatErrorTable(): string {
+	const rows = Object.entries(errorResponses)
 		.toSorted(([, left], [, right]) => left.status - right.status)
 		.map(([kind, {status, outcome, title}]) => `| ${status} | \`${kind}\` | \`${outcome}\` | ${title} |`);
 	return ['| status | kind | outcome | meaning |', '|---|---|---|---|', ...rows].join('\n');
@@ -32,12 +32,12 @@
 const page = withErrorTable(await readFile('docs/API.md', 'utf8'));
 ```
 */
-export function withErrorTable(page: string): string {
+export function replaceErrorTable(page: string): string {
 	const start = page.indexOf(errorTableStart);
 	const end = page.indexOf(errorTableEnd);
 	if (start === -1 || end < start) {
 		throw new RangeError('The page lacks the start or end marker of the error table');
 	}
 
-	return `${page.slice(0, start)}${errorTableStart}\n\n${errorTable()}\n\n${page.slice(end)}`;
+	return `${page.slice(0, start)}${errorTableStart}\n\n${formatErrorTable()}\n\n${page.slice(end)}`;
 }
--- a/packages/testing/src/fake-answer.ts
+++ b/packages/testing/src/fake-answer.ts
@@ -7,7 +7,7 @@
 };
 
 /** The inputs that determine the fake engine's response. */
-export type FakeAnswerOptions = {
+export type FakeResponseOptions = {
 	/** The model and version, such as `tag-small@1.0`. */
 	readonly version: string;
 	readonly messages: readonly ChatMessage[];
@@ -32,7 +32,7 @@
 fakeAnswer({version: 'tag-small@1.0', messages: [{role: 'user', content: 'Tag this'}], tokens: 3}).join('');
 ```
 */
-export function fakeAnswer(options: FakeAnswerOptions): readonly string[] {
+export function generateFakeTokens(options: FakeResponseOptions): readonly string[] {
 	const tokens = tokensFromStart(options);
 	const resumeText = options.resumeText ?? '';
 	const completeText = tokens.join('');
@@ -60,7 +60,7 @@
 	return total;
 }
 
-function tokensFromStart({version, messages, tokens}: FakeAnswerOptions): string[] {
+function tokensFromStart({version, messages, tokens}: FakeResponseOptions): string[] {
 	const seed = createHash('sha256').update(JSON.stringify([version, messages.map(({role, content}) => [role, content])])).digest();
 	return Array.from({length: tokens}, (_, index) => {
 		const byte = seed[index % seed.length] ?? 0;
--- a/packages/testing/src/fake-engine-orders.ts
+++ b/packages/testing/src/fake-engine-orders.ts
@@ -3,7 +3,7 @@
 import {type Exchange, sendJson} from './_fake-server.js';
 
 /** An order that a fake engine executed. */
-export type ObeyedOrder = z.infer<typeof orderSchema>;
+export type ExecutedOrder = z.infer<typeof orderSchema>;
 
 const orderSchema = z.object({
 	orderId: z.string(),
@@ -27,7 +27,7 @@
 */
 export class FakeEngineOrders {
 	/** The executed orders, oldest first. */
-	readonly obeyed: ObeyedOrder[] = [];
+	readonly executed: ExecutedOrder[] = [];
 	readonly #models: Set<string>;
 	readonly #checksFencing: boolean;
 	#role = 'both';
@@ -46,7 +46,7 @@
 	@param exchange The request and its response.
 	@returns Whether the request was for one of these endpoints.
 	*/
-	async answer({request, response}: Exchange): Promise<boolean> {
+	async handle({request, response}: Exchange): Promise<boolean> {
 		switch (`${request.method} ${request.url}`) {
 			case 'POST /v1/orders': {
 				const order = orderSchema.parse(JSON.parse(await text(request)));
@@ -56,7 +56,7 @@
 			}
 
 			case 'GET /v1/state': {
-				const last = this.obeyed.at(-1);
+				const last = this.executed.at(-1);
 				const models = [...this.#models].map(loaded => {
 					const [model, version] = loaded.split('@');
 					return {model, version};
@@ -70,7 +70,7 @@
 			}
 
 			case 'GET /test/orders': {
-				sendJson(response, {status: 200, body: this.obeyed});
+				sendJson(response, {status: 200, body: this.executed});
 				return true;
 			}
 
@@ -80,19 +80,19 @@
 		}
 	}
 
-	#accept(order: ObeyedOrder): boolean {
-		const last = this.obeyed.at(-1);
+	#accept(order: ExecutedOrder): boolean {
+		const last = this.executed.at(-1);
 		const fencingOrder = last === undefined ? 1 : (order.term - last.term || order.sequence - last.sequence);
 		if (this.#checksFencing && fencingOrder <= 0) {
 			return fencingOrder === 0;
 		}
 
-		this.obeyed.push(order);
+		this.executed.push(order);
 		this.#execute(order.order);
 		return true;
 	}
 
-	#execute(order: ObeyedOrder['order']): void {
+	#execute(order: ExecutedOrder['order']): void {
 		if (order.type === 'set-role') {
 			this.#role = order.role;
 		} else if (order.type === 'load') {
--- a/packages/testing/src/fake-engine-types.ts
+++ b/packages/testing/src/fake-engine-types.ts
@@ -1,5 +1,5 @@
 import {type Behaviour} from './behaviour.js';
-import {type ObeyedOrder} from './fake-engine-orders.js';
+import {type ExecutedOrder} from './fake-engine-orders.js';
 
 /** Options for `startFakeEngine`. */
 export type FakeEngineOptions = {
@@ -34,7 +34,7 @@
 	readonly behaviour: Behaviour;
 	readonly runs: readonly EngineRun[];
 	/** The executed orders. */
-	readonly orders: readonly ObeyedOrder[];
+	readonly orders: readonly ExecutedOrder[];
 	/** Returns the versions that are currently loaded. */
 	readonly models: () => readonly string[];
 	readonly checksFencing: boolean;
--- a/packages/testing/src/fake-engine.test.ts
+++ b/packages/testing/src/fake-engine.test.ts
@@ -1,20 +1,20 @@
 import test from 'ava';
-import {fakeAnswer} from './fake-answer.js';
+import {generateFakeTokens} from './fake-answer.js';
 import {startFakeEngine} from './fake-engine.js';
-import {chatStreamed, chatWhole} from './http-client.js';
+import {requestChatStream, requestChat} from './http-client.js';
 import {sendRequest} from './send-request.js';
 import {waitUntil} from './wait-until.js';
 
 const version = 'tag-small@1.0';
 const messages = [{role: 'user', content: 'Tag crate 17 of yard 3'}];
 const chat = {key: 'none', model: version, messages};
-const expected = fakeAnswer({version, messages, tokens: 16}).join('');
+const expected = generateFakeTokens({version, messages, tokens: 16}).join('');
 
 test('streamed and unstreamed responses have the same text, and each is one run', async t => {
 	const engine = await startFakeEngine({models: [version]});
 	t.teardown(engine.kill);
-	const streamed = await chatStreamed(engine.address, {...chat, headers: {'Valehitch-Request-Id': 'r1', 'Valehitch-Attempt': '1'}});
-	const whole = await chatWhole(engine.address, chat);
+	const streamed = await requestChatStream(engine.address, {...chat, headers: {'Valehitch-Request-Id': 'r1', 'Valehitch-Attempt': '1'}});
+	const whole = await requestChat(engine.address, chat);
 	t.is(streamed.text, expected);
 	t.true(streamed.done);
 	t.deepEqual(streamed.usage, {promptTokens: 6, completionTokens: 16});
@@ -34,26 +34,26 @@
 test('an unstreamed response with delayed tokens completes', async t => {
 	const engine = await startFakeEngine({models: [version], behaviour: {tokenMilliseconds: 1}});
 	t.teardown(engine.kill);
-	t.like(await chatWhole(engine.address, chat), {text: expected, done: true});
+	t.like(await requestChat(engine.address, chat), {text: expected, done: true});
 });
 
 test('an engine with a full batch completes each response', async t => {
 	const engine = await startFakeEngine({models: [version], behaviour: {tokenMilliseconds: 1, fullSpeedRequests: 1}});
 	t.teardown(engine.kill);
-	const answers = await Promise.all(Array.from({length: 5}, async () => chatStreamed(engine.address, chat)));
+	const answers = await Promise.all(Array.from({length: 5}, async () => requestChatStream(engine.address, chat)));
 	t.deepEqual(answers.map(({text}) => text), Array.from({length: 5}, () => expected));
 });
 
 test('different versions generate different responses', t => {
-	t.not(fakeAnswer({version: 'tag-small@1.1', messages, tokens: 16}).join(''), expected);
+	t.not(generateFakeTokens({version: 'tag-small@1.1', messages, tokens: 16}).join(''), expected);
 });
 
 test('a cut stream ends without the final event, and a resumed response continues right after it', async t => {
 	const engine = await startFakeEngine({models: [version], behaviour: {cutAfterTokens: 5}});
 	t.teardown(engine.kill);
-	const cut = await chatStreamed(engine.address, chat);
+	const cut = await requestChatStream(engine.address, chat);
 	t.false(cut.done);
-	t.is(cut.text, fakeAnswer({version, messages, tokens: 5}).join(''));
+	t.is(cut.text, generateFakeTokens({version, messages, tokens: 5}).join(''));
 	engine.behaviour.cutAfterTokens = undefined;
 	const {body} = await sendRequest(`${engine.address}/v1/chat/completions`, {
 		method: 'POST', body: JSON.stringify({model: version, messages, resume: {text: cut.text}}),
@@ -66,21 +66,21 @@
 	const engine = await startFakeEngine({models: [version], behaviour: {tokenMilliseconds: 20, answerTokens: 1000}});
 	t.teardown(engine.kill);
 	const canceller = new AbortController();
-	const answer = chatStreamed(engine.address, {...chat, signal: canceller.signal});
-	await waitUntil(async () => engine.active() === 1 || undefined, {what: 'a run'});
+	const answer = requestChatStream(engine.address, {...chat, signal: canceller.signal});
+	await waitUntil(async () => engine.active() === 1 || undefined, {description: 'a run'});
 	canceller.abort();
 	const {done} = await answer;
 	t.false(done);
-	await waitUntil(async () => engine.active() === 0 || undefined, {what: 'the end of the run'});
+	await waitUntil(async () => engine.active() === 0 || undefined, {description: 'the end of the run'});
 	t.deepEqual(engine.runs.map(run => [run.completed, run.cancelled]), [[false, true]]);
 });
 
 test('a stalled request is cancelled when the caller times out', async t => {
 	const engine = await startFakeEngine({models: [version], behaviour: {stall: true}});
 	t.teardown(engine.kill);
-	const {status} = await chatWhole(engine.address, {...chat, timeoutMilliseconds: 100});
+	const {status} = await requestChat(engine.address, {...chat, timeoutMilliseconds: 100});
 	t.is(status, 0);
-	await waitUntil(async () => engine.runs[0]?.cancelled === true || undefined, {what: 'the cancelled run'});
+	await waitUntil(async () => engine.runs[0]?.cancelled === true || undefined, {description: 'the cancelled run'});
 	t.is(engine.runs.length, 1);
 });
 
@@ -89,12 +89,12 @@
 	t.teardown(engine.kill);
 	const setBehaviour = async (behaviour: unknown) => sendRequest(`${engine.address}/test/behaviour`, {method: 'POST', body: JSON.stringify(behaviour)});
 	await setBehaviour({refuseNotRun: true});
-	const refused = await chatWhole(engine.address, chat);
+	const refused = await requestChat(engine.address, chat);
 	t.is(refused.status, 503);
 	t.is(refused.headers['valehitch-outcome'], 'notRun');
 	t.is(engine.runs.length, 0);
 	await setBehaviour({failStatus: 500});
-	const failed = await chatWhole(engine.address, chat);
+	const failed = await requestChat(engine.address, chat);
 	t.is(failed.status, 500);
 	t.is(failed.headers['valehitch-outcome'], undefined);
 	const {body} = await sendRequest(`${engine.address}/test/runs`);
@@ -107,7 +107,7 @@
 test('a version that is not loaded is refused as not run', async t => {
 	const engine = await startFakeEngine({models: [version]});
 	t.teardown(engine.kill);
-	const {status, headers} = await chatWhole(engine.address, {...chat, model: 'tag-small@9'});
+	const {status, headers} = await requestChat(engine.address, {...chat, model: 'tag-small@9'});
 	t.is(status, 503);
 	t.is(headers['valehitch-outcome'], 'notRun');
 });
--- a/packages/testing/src/fake-engine.ts
+++ b/packages/testing/src/fake-engine.ts
@@ -7,7 +7,7 @@
 } from './_fake-server.js';
 import {wireNames} from './_wire-names.js';
 import {type Behaviour, defaultBehaviour} from './behaviour.js';
-import {countPromptTokens, fakeAnswer} from './fake-answer.js';
+import {countPromptTokens, generateFakeTokens} from './fake-answer.js';
 import {FakeEngineOrders} from './fake-engine-orders.js';
 import {type EngineRun, type FakeEngine, type FakeEngineOptions} from './fake-engine-types.js';
 
@@ -71,14 +71,14 @@
 		behaviour,
 		runs,
 		async answer(exchange) {
-			const handled = await orders.answer(exchange);
+			const handled = await orders.handle(exchange);
 			if (!handled) {
 				await handleChat(state, exchange);
 			}
 		},
 	});
 	return {
-		...server, behaviour, runs, orders: orders.obeyed, models: () => [...models], checksFencing, active: () => state.active,
+		...server, behaviour, runs, orders: orders.executed, models: () => [...models], checksFencing, active: () => state.active,
 	};
 }
 
@@ -131,7 +131,7 @@
 
 function createJob({behaviour, run, body}: {behaviour: Behaviour; run: EngineRun; body: ChatBody}, exchange: Exchange): ResponseJob {
 	const tokenCount = Math.min(body[wireNames.maxTokens] ?? behaviour.answerTokens, behaviour.answerTokens);
-	const tokens = fakeAnswer({
+	const tokens = generateFakeTokens({
 		version: body.model, messages: body.messages, tokens: tokenCount, resumeText: body.resume?.text,
 	});
 	const promptTokens = countPromptTokens(body.messages) + (body.resume ? countPromptTokens([{role: 'assistant', content: body.resume.text}]) : 0);
--- a/packages/testing/src/held-up-processes.test.ts
+++ b/packages/testing/src/held-up-processes.test.ts
@@ -3,8 +3,8 @@
 import {
 	callerKeys, startEntryDeployment, versions,
 } from './_entry-deployment.js';
-import {fakeAnswer} from './fake-answer.js';
-import {chatStreamed} from './http-client.js';
+import {generateFakeTokens} from './fake-answer.js';
+import {requestChatStream} from './http-client.js';
 import {waitUntil} from './wait-until.js';
 
 const key = callerKeys.yard;
@@ -26,16 +26,16 @@
 	const entry = await startEntryDeployment(t, {engines: 1, settings: {timing}});
 	await entry.setBehaviour('engine-1', {answerTokens: tokens, tokenMilliseconds: 25});
 	const texts = Array.from({length: 6}, (_, index) => `Coil ${index}`);
-	const answers = Promise.all(texts.map(async text => chatStreamed(entry.callers(1), {key, messages: messagesOf(text)})));
+	const answers = Promise.all(texts.map(async text => requestChatStream(entry.callers(1), {key, messages: messagesOf(text)})));
 	await waitUntil(async () => {
 		const runs = await entry.runs('engine-1');
 		return runs.length === texts.length || undefined;
-	}, {what: 'all streams to reach the engine'});
+	}, {description: 'all streams to reach the engine'});
 	entry.daemon(1).process.signal('SIGSTOP');
 	await delay(suspendedMilliseconds);
 	entry.daemon(1).process.signal('SIGCONT');
 	const results = await answers;
-	const expected = texts.map(text => [200, true, fakeAnswer({version: versions.first, messages: messagesOf(text), tokens}).join('')]);
+	const expected = texts.map(text => [200, true, generateFakeTokens({version: versions.first, messages: messagesOf(text), tokens}).join('')]);
 	t.deepEqual(results.map(({status, done, text}) => [status, done, text]), expected);
 	t.is(await entry.countRuns('engine-1'), texts.length);
 });
@@ -46,17 +46,17 @@
 	const behaviour = {answerTokens: tokens, tokenMilliseconds: 25};
 	await Promise.all([entry.setBehaviour('engine-1', behaviour), entry.setBehaviour('engine-2', behaviour)]);
 	const texts = Array.from({length: 8}, (_, index) => `Coil ${index}`);
-	const answers = Promise.all(texts.map(async (text, index) => chatStreamed(entry.callers(index % 3), {key, messages: messagesOf(text)})));
+	const answers = Promise.all(texts.map(async (text, index) => requestChatStream(entry.callers(index % 3), {key, messages: messagesOf(text)})));
 	await waitUntil(async () => {
 		const runs = await Promise.all([entry.runs('engine-1'), entry.runs('engine-2')]);
 		return runs.flat().length === texts.length || undefined;
-	}, {what: 'all streams to reach the engines'});
+	}, {description: 'all streams to reach the engines'});
 	entry.backend('engine-2').process.signal('SIGSTOP');
 	await entry.backend('engine-1').process.kill('SIGKILL');
 	await delay(engineSuspendedMilliseconds);
 	entry.backend('engine-2').process.signal('SIGCONT');
 	const results = await answers;
-	const expected = texts.map(text => [200, true, fakeAnswer({version: versions.first, messages: messagesOf(text), tokens}).join('')]);
+	const expected = texts.map(text => [200, true, generateFakeTokens({version: versions.first, messages: messagesOf(text), tokens}).join('')]);
 	t.deepEqual(results.map(({status, done, text}) => [status, done, text]), expected);
 	const requests = results.map(({requestId}) => requestId);
 	const bills = await entry.bills(requests);
--- a/packages/testing/src/http-client.ts
+++ b/packages/testing/src/http-client.ts
@@ -37,7 +37,7 @@
 };
 
 /** The members of problem details that tests read. */
-export type Problem = z.infer<typeof problemSchema>;
+export type ProblemDetails = z.infer<typeof problemSchema>;
 
 /** The token counts that a response reports. */
 export type ReportedUsage = z.infer<typeof usageSchema>;
@@ -54,7 +54,7 @@
 	/** Whether a response with a status from 200 to 299 was received completely. */
 	readonly done: boolean;
 	readonly usage?: ReportedUsage | undefined;
-	readonly problem?: Problem | undefined;
+	readonly problem?: ProblemDetails | undefined;
 	/** Why the connection failed, if it did. */
 	readonly connectionError?: string;
 	/** Milliseconds to the first token of a streamed response. */
@@ -92,7 +92,7 @@
 const {text} = await chatWhole('http://127.0.0.1:8080', {key: 'yard-key', messages: [{role: 'user', content: 'Tag this'}]});
 ```
 */
-export async function chatWhole(address: string, options: ChatOptions): Promise<CallResult> {
+export async function requestChat(address: string, options: ChatOptions): Promise<CallResult> {
 	return call(async () => openChat(address, {...options, stream: false}), readUnstreamed);
 }
 
@@ -107,7 +107,7 @@
 const {done} = await chatStreamed('http://127.0.0.1:8080', {key: 'yard-key', messages: [{role: 'user', content: 'Tag this'}]});
 ```
 */
-export async function chatStreamed(address: string, options: ChatOptions): Promise<CallResult> {
+export async function requestChatStream(address: string, options: ChatOptions): Promise<CallResult> {
 	return call(async () => openChat(address, {...options, stream: true}), readStreamed);
 }
 
--- a/packages/testing/src/kept-connections.test.ts
+++ b/packages/testing/src/kept-connections.test.ts
@@ -2,9 +2,9 @@
 import {
 	callerKeys, type EntryDeployment, startEntryDeployment, versions,
 } from './_entry-deployment.js';
-import {fakeAnswer} from './fake-answer.js';
+import {generateFakeTokens} from './fake-answer.js';
 import {
-	callService, type CallResult, chatStreamed, chatWhole,
+	callService, type CallResult, requestChatStream, requestChat,
 } from './http-client.js';
 import {waitUntil} from './wait-until.js';
 
@@ -17,13 +17,13 @@
 }
 
 function completeText(text: string): string {
-	return fakeAnswer({version: versions.first, messages: messagesOf(text), tokens}).join('');
+	return generateFakeTokens({version: versions.first, messages: messagesOf(text), tokens}).join('');
 }
 
 /** Opens idle connections from the second instance to all engines, which close each of them when the next request arrives on it. */
 async function closeKeptConnections(entry: EntryDeployment, tokenMilliseconds: number): Promise<void> {
 	await Promise.all(['engine-1', 'engine-2'].map(async server => entry.setBehaviour(server, {answerTokens: tokens, firstTokenMilliseconds: 50})));
-	await Promise.all(Array.from({length: 3 * callers}, async (_, index) => chatStreamed(entry.callers(1), {key, messages: messagesOf(`Warm ${index}`)})));
+	await Promise.all(Array.from({length: 3 * callers}, async (_, index) => requestChatStream(entry.callers(1), {key, messages: messagesOf(`Warm ${index}`)})));
 	await Promise.all(['engine-1', 'engine-2'].map(async server => entry.setBehaviour(server, {answerTokens: tokens, tokenMilliseconds, closesKeptConnections: true})));
 }
 
@@ -33,7 +33,7 @@
 	await closeKeptConnections(entry, 0);
 	const results: CallResult[] = [];
 	for (let turn = 0; turn < 2 * callers; turn++) {
-		const ask = turn % 2 === 0 ? chatStreamed : chatWhole;
+		const ask = turn % 2 === 0 ? requestChatStream : requestChat;
 		results.push(await ask(entry.callers(1), {key, messages: messagesOf(`Coil ${turn}`)}));
 	}
 
@@ -46,11 +46,11 @@
 test.serial('a graceful shutdown while engines close keep-alive connections loses no request', async t => {
 	const entry = await startEntryDeployment(t);
 	await closeKeptConnections(entry, 50);
-	const answers = Promise.all(Array.from({length: callers}, async (_, caller) => chatStreamed(entry.callers(1), {key, messages: messagesOf(`Coil ${caller}`)})));
+	const answers = Promise.all(Array.from({length: callers}, async (_, caller) => requestChatStream(entry.callers(1), {key, messages: messagesOf(`Coil ${caller}`)})));
 	await Promise.race([answers, waitUntil(async () => {
 		const {inProgress} = await entry.deployment.status(entry.daemon(1));
 		return inProgress === callers || undefined;
-	}, {what: 'all requests in progress'})]);
+	}, {description: 'all requests in progress'})]);
 	const end = await entry.daemon(1).process.stop();
 	t.is(end?.code, 0);
 	const results = await answers;
--- a/packages/testing/src/managed-process.ts
+++ b/packages/testing/src/managed-process.ts
@@ -15,13 +15,13 @@
 };
 
 /** The exit code or signal of a process. */
-export type ProcessEnd = {
+export type ProcessExit = {
 	readonly code: number | undefined;
 	readonly signal: string | undefined;
 };
 
 /** The exit code or signal of a process, and its run time in milliseconds. */
-export type LastEnd = ProcessEnd & {readonly runtime: number};
+export type LastExit = ProcessExit & {readonly runMilliseconds: number};
 
 const defaultStopTimeoutMilliseconds = 20_000;
 const runningChildren = new Set<ChildProcess>();
@@ -50,9 +50,9 @@
 	readonly #command: readonly string[];
 	readonly #environment: Readonly<Record<string, string>>;
 	#child: ChildProcess | undefined;
-	#exit: Promise<ProcessEnd> | undefined;
+	#exit: Promise<ProcessExit> | undefined;
 	#startedAt = 0;
-	#lastExit: LastEnd | undefined;
+	#lastExit: LastExit | undefined;
 
 	constructor({name, command, logFile, environment = {}}: ManagedProcessOptions) {
 		this.name = name;
@@ -67,7 +67,7 @@
 	}
 
 	/** Milliseconds since the process was started; 0 while it is not running. */
-	get runtime(): number {
+	get uptimeMilliseconds(): number {
 		return this.#child === undefined ? 0 : performance.now() - this.#startedAt;
 	}
 
@@ -76,7 +76,7 @@
 	}
 
 	/** The most recent exit; undefined before the first one. */
-	get lastEnd(): LastEnd | undefined {
+	get lastExit(): LastExit | undefined {
 		return this.#lastExit;
 	}
 
@@ -102,7 +102,7 @@
 	@param signal The signal; SIGKILL by default.
 	@returns The exit; undefined if the process was never started.
 	*/
-	async kill(signal: NodeJS.Signals = 'SIGKILL'): Promise<ProcessEnd | undefined> {
+	async kill(signal: NodeJS.Signals = 'SIGKILL'): Promise<ProcessExit | undefined> {
 		this.signal(signal);
 		return this.#exit;
 	}
@@ -122,7 +122,7 @@
 	@param timeoutMilliseconds The timeout; 20 000 by default.
 	@returns The exit; undefined if the process was never started.
 	*/
-	async stop(timeoutMilliseconds: number = defaultStopTimeoutMilliseconds): Promise<ProcessEnd | undefined> {
+	async stop(timeoutMilliseconds: number = defaultStopTimeoutMilliseconds): Promise<ProcessExit | undefined> {
 		const timer = setTimeout(() => {
 			this.signal('SIGKILL');
 		}, timeoutMilliseconds);
@@ -137,13 +137,13 @@
 		this.start();
 	}
 
-	async #waitForExit(child: ChildProcess, log: NodeJS.WritableStream): Promise<ProcessEnd> {
+	async #waitForExit(child: ChildProcess, log: NodeJS.WritableStream): Promise<ProcessExit> {
 		const [code, signal] = await once(child, 'close') as [number | undefined, string | undefined];
 		log.end();
 		runningChildren.delete(child);
 		this.#child = undefined;
 		const exit = {code: code ?? undefined, signal: signal ?? undefined};
-		this.#lastExit = {...exit, runtime: performance.now() - this.#startedAt};
+		this.#lastExit = {...exit, runMilliseconds: performance.now() - this.#startedAt};
 		return exit;
 	}
 }
--- a/packages/testing/src/measure/caller.ts
+++ b/packages/testing/src/measure/caller.ts
@@ -1,6 +1,6 @@
-import {fakeAnswer} from '../fake-answer.js';
+import {generateFakeTokens} from '../fake-answer.js';
 import {
-	callService, type CallResult, chatStreamed, chatWhole,
+	callService, type CallResult, requestChatStream, requestChat,
 } from '../http-client.js';
 import {type PlannedRequest} from './schedule.js';
 import {type Workload} from './workload.js';
@@ -9,15 +9,15 @@
 export type CallerRecord = {
 	readonly request: PlannedRequest;
 	/** The results of the attempts, in order. */
-	readonly sends: readonly CallResult[];
+	readonly attempts: readonly CallResult[];
 	/** The version that responded, as `MODEL@VERSION`; empty if none did or if the request called a service. */
 	readonly version: string;
 	/** Whether the last attempt returned the complete and expected response. */
-	readonly isWhole: boolean;
+	readonly isComplete: boolean;
 	/** Whether a response completed with an unexpected text. */
-	readonly isWrong: boolean;
+	readonly isUnexpected: boolean;
 	/** Whether the version was degraded when the response arrived. */
-	readonly isBad: boolean;
+	readonly isDegraded: boolean;
 	/** Milliseconds from the first attempt to the first token of the response, or to its last byte if it was not streamed. */
 	readonly firstTokenMilliseconds: number;
 	/** Milliseconds from the first attempt to the last byte. */
@@ -30,7 +30,7 @@
 	/** The addresses of the entry instances. */
 	readonly entries: readonly string[];
 	/** Returns whether a version is degraded now. */
-	readonly isBad: (version: string) => boolean;
+	readonly isVersionDegraded: (version: string) => boolean;
 };
 
 const maximumAttempts = 3;
@@ -48,13 +48,13 @@
 const record = await sendWithRetries(request, {workload, entries, isVersionDegraded: () => false});
 ```
 */
-export async function callAsCaller(request: PlannedRequest, options: CallerOptions): Promise<CallerRecord> {
+export async function sendWithRetries(request: PlannedRequest, options: CallerOptions): Promise<CallerRecord> {
 	const startedAt = performance.now();
 	const attempts: CallResult[] = [];
 	let lastAttemptStartedAt = startedAt;
 	for (let attempt = 0; attempt < maximumAttempts; attempt++) {
 		lastAttemptStartedAt = performance.now();
-		const result = await sendAttempt(request, {...options, entry: options.entries[(request.turn + attempt) % options.entries.length] ?? ''});
+		const result = await sendAttempt(request, {...options, entry: options.entries[(request.entryDraw + attempt) % options.entries.length] ?? ''});
 		attempts.push(result);
 		if (result.connectionError === undefined) {
 			break;
@@ -67,11 +67,11 @@
 	const totalMilliseconds = performance.now() - startedAt;
 	return {
 		request,
-		sends: attempts,
+		attempts: attempts,
 		version: version === '@' ? '' : version,
-		isWhole: isExpected,
-		isWrong: last?.done === true && !isExpected,
-		isBad: options.isBad(version),
+		isComplete: isExpected,
+		isUnexpected: last?.done === true && !isExpected,
+		isDegraded: options.isVersionDegraded(version),
 		firstTokenMilliseconds: last?.firstTokenMilliseconds === undefined ? totalMilliseconds : lastAttemptStartedAt - startedAt + last.firstTokenMilliseconds,
 		totalMilliseconds,
 	};
@@ -88,7 +88,7 @@
 		});
 	}
 
-	const chat = kind.form === 'streamed' ? chatStreamed : chatWhole;
+	const chat = kind.form === 'streamed' ? requestChatStream : requestChat;
 	return chat(entry, {
 		key, headers, timeoutMilliseconds, messages, maxTokens: kind.maxTokens,
 	});
@@ -102,7 +102,7 @@
 	}
 
 	const modelMaxTokens = workload.speeds[version.split('@')[0] ?? '']?.answerTokens ?? 0;
-	return fakeAnswer({version, messages, tokens: Math.min(kind.maxTokens, modelMaxTokens)}).join('');
+	return generateFakeTokens({version, messages, tokens: Math.min(kind.maxTokens, modelMaxTokens)}).join('');
 }
 
 function callBody(id: string): string {
--- a/packages/testing/src/measure/judge.test.ts
+++ b/packages/testing/src/measure/cell-metrics.test.ts
@@ -2,7 +2,7 @@
 import {type CallResult} from '../http-client.js';
 import {type CallerRecord} from './caller.js';
 import {type RecordedRun} from './fault.js';
-import {judge} from './judge.js';
+import {computeCellMetrics} from './cell-metrics.js';
 import {type PlannedRequest, planRequests} from './schedule.js';
 import {workloads} from './workloads.js';
 
@@ -22,13 +22,13 @@
 	const {send, ...others} = members;
 	return {
 		request,
-		sends: [{
+		attempts: [{
 			status: 200, headers: {}, requestId: 'r1', text: '', done: true, totalMilliseconds: 1, ...send,
 		}],
 		version: 'tag-small@1.1',
-		isWhole: true,
-		isWrong: false,
-		isBad: false,
+		isComplete: true,
+		isUnexpected: false,
+		isDegraded: false,
 		firstTokenMilliseconds: 1,
 		totalMilliseconds: 2,
 		...others,
@@ -42,8 +42,8 @@
 }
 
 function evaluate(callers: readonly CallerRecord[], runs: readonly RecordedRun[]) {
-	return judge({
-		system: 'x', callers, runs, ratings: {sent: 0, taken: 0},
+	return computeCellMetrics({
+		system: 'x', callers, runs, ratings: {sent: 0, accepted: 0},
 	}, workload);
 }
 
@@ -56,7 +56,7 @@
 	const request = requestOf('call');
 	t.like(evaluate([recordOf(request)], [runOf({key: request.id}), runOf({key: request.id})]), {doubledCalls: 1, phantomCalls: 0});
 	t.like(evaluate([recordOf(request)], []), {doubledCalls: 0, phantomCalls: 1});
-	const refused = recordOf(request, {isWhole: false, send: {done: false, problem: {kind: 'overloaded', outcome: 'notRun'}}});
+	const refused = recordOf(request, {isComplete: false, send: {done: false, problem: {kind: 'overloaded', outcome: 'notRun'}}});
 	t.like(evaluate([refused], [runOf({key: request.id})]), {falseRefusals: 1, refusals: {overloaded: 1}, failed: 0});
 	t.like(evaluate([refused], []), {falseRefusals: 0});
 });
@@ -64,9 +64,9 @@
 test('a degraded, a late and an incorrect response miss the target', t => {
 	const request = requestOf('streamed');
 	t.like(evaluate([recordOf(request)], []), {metTarget: 1});
-	t.like(evaluate([recordOf(request, {isBad: true})], []), {metTarget: 0, badAnswers: 1});
+	t.like(evaluate([recordOf(request, {isDegraded: true})], []), {metTarget: 0, badAnswers: 1});
 	t.like(evaluate([recordOf(request, {totalMilliseconds: request.kind.deadlineMilliseconds + 1})], []), {metTarget: 0, answered: 1});
-	t.like(evaluate([recordOf(request, {isWhole: false, isWrong: true})], []), {failed: 1, wrongAnswers: 1});
+	t.like(evaluate([recordOf(request, {isComplete: false, isUnexpected: true})], []), {failed: 1, wrongAnswers: 1});
 });
 
 function throwMissingWorkload(): never {
--- a/packages/testing/src/measure/fault.ts
+++ b/packages/testing/src/measure/fault.ts
@@ -7,19 +7,19 @@
 export type Fault = {
 	readonly name: string;
 	/** Injects the fault. */
-	readonly begin: (stage: FaultStage) => Promise<void>;
+	readonly inject: (stage: FaultContext) => Promise<void>;
 	/** Reverts the fault after two thirds of the run; without this, the fault persists. */
-	readonly end?: (stage: FaultStage) => Promise<void>;
+	readonly revert?: (stage: FaultContext) => Promise<void>;
 };
 
 /** What a fault acts on. */
-export type FaultStage = {
+export type FaultContext = {
 	readonly system: System;
 	readonly workload: Workload;
 	/** Saves the run records of a backend server before it is killed, since they are lost with its process. */
-	readonly keepRuns: (backend: SystemBackend) => Promise<void>;
+	readonly saveRuns: (backend: SystemBackend) => Promise<void>;
 	/** Degrades the responses of a version from now on. */
-	readonly turnBad: (version: string) => void;
+	readonly degradeVersion: (version: string) => void;
 };
 
 /** A run of a request, as recorded by a fake engine or service. */
@@ -39,13 +39,13 @@
 export const faults: readonly Fault[] = [
 	{
 		name: 'calm',
-		async begin() {
+		async inject() {
 			// No fault is injected.
 		},
 	},
 	{
 		name: 'engine-killed',
-		async begin({system, workload, keepRuns: saveRuns}) {
+		async inject({system, workload, saveRuns: saveRuns}) {
 			for (const engine of smallEngines(system, workload).slice(0, 1)) {
 				await saveRuns(engine);
 				await engine.process.kill('SIGKILL');
@@ -54,7 +54,7 @@
 	},
 	{
 		name: 'engine-stalls',
-		async begin({system, workload}) {
+		async inject({system, workload}) {
 			for (const engine of smallEngines(system, workload).slice(0, 1)) {
 				await sendRequest(`${engine.address}/test/behaviour`, {method: 'POST', body: JSON.stringify({...workload.speeds[workload.smallModel], stall: true})});
 			}
@@ -62,22 +62,22 @@
 	},
 	{
 		name: 'version-bad',
-		async begin({workload, turnBad: degradeVersion}) {
-			degradeVersion(workload.fragileVersion);
+		async inject({workload, degradeVersion: degradeVersion}) {
+			degradeVersion(workload.degradedVersion);
 		},
 	},
 	{
 		name: 'zone-cut',
-		async begin({system}) {
+		async inject({system}) {
 			await system.cutZones([system.entries.at(-2)?.zone ?? '']);
 		},
-		async end({system}) {
+		async revert({system}) {
 			await system.cutZones([]);
 		},
 	},
 	{
 		name: 'capacity-third',
-		async begin({system, workload, keepRuns: saveRuns}) {
+		async inject({system, workload, saveRuns: saveRuns}) {
 			const engines = smallEngines(system, workload);
 			await Promise.all(engines.slice(Math.ceil(engines.length / 3)).map(async engine => {
 				await saveRuns(engine);
@@ -87,7 +87,7 @@
 	},
 	{
 		name: 'entry-killed',
-		async begin({system}) {
+		async inject({system}) {
 			await system.entries.at(-1)?.process.kill('SIGKILL');
 		},
 	},
--- a/packages/testing/src/measure/rater.ts
+++ b/packages/testing/src/measure/rater.ts
@@ -9,7 +9,7 @@
 /** The number of ratings sent, and of those a daemon accepted. */
 export type RatingCount = {
 	sent: number;
-	taken: number;
+	accepted: number;
 };
 
 /** A simulated service that rates responses. */
@@ -45,11 +45,11 @@
 	const abort = new AbortController();
 	// Each pending rating adds an abort listener.
 	setMaxListeners(0, abort.signal);
-	const count: RatingCount = {sent: 0, taken: 0};
+	const count: RatingCount = {sent: 0, accepted: 0};
 	return {
 		count,
 		rate(record) {
-			const {request: {ratingDraw}, isWhole: isComplete, version} = record;
+			const {request: {ratingDraw}, isComplete: isComplete, version} = record;
 			if (!isComplete || version === '' || ratingDraw >= sampledShare) {
 				return;
 			}
@@ -72,11 +72,11 @@
 };
 
 async function sendRating(record: CallerRecord, {system, workload, count, signal}: SendRatingOptions): Promise<void> {
-	const {request: {turn: entryDraw, workspace, kind, ratingDraw}, version, isBad: isDegraded, sends: attempts} = record;
+	const {request: {entryDraw: entryDraw, workspace, kind, ratingDraw}, version, isDegraded: isDegraded, attempts: attempts} = record;
 	// Uniform from 0 to 1 among the sampled responses.
 	const draw = ratingDraw / sampledShare;
 	const entry = system.entries[entryDraw % system.entries.length];
-	if (entry?.ratings === undefined) {
+	if (entry?.ratingsUrl === undefined) {
 		return;
 	}
 
@@ -85,7 +85,7 @@
 	try {
 		await delay(minimumDelayMilliseconds + (draw * delayRangeMilliseconds), undefined, {signal});
 		count.sent++;
-		const {status} = await sendRequest(entry.ratings, {
+		const {status} = await sendRequest(entry.ratingsUrl, {
 			method: 'POST',
 			headers: {authorization: `Bearer ${deploymentKeys.backends}`},
 			body: JSON.stringify({
@@ -95,7 +95,7 @@
 			timeoutMilliseconds: responseTimeoutMilliseconds,
 		});
 		if (status >= 200 && status < 300) {
-			count.taken++;
+			count.accepted++;
 		}
 	} catch {
 		// Losing a rating is acceptable.
--- a/packages/testing/src/measure/report.ts
+++ b/packages/testing/src/measure/report.ts
@@ -1,16 +1,16 @@
-import {type Verdict} from './judge.js';
+import {type CellMetrics} from './cell-metrics.js';
 
 /** The metrics of both systems for one workload and fault. */
 export type Comparison = {
 	readonly workload: string;
 	readonly fault: string;
-	readonly naive: Verdict;
-	readonly valehitch: Verdict;
+	readonly naive: CellMetrics;
+	readonly valehitch: CellMetrics;
 };
 
 type Row = {
 	readonly label: string;
-	readonly metric: (metrics: Verdict) => number;
+	readonly metric: (metrics: CellMetrics) => number;
 };
 
 const labelWidth = 42;
--- a/packages/testing/src/measure/own-cost.ts
+++ b/packages/testing/src/measure/router-overhead.ts
@@ -3,9 +3,9 @@
 import {fileURLToPath} from 'node:url';
 import {type BackendPlan, type DaemonPlan} from '../deployment.js';
 import {freePorts} from '../free-ports.js';
-import {type CallResult, chatStreamed, chatWhole} from '../http-client.js';
+import {type CallResult, requestChatStream, requestChat} from '../http-client.js';
 import {ManagedProcess} from '../managed-process.js';
-import {readUsage} from '../process-usage.js';
+import {readProcessUsage} from '../process-usage.js';
 import {sendRequest} from '../send-request.js';
 import {waitUntil} from '../wait-until.js';
 import {
@@ -14,7 +14,7 @@
 import {type Workload} from './workload.js';
 
 /** The resources that a router uses per request. */
-export type OwnCost = {
+export type RouterOverhead = {
 	readonly router: string;
 	readonly form: 'whole' | 'streamed';
 	/** Processor time of the router's process, in microseconds per request. */
@@ -27,7 +27,7 @@
 };
 
 /** Options of `measureRouterOverhead`. */
-export type OwnCostOptions = {
+export type RouterOverheadOptions = {
 	readonly folder: string;
 	readonly requests: number;
 };
@@ -55,15 +55,15 @@
 await measureRouterOverhead(workload, {folder: 'measure-output/own', requests: 1000});
 ```
 */
-export async function measureOwnCost(workload: Workload, {folder, requests}: OwnCostOptions): Promise<readonly OwnCost[]> {
+export async function measureRouterOverhead(workload: Workload, {folder, requests}: RouterOverheadOptions): Promise<readonly RouterOverhead[]> {
 	const daemons: readonly DaemonPlan[] = [{instance: 'alone', zone, roles: ['control', 'entry']}];
 	const backends: readonly BackendPlan[] = [{
-		server: 'engine', zone, models: [workload.fragileVersion], capacity: 100,
+		server: 'engine', zone, models: [workload.degradedVersion], capacity: 100,
 	}];
 	const singleInstanceWorkload: Workload = {
 		...workload, daemons, backends, speeds: {},
 	};
-	const costs: OwnCost[] = [];
+	const costs: RouterOverhead[] = [];
 	for (const start of [startNaive, startValehitch]) {
 		const system = await start(singleInstanceWorkload, path.join(folder, start.name));
 		try {
@@ -80,9 +80,9 @@
 	return costs;
 }
 
-type MeasurementOptions = OwnCostOptions & {readonly workload: Workload};
+type MeasurementOptions = RouterOverheadOptions & {readonly workload: Workload};
 
-async function measurePassThrough({backends: [engine]}: System, options: MeasurementOptions): Promise<readonly OwnCost[]> {
+async function measurePassThrough({backends: [engine]}: System, options: MeasurementOptions): Promise<readonly RouterOverhead[]> {
 	const [port = 0] = await freePorts(1);
 	const logFile = path.join(options.folder, 'pass-through.log');
 	const managed = new ManagedProcess({name: 'pass-through', command: [passThroughScript, `--port=${port}`, `--to=${engine?.address ?? ''}`], logFile});
@@ -92,9 +92,9 @@
 		await waitUntil(async () => {
 			const {status} = await sendRequest(`${address}/test/runs`);
 			return status === 200 || undefined;
-		}, {what: 'the pass-through'});
+		}, {description: 'the pass-through'});
 		return await measureRouter({
-			name: 'pass-through', address, model: options.workload.fragileVersion, process: managed,
+			name: 'pass-through', address, model: options.workload.degradedVersion, process: managed,
 		}, options);
 	} finally {
 		await managed.stop();
@@ -111,8 +111,8 @@
 	};
 }
 
-async function measureRouter(router: Router, {workload, requests}: MeasurementOptions): Promise<readonly OwnCost[]> {
-	const costs: OwnCost[] = [];
+async function measureRouter(router: Router, {workload, requests}: MeasurementOptions): Promise<readonly RouterOverhead[]> {
+	const costs: RouterOverhead[] = [];
 	for (const form of ['whole', 'streamed'] as const) {
 		await sendRequests(router, {workload, form, requests});
 		const before = await sampleOf(router);
@@ -132,16 +132,16 @@
 }
 
 async function sampleOf({process}: Router): Promise<{readonly cpuMicroseconds: number; readonly logBytes: number}> {
-	const {cpuMicroseconds} = await readUsage(process.pid ?? 0);
+	const {cpuMicroseconds} = await readProcessUsage(process.pid ?? 0);
 	const {size} = await stat(process.logFile);
 	return {cpuMicroseconds, logBytes: size};
 }
 
-async function sendRequests({address, model}: Router, {workload, form, requests}: {readonly workload: Workload; readonly form: OwnCost['form']; readonly requests: number}): Promise<number> {
+async function sendRequests({address, model}: Router, {workload, form, requests}: {readonly workload: Workload; readonly form: RouterOverhead['form']; readonly requests: number}): Promise<number> {
 	const key = workload.workspaces[0]?.key ?? '';
 	const requestClass = workload.kinds[0]?.class ?? '';
 	const queue = Array.from({length: requests}, (_, index) => index).values();
-	const chat = form === 'whole' ? chatWhole : chatStreamed;
+	const chat = form === 'whole' ? requestChat : requestChatStream;
 	const results: CallResult[] = [];
 	const send = async (): Promise<void> => {
 		for (const number of queue) {
--- a/packages/testing/src/measure/run-cell.ts
+++ b/packages/testing/src/measure/run-cell.ts
@@ -1,5 +1,5 @@
 import {setTimeout as delay} from 'node:timers/promises';
-import {callAsCaller, type CallerRecord} from './caller.js';
+import {sendWithRetries, type CallerRecord} from './caller.js';
 import {type Fault, readRuns, type RecordedRun} from './fault.js';
 import {startRater, type RatingCount} from './rater.js';
 import {type PlannedRequest} from './schedule.js';
@@ -55,17 +55,17 @@
 	const faultRun = runFault(cell, {
 		system,
 		workload,
-		async keepRuns(backend) {
+		async saveRuns(backend) {
 			runs.push(...await readRuns(backend));
 		},
-		turnBad(version) {
+		degradeVersion(version) {
 			degradedVersions.add(version);
 		},
 	});
 	const entries = system.entries.map(({callers}) => callers);
 	const callers = await Promise.all(requests.map(async request => {
 		await delay(request.atMilliseconds);
-		const record = await callAsCaller(request, {workload, entries, isBad: version => degradedVersions.has(version)});
+		const record = await sendWithRetries(request, {workload, entries, isVersionDegraded: version => degradedVersions.has(version)});
 		rater.rate(record);
 		return record;
 	}));
@@ -78,10 +78,10 @@
 	};
 }
 
-async function runFault({fault, seconds}: Cell, context: Parameters<Fault['begin']>[0]): Promise<void> {
+async function runFault({fault, seconds}: Cell, context: Parameters<Fault['inject']>[0]): Promise<void> {
 	const thirdMilliseconds = seconds * millisecondsPerSecond / 3;
 	await delay(thirdMilliseconds);
-	await fault.begin(context);
+	await fault.inject(context);
 	await delay(thirdMilliseconds);
-	await fault.end?.(context);
+	await fault.revert?.(context);
 }
--- a/packages/testing/src/measure/schedule.ts
+++ b/packages/testing/src/measure/schedule.ts
@@ -11,7 +11,7 @@
 	readonly workspace: WorkloadWorkspace;
 	readonly messages: readonly ChatMessage[];
 	/** A random integer that selects the entry instance. */
-	readonly turn: number;
+	readonly entryDraw: number;
 	/** A random number from 0 to 1 that determines whether and how the response is rated. */
 	readonly ratingDraw: number;
 };
@@ -38,7 +38,7 @@
 ```
 */
 export function planRequests(workload: Workload, {seconds, seed}: ScheduleOptions): readonly PlannedRequest[] {
-	const random = randomFrom(seed);
+	const random = parkMillerRandom(seed);
 	const planned: PlannedRequest[] = [];
 	let at = 0;
 	for (;;) {
@@ -55,7 +55,7 @@
 			kind,
 			workspace: drawByShare(workload.workspaces, random()),
 			messages: [{role: 'user', content: `Request ${number} ${'word '.repeat(kind.promptWords)}`}],
-			turn: Math.floor(random() * modulus),
+			entryDraw: Math.floor(random() * modulus),
 			ratingDraw: random(),
 		});
 	}
@@ -88,7 +88,7 @@
 const random = parkMillerRandom(1);
 ```
 */
-export function randomFrom(seed: number): () => number {
+export function parkMillerRandom(seed: number): () => number {
 	let state = 1 + (Math.abs(Math.trunc(seed)) % (modulus - 1));
 	return () => {
 		state = (state * multiplier) % modulus;
--- a/packages/testing/src/measure/system.ts
+++ b/packages/testing/src/measure/system.ts
@@ -15,7 +15,7 @@
 export type SystemEntry = DaemonPlan & {
 	readonly callers: string;
 	/** The URL for ratings; undefined for a router that takes none. */
-	readonly ratings?: string;
+	readonly ratingsUrl?: string;
 	readonly process: ManagedProcess;
 };
 
@@ -55,7 +55,7 @@
 */
 export async function startValehitch(workload: Workload, folder: string): Promise<System> {
 	const cutFile = await preloadZoneCut(folder);
-	const deployment = await startDeployment({...workload, folder, startMilliseconds: startTimeoutMilliseconds});
+	const deployment = await startDeployment({...workload, folder, startTimeoutMilliseconds: startTimeoutMilliseconds});
 	const entries = deployment.daemons.map(daemon => ({...daemon, ratings: `http://127.0.0.1:${daemon.ports.backends}/v1/ratings`}));
 	const ports = deployment.daemons.flatMap(({ports, zone}) => Object.values(ports).map(port => [String(port), zone] as const));
 	return waitUntilReady({
@@ -119,12 +119,12 @@
 	await Promise.all(entries.map(async ({callers}) => waitUntil(async () => {
 		const {status} = await sendRequest(`${callers}/healthz`, {timeoutMilliseconds: 1000});
 		return status === 200 || undefined;
-	}, {what: callers, timeoutMilliseconds: startTimeoutMilliseconds})));
+	}, {description: callers, timeoutMilliseconds: startTimeoutMilliseconds})));
 	await Promise.all(backends.map(async ({address, models}) => waitUntil(async () => {
 		const speed = workload.speeds[models?.[0]?.split('@')[0] ?? ''] ?? {firstTokenMilliseconds: 20};
 		const {status} = await sendRequest(`${address}/test/behaviour`, {method: 'POST', body: JSON.stringify(speed)});
 		return status === 200 || undefined;
-	}, {what: address, timeoutMilliseconds: startTimeoutMilliseconds})));
+	}, {description: address, timeoutMilliseconds: startTimeoutMilliseconds})));
 	const zoneOfPort = Object.fromEntries([...ports, ...backends.map(({address, zone}) => [new URL(address).port, zone] as const)]);
 	return {
 		...system,
--- a/packages/testing/src/measure/workload.ts
+++ b/packages/testing/src/measure/workload.ts
@@ -45,7 +45,7 @@
 	readonly servicePath: string;
 	readonly smallModel: string;
 	/** The version that the fault `version-bad` degrades, as `MODEL@VERSION`. */
-	readonly fragileVersion: string;
+	readonly degradedVersion: string;
 	/** The true quality of each version. */
 	readonly qualities: Readonly<Record<string, number>>;
 	/** The prices of each version per million tokens, in units of account. */
--- a/packages/testing/src/measure/workloads.ts
+++ b/packages/testing/src/measure/workloads.ts
@@ -105,7 +105,7 @@
 		workspaces,
 		requestsPerSecond,
 		smallModel: small,
-		fragileVersion: degraded,
+		degradedVersion: degraded,
 		daemons: daemonsOf(parameters),
 		backends: backendsOf(parameters),
 		configuration: configurationOf(parameters, workspaces),
--- a/packages/testing/src/mod.ts
+++ b/packages/testing/src/mod.ts
@@ -15,7 +15,7 @@
 export * from './managed-process.js';
 export * from './naive-choice.js';
 export * from './naive-router.js';
-export * from './platform/backend-stand-in.js';
+export * from './platform/fake-backend-server.js';
 export * from './platform/platform-deployment.js';
 export * from './process-usage.js';
 export * from './send-request.js';
--- a/packages/testing/src/naive-router.test.ts
+++ b/packages/testing/src/naive-router.test.ts
@@ -3,10 +3,10 @@
 import {configurationSchema} from '@valehitch/core';
 import test from 'ava';
 import {digestOf} from './_settings-file.js';
-import {fakeAnswer} from './fake-answer.js';
+import {generateFakeTokens} from './fake-answer.js';
 import {startFakeEngine} from './fake-engine.js';
 import {startFakeService} from './fake-service.js';
-import {callService, chatStreamed, chatWhole} from './http-client.js';
+import {callService, requestChatStream, requestChat} from './http-client.js';
 import {startNaiveRouter} from './naive-router.js';
 
 const key = 'naive-key';
@@ -36,11 +36,11 @@
 	t.teardown(async () => {
 		await Promise.all([router.close(), broken.kill(), healthy.kill()]);
 	});
-	const expectedText = fakeAnswer({version: 'small@v3', messages, tokens: 16}).join('');
-	t.like(await chatWhole(router.address, {key, messages}), {status: 200, text: expectedText, done: true});
-	t.like(await chatStreamed(router.address, {key, messages}), {status: 200, text: expectedText, done: true});
+	const expectedText = generateFakeTokens({version: 'small@v3', messages, tokens: 16}).join('');
+	t.like(await requestChat(router.address, {key, messages}), {status: 200, text: expectedText, done: true});
+	t.like(await requestChatStream(router.address, {key, messages}), {status: 200, text: expectedText, done: true});
 	t.true(broken.runs.length > 0);
-	t.like(await chatWhole(router.address, {key: 'other', messages}), {status: 401});
+	t.like(await requestChat(router.address, {key: 'other', messages}), {status: 401});
 });
 
 test('a label print that fails after it ran is run again, the failure that valehitch prevents', async t => {
@@ -69,7 +69,7 @@
 		await router.close();
 		engine.close();
 	});
-	const {done} = await chatStreamed(router.address, {key, messages});
+	const {done} = await requestChatStream(router.address, {key, messages});
 	t.false(done);
-	t.like(await chatWhole(router.address, {key: 'other', messages}), {status: 401});
+	t.like(await requestChat(router.address, {key: 'other', messages}), {status: 401});
 });
--- a/packages/testing/src/platform-path.test.ts
+++ b/packages/testing/src/platform-path.test.ts
@@ -3,8 +3,8 @@
 import {PeerNetwork} from '@valehitch/transport';
 import test, {type ExecutionContext} from 'ava';
 import {
-	ask, BackendStandIn, type BackendStandInOptions, call, type CallerAnswer,
-} from './platform/backend-stand-in.js';
+	sendForResponse, FakeBackendServer, type FakeBackendServerOptions, sendForStatus, type ReceivedResponse,
+} from './platform/fake-backend-server.js';
 import {PlatformDeployment, type PlatformDeploymentOptions} from './platform/platform-deployment.js';
 import {waitUntil} from './wait-until.js';
 
@@ -47,9 +47,9 @@
 let attempts = 0;
 
 /** Sends a request through the first entry instance. */
-async function send(deployment: PlatformDeployment, path: string, headers: Readonly<Record<string, string>> = {}): Promise<CallerAnswer> {
+async function send(deployment: PlatformDeployment, path: string, headers: Readonly<Record<string, string>> = {}): Promise<ReceivedResponse> {
 	attempts++;
-	return ask({
+	return sendForResponse({
 		method: path.startsWith('/look/') || path.startsWith('/open/') ? 'GET' : 'POST', address: deployment.entries[0]!.address, path, headers: {
 			Host: host,
 			'Attempt-Id': `a${attempts}`,
@@ -60,13 +60,13 @@
 
 type Started = {
 	readonly deployment: PlatformDeployment;
-	readonly backends: readonly BackendStandIn[];
+	readonly backends: readonly FakeBackendServer[];
 };
 
 /** Starts a deployment with backend servers and configuration 1, and waits until it serves requests. */
-async function start(t: ExecutionContext, {servers, ...size}: PlatformDeploymentOptions & {readonly servers: ReadonlyArray<Omit<BackendStandInOptions, 'host'>>}): Promise<Started> {
+async function start(t: ExecutionContext, {servers, ...size}: PlatformDeploymentOptions & {readonly servers: ReadonlyArray<Omit<FakeBackendServerOptions, 'host'>>}): Promise<Started> {
 	const deployment = await PlatformDeployment.start(size);
-	const backends = await Promise.all(servers.map(async server => BackendStandIn.start({...server, host: '127.0.0.1'})));
+	const backends = await Promise.all(servers.map(async server => FakeBackendServer.start({...server, host: '127.0.0.1'})));
 	const control = deployment.controls[0]!.address;
 	const announceTimer = setInterval(() => {
 		for (const backend of backends) {
@@ -85,14 +85,14 @@
 	await waitUntil(async () => {
 		const answer = await send(deployment, '/look/first/');
 		return answer.status === 200 || undefined;
-	}, {what: 'a first response'});
+	}, {description: 'a first response'});
 	return {deployment, backends};
 }
 
 async function put(deployment: PlatformDeployment, body: unknown): Promise<void> {
 	await waitUntil(async () => {
 		for (const {address} of deployment.controls) {
-			if (await call({
+			if (await sendForStatus({
 				method: 'PUT', address, path: '/-/config', body,
 			}) === 200) {
 				return true;
@@ -100,7 +100,7 @@
 		}
 
 		return undefined;
-	}, {what: 'an acknowledged configuration'});
+	}, {description: 'an acknowledged configuration'});
 }
 
 const labels = {id: 'i-labels', service: 'labels', answer: () => ({events: ['printed']})};
@@ -113,9 +113,9 @@
 	const draft = await waitUntil(async () => {
 		const answer = await send(deployment, '/drafts/7');
 		return answer.status === 200 ? answer : undefined;
-	}, {what: 'a draft'});
+	}, {description: 'a draft'});
 	t.is(draft.text, 'id: 1\ndata: by large\n\nid: 2\ndata: end\n\n');
-	t.true(draft.isWhole);
+	t.true(draft.isComplete);
 	t.deepEqual(backends[1]!.runs.map(({model}) => model), ['small', 'large']);
 	t.like(backends[1]!.runs[0], {workspace: 'mills'});
 	t.like(await send(deployment, '/print/7'), {status: 200, text: 'printed'});
@@ -132,7 +132,7 @@
 	const first = await send(deployment, '/drafts/7');
 	// Both servers break after two events, so the second one, which resumes after the second event, breaks at once.
 	t.is(first.text, whole.slice(0, first.text.length));
-	t.false(first.isWhole);
+	t.false(first.isComplete);
 	const last = backends.flatMap(({runs}) => runs).find(({lastEventId}) => lastEventId !== undefined);
 	t.is(last?.lastEventId, '2');
 });
@@ -169,29 +169,29 @@
 	await put(deployment, configuration(4));
 	for (const {address} of deployment.controls) {
 		const read = await waitUntil(async () => {
-			const answer = await ask({
+			const answer = await sendForResponse({
 				method: 'GET', address, path: '/-/config', headers: {},
 			});
 			return answer.status === 200 ? answer : undefined;
-		}, {what: 'a read configuration'});
+		}, {description: 'a read configuration'});
 		t.deepEqual(JSON.parse(read.text), configuration(9, ['k1', 'k2']));
 	}
 });
 
 test('a revoked key stops working, even at an entry instance without contact to control, while public routes keep working', async t => {
 	const revocation = 2000;
-	const {deployment, backends} = await start(t, {servers: [labels], revocation});
+	const {deployment, backends} = await start(t, {servers: [labels], revocationMilliseconds: revocation});
 	await put(deployment, configuration(2, ['k2']));
 	const refused = await waitUntil(async () => {
 		const answer = await send(deployment, '/look/7');
 		return answer.status === 401 ? answer : undefined;
-	}, {what: 'the refusal of the old key'});
+	}, {description: 'the refusal of the old key'});
 	t.is(refused.status, 401);
 	await Promise.all(deployment.controls.map(async ({process}) => process.kill('SIGKILL')));
 	const expired = await waitUntil(async () => {
 		const answer = await send(deployment, '/look/7', {Authorization: 'Bearer k2'});
 		return answer.status === 503 ? answer : undefined;
-	}, {what: 'the end of the lease'});
+	}, {description: 'the end of the lease'});
 	t.not(expired.retryAfter, undefined);
 	const runs = backends[0]!.runs.length;
 	const open = await send(deployment, '/open/7', {Authorization: ''});
@@ -208,14 +208,14 @@
 	});
 	const ended = deployment.entries[0]!.process.kill('SIGTERM');
 	const ready = await waitUntil(async () => {
-		const answer = await ask({
-			method: 'GET', address: deployment.entries[0]!.readiness, path: '/-/readyz', headers: {},
+		const answer = await sendForResponse({
+			method: 'GET', address: deployment.entries[0]!.readinessAddress, path: '/-/readyz', headers: {},
 		});
 		return answer.status === 503 ? answer : undefined;
-	}, {what: 'the end of readiness'});
+	}, {description: 'the end of readiness'});
 	t.is(ready.status, 503);
 	const answer = await streaming;
-	t.true(answer.isWhole);
+	t.true(answer.isComplete);
 	const end = await ended;
 	t.is(end?.code, 0);
 });
@@ -247,7 +247,7 @@
 	caller.once('data', () => {
 		caller.destroy();
 	});
-	const abandoned = await waitUntil(async () => backends[1]!.abandoned[0], {what: 'the cancellation at the server'});
+	const abandoned = await waitUntil(async () => backends[1]!.abortedRequests[0], {description: 'the cancellation at the server'});
 	t.is(abandoned, 'leaving');
 });
 
@@ -255,9 +255,9 @@
 	const {deployment} = await start(t, {servers: [labels]});
 	const {ip} = deployment.controls[0]!;
 	const network = await PeerNetwork.listen<unknown>({
-		self: 'other' as InstanceId, key: 'valehitch', host: ip.replace(/\d+$/v, '99'), port: 0, onMessage: () => undefined, onRequest: async () => undefined, onFailure: () => undefined,
+		self: 'other' as InstanceId, key: 'valehitch', host: ip.replace(/\d+$/v, '99'), port: 0, onMessage: () => undefined, onRequest: async () => undefined, onHandlerError: () => undefined,
 	});
-	const targets = deployment.members.map(member => ({instance: member.ip as InstanceId, host: member.ip, port: 7340}));
+	const targets = deployment.instances.map(member => ({instance: member.ip as InstanceId, host: member.ip, port: 7340}));
 	for (const message of [{type: 'of a later version'}, {type: 'suspects', records: 'none'}, {type: 'watch'}, undefined, 7]) {
 		for (const target of targets) {
 			network.send(target, message);
@@ -266,7 +266,7 @@
 	}
 
 	await network.close();
-	const statuses = await Promise.all(deployment.controls.map(async ({address}) => call({method: 'GET', address, path: '/-/quarantine'})));
+	const statuses = await Promise.all(deployment.controls.map(async ({address}) => sendForStatus({method: 'GET', address, path: '/-/quarantine'})));
 	t.deepEqual(statuses, [200, 200, 200]);
 	t.like(await send(deployment, '/look/7'), {status: 200});
 });
--- a/packages/testing/src/platform/backend-stand-in.ts
+++ b/packages/testing/src/platform/fake-backend-server.ts
@@ -6,24 +6,24 @@
 import {type AddressInfo} from 'node:net';
 
 /** The response of the fake server to one request. */
-export type StandInAnswer = {
+export type FakeBackendResponse = {
 	readonly status?: number;
 	/** The confidence that the model reports for its response, from 0 to 100. */
 	readonly confidence?: number;
 	/** The data of the streamed events, or the parts of a plain body. */
 	readonly events?: readonly string[];
 	/** Delay between the response headers and the first event, in milliseconds. */
-	readonly firstAfter?: number;
+	readonly firstEventDelay?: number;
 	/** Delay between two events, in milliseconds. */
 	readonly gap?: number;
 	/** The number of events after which the connection is reset, in the middle of the next event. */
 	readonly breakAfter?: number;
 	/** Whether the server responds that it did not execute the request. */
-	readonly isNotRun?: boolean;
+	readonly isNotExecuted?: boolean;
 };
 
 /** A request that the fake server executed. */
-export type StandInRun = {
+export type ExecutedRequest = {
 	readonly id: string;
 	readonly model: string | undefined;
 	readonly workspace: string | undefined;
@@ -33,12 +33,12 @@
 };
 
 /** Options of `FakeBackendServer`. */
-export type BackendStandInOptions = {
+export type FakeBackendServerOptions = {
 	readonly id: string;
 	readonly service: string;
 	readonly host: string;
 	readonly version?: string;
-	readonly answer: (run: StandInRun) => StandInAnswer;
+	readonly answer: (run: ExecutedRequest) => FakeBackendResponse;
 	/** The port to listen on; a free port by default. */
 	readonly port?: number;
 	/** The process start time to announce, in milliseconds since the epoch; not announced by default. */
@@ -58,28 +58,28 @@
 const server = await FakeBackendServer.start({id: 'i-1', service: 'labels', host: '127.0.0.1', answer: () => ({events: ['printed']})});
 ```
 */
-export class BackendStandIn {
+export class FakeBackendServer {
 	/**
 	Starts a server and waits until it listens.
 
 	@param options The server's identity, address and responses.
 	@returns The running server.
 	*/
-	static async start(options: BackendStandInOptions): Promise<BackendStandIn> {
-		const fake = new BackendStandIn(options);
+	static async start(options: FakeBackendServerOptions): Promise<FakeBackendServer> {
+		const fake = new FakeBackendServer(options);
 		fake.#server.listen(options.port ?? 0, options.host);
 		await once(fake.#server, 'listening');
 		return fake;
 	}
 
-	readonly runs: StandInRun[] = [];
+	readonly runs: ExecutedRequest[] = [];
 	/** The ids of the requests whose connection closed before the response was complete. */
-	readonly abandoned: string[] = [];
-	readonly #options: BackendStandInOptions;
+	readonly abortedRequests: string[] = [];
+	readonly #options: FakeBackendServerOptions;
 	readonly #server: Server;
 	#sequence = 0;
 
-	private constructor(options: BackendStandInOptions) {
+	private constructor(options: FakeBackendServerOptions) {
 		this.#options = options;
 		this.#server = createServer((message, response) => {
 			void this.#handle(message, response);
@@ -101,7 +101,7 @@
 	async announce(control: string, state: 'ready' | 'draining' = 'ready'): Promise<number> {
 		const {id, service, host, version = 'v1', startedAt, announcedPort = () => this.port} = this.#options;
 		this.#sequence++;
-		return call({
+		return sendForStatus({
 			method: 'PUT', address: control, path: `/-/instances/${id}`, body: {
 				service, address: `${host}:${announcedPort()}`, zone: 'hall-a', version, slots: 8, state, coldRemainingMs: 0, seq: this.#sequence, born: startedAt,
 			}, timeout: announceTimeoutMilliseconds,
@@ -124,7 +124,7 @@
 			return;
 		}
 
-		const run: StandInRun = {
+		const run: ExecutedRequest = {
 			id: String(headers['attempt-id']),
 			model: firstValueOf(headers.model),
 			workspace: firstValueOf(headers.tenant),
@@ -135,8 +135,8 @@
 		await this.#respond(run, response);
 	}
 
-	async #respond(run: StandInRun, response: ServerResponse): Promise<void> {
-		const {status = 200, confidence, events = ['done'], firstAfter: firstEventDelay, gap = 0, breakAfter, isNotRun: isNotExecuted = false} = this.#options.answer(run);
+	async #respond(run: ExecutedRequest, response: ServerResponse): Promise<void> {
+		const {status = 200, confidence, events = ['done'], firstEventDelay: firstEventDelay, gap = 0, breakAfter, isNotExecuted: isNotExecuted = false} = this.#options.answer(run);
 		if (isNotExecuted) {
 			response.writeHead(503, {'Not-Executed': '1'});
 			response.end();
@@ -146,7 +146,7 @@
 		this.runs.push(run);
 		response.on('close', () => {
 			if (!response.writableFinished) {
-				this.abandoned.push(run.id);
+				this.abortedRequests.push(run.id);
 			}
 		});
 		const isStream = run.model !== undefined;
@@ -182,7 +182,7 @@
 }
 
 /** An HTTP request to an instance. */
-export type StandInCall = {
+export type InstanceRequest = {
 	readonly method: string;
 	/** The host and port, as `HOST:PORT`. */
 	readonly address: string;
@@ -200,18 +200,18 @@
 @param options The request.
 @returns The status; 0 if the connection failed before a response.
 */
-export async function call(options: StandInCall): Promise<number> {
-	const {status} = await ask({...options, headers: {}});
+export async function sendForStatus(options: InstanceRequest): Promise<number> {
+	const {status} = await sendForResponse({...options, headers: {}});
 	return status;
 }
 
 /** A response as the caller received it. */
-export type CallerAnswer = {
+export type ReceivedResponse = {
 	readonly status: number;
 	readonly text: string;
 	readonly retryAfter: string | undefined;
 	/** Whether the body was received completely. */
-	readonly isWhole: boolean;
+	readonly isComplete: boolean;
 };
 
 /**
@@ -220,7 +220,7 @@
 @param options The request.
 @returns The response; its status is 0 if the connection failed before a response.
 */
-export async function ask({method, address, path, body, headers, agent, timeout}: StandInCall & {readonly headers: Readonly<Record<string, string>>}): Promise<CallerAnswer> {
+export async function sendForResponse({method, address, path, body, headers, agent, timeout}: InstanceRequest & {readonly headers: Readonly<Record<string, string>>}): Promise<ReceivedResponse> {
 	const [host, port] = address.split(':');
 	return new Promise(resolve => {
 		const payload = body === undefined ? Buffer.alloc(0) : Buffer.from(JSON.stringify(body));
@@ -238,7 +238,7 @@
 			message.on('close', () => {
 				clearTimeout(timer);
 				resolve({
-					status: message.statusCode ?? 0, text, retryAfter: message.headers['retry-after'], isWhole: message.complete,
+					status: message.statusCode ?? 0, text, retryAfter: message.headers['retry-after'], isComplete: message.complete,
 				});
 			});
 		});
@@ -250,7 +250,7 @@
 		outgoing.on('error', () => {
 			clearTimeout(timer);
 			resolve({
-				status: 0, text: '', retryAfter: undefined, isWhole: false,
+				status: 0, text: '', retryAfter: undefined, isComplete: false,
 			});
 		});
 		outgoing.end(payload);
--- a/packages/testing/src/platform/platform-deployment.ts
+++ b/packages/testing/src/platform/platform-deployment.ts
@@ -5,22 +5,22 @@
 import {tmpdir} from 'node:os';
 import path from 'node:path';
 import {ManagedProcess} from '../managed-process.js';
-import {type ReservedNetwork, reserveNetwork} from './reserve-network.js';
+import {type ReservedSubnet, reserveLoopbackSubnet} from './reserve-loopback-subnet.js';
 
 /** Options of `PlatformDeployment`. */
 export type PlatformDeploymentOptions = {
 	/** The number of control instances; 3 by default. */
-	readonly controls?: number;
+	readonly controlCount?: number;
 	/** The number of entry instances; 2 by default. */
-	readonly entries?: number;
+	readonly entryCount?: number;
 	/** The time within which a revoked key must stop working, in milliseconds; 5000 by default. */
-	readonly revocation?: number;
+	readonly revocationMilliseconds?: number;
 	/** Additional environment variables of each process; none by default. */
 	readonly environment?: (instance: {readonly ip: string; readonly folder: string}) => Readonly<Record<string, string>>;
 };
 
 /** An instance of the deployment, which is one process. */
-export type PlatformMember = {
+export type PlatformInstance = {
 	readonly name: string;
 	readonly ip: string;
 	/** The data folder; empty on entry instances. */
@@ -29,7 +29,7 @@
 	/** The address for callers on an entry instance, or for operators and backend servers on a control instance. */
 	readonly address: string;
 	/** The address of the readiness check; the same as `address` on control instances. */
-	readonly readiness: string;
+	readonly readinessAddress: string;
 	/** Rewrites the settings file, as the platform does before each start. */
 	readonly writeSettings: (changes: {readonly isFounding: boolean; readonly seeds?: readonly string[]}) => Promise<void>;
 	/** Deletes the settings file, as happens while it is being replaced. */
@@ -59,7 +59,7 @@
 	*/
 	static async start(options: PlatformDeploymentOptions = {}): Promise<PlatformDeployment> {
 		const deployment = await PlatformDeployment.prepare(options);
-		for (const instance of deployment.members) {
+		for (const instance of deployment.instances) {
 			instance.process.start();
 		}
 
@@ -73,10 +73,10 @@
 	@returns The deployment.
 	*/
 	static async prepare(options: PlatformDeploymentOptions = {}): Promise<PlatformDeployment> {
-		const {controls: controlCount = 3, entries: entryCount = 2, revocation: revocationMilliseconds = 5000, environment = () => ({})} = options;
+		const {controlCount: controlCount = 3, entryCount: entryCount = 2, revocationMilliseconds: revocationMilliseconds = 5000, environment = () => ({})} = options;
 		const folder = await mkdtemp(path.join(tmpdir(), 'valehitch-platform-'));
 		// All instances use the same ports, so each deployment needs its own subnet.
-		const network = await reserveNetwork();
+		const network = await reserveLoopbackSubnet();
 		const deployment = new PlatformDeployment(folder, network);
 		const seeds = Array.from({length: Math.min(3, controlCount)}, (_, index) => `${network.prefix}.${index + 1}:${ports.control}`);
 		for (let index = 0; index < controlCount + entryCount; index++) {
@@ -91,30 +91,30 @@
 		return deployment;
 	}
 
-	readonly controls: PlatformMember[] = [];
-	readonly entries: PlatformMember[] = [];
+	readonly controls: PlatformInstance[] = [];
+	readonly entries: PlatformInstance[] = [];
 	/** The folder that contains the settings, logs and data folders. */
 	readonly #folder: string;
-	readonly #network: ReservedNetwork;
+	readonly #network: ReservedSubnet;
 
-	private constructor(folder: string, network: ReservedNetwork) {
+	private constructor(folder: string, network: ReservedSubnet) {
 		this.#folder = folder;
 		this.#network = network;
 	}
 
 	/** All instances, the control instances first. */
-	get members(): readonly PlatformMember[] {
+	get instances(): readonly PlatformInstance[] {
 		return [...this.controls, ...this.entries];
 	}
 
 	/** Kills all processes and deletes their files. */
 	async stop(): Promise<void> {
-		await Promise.all(this.members.map(async instance => instance.process.kill('SIGKILL')));
+		await Promise.all(this.instances.map(async instance => instance.process.kill('SIGKILL')));
 		await rm(this.#folder, {recursive: true, force: true});
 		this.#network.release();
 	}
 
-	async #add({name, ip, isControl, seeds, revocationMilliseconds, environment}: InstanceOptions): Promise<PlatformMember> {
+	async #add({name, ip, isControl, seeds, revocationMilliseconds, environment}: InstanceOptions): Promise<PlatformInstance> {
 		const file = path.join(this.#folder, `${name}.yaml`);
 		const dataFolder = path.join(this.#folder, name);
 		await mkdir(dataFolder, {recursive: true});
@@ -145,7 +145,7 @@
 				name, command: [program], logFile: path.join(this.#folder, `${name}.log`), environment: {...environment({ip, folder: dataFolder}), VALEHITCH_CONFIG: file},
 			}),
 			address: `${ip}:${isControl ? ports.control : ports.callers}`,
-			readiness: `${ip}:${isControl ? ports.control : ports.readiness}`,
+			readinessAddress: `${ip}:${isControl ? ports.control : ports.readiness}`,
 			writeSettings,
 			removeSettings: async () => rm(file, {force: true}),
 		};
--- a/packages/testing/src/platform/reserve-network.test.ts
+++ b/packages/testing/src/platform/reserve-loopback-subnet.test.ts
@@ -1,13 +1,13 @@
 import {createServer} from 'node:net';
 import {once} from 'node:events';
 import test from 'ava';
-import {reserveNetwork, type ReservedNetwork} from './reserve-network.js';
+import {reserveLoopbackSubnet, type ReservedSubnet} from './reserve-loopback-subnet.js';
 
 // Two deployments that run at the same time with the same addresses make each other fail.
 test('a reserved subnet is not reserved again until it is released', async t => {
-	const reserved: ReservedNetwork[] = [];
+	const reserved: ReservedSubnet[] = [];
 	for (let index = 0; index < 300; index++) {
-		reserved.push(await reserveNetwork());
+		reserved.push(await reserveLoopbackSubnet());
 	}
 
 	t.is(new Set(reserved.map(({prefix}) => prefix)).size, reserved.length);
--- a/packages/testing/src/platform/reserve-network.ts
+++ b/packages/testing/src/platform/reserve-loopback-subnet.ts
@@ -3,7 +3,7 @@
 import {createServer, type Server} from 'node:net';
 
 /** A /24 subnet of loopback addresses that no other deployment on the machine uses. */
-export type ReservedNetwork = {
+export type ReservedSubnet = {
 	/** The first three octets of its addresses, such as `127.10.0`. */
 	readonly prefix: string;
 	/** Releases the subnet. */
@@ -29,7 +29,7 @@
 const {prefix, release} = await reserveLoopbackSubnet();
 ```
 */
-export async function reserveNetwork(): Promise<ReservedNetwork> {
+export async function reserveLoopbackSubnet(): Promise<ReservedSubnet> {
 	const start = randomInt(subnetCount);
 	for (let offset = 0; offset < subnetCount; offset++) {
 		const index = (start + offset) % subnetCount;
--- a/packages/testing/src/platform/slow-disk.ts
+++ b/packages/testing/src/platform/slow-disk.ts
@@ -3,9 +3,9 @@
 	/** The delay of each sync, in milliseconds; 0 by default. */
 	readonly syncMilliseconds?: number;
 	/** The base name of the files whose replacement is delayed; none by default. */
-	readonly file?: string;
+	readonly delayedFile?: string;
 	/** The delay of each replacement of such a file, in milliseconds; 0 by default. */
-	readonly fileMilliseconds?: number;
+	readonly replaceMilliseconds?: number;
 };
 
 /**
@@ -18,7 +18,7 @@
 await PlatformDeployment.start({environment: () => slowDiskEnvironment({syncMilliseconds: 400})});
 ```
 */
-export function slowDisk({syncMilliseconds = 0, file: delayedFile = '', fileMilliseconds: replaceMilliseconds = 0}: SlowDiskOptions): Readonly<Record<string, string>> {
+export function slowDiskEnvironment({syncMilliseconds = 0, delayedFile: delayedFile = '', replaceMilliseconds: replaceMilliseconds = 0}: SlowDiskOptions): Readonly<Record<string, string>> {
 	return {
 		NODE_OPTIONS: `--import ${new URL('slow-saves.js', import.meta.url).href}`,
 		SLOW_SYNC_MILLISECONDS: String(syncMilliseconds),
--- a/packages/testing/src/process-usage.ts
+++ b/packages/testing/src/process-usage.ts
@@ -22,7 +22,7 @@
 const {memoryBytes} = await readUsage(process.pid);
 ```
 */
-export async function readUsage(pid: number): Promise<ProcessUsage> {
+export async function readProcessUsage(pid: number): Promise<ProcessUsage> {
 	const status = await readFile(`/proc/${pid}/status`, 'utf8');
 	const resident = /^VmRSS:\s+(?<kilobytes>\d+) kB$/mv.exec(status)?.groups?.kilobytes;
 	const threads = await readdir(`/proc/${pid}/task`);
--- a/packages/testing/src/rollout-operator.test.ts
+++ b/packages/testing/src/rollout-operator.test.ts
@@ -21,7 +21,7 @@
 
 test('an operator advances a roll-out by one stage, then stops the version', async t => {
 	const deployment = await startDeployment({
-		daemons: [{instance: 'alone', zone: 'zone-a', roles: ['control', 'entry']}], backends: [], configuration, startMilliseconds: 60_000,
+		daemons: [{instance: 'alone', zone: 'zone-a', roles: ['control', 'entry']}], backends: [], configuration, startTimeoutMilliseconds: 60_000,
 	});
 	t.teardown(async () => {
 		await deployment.stop();
@@ -45,6 +45,6 @@
 		const {body} = await callOperator(`${operators}/v1/configuration`, {key: deploymentKeys.operators});
 		const {rollouts} = body as {readonly rollouts: Readonly<Record<string, {readonly status: string; readonly stage: number}>>};
 		return rollouts['small@v2']?.status === 'stopped' ? rollouts['small@v2'] : undefined;
-	}, {what: 'the stopped roll-out in force', timeoutMilliseconds: 60_000});
+	}, {description: 'the stopped roll-out in force', timeoutMilliseconds: 60_000});
 	t.is(progress.stage, 1);
 });
--- a/packages/testing/src/rollouts-and-orders.test.ts
+++ b/packages/testing/src/rollouts-and-orders.test.ts
@@ -59,7 +59,7 @@
 		}
 
 		return undefined;
-	}, {what: 'a leader', ...waitOptions});
+	}, {description: 'a leader', ...waitOptions});
 }
 
 async function issueOrder(daemon: RunningDaemon, order: {readonly orderId: string; readonly server: string; readonly order: unknown}): Promise<void> {
@@ -72,7 +72,7 @@
 		}
 
 		return true;
-	}, {what: `order ${order.orderId}`, ...waitOptions});
+	}, {description: `order ${order.orderId}`, ...waitOptions});
 }
 
 async function fetchExecutedOrders(deployment: Deployment, server: string) {
@@ -89,7 +89,7 @@
 	await waitUntil(async () => {
 		const {rollouts} = await getConfiguration(survivor);
 		return rollouts[rolloutKey]?.stage === 1 || undefined;
-	}, {what: 'the second stage', ...waitOptions});
+	}, {description: 'the second stage', ...waitOptions});
 	await leader.process.kill('SIGKILL');
 
 	const stages: number[] = [];
@@ -98,7 +98,7 @@
 		const progress = found.rollouts[rolloutKey];
 		stages.push(progress?.stage ?? -1);
 		return progress?.status === 'completed' ? found : undefined;
-	}, {what: 'the end of the roll-out', ...waitOptions});
+	}, {description: 'the end of the roll-out', ...waitOptions});
 	t.deepEqual(stages, stages.toSorted((left, right) => left - right), 'the stage never decreases');
 	t.is(stages[0], 1);
 	t.is(last.document.models['tag-small']?.versions.v2?.state, 'settled');
@@ -139,7 +139,7 @@
 			const {body} = await callOperator(`${survivor.operators}/v1/orders`, {key: deploymentKeys.operators});
 			const list = listSchema.parse(body);
 			return list.open.length === 0 && list.completed.length === orders.length ? list : undefined;
-		}, {what: 'all orders to be completed', ...waitOptions});
+		}, {description: 'all orders to be completed', ...waitOptions});
 		t.deepEqual(completed.map(({outcome}) => outcome), orders.map(() => 'done'));
 		for (const server of ['checks', 'ignores']) {
 			const executed = await fetchExecutedOrders(deployment, server);
--- a/packages/testing/src/send-request.ts
+++ b/packages/testing/src/send-request.ts
@@ -16,7 +16,7 @@
 };
 
 /** A complete HTTP response. */
-export type TextAnswer = {
+export type TextResponse = {
 	readonly status: number;
 	readonly headers: IncomingHttpHeaders;
 	readonly body: string;
@@ -61,7 +61,7 @@
 const {status} = await sendRequest('http://127.0.0.1:8080/healthz');
 ```
 */
-export async function sendRequest(url: string, options: SendRequestOptions = {}): Promise<TextAnswer> {
+export async function sendRequest(url: string, options: SendRequestOptions = {}): Promise<TextResponse> {
 	const response = await openRequest(url, options);
 	return {status: response.statusCode ?? 0, headers: response.headers, body: await text(response)};
 }
--- a/packages/testing/src/silent-servers.test.ts
+++ b/packages/testing/src/silent-servers.test.ts
@@ -3,8 +3,8 @@
 import {
 	callerKeys, type EntryDeployment, startEntryDeployment, versions,
 } from './_entry-deployment.js';
-import {fakeAnswer} from './fake-answer.js';
-import {type CallResult, chatStreamed} from './http-client.js';
+import {generateFakeTokens} from './fake-answer.js';
+import {type CallResult, requestChatStream} from './http-client.js';
 import {waitUntil} from './wait-until.js';
 
 const key = callerKeys.yard;
@@ -21,7 +21,7 @@
 	return [{role: 'user', content: text}];
 }
 
-const expectedResponses = texts.map(text => [200, true, fakeAnswer({version: versions.first, messages: messagesOf(text), tokens}).join('')]);
+const expectedResponses = texts.map(text => [200, true, generateFakeTokens({version: versions.first, messages: messagesOf(text), tokens}).join('')]);
 
 function summarize(results: readonly CallResult[]) {
 	return results.map(({status, done, text}) => [status, done, text]);
@@ -29,11 +29,11 @@
 
 /** Starts all streams and waits until each has reached an engine. */
 async function openStreams(entry: EntryDeployment, engines: readonly string[]): Promise<{readonly results: Promise<CallResult[]>}> {
-	const results = Promise.all(texts.map(async (text, index) => chatStreamed(entry.callers(index % 3), {key, messages: messagesOf(text)})));
+	const results = Promise.all(texts.map(async (text, index) => requestChatStream(entry.callers(index % 3), {key, messages: messagesOf(text)})));
 	await waitUntil(async () => {
 		const runs = await Promise.all(engines.map(async engine => entry.runs(engine)));
 		return runs.flat().length === texts.length || undefined;
-	}, {what: 'all streams to reach the engines'});
+	}, {description: 'all streams to reach the engines'});
 	return {results};
 }
 
--- a/packages/testing/src/slow-disks.test.ts
+++ b/packages/testing/src/slow-disks.test.ts
@@ -1,7 +1,7 @@
 import test, {type ExecutionContext} from 'ava';
-import {call} from './platform/backend-stand-in.js';
+import {sendForStatus} from './platform/fake-backend-server.js';
 import {PlatformDeployment} from './platform/platform-deployment.js';
-import {slowDisk} from './platform/slow-disk.js';
+import {slowDiskEnvironment} from './platform/slow-disk.js';
 import {waitUntil} from './wait-until.js';
 
 const configuration = {
@@ -19,22 +19,22 @@
 /** Starts three control instances with the given disk latencies and waits until they acknowledge a configuration. */
 async function assertConfigurationAcknowledged(t: ExecutionContext, disks: ReadonlyArray<{readonly syncMilliseconds: number}>): Promise<void> {
 	const deployment = await PlatformDeployment.prepare({
-		entries: 0,
-		environment: ({ip}) => slowDisk(disks[Number(ip.split('.').at(-1)) - 1] ?? {}),
+		entryCount: 0,
+		environment: ({ip}) => slowDiskEnvironment(disks[Number(ip.split('.').at(-1)) - 1] ?? {}),
 	});
 	t.teardown(async () => {
 		await deployment.stop();
 	});
-	for (const member of deployment.members) {
+	for (const member of deployment.instances) {
 		member.process.start();
 	}
 
 	t.true(await waitUntil(async () => {
-		const statuses = await Promise.all(deployment.controls.map(async ({address}) => call({
+		const statuses = await Promise.all(deployment.controls.map(async ({address}) => sendForStatus({
 			method: 'PUT', address, path: '/-/config', body: configuration,
 		})));
 		return statuses.includes(200) || undefined;
-	}, {what: 'an acknowledged configuration'}));
+	}, {description: 'an acknowledged configuration'}));
 }
 
 test('control instances whose disks take as long to save a vote as an election lasts elect a leader that accepts a configuration', async t => {
--- a/packages/testing/src/wait-until.ts
+++ b/packages/testing/src/wait-until.ts
@@ -3,11 +3,11 @@
 /** Options for `waitUntil`. */
 export type WaitOptions = {
 	/** Description of the awaited condition, for the error message. */
-	readonly what: string;
+	readonly description: string;
 	/** Timeout in milliseconds; 20 000 by default. */
 	readonly timeoutMilliseconds?: number;
 	/** Milliseconds between polls; 50 by default. */
-	readonly everyMilliseconds?: number;
+	readonly intervalMilliseconds?: number;
 };
 
 /**
@@ -25,7 +25,7 @@
 export async function waitUntil<Value>(poll: () => Promise<Value | undefined>, options: WaitOptions): Promise<Value> {
 	const deadline = performance.now() + (options.timeoutMilliseconds ?? 20_000);
 	let cause: unknown;
-	for await (const hasTimedOut of setInterval(options.everyMilliseconds ?? 50, () => performance.now() >= deadline)) {
+	for await (const hasTimedOut of setInterval(options.intervalMilliseconds ?? 50, () => performance.now() >= deadline)) {
 		try {
 			const value = await poll();
 			if (value !== undefined) {
@@ -43,5 +43,5 @@
 	}
 
 	const detail = cause instanceof Error ? ` (${cause.message})` : '';
-	throw new Error(`Timed out waiting for ${options.what}${detail}`, {cause});
+	throw new Error(`Timed out waiting for ${options.description}${detail}`, {cause});
 }
--- a/packages/transport/src/_peer-link.ts
+++ b/packages/transport/src/_peer-link.ts
@@ -2,8 +2,8 @@
 import {WebSocket} from 'ws';
 import {type Frame, decodeFrame} from './_frame.js';
 import {type PeerAddress} from './peer-network.js';
-import {intervalAfterInput} from './interval-after-input.js';
-import {timeoutAfterInput} from './timeout-after-input.js';
+import {setIntervalAfterPoll} from './set-interval-after-poll.js';
+import {setTimeoutAfterPoll} from './set-timeout-after-poll.js';
 
 type PendingRequest = {
 	readonly settle: (frame: (Frame & {type: 'reply'}) | undefined) => void;
@@ -76,7 +76,7 @@
 				resolve(frame ?? (this.#removeQueuedFrame(data) ? 'not-sent' : undefined));
 			};
 
-			const cancelTimeout = timeoutAfterInput(timeoutMilliseconds, () => {
+			const cancelTimeout = setTimeoutAfterPoll(timeoutMilliseconds, () => {
 				settle(undefined);
 			});
 			this.#pendingRequests.set(id, {settle, cancelTimeout});
@@ -101,7 +101,7 @@
 		});
 		this.#socket = socket;
 		let hasTimedOut = false;
-		const cancelTimeout = timeoutAfterInput(connectTimeoutMilliseconds * (connectBackoffFactor ** (attempt - 1)), () => {
+		const cancelTimeout = setTimeoutAfterPoll(connectTimeoutMilliseconds * (connectBackoffFactor ** (attempt - 1)), () => {
 			hasTimedOut = true;
 			socket.terminate();
 		});
@@ -148,7 +148,7 @@
 			socket.ping();
 		};
 
-		const stopHeartbeat = intervalAfterInput(this.#options.pingMilliseconds ?? defaultPingMilliseconds, checkPeer);
+		const stopHeartbeat = setIntervalAfterPoll(this.#options.pingMilliseconds ?? defaultPingMilliseconds, checkPeer);
 		socket.on('close', stopHeartbeat);
 	}
 
--- a/packages/transport/src/http-server.ts
+++ b/packages/transport/src/http-server.ts
@@ -2,7 +2,7 @@
 import {createServer, type IncomingMessage, type ServerResponse} from 'node:http';
 import {type AddressInfo, type Socket} from 'node:net';
 import {type Failure, failure} from '@valehitch/core';
-import {answerProblem, toProblem} from './problem.js';
+import {sendProblem, toProblemDetails} from './problem-details.js';
 
 /** Options for `startHttpServer`. */
 export type HttpServerOptions = {
@@ -41,7 +41,7 @@
 	const server = createServer({maxHeaderSize: options.headerBytes}, (request, response) => {
 		options.handler(request, response).catch((error: unknown) => {
 			options.onError(error);
-			answerProblem(response, failure('internal', 'Unexpected error in the request handler'));
+			sendProblem(response, failure('internal', 'Unexpected error in the request handler'));
 		});
 	});
 	server.on('clientError', (error: NodeJS.ErrnoException, socket: Socket) => {
@@ -76,7 +76,7 @@
 		return;
 	}
 
-	const problem = toProblem(failed);
+	const problem = toProblemDetails(failed);
 	const body = JSON.stringify(problem);
 	socket.end(`HTTP/1.1 ${problem.status} ${problem.title}\r\nContent-Type: application/problem+json\r\nContent-Length: ${Buffer.byteLength(body)}\r\nConnection: close\r\n\r\n${body}`);
 }
--- a/packages/transport/src/http.test.ts
+++ b/packages/transport/src/http.test.ts
@@ -2,9 +2,9 @@
 import {failure} from '@valehitch/core';
 import test from 'ava';
 import {type HttpServer, startHttpServer} from './http-server.js';
-import {answerProblem} from './problem.js';
+import {sendProblem} from './problem-details.js';
 import {readBody} from './read-body.js';
-import {sendHttp} from './send-http.js';
+import {sendHttpRequest} from './send-http-request.js';
 
 const bodyLimit = 100;
 
@@ -25,7 +25,7 @@
 			const body = await readBody(request, bodyLimit);
 			body.caseOf({
 				Left(failed) {
-					answerProblem(response, failed);
+					sendProblem(response, failed);
 				},
 				Right(bytes) {
 					response.end(bytes);
@@ -37,7 +37,7 @@
 }
 
 async function send(server: HttpServer, path: string, body: string): Promise<{status: number; text: string}> {
-	const answer = await sendHttp({
+	const answer = await sendHttpRequest({
 		address: `http://127.0.0.1:${server.port}`, method: 'POST', path, headers: {}, body: new TextEncoder().encode(body), signal: new AbortController().signal, reuseConnection: false,
 	});
 	const head = answer.unsafeCoerce();
@@ -88,7 +88,7 @@
 test('a request to a port without a listener is reported as never sent', async t => {
 	const server = await startEcho();
 	await server.close();
-	const answer = await sendHttp({
+	const answer = await sendHttpRequest({
 		address: `http://127.0.0.1:${server.port}`, method: 'POST', path: '/', headers: {}, body: new Uint8Array(), signal: new AbortController().signal, reuseConnection: false,
 	});
 	t.like(answer.extract(), {neverSent: true});
@@ -104,7 +104,7 @@
 		},
 		onError: doNothing,
 	});
-	const answer = await sendHttp({
+	const answer = await sendHttpRequest({
 		address: `http://127.0.0.1:${server.port}`, method: 'POST', path: '/', headers: {}, body: new Uint8Array(), signal: new AbortController().signal, reuseConnection: false,
 	});
 	t.like(answer.extract(), {neverSent: false});
@@ -117,11 +117,11 @@
 		port: 0,
 		headerBytes: 2048,
 		async handler(_request, response) {
-			answerProblem(response, failure('limit-reached', 'Got 11 tokens, wanted at most 10', {retryAfterMilliseconds: 1500}), {requestId: 'r1'});
+			sendProblem(response, failure('limit-reached', 'Got 11 tokens, wanted at most 10', {retryAfterMilliseconds: 1500}), {requestId: 'r1'});
 		},
 		onError: doNothing,
 	});
-	const answer = await sendHttp({
+	const answer = await sendHttpRequest({
 		address: `http://127.0.0.1:${server.port}`, method: 'GET', path: '/', headers: {}, body: new Uint8Array(), signal: new AbortController().signal, reuseConnection: false,
 	});
 	const head = answer.unsafeCoerce();
--- a/packages/transport/src/mod.ts
+++ b/packages/transport/src/mod.ts
@@ -4,10 +4,10 @@
 @module
 */
 export * from './http-server.js';
-export * from './interval-after-input.js';
+export * from './set-interval-after-poll.js';
 export * from './parse-json-body.js';
 export * from './peer-network.js';
-export * from './problem.js';
+export * from './problem-details.js';
 export * from './read-body.js';
-export * from './send-http.js';
-export * from './timeout-after-input.js';
+export * from './send-http-request.js';
+export * from './set-timeout-after-poll.js';
--- a/packages/transport/src/parse-json-body.test.ts
+++ b/packages/transport/src/parse-json-body.test.ts
@@ -14,7 +14,7 @@
 
 test('invalid JSON and schema mismatches fail with the configured kind and message', t => {
 	t.like(parse('{'), {kind: 'malformed-request', message: 'The body is not JSON'});
-	t.like(parse('{', {notJson: 'Got no cut'}), {kind: 'malformed-request', message: 'Got no cut'});
+	t.like(parse('{', {invalidJsonMessage: 'Got no cut'}), {kind: 'malformed-request', message: 'Got no cut'});
 	t.like(parse('{"cut": [1]}'), {kind: 'malformed-request', message: 'cut.0: Invalid input: expected string, received number'});
-	t.like(parse('{}', {misfitKind: 'invalid-configuration', misfit: 'Got no cut'}), {kind: 'invalid-configuration', message: 'Got no cut'});
+	t.like(parse('{}', {schemaMismatchKind: 'invalid-configuration', schemaMismatchMessage: 'Got no cut'}), {kind: 'invalid-configuration', message: 'Got no cut'});
 });
--- a/packages/transport/src/parse-json-body.ts
+++ b/packages/transport/src/parse-json-body.ts
@@ -5,11 +5,11 @@
 /** Options for `parseJsonBody` that replace its default error messages and kind. */
 export type ParseJsonBodyOptions = {
 	/** The message for a body that is not JSON; `The body is not JSON` by default. */
-	readonly notJson?: string;
+	readonly invalidJsonMessage?: string;
 	/** The message for JSON that does not match the schema; the path and message of the first issue by default. */
-	readonly misfit?: string;
+	readonly schemaMismatchMessage?: string;
 	/** The error kind for JSON that does not match the schema; `malformed-request` by default. */
-	readonly misfitKind?: ErrorKind;
+	readonly schemaMismatchKind?: ErrorKind;
 };
 
 /**
@@ -28,7 +28,7 @@
 	try {
 		json = JSON.parse(new TextDecoder().decode(bytes));
 	} catch {
-		return Left(failure('malformed-request', options.notJson ?? 'The body is not JSON'));
+		return Left(failure('malformed-request', options.invalidJsonMessage ?? 'The body is not JSON'));
 	}
 
 	const parsed = schema.safeParse(json);
@@ -38,7 +38,7 @@
 
 	const [issue] = parsed.error.issues;
 	return Left(failure(
-		options.misfitKind ?? 'malformed-request',
-		options.misfit ?? `${issue?.path.join('.') ?? ''}: ${issue?.message ?? 'not valid'}`,
+		options.schemaMismatchKind ?? 'malformed-request',
+		options.schemaMismatchMessage ?? `${issue?.path.join('.') ?? ''}: ${issue?.message ?? 'not valid'}`,
 	));
 }
--- a/packages/transport/src/peer-network.test.ts
+++ b/packages/transport/src/peer-network.test.ts
@@ -35,7 +35,7 @@
 			received.push(`${from}: ${text}`);
 		},
 		onRequest: async (from, {text}) => ({echo: text, from}),
-		onFailure(from, error) {
+		onHandlerError(from, error) {
 			received.push(`${from} failed: ${String(error)}`);
 		},
 	});
@@ -68,12 +68,12 @@
 test('a blocked link neither sends nor replies, and works again once it is unblocked', async t => {
 	const left = await listen('left');
 	const right = await listen('right');
-	left.network.cut(new Set([right.address.instance]));
+	left.network.setBlockedInstances(new Set([right.address.instance]));
 	t.false(await getsReply(left, right, 'lost'));
-	left.network.cut(new Set());
-	right.network.cut(new Set([left.address.instance]));
+	left.network.setBlockedInstances(new Set());
+	right.network.setBlockedInstances(new Set([left.address.instance]));
 	t.false(await getsReply(left, right, 'unheard'));
-	right.network.cut(new Set());
+	right.network.setBlockedInstances(new Set());
 	t.true(await getsReply(left, right, 'heard'));
 	await Promise.all([left.network.close(), right.network.close()]);
 });
@@ -93,7 +93,7 @@
 	await right.network.close();
 	t.false(await getsReply(left, right, 'nobody'));
 	const again = await PeerNetwork.listen<Message>({
-		self: right.address.instance, key: 'a-key-that-all-share', host: '127.0.0.1', port: right.address.port, onMessage: doNothing, onRequest: async () => 'back', onFailure: doNothing,
+		self: right.address.instance, key: 'a-key-that-all-share', host: '127.0.0.1', port: right.address.port, onMessage: doNothing, onRequest: async () => 'back', onHandlerError: doNothing,
 	});
 	t.true(await getsReply(left, right, 'again'));
 	await Promise.all([left.network.close(), again.close()]);
@@ -104,7 +104,7 @@
 	await once(silent, 'listening');
 	const {port} = silent.address() as AddressInfo;
 	const left = await PeerNetwork.listen<Message>({
-		self: toId<InstanceId>('left'), key: 'a-key-that-all-share', host: '127.0.0.1', port: 0, pingMilliseconds: 50, onMessage: doNothing, onRequest: async () => undefined, onFailure: doNothing,
+		self: toId<InstanceId>('left'), key: 'a-key-that-all-share', host: '127.0.0.1', port: 0, pingMilliseconds: 50, onMessage: doNothing, onRequest: async () => undefined, onHandlerError: doNothing,
 	});
 	const to = {instance: toId<InstanceId>('silent'), host: '127.0.0.1', port};
 	left.send(to, {text: 'first'});
@@ -130,9 +130,9 @@
 		port: 0,
 		onMessage: doNothing,
 		onRequest: async () => true,
-		onFailure: doNothing,
-		stamp: () => ({wall: 1000 + index, counter: 7}),
-		onStamp({wall, counter}) {
+		onHandlerError: doNothing,
+		nextTimestamp: () => ({wall: 1000 + index, counter: 7}),
+		onTimestamp({wall, counter}) {
 			seen.push(`${name} saw ${wall}.${counter}`);
 		},
 	})));
@@ -149,7 +149,7 @@
 test('the failure of a request without a reply tells whether the request was sent', async t => {
 	const left = await listen('left');
 	const right = await listen('right');
-	right.network.cut(new Set([left.address.instance]));
+	right.network.setBlockedInstances(new Set([left.address.instance]));
 	const sent = await left.network.request(right.address, {text: 'unheard'}, {timeoutMilliseconds: 500});
 	t.like(sent.extract(), {kind: 'no-quorum', outcome: 'unknown'});
 	await right.network.close();
--- a/packages/transport/src/peer-network.ts
+++ b/packages/transport/src/peer-network.ts
@@ -28,11 +28,11 @@
 	/** Called with each request; its result is sent as the reply. */
 	readonly onRequest: (from: InstanceId, message: Message) => Promise<unknown>;
 	/** Called when a handler fails; the message then gets no reply. */
-	readonly onFailure: (from: InstanceId, error: unknown) => void;
+	readonly onHandlerError: (from: InstanceId, error: unknown) => void;
 	/** Returns the timestamp to send with a frame; by default frames have no timestamp. */
-	readonly stamp?: () => HybridTimestamp;
+	readonly nextTimestamp?: () => HybridTimestamp;
 	/** Called with the timestamp of each received frame that has one, before the frame's message is handled. */
-	readonly onStamp?: (stamp: HybridTimestamp) => void;
+	readonly onTimestamp?: (stamp: HybridTimestamp) => void;
 };
 
 /** Counters of the bytes and frames sent and received on all links. */
@@ -114,7 +114,7 @@
 
 	@param instances The instances whose messages are dropped in both directions; replaces the previous set.
 	*/
-	cut(instances: ReadonlySet<InstanceId>): void {
+	setBlockedInstances(instances: ReadonlySet<InstanceId>): void {
 		this.#blockedInstances = instances;
 	}
 
@@ -201,7 +201,7 @@
 			await this.#handle(from, frame, reply);
 		} catch (error) {
 			// A faulty peer, or one of another version, may send the message again; an uncaught error would crash one process after another.
-			this.#options.onFailure(from, error);
+			this.#options.onHandlerError(from, error);
 		}
 	}
 
@@ -221,12 +221,12 @@
 		this.traffic.bytesReceived += bytes;
 		this.traffic.framesReceived++;
 		if (timestamp !== undefined) {
-			this.#options.onStamp?.(timestamp);
+			this.#options.onTimestamp?.(timestamp);
 		}
 	}
 
 	#encode(frame: Frame): Uint8Array {
-		const data = encodeFrame(frame, this.#options.stamp?.());
+		const data = encodeFrame(frame, this.#options.nextTimestamp?.());
 		this.traffic.bytesSent += data.byteLength;
 		this.traffic.framesSent++;
 		return data;
--- a/packages/transport/src/problem.ts
+++ b/packages/transport/src/problem-details.ts
@@ -1,16 +1,16 @@
 import {type ServerResponse} from 'node:http';
-import {errorAnswers, type Failure, outcomeOf} from '@valehitch/core';
+import {errorResponses, type Failure, outcomeOf} from '@valehitch/core';
 
 const millisecondsPerSecond = 1000;
 
 /** Additional members of problem details. */
-export type ProblemOptions = {
+export type ProblemDetailsOptions = {
 	/** The id of the request, if one was assigned. */
 	readonly requestId?: string;
 };
 
 /** Problem details as defined by RFC 9457, with extension members of valehitch. */
-export type Problem = {
+export type ProblemDetails = {
 	readonly type: string;
 	readonly title: string;
 	readonly status: number;
@@ -32,8 +32,8 @@
 toProblemDetails(failure('no-server', 'No backend server is available')).status; // 503
 ```
 */
-export function toProblem(failed: Failure, options: ProblemOptions = {}): Problem {
-	const {status, title} = errorAnswers[failed.kind];
+export function toProblemDetails(failed: Failure, options: ProblemDetailsOptions = {}): ProblemDetails {
+	const {status, title} = errorResponses[failed.kind];
 	return {
 		type: `urn:valehitch:error:${failed.kind}`,
 		title,
@@ -57,13 +57,13 @@
 sendProblem(response, failure('not-found', 'There is no resource at /x'));
 ```
 */
-export function answerProblem(response: ServerResponse, failed: Failure, options: ProblemOptions = {}): void {
+export function sendProblem(response: ServerResponse, failed: Failure, options: ProblemDetailsOptions = {}): void {
 	if (response.headersSent || response.destroyed) {
 		response.destroy();
 		return;
 	}
 
-	const problem = toProblem(failed, options);
+	const problem = toProblemDetails(failed, options);
 	response.statusCode = problem.status;
 	response.setHeader('Content-Type', 'application/problem+json');
 	if (failed.retryAfterMilliseconds !== undefined) {
--- a/packages/transport/src/send-http.ts
+++ b/packages/transport/src/send-http-request.ts
@@ -2,10 +2,10 @@
 	Agent, type IncomingHttpHeaders, type IncomingMessage, type OutgoingHttpHeaders, request as sendRequest,
 } from 'node:http';
 import {type Either, Left, Right} from 'purify-ts';
-import {timeoutAfterInput} from './timeout-after-input.js';
+import {setTimeoutAfterPoll} from './set-timeout-after-poll.js';
 
 /** An HTTP request to a backend server. */
-export type HttpCall = {
+export type HttpRequest = {
 	/** The base URL, such as `http://127.0.0.1:9001`. */
 	readonly address: string;
 	readonly method: string;
@@ -20,7 +20,7 @@
 };
 
 /** The failure of a request that received no response. */
-export type HttpCallFailure = {
+export type HttpRequestFailure = {
 	/** Whether it is certain that no byte of the request reached the server. */
 	readonly neverSent: boolean;
 	/** Whether the request used a kept-alive connection, which the server may legitimately close at any time. */
@@ -29,7 +29,7 @@
 };
 
 /** The status and headers of a response; the body is read from `message`. */
-export type HttpAnswer = {
+export type HttpResponse = {
 	readonly status: number;
 	readonly headers: IncomingHttpHeaders;
 	readonly message: IncomingMessage;
@@ -49,7 +49,7 @@
 const response = await sendHttpRequest({address: 'http://127.0.0.1:9001', method: 'GET', path: '/', headers: {}, body, signal, reuseConnection: true});
 ```
 */
-export async function sendHttp(call: HttpCall): Promise<Either<HttpCallFailure, HttpAnswer>> {
+export async function sendHttpRequest(call: HttpRequest): Promise<Either<HttpRequestFailure, HttpResponse>> {
 	return new Promise(resolve => {
 		let connected = false;
 		const clientRequest = sendRequest(new URL(call.path, call.address), {
@@ -58,7 +58,7 @@
 			agent: call.reuseConnection ? keepAliveAgent : false,
 			signal: call.signal,
 		});
-		const cancelConnectTimeout = timeoutAfterInput(connectTimeoutMilliseconds, () => {
+		const cancelConnectTimeout = setTimeoutAfterPoll(connectTimeoutMilliseconds, () => {
 			if (!connected) {
 				clientRequest.destroy(new Error(`Connecting timed out after ${connectTimeoutMilliseconds} ms`));
 			}
--- a/packages/transport/src/interval-after-input.test.ts
+++ b/packages/transport/src/set-interval-after-poll.test.ts
@@ -1,7 +1,7 @@
 import {setTimeout as delay} from 'node:timers/promises';
 import test from 'ava';
 import {blockEventLoop, connectWithPendingInput} from './_test-event-loop.js';
-import {intervalAfterInput} from './interval-after-input.js';
+import {setIntervalAfterPoll} from './set-interval-after-poll.js';
 
 const intervalMilliseconds = 50;
 
@@ -10,7 +10,7 @@
 	const connection = await connectWithPendingInput(() => {
 		order.push('input');
 	});
-	const stop = intervalAfterInput(intervalMilliseconds, () => {
+	const stop = setIntervalAfterPoll(intervalMilliseconds, () => {
 		order.push('callback');
 	});
 	blockEventLoop(4 * intervalMilliseconds);
--- a/packages/transport/src/interval-after-input.ts
+++ b/packages/transport/src/set-interval-after-poll.ts
@@ -11,7 +11,7 @@
 const stop = setIntervalAfterPoll(1000, () => detector.check());
 ```
 */
-export function intervalAfterInput(milliseconds: number, callback: () => void): () => void {
+export function setIntervalAfterPoll(milliseconds: number, callback: () => void): () => void {
 	let immediate: NodeJS.Immediate | undefined;
 	const timer = setInterval(() => {
 		immediate = setImmediate(callback);
--- a/packages/transport/src/timeout-after-input.test.ts
+++ b/packages/transport/src/set-timeout-after-poll.test.ts
@@ -1,7 +1,7 @@
 import {setTimeout as delay} from 'node:timers/promises';
 import test from 'ava';
 import {blockEventLoop, connectWithPendingInput} from './_test-event-loop.js';
-import {timeoutAfterInput} from './timeout-after-input.js';
+import {setTimeoutAfterPoll} from './set-timeout-after-poll.js';
 
 const timeoutMilliseconds = 50;
 
@@ -10,7 +10,7 @@
 	const connection = await connectWithPendingInput(() => {
 		order.push('input');
 	});
-	timeoutAfterInput(timeoutMilliseconds, () => {
+	setTimeoutAfterPoll(timeoutMilliseconds, () => {
 		order.push('timeout');
 	});
 	blockEventLoop(4 * timeoutMilliseconds);
@@ -21,7 +21,7 @@
 
 test('a cancelled timeout does not run its callback, even if its timer has already fired', async t => {
 	let hasExpired = false;
-	const clear = timeoutAfterInput(0, () => {
+	const clear = setTimeoutAfterPoll(0, () => {
 		hasExpired = true;
 	});
 	setTimeout(clear, 0);
--- a/packages/transport/src/timeout-after-input.ts
+++ b/packages/transport/src/set-timeout-after-poll.ts
@@ -12,7 +12,7 @@
 socket.once('data', clear);
 ```
 */
-export function timeoutAfterInput(milliseconds: number, callback: () => void): () => void {
+export function setTimeoutAfterPoll(milliseconds: number, callback: () => void): () => void {
 	let immediate: NodeJS.Immediate | undefined;
 	const timer = setTimeout(() => {
 		immediate = setImmediate(callback);
