--- a/packages/consensus/src/_membership.ts
+++ b/packages/consensus/src/_membership.ts
@@ -9,7 +9,7 @@
 import {type ReplicaState} from './replica-state.js';
 
 /** Returns whether a leader may start a change: no change is in progress, and an entry of its current term is committed (Ongaro, 2015, on single-server changes). */
-export function canChangeReplicas({role, commitIndex, replicaSetIndex: replicaSetIndex}: ReplicaState): boolean {
+export function canChangeReplicas({role, commitIndex, replicaSetIndex}: ReplicaState): boolean {
 	return role.type === 'leader' && commitIndex >= role.termStartIndex && replicaSetIndex <= commitIndex;
 }
 
--- a/packages/consensus/src/_persist-delay.ts
+++ b/packages/consensus/src/_persist-delay.ts
@@ -12,7 +12,7 @@
 }
 
 /** Returns the time without contact to a quorum after which a leader steps down, in milliseconds. It includes the duration of the leader's election, since the followers' disks may be slower than its own. */
-export function quorumTimeout({persistMilliseconds, options}: Pick<ReplicaState, 'persistMilliseconds' | 'options'>, {electionMilliseconds: electionMilliseconds}: LeaderRole): number {
+export function quorumTimeout({persistMilliseconds, options}: Pick<ReplicaState, 'persistMilliseconds' | 'options'>, {electionMilliseconds}: LeaderRole): number {
 	return options.maximumElectionTimeout + electionPersistDelay({persistMilliseconds: Math.max(persistMilliseconds, electionMilliseconds)});
 }
 
--- a/packages/consensus/src/fuzz/_simulation.ts
+++ b/packages/consensus/src/fuzz/_simulation.ts
@@ -202,7 +202,7 @@
 	#proposeReplacement(): void {
 		const {leader} = this;
 		const active = this.nodes.filter(({state}) => state).map(({id}) => id);
-		const change = leader?.state && planReplacement(leader.state, {active: active});
+		const change = leader?.state && planReplacement(leader.state, {active});
 		if (change) {
 			leader.handle({type: 'change-replicas', change});
 		}
--- a/packages/consensus/src/plan-membership.ts
+++ b/packages/consensus/src/plan-membership.ts
@@ -57,7 +57,7 @@
 	}
 
 	const unresponsive = unresponsiveVoter(state, options);
-	const {promotionDelayMilliseconds: promotionDelayMilliseconds = defaultPromotionDelayMilliseconds} = options;
+	const {promotionDelayMilliseconds = defaultPromotionDelayMilliseconds} = options;
 	for (const joining of options.joining) {
 		const change = isReplacement(joining.replica) ? undefined : planJoining(state, {joining, unresponsive, promotionDelayMilliseconds});
 		if (change !== undefined) {
@@ -98,7 +98,7 @@
 }
 
 /** Returns a voter without contact for `unresponsiveMilliseconds`. */
-function unresponsiveVoter({id, role, replicas}: ReplicaState, {now, unresponsiveMilliseconds: unresponsiveMilliseconds = defaultUnresponsiveMilliseconds}: PlanMembershipOptions): ReplicaId | undefined {
+function unresponsiveVoter({id, role, replicas}: ReplicaState, {now, unresponsiveMilliseconds = defaultUnresponsiveMilliseconds}: PlanMembershipOptions): ReplicaId | undefined {
 	if (role.type !== 'leader') {
 		return undefined;
 	}
--- a/packages/consensus/src/plan-replacement.ts
+++ b/packages/consensus/src/plan-replacement.ts
@@ -23,7 +23,7 @@
 const change = planReplacement(state, {active});
 ```
 */
-export function planReplacement(state: ReplicaState, {active: active}: PlanReplacementOptions): ReplicaChange | undefined {
+export function planReplacement(state: ReplicaState, {active}: PlanReplacementOptions): ReplicaChange | undefined {
 	const {replicas} = state;
 	if (!replicas || !canChangeReplicas(state)) {
 		return undefined;
--- a/packages/control/src/order-delivery.test.ts
+++ b/packages/control/src/order-delivery.test.ts
@@ -113,7 +113,7 @@
 			return;
 		}
 
-		const {delivery: delivery, action} = stepOrderDelivery(leader.delivery, {
+		const {delivery, action} = stepOrderDelivery(leader.delivery, {
 			event,
 			context: {
 				now: this.now, wallClock: 0, leadership: {since: leader.since, leaseValidUntil: leader.leaseValidUntil}, order: leader.open[0], engine: {checksFencing: this.#checksFencing}, timing,
--- a/packages/control/src/order-delivery.ts
+++ b/packages/control/src/order-delivery.ts
@@ -99,7 +99,7 @@
 	}
 
 	if (event.type !== 'tick' && event.step !== delivery.step) {
-		return {delivery: delivery};
+		return {delivery};
 	}
 
 	const input: StepInput = {delivery, context, order: delivery.order};
@@ -125,7 +125,7 @@
 function tick(input: StepInput): OrderDeliveryStep {
 	const {delivery, context: {now, wallClock, engine, timing}, order} = input;
 	if (delivery.phase !== 'due' || now < delivery.dueAt) {
-		return {delivery: delivery};
+		return {delivery};
 	}
 
 	if (wallClock - order.issuedAt > timing.orderTimeoutMilliseconds) {
--- a/packages/daemon/src/control/archive/fill-gap.ts
+++ b/packages/daemon/src/control/archive/fill-gap.ts
@@ -27,7 +27,7 @@
 const result = await fillGap(archive, {before: 5001, sources, onInvalidChunk});
 ```
 */
-export async function fillGap(archive: BillArchive, {before, sources, onInvalidChunk: onInvalidChunk}: FillGapOptions): Promise<FillResult> {
+export async function fillGap(archive: BillArchive, {before, sources, onInvalidChunk}: FillGapOptions): Promise<FillResult> {
 	const gap = archive.gapBefore(before);
 	if (gap === undefined) {
 		return 'complete';
--- a/packages/daemon/src/control/archive/start-archive.ts
+++ b/packages/daemon/src/control/archive/start-archive.ts
@@ -69,7 +69,7 @@
 
 		const archiveAndFillGaps = async (): Promise<void> => {
 			await archiveBills(state(), archive);
-			const result = await fillGap(archive, {before: state().billPositions.first, sources, onInvalidChunk: onInvalidChunk});
+			const result = await fillGap(archive, {before: state().billPositions.first, sources, onInvalidChunk});
 			if (result === 'stuck') {
 				metrics.increment('archive.incomplete');
 				log.warn({folder, gap: archive.gapBefore(state().billPositions.first)}, 'No other replica returned the bills that are missing in the archive; retrying');
--- a/packages/daemon/src/control/control-client.ts
+++ b/packages/daemon/src/control/control-client.ts
@@ -112,7 +112,7 @@
 			return cached;
 		}
 
-		const {control, preferred: preferred, ask} = this.#options;
+		const {control, preferred, ask} = this.#options;
 		const instances = control.toSorted((left, right) => Number(right.instance === preferred) - Number(left.instance === preferred));
 		for (const instance of instances) {
 			const reply = await ask(instance, {scope: 'control', type: 'leader'});
--- a/packages/daemon/src/control/orders/order-executor.ts
+++ b/packages/daemon/src/control/orders/order-executor.ts
@@ -88,7 +88,7 @@
 	}
 
 	async #performAction(server: ServerId, action: OrderDeliveryAction): Promise<OrderDeliveryEvent> {
-		const {engineClient: engineClient, control, findEngine: findEngine} = this.#options;
+		const {engineClient, control, findEngine} = this.#options;
 		const {step} = action;
 		if (action.type === 'complete') {
 			const {orderId, outcome, detail} = action.command;
@@ -115,7 +115,7 @@
 	}
 
 	#context(server: ServerId, order: OrderRecord | undefined): OrderDeliveryContext {
-		const {clock, findEngine: findEngine} = this.#options;
+		const {clock, findEngine} = this.#options;
 		return {
 			now: clock.monotonic(),
 			wallClock: clock.now().getTime(),
--- a/packages/daemon/src/control/rollouts/rollout-controller.ts
+++ b/packages/daemon/src/control/rollouts/rollout-controller.ts
@@ -54,7 +54,7 @@
 
 	/** Returns whether the instances had time to send their evidence. Without it, a new leader would treat a bad version as a good one. */
 	#hasEvidence(): boolean {
-		const {control, clock, evidenceDelayMilliseconds: evidenceDelayMilliseconds = defaultEvidenceDelayMilliseconds} = this.#options;
+		const {control, clock, evidenceDelayMilliseconds = defaultEvidenceDelayMilliseconds} = this.#options;
 		this.#leadingSince = control.isLeader() ? this.#leadingSince ?? clock.monotonic() : undefined;
 		return this.#leadingSince !== undefined && clock.monotonic() - this.#leadingSince >= evidenceDelayMilliseconds;
 	}
--- a/packages/daemon/src/distribution/exchange-loop.ts
+++ b/packages/daemon/src/distribution/exchange-loop.ts
@@ -108,7 +108,7 @@
 
 	/** Runs one exchange; returns whether the parent is up to date. */
 	async #exchangeWith(parent: PeerAddress): Promise<boolean> {
-		const {clock, network, node, periodMilliseconds, onReply, onNoReply: onNoReply} = this.#options;
+		const {clock, network, node, periodMilliseconds, onReply, onNoReply} = this.#options;
 		const {instance} = parent;
 		const pending = node.begin(instance, clock.monotonic());
 		const answer = await network.request(
--- a/packages/daemon/src/distribution/leader-view.ts
+++ b/packages/daemon/src/distribution/leader-view.ts
@@ -56,7 +56,7 @@
 	@returns Whether this instance is the leader with a valid leader lease and has applied all earlier commits.
 	*/
 	refresh(): boolean {
-		const {base: {clock, settings}, control, configurations: configurations, relay} = this.#options;
+		const {base: {clock, settings}, control, configurations, relay} = this.#options;
 		const committed = control.state()?.effective;
 		if (committed === undefined) {
 			return false;
--- a/packages/daemon/src/distribution/parent-addresses.ts
+++ b/packages/daemon/src/distribution/parent-addresses.ts
@@ -21,7 +21,7 @@
 const [parent] = parentAddresses({memberMonitor, settings, leader});
 ```
 */
-export function parentAddresses({memberMonitor: memberMonitor, settings: {control}, leader}: ParentAddressesOptions): PeerAddress[] {
+export function parentAddresses({memberMonitor, settings: {control}, leader}: ParentAddressesOptions): PeerAddress[] {
 	const {self, members} = memberMonitor;
 	const addresses = new Map<InstanceId, PeerAddress>([...members, ...control].map(address => [address.instance, address]));
 	return parentCandidates({
--- a/packages/daemon/src/distribution/relay-node.ts
+++ b/packages/daemon/src/distribution/relay-node.ts
@@ -126,7 +126,7 @@
 	}
 
 	#apply(peer: InstanceId, parts: ExchangeParts, now: number): void {
-		const {configurations: configurations, onRecords: onRecords, onLoads} = this.#options;
+		const {configurations, onRecords, onLoads} = this.#options;
 		const link = this.#linkTo(peer, now);
 		link.peerRevision = parts.revision;
 		if (parts.configuration !== undefined) {
@@ -151,7 +151,7 @@
 	}
 
 	#partsFor(link: Link, {now, withLoads}: {readonly now: number; readonly withLoads: boolean}): ExchangeParts {
-		const {configurations: configurations} = this.#options;
+		const {configurations} = this.#options;
 		if (withLoads) {
 			link.loadsAt = now;
 		}
--- a/packages/daemon/src/entry/bills/bill-store.ts
+++ b/packages/daemon/src/entry/bills/bill-store.ts
@@ -217,10 +217,10 @@
 	}
 
 	#createReplicator(holder: Member): CopyReplicator {
-		const {self, runId: runId, request, clock, avoidMilliseconds = defaultAvoidMilliseconds} = this.#options;
+		const {self, runId, request, clock, avoidMilliseconds = defaultAvoidMilliseconds} = this.#options;
 		const replicator = new CopyReplicator({
 			self: self.instance,
-			runId: runId,
+			runId,
 			request: async message => request(holder, message),
 			onFailed: () => {
 				this.#avoidedUntil.set(holder.instance, clock.monotonic() + avoidMilliseconds);
--- a/packages/daemon/src/entry/bills/ledger-outbox.ts
+++ b/packages/daemon/src/entry/bills/ledger-outbox.ts
@@ -91,7 +91,7 @@
 	}
 
 	async #waitForBatch(): Promise<void> {
-		const {wait, batchMilliseconds: batchMilliseconds = defaultBatchMilliseconds} = this.#options;
+		const {wait, batchMilliseconds = defaultBatchMilliseconds} = this.#options;
 		const flushed = new Promise<void>(resolve => {
 			this.#endBatchDelay = resolve;
 		});
--- a/packages/daemon/src/entry/bills/start-run-heartbeat.ts
+++ b/packages/daemon/src/entry/bills/start-run-heartbeat.ts
@@ -27,7 +27,7 @@
 const stop = startRunHeartbeat({instance, startedAt}, {retentionMilliseconds, report, onFailure});
 ```
 */
-export function startRunHeartbeat(running: InstanceRun, {retentionMilliseconds: retentionMilliseconds, report: report, onFailure}: RunHeartbeatOptions): () => void {
+export function startRunHeartbeat(running: InstanceRun, {retentionMilliseconds, report, onFailure}: RunHeartbeatOptions): () => void {
 	const reportOnce = async (): Promise<void> => {
 		const result = await report(running);
 		result.ifLeft(onFailure);
--- a/packages/daemon/src/entry/chat-adapter.ts
+++ b/packages/daemon/src/entry/chat-adapter.ts
@@ -58,7 +58,7 @@
 	}
 
 	chooseServer(action: ChooseServerAction): ServerChoice {
-		const {context: {serverSelector: serverSelector}} = this.#options;
+		const {context: {serverSelector}} = this.#options;
 		const {requestId, workspace} = this.#plan;
 		return serverSelector.choose(action, {
 			requestId, workspace, target: versionKeyOf(action.target), prefix: this.#prefixHash,
@@ -88,7 +88,7 @@
 			.otherwise(denial => denial);
 	}
 
-	send({dispatch, address, signal, partialAnswer: partialAnswer}: SendOptions): AsyncIterable<AttemptOutput> {
+	send({dispatch, address, signal, partialAnswer}: SendOptions): AsyncIterable<AttemptOutput> {
 		const {context: {settings, clock}, deadline} = this.#options;
 		const {requestId, body, facts: {stream}, rule} = this.#plan;
 		const outputs = callEngine({
@@ -163,7 +163,7 @@
 	}
 
 	#recordResult({target, server, attempt, purpose}: DispatchAction, output: AttemptOutput): void {
-		const {context: {serverSelector: serverSelector, ratings, decisions, clock}} = this.#options;
+		const {context: {serverSelector, ratings, decisions, clock}} = this.#options;
 		const {requestId, workspace, rule} = this.#plan;
 		const {outcome, reason, failed} = attemptEnd(output);
 		decisions.recordAttempt(requestId, {
--- a/packages/daemon/src/entry/claim-client.ts
+++ b/packages/daemon/src/entry/claim-client.ts
@@ -68,7 +68,7 @@
 	@param instance The instance.
 	*/
 	async markLost(instance: InstanceId): Promise<void> {
-		const {markLost: markLost, wait, retryMilliseconds = defaultRetryMilliseconds} = this.#options;
+		const {markLost, wait, retryMilliseconds = defaultRetryMilliseconds} = this.#options;
 		while (!this.#closed) {
 			const answer = await markLost(instance);
 			if (answer.isRight()) {
--- a/packages/daemon/src/entry/lifecycle/dispatch-attempt.ts
+++ b/packages/daemon/src/entry/lifecycle/dispatch-attempt.ts
@@ -46,7 +46,7 @@
 	return undefined;
 }
 
-async function send(dispatch: DispatchAction, server: KnownServer, {adapter, attempts, partialAnswer: partialAnswer}: DispatchAttemptOptions): Promise<void> {
+async function send(dispatch: DispatchAction, server: KnownServer, {adapter, attempts, partialAnswer}: DispatchAttemptOptions): Promise<void> {
 	const {attempt: number, resumeFrom} = dispatch;
 	const resumed = resumeFrom === 0 ? emptyAnswer : partialAnswer;
 	server.inFlight++;
--- a/packages/daemon/src/entry/lifecycle/request-timers.ts
+++ b/packages/daemon/src/entry/lifecycle/request-timers.ts
@@ -34,7 +34,7 @@
 	*/
 	set(timer: RequestTimer, at: number): void {
 		this.clear(timer);
-		const {clock, onExpired: onExpired} = this.#options;
+		const {clock, onExpired} = this.#options;
 		const milliseconds = Math.max(0, at - clock.monotonic());
 		// Input that arrived before the deadline is processed first, even if this process was paused.
 		this.#timers.set(timer, setTimeoutAfterPoll(milliseconds, () => {
--- a/packages/daemon/src/entry/service-adapter.ts
+++ b/packages/daemon/src/entry/service-adapter.ts
@@ -107,7 +107,7 @@
 	readonly context: EntryContext;
 };
 
-function recordResult({server, attempt, purpose}: DispatchAction, {output, requestId, context: {serverSelector: serverSelector, decisions}}: RecordResultOptions): void {
+function recordResult({server, attempt, purpose}: DispatchAction, {output, requestId, context: {serverSelector, decisions}}: RecordResultOptions): void {
 	const {outcome, reason, failed} = attemptEnd(output);
 	decisions.recordAttempt(requestId, {
 		attempt, purpose, servers: decisions.get(requestId)?.attempts.find(known => known.attempt === attempt)?.servers ?? [], server, outcome, reason,
--- a/packages/daemon/src/operators/find-decisions.ts
+++ b/packages/daemon/src/operators/find-decisions.ts
@@ -26,7 +26,7 @@
 const found = await findDecisions(request, {local: decisions.get(request), others, ask});
 ```
 */
-export async function findDecisions(request: RequestId, {local: local, others, ask}: FindDecisionsOptions): Promise<Either<Failure, DecisionRecord>> {
+export async function findDecisions(request: RequestId, {local, others, ask}: FindDecisionsOptions): Promise<Either<Failure, DecisionRecord>> {
 	if (local !== undefined) {
 		return Right(local);
 	}
--- a/packages/daemon/src/ratings/record-ratings.ts
+++ b/packages/daemon/src/ratings/record-ratings.ts
@@ -33,7 +33,7 @@
 recordRatings(ratings, {servedRequests, configuration, observe}).accepted;
 ```
 */
-export function recordRatings(ratings: readonly Rating[], {servedRequests: servedRequests, configuration, observe}: RecordRatingsOptions): RatingCounts {
+export function recordRatings(ratings: readonly Rating[], {servedRequests, configuration, observe}: RecordRatingsOptions): RatingCounts {
 	const counts: RatingCounts = {accepted: 0, doubled: 0, unknown: 0};
 	for (const rating of ratings) {
 		if (!isConfigured(rating, configuration)) {
--- a/packages/daemon/src/ratings/start-ratings.ts
+++ b/packages/daemon/src/ratings/start-ratings.ts
@@ -89,7 +89,7 @@
 	}
 
 	return {
-		tracker: tracker,
+		tracker,
 		recordRatings(ratings) {
 			const counts = tracker.recordRatings(ratings);
 			totals.accepted += counts.accepted;
--- a/packages/gateway/src/entry/_test-run.ts
+++ b/packages/gateway/src/entry/_test-run.ts
@@ -104,7 +104,7 @@
 		endsAt: () => undefined,
 	};
 	prepare(context);
-	const request = testRequest({timeout: timeout, inputTokens, choosesModel: route.sizes.length > 0});
+	const request = testRequest({timeout, inputTokens, choosesModel: route.sizes.length > 0});
 	const authorized = authorizeRequest(request, {table, lease, now: clock.monotonic()}).unsafeCoerce();
 	const entry = await listen(t, (_message, response) => {
 		void new RequestRun(context, {
--- a/packages/gateway/src/entry/authorize-at-startup.test.ts
+++ b/packages/gateway/src/entry/authorize-at-startup.test.ts
@@ -18,7 +18,7 @@
 		wokeAt = now;
 	}
 
-	const authorized = await authorizeAtStartup(testRequest({timeout: timeout}), {
+	const authorized = await authorizeAtStartup(testRequest({timeout}), {
 		arrivedAt: 0,
 		context: {
 			lease,
--- a/packages/gateway/src/entry/authorize-at-startup.ts
+++ b/packages/gateway/src/entry/authorize-at-startup.ts
@@ -27,7 +27,7 @@
 ```
 */
 export async function authorizeAtStartup(request: GatewayRequest, {context, arrivedAt}: AuthorizeAtStartupOptions): Promise<Either<Failure, AuthorizedRequest>> {
-	const {lease, clock, nextReply: nextReply} = context;
+	const {lease, clock, nextReply} = context;
 	const waitUntil = arrivedAt + startupWait(request.timeout ?? 0, configurationWaitShare);
 	for (;;) {
 		const now = clock.monotonic();
--- a/packages/gateway/src/entry/await-first-server.ts
+++ b/packages/gateway/src/entry/await-first-server.ts
@@ -26,7 +26,7 @@
 ```
 */
 export async function awaitFirstServer(context: Pick<EntryContext, 'clock' | 'nextServerChange'>, options: AwaitFirstServerOptions): Promise<boolean> {
-	const {clock, nextServerChange: nextServerChange} = context;
+	const {clock, nextServerChange} = context;
 	const {allowance, arrivedAt, deadlineAt} = options;
 	const waitUntil = arrivedAt + startupWait(deadlineAt - arrivedAt, serverWaitShare);
 	const remaining = waitUntil - clock.monotonic();
--- a/packages/gateway/src/entry/choose-next-model.ts
+++ b/packages/gateway/src/entry/choose-next-model.ts
@@ -31,7 +31,7 @@
 chooseNextModel({sizes, current, confidence: 31, leastConfidence: 50, timeLeft: 1800, expectedTime: 700});
 ```
 */
-export function chooseNextModel({sizes, current, confidence, minimumConfidence: minimumConfidence, timeLeft, expectedLatency: expectedLatency}: ChooseNextModelOptions): ModelId | undefined {
+export function chooseNextModel({sizes, current, confidence, minimumConfidence, timeLeft, expectedLatency}: ChooseNextModelOptions): ModelId | undefined {
 	const largest = sizes.at(-1);
 	if (largest === undefined || largest === current || confidence === undefined) {
 		return undefined;
--- a/packages/gateway/src/entry/configuration-lease.ts
+++ b/packages/gateway/src/entry/configuration-lease.ts
@@ -78,7 +78,7 @@
 	}
 
 	#checkSuspension(): void {
-		const {suspension, onSuspension: onSuspension} = this.#options;
+		const {suspension, onSuspension} = this.#options;
 		const wokeAt = suspension.lastWake();
 		if (wokeAt > this.#wokeAt) {
 			this.#wokeAt = wokeAt;
--- a/packages/gateway/src/entry/control-watch.ts
+++ b/packages/gateway/src/entry/control-watch.ts
@@ -106,7 +106,7 @@
 	}
 
 	async #poll(host: InstanceId, {isUrgent = false} = {}): Promise<boolean> {
-		const {clock, suspension, watchFields: watchFields, ask, onUpdate: onUpdate, metrics, log} = this.#options;
+		const {clock, suspension, watchFields, ask, onUpdate, metrics, log} = this.#options;
 		const source = this.#sourceOf(host);
 		const sentAt = clock.monotonic();
 		const reply = await ask(host, {
@@ -140,7 +140,7 @@
 		const isAgeKnown = reply.confirmedAgo !== undefined && sentAt >= suspension.lastWake();
 		const confirmedAt = isAgeKnown ? sentAt + reply.held - reply.confirmedAgo : undefined;
 		onUpdate({
-			source: host, reply, isFullState: isFullState, confirmedAt,
+			source: host, reply, isFullState, confirmedAt,
 		});
 		return true;
 	}
--- a/packages/gateway/src/entry/end-expired.ts
+++ b/packages/gateway/src/entry/end-expired.ts
@@ -27,7 +27,7 @@
 endExpired(end, {sent, verdicts, model, waited: 800, retryAfter: 250});
 ```
 */
-export function endExpired(end: RequestEnd, {sent, results: results, model, waited, retryAfter}: EndExpiredOptions): void {
+export function endExpired(end: RequestEnd, {sent, results, model, waited, retryAfter}: EndExpiredOptions): void {
 	if (end.hasEnded) {
 		return;
 	}
--- a/packages/gateway/src/entry/entry-instance.ts
+++ b/packages/gateway/src/entry/entry-instance.ts
@@ -221,12 +221,12 @@
 		};
 	}
 
-	#applyReply({source, reply, isFullState: isFullState, confirmedAt}: ControlUpdate, now: number): void {
+	#applyReply({source, reply, isFullState, confirmedAt}: ControlUpdate, now: number): void {
 		const {log} = this.#options;
 		const {lease, servers, suspects} = this.#context;
 		suspects.merge(reply.suspects, source);
 		this.#reporter.addControl(source, reply.run);
-		const changed = servers.applyRecords(reply.records, {source, now, isFullState: isFullState});
+		const changed = servers.applyRecords(reply.records, {source, now, isFullState});
 		this.#peers = reply.entries;
 		if (changed.length > 0) {
 			this.#serverWaiters.notifyAll();
--- a/packages/gateway/src/entry/entry-servers.test.ts
+++ b/packages/gateway/src/entry/entry-servers.test.ts
@@ -155,7 +155,7 @@
 	const replaced: string[] = [];
 	const loads = new LoadExchange({ownLoads: () => [], peers: () => [], send: ignore});
 	const servers = new EntryServers({
-		zone: 'hall-a' as ZoneId, random: () => 0.5, loads: loads, onReplaced({id, startedAt}) {
+		zone: 'hall-a' as ZoneId, random: () => 0.5, loads, onReplaced({id, startedAt}) {
 			replaced.push(`${id} ${startedAt}`);
 		},
 	});
--- a/packages/gateway/src/entry/entry-servers.ts
+++ b/packages/gateway/src/entry/entry-servers.ts
@@ -63,7 +63,7 @@
 	@param options The control instance, the time, and whether the records are its full state.
 	@returns The records that were added or whose state changed.
 	*/
-	applyRecords(records: readonly ServerRecord[], {source, now, isFullState: isFullState = false}: ApplyRecordsOptions): readonly ServerRecord[] {
+	applyRecords(records: readonly ServerRecord[], {source, now, isFullState = false}: ApplyRecordsOptions): readonly ServerRecord[] {
 		this.#liveness.markResponsive(source, {isFullState});
 		const changed: ServerRecord[] = [];
 		for (const record of records) {
@@ -95,7 +95,7 @@
 	@param options The criteria.
 	@returns The server, or undefined if none is available.
 	*/
-	choose({service, isAcceptable: isAcceptable, excluded, promptKey: promptKey, now}: FindServerOptions): ServerRecord | undefined {
+	choose({service, isAcceptable, excluded, promptKey, now}: FindServerOptions): ServerRecord | undefined {
 		const views: ServerView[] = [];
 		for (const tracked of this.#servers.values()) {
 			if (tracked.record.service !== service || tracked.record.state !== 'ready' || !isAcceptable(tracked.record.version)) {
@@ -264,7 +264,7 @@
 	}
 
 	#viewOf(tracked: TrackedServer, now: number): ServerView {
-		const {zone, loads: loads} = this.#options;
+		const {zone, loads} = this.#options;
 		const {id, zone: serverZone} = tracked.record;
 		return tracked.view({
 			now,
--- a/packages/gateway/src/entry/handle-outcome.ts
+++ b/packages/gateway/src/entry/handle-outcome.ts
@@ -77,7 +77,7 @@
 ```
 */
 export async function handleOutcome(outcome: SendOutcome, options: HandleOutcomeOptions): Promise<OutcomeStep> {
-	const {context, request, suspect: suspect, results: results, server, hasEnded: hasEnded} = options;
+	const {context, request, suspect, results, server, hasEnded} = options;
 	if (hasEnded()) {
 		return {type: 'ended'};
 	}
@@ -119,7 +119,7 @@
 }
 
 /** Handles a connection that broke while the server was processing the request. */
-async function handleLoss(message: string, {suspect: suspect, results: results, models, server}: HandleOutcomeOptions): Promise<OutcomeStep> {
+async function handleLoss(message: string, {suspect, results, models, server}: HandleOutcomeOptions): Promise<OutcomeStep> {
 	const finding = await suspect.recordLoss(server);
 	results.recordLoss(server, {model: models.current, finding});
 	return unknownOutcome(message);
@@ -139,13 +139,13 @@
 }
 
 /** Handles an answer that is not verified as this server's answer to this request, so whether the request has run is unknown. */
-function handleUnverified(message: IncomingMessage, {requestId}: AnswerHead, {request, results: results, models, server}: HandleOutcomeOptions): OutcomeStep {
+function handleUnverified(message: IncomingMessage, {requestId}: AnswerHead, {request, results, models, server}: HandleOutcomeOptions): OutcomeStep {
 	message.destroy();
 	results.recordFailure(server, models.current);
 	return unknownOutcome(`${server.id} answered request ${requestId ?? '(no id)'}; expected a signed answer to request ${request.id}`);
 }
 
-function handleNotRun(message: IncomingMessage, {status, isFromOtherServer: isOtherServer}: AnswerHead, {context, request, results: results, server}: HandleOutcomeOptions): OutcomeStep {
+function handleNotRun(message: IncomingMessage, {status, isFromOtherServer: isOtherServer}: AnswerHead, {context, request, results, server}: HandleOutcomeOptions): OutcomeStep {
 	message.resume();
 	if (isOtherServer) {
 		results.record(server, 'gone');
@@ -157,8 +157,8 @@
 	return {type: 'not-run', failed: failure('overloaded', `${server.id} answered ${status} without running the request`)};
 }
 
-async function handleFailedAnswer({message, isComplete: isComplete}: ReceivedHead, {status, isSigned}: AnswerHead, options: HandleOutcomeOptions): Promise<OutcomeStep> {
-	const {context: {dialect}, suspect: suspect, results: results, models, server, hasEnded: hasEnded} = options;
+async function handleFailedAnswer({message, isComplete}: ReceivedHead, {status, isSigned}: AnswerHead, options: HandleOutcomeOptions): Promise<OutcomeStep> {
+	const {context: {dialect}, suspect, results, models, server, hasEnded} = options;
 	const headers = dialect.answerHeaders(message);
 	const body = await collectBody(message, isComplete);
 	if (hasEnded()) {
@@ -181,8 +181,8 @@
 		: {type: 'whole', answer};
 }
 
-async function handlePlainAnswer({message, isComplete: isComplete}: ReceivedHead, options: HandleOutcomeOptions): Promise<OutcomeStep> {
-	const {context: {dialect, clock}, suspect: suspect, results: results, models, server, sentAt, hasEnded: hasEnded} = options;
+async function handlePlainAnswer({message, isComplete}: ReceivedHead, options: HandleOutcomeOptions): Promise<OutcomeStep> {
+	const {context: {dialect, clock}, suspect, results, models, server, sentAt, hasEnded} = options;
 	const headers = dialect.answerHeaders(message);
 	const status = message.statusCode ?? 0;
 	const body = await collectBody(message, isComplete);
@@ -200,7 +200,7 @@
 }
 
 async function handleStream(received: ReceivedHead, head: AnswerHead, options: HandleOutcomeOptions): Promise<OutcomeStep> {
-	const {context, request, suspect: suspect, results: results, models, server, sentAt, chooseLarger} = options;
+	const {context, request, suspect, results, models, server, sentAt, chooseLarger} = options;
 	const latency = context.clock.monotonic() - sentAt;
 	const larger = chooseLarger(head, latency);
 	if (larger === undefined) {
@@ -238,18 +238,18 @@
 	return relayAnswer(received, {...options, head, latency});
 }
 
-async function relayAnswer({message, isComplete: isComplete}: ReceivedHead, options: HandleOutcomeOptions & {readonly head: AnswerHead; readonly latency: number}): Promise<OutcomeStep> {
-	const {context, request, suspect: suspect, route, results: results, models} = options;
-	const {answer, events, server, hasEnded: hasEnded, onStreamStart: onStreamStart, canResumeElsewhere: canResumeElsewhere, head, latency} = options;
+async function relayAnswer({message, isComplete}: ReceivedHead, options: HandleOutcomeOptions & {readonly head: AnswerHead; readonly latency: number}): Promise<OutcomeStep> {
+	const {context, request, suspect, route, results, models} = options;
+	const {answer, events, server, hasEnded, onStreamStart, canResumeElsewhere, head, latency} = options;
 	onStreamStart();
 	const headers = context.dialect.answerHeaders(message);
 	const end = await relayStream({
 		message,
-		isComplete: isComplete,
+		isComplete,
 		response: answer.response,
 		events,
 		stallTimeout: route.isResumable ? stallFactor * (route.targetGap ?? route.targetLatency) : 0,
-		canResumeElsewhere: canResumeElsewhere,
+		canResumeElsewhere,
 		onData() {
 			context.servers.recordData(server.id, context.clock.monotonic());
 		},
--- a/packages/gateway/src/entry/model-cascade.ts
+++ b/packages/gateway/src/entry/model-cascade.ts
@@ -97,7 +97,7 @@
 	@returns The larger model; undefined if the answer is good enough.
 	*/
 	chooseLarger({confidence, latency, age}: EscalationOptions): ModelId | undefined {
-		const {latencies, bounds: {minimumConfidence: minimumConfidence}} = this.#context;
+		const {latencies, bounds: {minimumConfidence}} = this.#context;
 		const {sizes, targetLatency} = this.#route;
 		const largest = sizes.at(-1);
 		if (this.#current === undefined || largest === undefined) {
@@ -109,7 +109,7 @@
 			sizes,
 			current: this.#current,
 			confidence,
-			minimumConfidence: minimumConfidence,
+			minimumConfidence,
 			timeLeft: targetLatency - age,
 			// Estimated for the mean prompt length: escalation is limited to bound the load, and for a long prompt a good answer is worth a delay.
 			expectedLatency: latencies.estimate(this.#key(largest), {fallback: defaultLatencyShare * targetLatency}),
--- a/packages/gateway/src/entry/placement.ts
+++ b/packages/gateway/src/entry/placement.ts
@@ -65,7 +65,7 @@
 		const promptKey = isSuspect ? undefined : this.#promptKey(model);
 		for (const isAcceptable of this.#versionPreferences(now)) {
 			const server = servers.choose({
-				service: this.service, isAcceptable: isAcceptable, excluded: this.#excluded, promptKey: promptKey, now,
+				service: this.service, isAcceptable, excluded: this.#excluded, promptKey, now,
 			});
 			if (server !== undefined) {
 				if (session !== undefined) {
--- a/packages/gateway/src/entry/relay-stream.ts
+++ b/packages/gateway/src/entry/relay-stream.ts
@@ -33,7 +33,7 @@
 ```
 */
 export async function relayStream(options: RelayStreamOptions): Promise<RelayEnd> {
-	const {message, isComplete: isComplete, response, events, stallTimeout, canResumeElsewhere: canResumeElsewhere, onData: onData, onFirstEvent} = options;
+	const {message, isComplete, response, events, stallTimeout, canResumeElsewhere, onData, onFirstEvent} = options;
 	return new Promise(resolve => {
 		let hasForwarded = false;
 		let isFinished = false;
--- a/packages/gateway/src/entry/request-run.ts
+++ b/packages/gateway/src/entry/request-run.ts
@@ -213,7 +213,7 @@
 				return this.#retry(failed);
 			})
 			.with({type: 'whole'}, async ({answer}) => this.#end.forward(answer))
-			.with({type: 'escalated'}, async ({model, fallback: fallback}): Promise<NextStep> => {
+			.with({type: 'escalated'}, async ({model, fallback}): Promise<NextStep> => {
 				this.#end.recordPossibleRun();
 				this.#fallback.keep(fallback);
 				this.#models.escalateTo(model);
--- a/packages/gateway/src/entry/send-attempt.test.ts
+++ b/packages/gateway/src/entry/send-attempt.test.ts
@@ -36,7 +36,7 @@
 
 function giveUpAfter(checkAfter: number): SendAttemptOptions['headTimeouts'] {
 	return {
-		checkAfter: checkAfter, maximum: checkAfter, maximumOnReused: checkAfter, hasSentData: () => false, isReachable: async () => false,
+		checkAfter, maximum: checkAfter, maximumOnReused: checkAfter, hasSentData: () => false, isReachable: async () => false,
 	};
 }
 
@@ -159,9 +159,9 @@
 	const headTimeouts: HeadTimeouts = {
 		checkAfter: 50, maximum: 60_000, maximumOnReused: 100, hasSentData: () => true, isReachable: async () => true,
 	};
-	const reused = await sendAttempt({...options, headTimeouts: headTimeouts}).outcome;
+	const reused = await sendAttempt({...options, headTimeouts}).outcome;
 	t.is(reused.type, 'silent');
-	const opened = await sendAttempt({...options, headTimeouts: headTimeouts}).outcome;
+	const opened = await sendAttempt({...options, headTimeouts}).outcome;
 	t.is(opened.type, 'head');
 });
 
--- a/packages/gateway/src/entry/send-attempt.ts
+++ b/packages/gateway/src/entry/send-attempt.ts
@@ -70,7 +70,7 @@
 ```
 */
 export function sendAttempt(options: SendAttemptOptions): SentAttempt {
-	const {server, method, target, headers, body, mayReuseConnection: mayReuseConnection, processEnd} = options;
+	const {server, method, target, headers, body, mayReuseConnection, processEnd} = options;
 	if (mayReuseConnection) {
 		closeStaleConnections(server);
 	}
@@ -103,7 +103,7 @@
 	readonly isOpen: () => boolean;
 };
 
-async function awaitHead(request: ClientRequest, {server, connectTimeout, headTimeouts: headTimeouts}: SendAttemptOptions, {isCancelled, isOpen}: SendProgress): Promise<SendOutcome> {
+async function awaitHead(request: ClientRequest, {server, connectTimeout, headTimeouts}: SendAttemptOptions, {isCancelled, isOpen}: SendProgress): Promise<SendOutcome> {
 	return new Promise(resolve => {
 		let isSilent = false;
 		const stopConnectTimeout = setTimeoutAfterPoll(connectTimeout, () => {
@@ -156,7 +156,7 @@
 
 /** Gives up the send after the first timeout if the server is unresponsive on other connections too, and otherwise after the maximum. */
 function watchHeadTimeouts(timeouts: HeadTimeouts, {isReused, giveUp}: HeadWatch): () => void {
-	const {checkAfter: checkAfter, maximum: maximum, maximumOnReused: maximumOnReused, hasSentData: hasSentData, isReachable: isReachable} = timeouts;
+	const {checkAfter, maximum, maximumOnReused, hasSentData, isReachable} = timeouts;
 	let isOver = false;
 	let stopTimeout: (() => void) | undefined;
 	const checkServer = async (): Promise<void> => {
--- a/packages/membership/src/configuration-relay.test.ts
+++ b/packages/membership/src/configuration-relay.test.ts
@@ -211,7 +211,7 @@
 			if (!lost && grant !== undefined) {
 				this.#send(responseDelay, () => {
 					this.#receive(childIndex, {
-						childRelay, request: request, sentAt, grant, parentRevision: adopts ? parentRevision : toRevision(0), releaseDelay: requestDelay,
+						childRelay, request, sentAt, grant, parentRevision: adopts ? parentRevision : toRevision(0), releaseDelay: requestDelay,
 					});
 				});
 			}
@@ -311,11 +311,11 @@
 	const request = child.createRequest(5000, toId<InstanceId>('leader'));
 	const grant = leader.grantLease(request, 20)!;
 	t.is(grant.remainingMilliseconds, 80);
-	t.true(child.acceptGrant({request: request, sentAt: 5000, grant}));
+	t.true(child.acceptGrant({request, sentAt: 5000, grant}));
 	t.true(child.isLeaseValid(5079));
 	t.false(child.isLeaseValid(5080));
 	child.createRequest(5010, toId<InstanceId>('leader'));
-	t.false(child.acceptGrant({request: request, sentAt: 5000, grant}));
+	t.false(child.acceptGrant({request, sentAt: 5000, grant}));
 });
 
 const createRelayAt = (name: string, revision: number): ConfigurationRelay => {
@@ -334,7 +334,7 @@
 	const grant = parent.grantLease(request, at);
 	if (grant !== undefined) {
 		child.adopt(grant.revision);
-		child.acceptGrant({request: request, sentAt: at, grant});
+		child.acceptGrant({request, sentAt: at, grant});
 	}
 
 	return child.drainReleases();
@@ -391,7 +391,7 @@
 	lastWakeTime = 12;
 	t.false(child.isLeaseValid(12));
 	t.is(child.grantLease(createRelayAt('below', 1).createRequest(13, toId<InstanceId>('child')), 13), undefined);
-	t.false(child.acceptGrant({request: request, sentAt: 11, grant}));
+	t.false(child.acceptGrant({request, sentAt: 11, grant}));
 	requestLease(child, {parent: leader, name: 'leader', at: 14});
 	t.true(child.isLeaseValid(15));
 });
--- a/packages/membership/src/configuration-relay.ts
+++ b/packages/membership/src/configuration-relay.ts
@@ -199,7 +199,7 @@
 	@param response The request, when it was sent on the monotonic clock, and the grant.
 	@returns Whether the lease was accepted. It is rejected if the request is not the latest one, if it was sent before the machine was last suspended, or if the granted revision is not in force on this instance yet.
 	*/
-	acceptGrant({request: request, sentAt, grant}: LeaseResponse): boolean {
+	acceptGrant({request, sentAt, grant}: LeaseResponse): boolean {
 		const isStale = request.number !== this.#lastRequestNumber || sentAt < this.#options.suspension.lastWake();
 		if (isStale || grant.revision > this.#revision) {
 			return false;
--- a/packages/platform/src/platform-dialect.ts
+++ b/packages/platform/src/platform-dialect.ts
@@ -81,7 +81,7 @@
 	return new Set(value.toLowerCase().split(',').map(name => name.trim()));
 }
 
-function sendHeaders({headers}: GatewayRequest, {server, model, timeout: timeout, workspace, urgency, lastEventId, keepsConnection}: SendMetadata): readonly Header[] {
+function sendHeaders({headers}: GatewayRequest, {server, model, timeout, workspace, urgency, lastEventId, keepsConnection}: SendMetadata): readonly Header[] {
 	const gatewayHeaders: Array<readonly [name: string, value: string | undefined]> = [
 		['Deadline-Ms', String(timeout)],
 		['Expect-Instance', server],
--- a/packages/platform/src/start-process.ts
+++ b/packages/platform/src/start-process.ts
@@ -155,7 +155,7 @@
 
 async function startControlPart(context: ProcessContext, listen: ListenAddress) {
 	const {settings, log, network} = context;
-	const {instance, isFounding, heartbeatInterval: heartbeatInterval, dataFolder = 'data'} = settings();
+	const {instance, isFounding, heartbeatInterval, dataFolder = 'data'} = settings();
 	const control = new ControlInstance({
 		...context,
 		self: instance,
@@ -198,7 +198,7 @@
 
 async function startEntryPart(context: ProcessContext, listen: ListenAddress) {
 	const {settings} = context;
-	const {instance, zone, revocationTimeout: revocationTimeout, canaryShare: canaryLimit, retryRatio: retryRatio, retryWindow, sessionTimeout, gracePeriod: gracePeriod, readiness} = settings();
+	const {instance, zone, revocationTimeout, canaryShare: canaryLimit, retryRatio, retryWindow, sessionTimeout, gracePeriod, readiness} = settings();
 	const entry = new EntryInstance({
 		...context,
 		self: instance,
@@ -207,7 +207,7 @@
 		clock,
 		random: Math.random,
 		dialect: platformDialect,
-		bounds: {canaryShare: usedCanaryShare * canaryLimit, minimumConfidence: minimumConfidence},
+		bounds: {canaryShare: usedCanaryShare * canaryLimit, minimumConfidence},
 		leaseMilliseconds: Math.min(revocationTimeout - leaseMarginMilliseconds, leaseShare * revocationTimeout),
 		sessionMilliseconds: sessionTimeout,
 		retryShare: usedRetryShare * retryRatio,
--- a/packages/policy/src/_evaluate-candidates.ts
+++ b/packages/policy/src/_evaluate-candidates.ts
@@ -138,7 +138,7 @@
 
 function findExclusion({request, options}: EvaluationContext, target: VersionTarget): Exclusion | undefined {
 	const {
-		configuration, isServed, isolated = false, isolatedServe, isStoppedLocally: isStoppedLocally, inProgress = () => 0, bucketingKey: bucketingKey = request.id,
+		configuration, isServed, isolated = false, isolatedServe, isStoppedLocally, inProgress = () => 0, bucketingKey = request.id,
 	} = options;
 	const check = {
 		...target, workspace: request.workspace, isolated, ...(isolatedServe !== undefined && {isolatedServe}),
@@ -165,7 +165,7 @@
 	}
 
 	return isRollingOut
-		? exposureExclusion(decideExposure(configuration, {...target, bucketingKey: bucketingKey, inProgress: inProgress(target)}))
+		? exposureExclusion(decideExposure(configuration, {...target, bucketingKey, inProgress: inProgress(target)}))
 		: undefined;
 }
 
--- a/packages/policy/src/bad-version-monitor.ts
+++ b/packages/policy/src/bad-version-monitor.ts
@@ -70,7 +70,7 @@
 	@returns The alarm, if this observation is the one that raises it.
 	*/
 	observe(observation: QualityObservation, {configuration, now}: ObservationContext): BadVersionAlarm | undefined {
-		const {qualityStore: qualityStore} = this.#options;
+		const {qualityStore} = this.#options;
 		const measure = observation.measure === 'failure' ? 'failures' : 'ratings';
 		const limit = observation.measure === 'escalation'
 			? undefined
--- a/packages/policy/src/check-dispatch.ts
+++ b/packages/policy/src/check-dispatch.ts
@@ -55,7 +55,7 @@
 
 function checkInstanceState(options: CheckDispatchOptions, isSettled: boolean): DispatchDecision {
 	const {
-		model, version, isolated, isolatedServe = 'settled', isStoppedLocally: isStoppedLocally = () => false, belowTarget = false,
+		model, version, isolated, isolatedServe = 'settled', isStoppedLocally = () => false, belowTarget = false,
 	} = options;
 	if (isolated && !servesWhileIsolated(isolatedServe, isSettled)) {
 		return 'isolated';
--- a/packages/policy/src/choose-version.test.ts
+++ b/packages/policy/src/choose-version.test.ts
@@ -127,9 +127,9 @@
 	t.like(chosenOf(options), {belowTarget: true, chosen: {model: target('b', '1').model}});
 	t.is(chosenOf({...options, rule: ruleOf(['a', 'b'], {whenBelowTarget: 'refuse'})}), undefined);
 	const isStoppedLocally = ({model}: {model: ModelId}): boolean => model === toId<ModelId>('b');
-	t.like(chosenOf({...options, isStoppedLocally: isStoppedLocally}), {belowTarget: true, chosen: {model: target('a', '1').model}});
+	t.like(chosenOf({...options, isStoppedLocally}), {belowTarget: true, chosen: {model: target('a', '1').model}});
 	t.is(checkDispatch(configuration, {
-		...target('b', '1'), workspace: yard, isolated: false, isStoppedLocally: isStoppedLocally,
+		...target('b', '1'), workspace: yard, isolated: false, isStoppedLocally,
 	}), 'version-stopped');
 });
 
@@ -147,15 +147,15 @@
 	let newVersionCount = 0;
 	for (let index = 0; index < 5000; index += 1) {
 		const bucketingKey = `s${index}`;
-		const isNewVersion = chosenOf({...options, bucketingKey: bucketingKey})?.chosen.version === newVersion.version;
+		const isNewVersion = chosenOf({...options, bucketingKey})?.chosen.version === newVersion.version;
 		newVersionCount += isNewVersion ? 1 : 0;
 		const larger = configurationOf({m: {...versions, 2: rollingOutVersion(0.86, 0.5)}});
-		t.true(!isNewVersion || decideExposure(larger, {...newVersion, bucketingKey: bucketingKey, inProgress: 0}) === 'exposed');
-		t.is(chosenOf({...options, bucketingKey: bucketingKey}, requestOf(`other-${index}`))?.chosen.version === newVersion.version, isNewVersion);
-		t.false(chosenOf({...options, bucketingKey: bucketingKey, isolated: true})?.chosen.version === newVersion.version);
-		t.false(chosenOf({...options, bucketingKey: bucketingKey, inProgress: () => 32})?.chosen.version === newVersion.version);
-		t.false(chosenOf({...options, bucketingKey: bucketingKey, isStoppedLocally: ({version}) => version === newVersion.version})?.chosen.version === newVersion.version);
-		t.false(chosenOf({...options, bucketingKey: bucketingKey, configuration: {...configuration, rollouts: {}}})?.chosen.version === newVersion.version);
+		t.true(!isNewVersion || decideExposure(larger, {...newVersion, bucketingKey, inProgress: 0}) === 'exposed');
+		t.is(chosenOf({...options, bucketingKey}, requestOf(`other-${index}`))?.chosen.version === newVersion.version, isNewVersion);
+		t.false(chosenOf({...options, bucketingKey, isolated: true})?.chosen.version === newVersion.version);
+		t.false(chosenOf({...options, bucketingKey, inProgress: () => 32})?.chosen.version === newVersion.version);
+		t.false(chosenOf({...options, bucketingKey, isStoppedLocally: ({version}) => version === newVersion.version})?.chosen.version === newVersion.version);
+		t.false(chosenOf({...options, bucketingKey, configuration: {...configuration, rollouts: {}}})?.chosen.version === newVersion.version);
 	}
 
 	t.true(newVersionCount > 900 && newVersionCount < 1100, `${newVersionCount} of 5000 requests on the new version, expected about a fifth`);
--- a/packages/policy/src/choose-version.ts
+++ b/packages/policy/src/choose-version.ts
@@ -83,7 +83,7 @@
 	return versionKey(model, version);
 }
 
-function cheapest(eligible: readonly EvaluatedCandidate[], {rule, latencyCostTolerance: latencyCostTolerance = defaultLatencyCostTolerance}: ChooseVersionOptions): EvaluatedCandidate | undefined {
+function cheapest(eligible: readonly EvaluatedCandidate[], {rule, latencyCostTolerance = defaultLatencyCostTolerance}: ChooseVersionOptions): EvaluatedCandidate | undefined {
 	const [best] = eligible.toSorted((left, right) => left.candidate.expectedCost - right.candidate.expectedCost || left.order - right.order);
 	if (best === undefined || rule.prefers !== 'latency') {
 		return best;
--- a/packages/policy/src/exposure.ts
+++ b/packages/policy/src/exposure.ts
@@ -35,7 +35,7 @@
 ```
 */
 export function decideExposure(configuration: EffectiveConfiguration, options: ExposureOptions): ExposureDecision {
-	const {model, version, bucketingKey: bucketingKey, inProgress} = options;
+	const {model, version, bucketingKey, inProgress} = options;
 	const key = versionKey(model, version);
 	const stage = currentStage(configuration, {model, version});
 	if (stage === undefined) {
--- a/packages/soak/src/run-soak.ts
+++ b/packages/soak/src/run-soak.ts
@@ -63,7 +63,7 @@
 	const now = (): number => performance.now();
 	const network = new SoakNetwork();
 	const deployment = await PlatformDeployment.prepare({
-		controlCount: controls, entryCount: entries, revocationMilliseconds: revocationMilliseconds, environment: ({ip, folder}) => ({
+		controlCount: controls, entryCount: entries, revocationMilliseconds, environment: ({ip, folder}) => ({
 			NODE_OPTIONS: `--import ${fileURLToPath(new URL('preload/misbehave.js', import.meta.url))}`, [addressVariable]: ip, [dataFolderVariable]: folder,
 		}),
 	});
--- a/packages/storage/src/atomic-file.ts
+++ b/packages/storage/src/atomic-file.ts
@@ -30,7 +30,7 @@
 	@param file The path of the file; its folder must exist.
 	@param options The file system to use.
 	*/
-	constructor(file: string, {fileSystem: fileSystem = nodeFileSystem}: AtomicFileOptions = {}) {
+	constructor(file: string, {fileSystem = nodeFileSystem}: AtomicFileOptions = {}) {
 		this.#folder = path.dirname(file);
 		this.#name = path.basename(file);
 		this.#fileSystem = fileSystem;
--- a/packages/storage/src/data-folder.ts
+++ b/packages/storage/src/data-folder.ts
@@ -57,7 +57,7 @@
 	#lastWrite: Promise<unknown> = Promise.resolve();
 	#lastSnapshotWrite: Promise<void> | undefined;
 
-	constructor({access: access, segmentBytes, identity, isNew, loaded, unlock}: DataFolderParts) {
+	constructor({access, segmentBytes, identity, isNew, loaded, unlock}: DataFolderParts) {
 		const {snapshot, entries, log} = loaded;
 		this.#access = access;
 		this.#segmentBytes = segmentBytes;
--- a/packages/storage/src/open-data-folder.ts
+++ b/packages/storage/src/open-data-folder.ts
@@ -58,7 +58,7 @@
 		const identity = await readOrCreateIdentity(access, options.generateIdentity ?? randomUUID);
 		const loaded = await loadFolder(access, identity.identity);
 		const opened = new DataFolder({
-			...identity, access: access, loaded, unlock, segmentBytes: options.segmentBytes ?? defaultSegmentBytes,
+			...identity, access, loaded, unlock, segmentBytes: options.segmentBytes ?? defaultSegmentBytes,
 		});
 		await opened.startFirstSegment(loaded.keepsEarlier);
 		return Right(opened);
--- a/packages/testing/src/bin/bench-decisions.ts
+++ b/packages/testing/src/bin/bench-decisions.ts
@@ -15,7 +15,7 @@
 const firstSeed = 20_261_202;
 const seedStep = 104_729;
 
-function scaleDeployment({entries, engines, lowRequestsPerSecond: lowRequestsPerSecond, ...profile}: CustomerProfile, factor: number): CustomerProfile {
+function scaleDeployment({entries, engines, lowRequestsPerSecond, ...profile}: CustomerProfile, factor: number): CustomerProfile {
 	return {
 		...profile, entries: entries * factor, engines: engines * factor, lowRequestsPerSecond: lowRequestsPerSecond * factor,
 	};
--- a/packages/testing/src/bin/capacity.ts
+++ b/packages/testing/src/bin/capacity.ts
@@ -24,7 +24,7 @@
 for (const [name, experiment] of Object.entries(experiments)) {
 	if (selectedNames.has(name)) {
 		const series = await experiment({
-			seconds: Number(flags.seconds), reportProgress: reportProgress, ...(sizes && {sizes}),
+			seconds: Number(flags.seconds), reportProgress, ...(sizes && {sizes}),
 		});
 		allSeries.push(...series);
 	}
--- a/packages/testing/src/capacity/experiments.ts
+++ b/packages/testing/src/capacity/experiments.ts
@@ -87,7 +87,7 @@
 ```
 */
 export async function measureDaemons(options: ExperimentOptions): Promise<readonly Series[]> {
-	const {seconds, reportProgress: reportProgress, sizes = daemonSizes} = options;
+	const {seconds, reportProgress, sizes = daemonSizes} = options;
 	const measured: SizedMeasurement[] = [];
 	for (const size of sizes) {
 		reportProgress(`${size} daemons`);
@@ -111,7 +111,7 @@
 	readonly load: (deployment: Deployment, size: number) => Promise<() => Promise<void>>;
 };
 
-async function measureSingleDaemon(sizes: readonly number[], {per, load, seconds, reportProgress: reportProgress}: SingleDaemonOptions): Promise<readonly Series[]> {
+async function measureSingleDaemon(sizes: readonly number[], {per, load, seconds, reportProgress}: SingleDaemonOptions): Promise<readonly Series[]> {
 	const measured: SizedMeasurement[] = [];
 	for (const size of sizes) {
 		reportProgress(`${size} × ${per}`);
@@ -131,7 +131,7 @@
 
 async function start(daemons: readonly DaemonPlan[]): Promise<Deployment> {
 	return startDeployment({
-		daemons, backends: [engine], configuration, startTimeoutMilliseconds: startTimeoutMilliseconds,
+		daemons, backends: [engine], configuration, startTimeoutMilliseconds,
 	});
 }
 
--- a/packages/testing/src/capacity/series.ts
+++ b/packages/testing/src/capacity/series.ts
@@ -35,7 +35,7 @@
 */
 export function toSeries(per: string, measured: readonly SizedMeasurement[]): readonly Series[] {
 	return Object.entries(measured[0]?.quantities ?? {}).map(([quantity, {unit}]) => {
-		const points = measured.map(({size, quantities: quantities}) => ({size, value: quantities[quantity]?.value ?? Number.NaN}));
+		const points = measured.map(({size, quantities}) => ({size, value: quantities[quantity]?.value ?? Number.NaN}));
 		return {
 			quantity, unit, per, points, fit: fitLine(points),
 		};
--- a/packages/testing/src/emulator/emulated-engine.ts
+++ b/packages/testing/src/emulator/emulated-engine.ts
@@ -137,7 +137,7 @@
 	*/
 	step(): number {
 		this.#admit();
-		const {stepMilliseconds, prefillTokensPerMillisecond: prefillTokensPerMillisecond, prefillChunkTokens: prefillChunkTokens} = this.#parameters;
+		const {stepMilliseconds, prefillTokensPerMillisecond, prefillChunkTokens} = this.#parameters;
 		let pace = 1;
 		let remainingChunk = prefillChunkTokens;
 		let prefillMilliseconds = 0;
--- a/packages/testing/src/emulator/emulated-entry.ts
+++ b/packages/testing/src/emulator/emulated-entry.ts
@@ -36,7 +36,7 @@
 @param options The instance's zone, engines and sources of time and randomness.
 @returns The instance.
 */
-export function createEmulatedEntry({zone, clock, random, engines, slots, peerLoadAt: peerLoadAt}: EmulatedEntryOptions): EmulatedEntry {
+export function createEmulatedEntry({zone, clock, random, engines, slots, peerLoadAt}: EmulatedEntryOptions): EmulatedEntry {
 	const servers: EntryServers = new EntryServers({
 		zone,
 		random,
--- a/packages/testing/src/emulator/load-scenario.ts
+++ b/packages/testing/src/emulator/load-scenario.ts
@@ -69,7 +69,7 @@
 ```
 */
 export function drawScenario(profile: CustomerProfile, {random, milliseconds}: {readonly random: RandomSource; readonly milliseconds: number}): LoadScenario {
-	const {lowRequestsPerSecond: lowRequestsPerSecond, kinds, ...rest} = profile;
+	const {lowRequestsPerSecond, kinds, ...rest} = profile;
 	const faults = Array.from({length: Math.floor(random() * (maximumFaults + 1))}, (): EngineFault => ({
 		engine: Math.floor(random() * profile.engines),
 		at: random() * milliseconds,
--- a/packages/testing/src/emulator/policies.ts
+++ b/packages/testing/src/emulator/policies.ts
@@ -3,7 +3,7 @@
 
 /** The policy that the product implements. */
 export const productPolicy: SimulationPolicy = {
-	name: 'product policy', chooseAffinityScope: chooseAffinityScope, knownLoads: 'near', scalesWithPrompt: true, abandonsSilentServers: true, escalates: true,
+	name: 'product policy', chooseAffinityScope, knownLoads: 'near', scalesWithPrompt: true, abandonsSilentServers: true, escalates: true,
 };
 
 /** The product's policy, and variants of it with mechanisms disabled or replaced. */
--- a/packages/testing/src/emulator/scheduled-engine.ts
+++ b/packages/testing/src/emulator/scheduled-engine.ts
@@ -32,7 +32,7 @@
 	#isStepping = false;
 	#slowdownFactor = 1;
 
-	constructor({id, zone, parameters: parameters, queue, callbacks: callbacks}: ScheduledEngineOptions) {
+	constructor({id, zone, parameters, queue, callbacks}: ScheduledEngineOptions) {
 		this.id = id;
 		this.zone = zone;
 		this.#queue = queue;
--- a/packages/testing/src/emulator/simulate-load.ts
+++ b/packages/testing/src/emulator/simulate-load.ts
@@ -177,8 +177,8 @@
 		};
 	}
 
-	#homeScope({repeats}: EmulatedEntry, {kind, promptKey: promptKey, uniqueTokens: uniqueTokens}: CallerRequest): AffinityScope | undefined {
-		const {chooseAffinityScope: chooseAffinityScope} = this.#policy;
+	#homeScope({repeats}: EmulatedEntry, {kind, promptKey, uniqueTokens}: CallerRequest): AffinityScope | undefined {
+		const {chooseAffinityScope} = this.#policy;
 		if (chooseAffinityScope === undefined || kind.sharedTokens === 0) {
 			return undefined;
 		}
@@ -189,7 +189,7 @@
 	}
 
 	#send(request: Request): void {
-		const {entry: {servers, zone}, model, promptKey: promptKey, homeScope, excluded} = request;
+		const {entry: {servers, zone}, model, promptKey, homeScope, excluded} = request;
 		const {now} = this.#queue;
 		if (request.sends >= maximumSends) {
 			this.#result.failed++;
@@ -222,7 +222,7 @@
 		}
 	}
 
-	#expectedLatency({entry: {latencies}, route, model, kind, uniqueTokens: uniqueTokens}: Request): number {
+	#expectedLatency({entry: {latencies}, route, model, kind, uniqueTokens}: Request): number {
 		const fallback = kind.targetLatency / silenceFactor;
 		const tokens = kind.sharedTokens + uniqueTokens;
 		return latencies.estimate(`${route} ${model.id}`, this.#policy.scalesWithPrompt ? {tokens, fallback} : {fallback});
@@ -235,10 +235,10 @@
 			return;
 		}
 
-		const {request: {model, kind, promptKey: promptKey, uniqueTokens: uniqueTokens, entry}} = send;
+		const {request: {model, kind, promptKey, uniqueTokens, entry}} = send;
 		const segments = kind.sharedTokens === 0 ? [] : [{id: promptKey, tokens: kind.sharedTokens}];
 		if (engine.tryEnqueue({
-			id, model, segments: segments, uniqueTokens: uniqueTokens, outputTokens: kind.outputTokens,
+			id, model, segments, uniqueTokens, outputTokens: kind.outputTokens,
 		})) {
 			return;
 		}
@@ -276,7 +276,7 @@
 		}
 
 		const {request, engine, load, sentAt} = send;
-		const {entry: {servers, latencies}, kind, route, model, difficulty: difficulty, arrivedAt, uniqueTokens: uniqueTokens} = request;
+		const {entry: {servers, latencies}, kind, route, model, difficulty, arrivedAt, uniqueTokens} = request;
 		const {now} = this.#queue;
 		servers.recordData(engine.id, now);
 		servers.recordResult(engine.id, 'answered', now);
@@ -303,7 +303,7 @@
 	}
 
 	/** Chooses a larger model to escalate to, depending on the confidence of the model that responded. */
-	#chooseLargerModel({entry: {latencies}, kind, route, model, difficulty: difficulty, confidenceError: confidenceError, arrivedAt, sends}: Request): EmulatedModel | undefined {
+	#chooseLargerModel({entry: {latencies}, kind, route, model, difficulty, confidenceError, arrivedAt, sends}: Request): EmulatedModel | undefined {
 		if (!this.#policy.escalates || sends >= maximumSends) {
 			return undefined;
 		}
@@ -315,7 +315,7 @@
 			sizes: models.map(({id}) => toId<ModelId>(id)),
 			current: toId<ModelId>(model.id),
 			confidence: 100 * Math.min(1, Math.max(0, confidence)),
-			minimumConfidence: minimumConfidence,
+			minimumConfidence,
 			timeLeft: kind.targetLatency - (this.#queue.now - arrivedAt),
 			expectedLatency: latencies.estimate(`${route} ${largest.id}`, {fallback: 0.35 * kind.targetLatency}),
 		});
--- a/packages/testing/src/measure/caller.ts
+++ b/packages/testing/src/measure/caller.ts
@@ -67,7 +67,7 @@
 	const totalMilliseconds = performance.now() - startedAt;
 	return {
 		request,
-		attempts: attempts,
+		attempts,
 		version: version === '@' ? '' : version,
 		isComplete: isExpected,
 		isUnexpected: last?.done === true && !isExpected,
--- a/packages/testing/src/measure/cell-metrics.ts
+++ b/packages/testing/src/measure/cell-metrics.ts
@@ -60,7 +60,7 @@
 ```
 */
 export function computeCellMetrics({callers, runs, ratings}: CellRecords, workload: Workload): CellMetrics {
-	const complete = callers.filter(({isComplete: isComplete}) => isComplete);
+	const complete = callers.filter(({isComplete}) => isComplete);
 	const metTarget = complete.filter(record => meetsTarget(record, workload)).length;
 	const runIds = new Set(runs.map(({requestId}) => requestId));
 	const refused = callers.filter(record => !record.isComplete && refusalOf(record) !== undefined);
@@ -72,33 +72,33 @@
 		costPerThousand: costOfRuns(runs, {callers, workload}) * responsesPerCostUnit / Math.max(1, metTarget),
 		firstToken: percentilesOf(complete.filter(({request}) => request.kind.form === 'streamed').map(({firstTokenMilliseconds}) => firstTokenMilliseconds)),
 		wholeAnswer: percentilesOf(complete.map(({totalMilliseconds}) => totalMilliseconds)),
-		badAnswers: complete.filter(({isDegraded: isDegraded}) => isDegraded).length,
+		badAnswers: complete.filter(({isDegraded}) => isDegraded).length,
 		refusals: countBy(refused.map(record => refusalOf(record) ?? '')),
 		failed: callers.length - complete.length - refused.length,
-		resends: sumOf(callers.map(({attempts: attempts}) => attempts.length - 1)),
+		resends: sumOf(callers.map(({attempts}) => attempts.length - 1)),
 		extraRuns: extraRunsOf(runs),
 		doubledCalls: [...runCounts.values()].filter(count => count > 1).length,
 		phantomCalls: complete.filter(({request}) => request.kind.form === 'call' && !runCounts.has(request.id)).length,
-		falseRefusals: refused.filter(({attempts: attempts}) => attempts.some(({requestId, problem}) => problem?.outcome === 'notRun' && runIds.has(requestId))).length,
-		wrongAnswers: callers.filter(({isUnexpected: isUnexpected}) => isUnexpected).length,
+		falseRefusals: refused.filter(({attempts}) => attempts.some(({requestId, problem}) => problem?.outcome === 'notRun' && runIds.has(requestId))).length,
+		wrongAnswers: callers.filter(({isUnexpected}) => isUnexpected).length,
 		ratingsSent: ratings.sent,
 		ratingsTaken: ratings.accepted,
 	};
 }
 
-function meetsTarget({request: {kind}, version, isDegraded: isDegraded, totalMilliseconds}: CallerRecord, {qualities}: Workload): boolean {
+function meetsTarget({request: {kind}, version, isDegraded, totalMilliseconds}: CallerRecord, {qualities}: Workload): boolean {
 	const isGood = kind.form === 'call' || (!isDegraded && (qualities[version] ?? 0) >= kind.qualityTarget);
 	return isGood && totalMilliseconds <= kind.deadlineMilliseconds;
 }
 
-function refusalOf({attempts: attempts}: CallerRecord): string | undefined {
+function refusalOf({attempts}: CallerRecord): string | undefined {
 	const problem = attempts.at(-1)?.problem;
 	return problem?.outcome === 'notRun' ? problem.kind : undefined;
 }
 
 /** Each run costs its prompt and, if it completed, its output; runs of unknown requests are charged the mean prompt length. */
 function costOfRuns(runs: readonly RecordedRun[], {callers, workload}: {readonly callers: readonly CallerRecord[]; readonly workload: Workload}): number {
-	const requests = new Map(callers.flatMap(({request, attempts: attempts}) => attempts.map(({requestId}) => [requestId, request] as const)));
+	const requests = new Map(callers.flatMap(({request, attempts}) => attempts.map(({requestId}) => [requestId, request] as const)));
 	const meanWords = sumOf(callers.map(({request}) => request.kind.promptWords)) / Math.max(1, callers.length);
 	let cost = 0;
 	for (const {requestId, model = '', version = '', completed} of runs) {
--- a/packages/testing/src/measure/fault.ts
+++ b/packages/testing/src/measure/fault.ts
@@ -45,7 +45,7 @@
 	},
 	{
 		name: 'engine-killed',
-		async inject({system, workload, saveRuns: saveRuns}) {
+		async inject({system, workload, saveRuns}) {
 			for (const engine of smallEngines(system, workload).slice(0, 1)) {
 				await saveRuns(engine);
 				await engine.process.kill('SIGKILL');
@@ -62,7 +62,7 @@
 	},
 	{
 		name: 'version-bad',
-		async inject({workload, degradeVersion: degradeVersion}) {
+		async inject({workload, degradeVersion}) {
 			degradeVersion(workload.degradedVersion);
 		},
 	},
@@ -77,7 +77,7 @@
 	},
 	{
 		name: 'capacity-third',
-		async inject({system, workload, saveRuns: saveRuns}) {
+		async inject({system, workload, saveRuns}) {
 			const engines = smallEngines(system, workload);
 			await Promise.all(engines.slice(Math.ceil(engines.length / 3)).map(async engine => {
 				await saveRuns(engine);
--- a/packages/testing/src/measure/rater.ts
+++ b/packages/testing/src/measure/rater.ts
@@ -49,7 +49,7 @@
 	return {
 		count,
 		rate(record) {
-			const {request: {ratingDraw}, isComplete: isComplete, version} = record;
+			const {request: {ratingDraw}, isComplete, version} = record;
 			if (!isComplete || version === '' || ratingDraw >= sampledShare) {
 				return;
 			}
@@ -72,7 +72,7 @@
 };
 
 async function sendRating(record: CallerRecord, {system, workload, count, signal}: SendRatingOptions): Promise<void> {
-	const {request: {entryDraw: entryDraw, workspace, kind, ratingDraw}, version, isDegraded: isDegraded, attempts: attempts} = record;
+	const {request: {entryDraw, workspace, kind, ratingDraw}, version, isDegraded, attempts} = record;
 	// Uniform from 0 to 1 among the sampled responses.
 	const draw = ratingDraw / sampledShare;
 	const entry = system.entries[entryDraw % system.entries.length];
--- a/packages/testing/src/measure/system.ts
+++ b/packages/testing/src/measure/system.ts
@@ -55,7 +55,7 @@
 */
 export async function startValehitch(workload: Workload, folder: string): Promise<System> {
 	const cutFile = await preloadZoneCut(folder);
-	const deployment = await startDeployment({...workload, folder, startTimeoutMilliseconds: startTimeoutMilliseconds});
+	const deployment = await startDeployment({...workload, folder, startTimeoutMilliseconds});
 	const entries = deployment.daemons.map(daemon => ({...daemon, ratings: `http://127.0.0.1:${daemon.ports.backends}/v1/ratings`}));
 	const ports = deployment.daemons.flatMap(({ports, zone}) => Object.values(ports).map(port => [String(port), zone] as const));
 	return waitUntilReady({
--- a/packages/testing/src/platform/fake-backend-server.ts
+++ b/packages/testing/src/platform/fake-backend-server.ts
@@ -136,7 +136,7 @@
 	}
 
 	async #respond(run: ExecutedRequest, response: ServerResponse): Promise<void> {
-		const {status = 200, confidence, events = ['done'], firstEventDelay: firstEventDelay, gap = 0, breakAfter, isNotExecuted: isNotExecuted = false} = this.#options.answer(run);
+		const {status = 200, confidence, events = ['done'], firstEventDelay, gap = 0, breakAfter, isNotExecuted = false} = this.#options.answer(run);
 		if (isNotExecuted) {
 			response.writeHead(503, {'Not-Executed': '1'});
 			response.end();
--- a/packages/testing/src/platform/platform-deployment.ts
+++ b/packages/testing/src/platform/platform-deployment.ts
@@ -73,7 +73,7 @@
 	@returns The deployment.
 	*/
 	static async prepare(options: PlatformDeploymentOptions = {}): Promise<PlatformDeployment> {
-		const {controlCount: controlCount = 3, entryCount: entryCount = 2, revocationMilliseconds: revocationMilliseconds = 5000, environment = () => ({})} = options;
+		const {controlCount = 3, entryCount = 2, revocationMilliseconds = 5000, environment = () => ({})} = options;
 		const folder = await mkdtemp(path.join(tmpdir(), 'valehitch-platform-'));
 		// All instances use the same ports, so each deployment needs its own subnet.
 		const network = await reserveLoopbackSubnet();
--- a/packages/testing/src/platform/slow-disk.ts
+++ b/packages/testing/src/platform/slow-disk.ts
@@ -18,7 +18,7 @@
 await PlatformDeployment.start({environment: () => slowDiskEnvironment({syncMilliseconds: 400})});
 ```
 */
-export function slowDiskEnvironment({syncMilliseconds = 0, delayedFile: delayedFile = '', replaceMilliseconds: replaceMilliseconds = 0}: SlowDiskOptions): Readonly<Record<string, string>> {
+export function slowDiskEnvironment({syncMilliseconds = 0, delayedFile = '', replaceMilliseconds = 0}: SlowDiskOptions): Readonly<Record<string, string>> {
 	return {
 		NODE_OPTIONS: `--import ${new URL('slow-saves.js', import.meta.url).href}`,
 		SLOW_SYNC_MILLISECONDS: String(syncMilliseconds),
