--- a/packages/control/src/_configuration-changes.ts
+++ b/packages/control/src/_configuration-changes.ts
@@ -120,7 +120,7 @@
 		const {revision, rollouts} = this.#effective;
 		if (expectedRevision !== revision) {
 			const changes = this.#history.filter(change => change.revision > expectedRevision);
-			return Left(failure('revision-conflict', `Expected revision ${expectedRevision} does not match the current revision ${revision}`, {details: {currentRevision: revision, changes}}));
+			return Left(failure('revision-conflict', `Got revision ${expectedRevision}, wanted the current revision ${revision}`, {details: {currentRevision: revision, changes}}));
 		}
 
 		this.#commit(reconcileRollouts(document, {rollouts, at}), {cause: {type: 'operator', operator, changeId}, at});
--- a/packages/control/src/order-delivery.ts
+++ b/packages/control/src/order-delivery.ts
@@ -129,7 +129,7 @@
 	}
 
 	if (wallClock - order.issuedAt > timing.orderTimeoutMilliseconds) {
-		return complete(input, {outcome: 'failed', detail: `Not executed within ${timing.orderTimeoutMilliseconds} ms`});
+		return complete(input, {outcome: 'failed', detail: `Not obeyed in ${timing.orderTimeoutMilliseconds} ms`});
 	}
 
 	if (engine === undefined) {
@@ -148,7 +148,7 @@
 	}
 
 	if (status === 'superseded') {
-		return complete(input, {outcome: 'refused', detail: 'The engine has executed a newer order'});
+		return complete(input, {outcome: 'refused', detail: 'The engine obeyed a newer order'});
 	}
 
 	const isInProgress = delivery.takenAt !== undefined && now - delivery.takenAt < timing.resendDelayMilliseconds;
--- a/packages/daemon/src/entry/lifecycle/request-execution.ts
+++ b/packages/daemon/src/entry/lifecycle/request-execution.ts
@@ -106,7 +106,7 @@
 		this.#processQueue();
 		await ended;
 		context.admission.end(requestId, this.#tokens);
-		context.decisions.recordEnd(requestId, this.#isAnswered ? 'answered' : 'not answered completely');
+		context.decisions.recordEnd(requestId, this.#isAnswered ? 'answered' : 'not answered whole');
 		context.executions.delete(this);
 		return this.#isAnswered ? this.#target : undefined;
 	}
--- a/packages/daemon/src/entry/traffic/server-selector.ts
+++ b/packages/daemon/src/entry/traffic/server-selector.ts
@@ -80,7 +80,7 @@
 
 		// The budget is checked last, so that an attempt without an available server does not use it up.
 		if (budgeted && !this.#budgets.tryWithdraw({purpose, workspace, target}, clock.monotonic())) {
-			recordDenial('the budget for additional attempts is exhausted');
+			recordDenial('the budget is used up');
 			return {type: 'none', reason: 'budget', retryAfterMilliseconds};
 		}
 
