--- a/packages/control/src/_replicated-clock.ts
+++ b/packages/control/src/_replicated-clock.ts
@@ -3,7 +3,7 @@
 /** The snapshot form of `ReplicatedClock`. */
 export type ReplicatedClockData = {
 	readonly elapsed: number;
-	/** The last reading of a leader's clock, in milliseconds since 1970. */
+	/** The last reading of a leader's clock, as Unix time in milliseconds. */
 	readonly readAt?: number | undefined;
 };
 
@@ -34,7 +34,7 @@
 		return this.#elapsed + clockReadIntervalMilliseconds;
 	}
 
-	/** Advances by a reading of the leader's clock, in milliseconds since 1970. */
+	/** Advances by a reading of the leader's clock, as Unix time in milliseconds. */
 	advance(readAt: number): void {
 		const step = readAt - (this.#readAt ?? readAt);
 		this.#elapsed += Math.min(Math.max(0, step), maximumAdvanceMilliseconds);
--- a/packages/control/src/command.ts
+++ b/packages/control/src/command.ts
@@ -16,14 +16,14 @@
 	readonly document: Configuration;
 	/** The name of the API key of the operator who made the change. */
 	readonly operator?: string | undefined;
-	/** Milliseconds since 1970. */
+	/** Unix time in milliseconds. */
 	readonly at: number;
 };
 
 /** One run of an instance, from start to exit. */
 export type InstanceRun = {
 	readonly instance: InstanceId;
-	/** The start time by the clock of the instance, in milliseconds since 1970. Distinguishes the runs of an instance. */
+	/** The start time by the clock of the instance, as Unix time in milliseconds. Distinguishes the runs of an instance. */
 	readonly startedAt: number;
 };
 
@@ -45,7 +45,7 @@
 	readonly request: RequestId;
 	/** The instance that handles the request. */
 	readonly instance: InstanceId;
-	/** Milliseconds since 1970. */
+	/** Unix time in milliseconds. */
 	readonly at: number;
 };
 
@@ -56,7 +56,7 @@
 	readonly key: IdempotencyKey;
 	readonly request: RequestId;
 	readonly settlement: ClaimSettlement;
-	/** Milliseconds since 1970. */
+	/** Unix time in milliseconds. */
 	readonly at: number;
 };
 
@@ -64,7 +64,7 @@
 export type InstanceLostCommand = {
 	readonly type: 'instance-lost';
 	readonly instance: InstanceId;
-	/** Milliseconds since 1970. */
+	/** Unix time in milliseconds. */
 	readonly at: number;
 };
 
@@ -74,7 +74,7 @@
 	readonly model: ModelId;
 	readonly version: VersionId;
 	readonly fromStage: number;
-	/** Milliseconds since 1970. */
+	/** Unix time in milliseconds. */
 	readonly at: number;
 };
 
@@ -84,7 +84,7 @@
 	readonly model: ModelId;
 	readonly version: VersionId;
 	readonly reason: string;
-	/** Milliseconds since 1970. */
+	/** Unix time in milliseconds. */
 	readonly at: number;
 };
 
@@ -94,7 +94,7 @@
 	readonly orderId: OrderId;
 	readonly server: ServerId;
 	readonly order: EngineOrder;
-	/** Milliseconds since 1970. */
+	/** Unix time in milliseconds. */
 	readonly at: number;
 };
 
@@ -106,14 +106,14 @@
 	readonly outcome: OrderOutcome;
 	/** The engine's message. */
 	readonly detail?: string | undefined;
-	/** Milliseconds since 1970. */
+	/** Unix time in milliseconds. */
 	readonly at: number;
 };
 
 /** Records a reading of the leader's clock and deletes expired records. Sent by the leader at every clock reading interval. */
 export type ExpireCommand = {
 	readonly type: 'expire';
-	/** The reading of the leader's clock, in milliseconds since 1970. */
+	/** The reading of the leader's clock, as Unix time in milliseconds. */
 	readonly at: number;
 };
 
--- a/packages/control/src/configuration-change.ts
+++ b/packages/control/src/configuration-change.ts
@@ -12,7 +12,7 @@
 export type ConfigurationChange = {
 	readonly revision: Revision;
 	readonly cause: ChangeCause;
-	/** Milliseconds since 1970. */
+	/** Unix time in milliseconds. */
 	readonly at: number;
 	/** The changed entries, such as `models.tag-small`; at most 20. */
 	readonly paths: readonly string[];
--- a/packages/control/src/order-delivery.ts
+++ b/packages/control/src/order-delivery.ts
@@ -25,7 +25,7 @@
 /** The inputs of a step besides the event. Times are monotonic milliseconds unless stated otherwise. */
 export type OrderDeliveryContext = {
 	readonly now: number;
-	/** The current time in milliseconds since 1970. */
+	/** The current Unix time in milliseconds. */
 	readonly wallClock: number;
 	/** The leadership of this replica; undefined if it is not the leader. */
 	readonly leadership: {readonly since: number; readonly leaseValidUntil: number} | undefined;
--- a/packages/control/src/order.ts
+++ b/packages/control/src/order.ts
@@ -26,11 +26,11 @@
 	readonly server: ServerId;
 	readonly order: EngineOrder;
 	readonly fencing: FencingNumber;
-	/** Milliseconds since 1970. */
+	/** Unix time in milliseconds. */
 	readonly issuedAt: number;
 	readonly outcome: OrderOutcome | 'open';
 	/** The engine's message. */
 	readonly detail?: string;
-	/** Milliseconds since 1970. */
+	/** Unix time in milliseconds. */
 	readonly completedAt?: number;
 };
--- a/packages/control/src/rollout-step.ts
+++ b/packages/control/src/rollout-step.ts
@@ -17,7 +17,7 @@
 	readonly progress: RolloutProgress;
 	readonly stages: readonly RolloutStage[];
 	readonly evidence: RolloutEvidence;
-	/** Milliseconds since 1970. */
+	/** Unix time in milliseconds. */
 	readonly now: number;
 };
 
@@ -35,7 +35,7 @@
 export type RolloutCommandsOptions = {
 	/** Returns the evidence on a version, with the ratings counted from the start of the stage. */
 	readonly evidence: (target: RolloutTarget, progress: RolloutProgress | undefined) => RolloutEvidence;
-	/** Milliseconds since 1970. */
+	/** Unix time in milliseconds. */
 	readonly now: number;
 };
 
--- a/packages/daemon/src/control/control-host.ts
+++ b/packages/daemon/src/control/control-host.ts
@@ -100,7 +100,7 @@
 		return this.#machine.state;
 	}
 
-	/** The leader, if this replica knows one. */
+	/** The leader, if known to this replica. */
 	get leader(): InstanceId | undefined {
 		const leader = knownLeader(this.#driver.state);
 		return leader === undefined || this.#isStopped ? undefined : toId<InstanceId>(instanceOf(leader));
--- a/packages/daemon/src/control/leader-tasks.ts
+++ b/packages/daemon/src/control/leader-tasks.ts
@@ -29,7 +29,7 @@
 const pruneMilliseconds = 60_000;
 
 /**
-Starts the periodic tasks of the leader of the control replicas: it carries out orders, advances rollouts, applies the limits from its settings, and expires old state.
+Starts the periodic tasks of the leader of the control replicas: it executes orders, advances rollouts, applies the limits from its settings, and expires old state.
 
 @param base The dependencies that all components share.
 @param options The control component and the known backend servers.
--- a/packages/daemon/src/control/messages.ts
+++ b/packages/daemon/src/control/messages.ts
@@ -115,7 +115,7 @@
 	readonly type: 'leader';
 };
 
-/** The leader, if the queried instance knows one. */
+/** The leader, if known to the queried instance. */
 export type LeaderReply = {
 	readonly leader?: InstanceId | undefined;
 };
--- a/packages/daemon/src/control/orders/order-executor.ts
+++ b/packages/daemon/src/control/orders/order-executor.ts
@@ -1,5 +1,6 @@
 import {
-	type ControlState, defaultOrderDeliveryTiming, idleOrderDelivery, type OrderDeliveryAction, type OrderDeliveryContext, type OrderDeliveryEvent, type OrderRecord, type OrderDelivery, type OrderDeliveryTiming, stepOrderDelivery,
+	type ControlState, defaultOrderDeliveryTiming, idleOrderDelivery, type OrderDelivery, type OrderDeliveryAction, type OrderDeliveryContext,
+	type OrderDeliveryEvent, type OrderDeliveryTiming, type OrderRecord, stepOrderDelivery,
 } from '@valehitch/control';
 import {type Clock, type ServerId} from '@valehitch/core';
 import {type Timeline} from '../../timeline.js';
@@ -10,7 +11,7 @@
 export type OrderTarget = {
 	/** The base address. */
 	readonly address: string;
-	/** Whether it rejects an order with an outdated fencing token. */
+	/** Whether it rejects an order with an outdated fencing number. */
 	readonly checksFencing: boolean;
 };
 
@@ -22,7 +23,7 @@
 	/** Returns an engine that has announced itself, or undefined. */
 	readonly findEngine: (server: ServerId) => OrderTarget | undefined;
 	readonly engineClient: EngineClient;
-	/** The timing of order runs; `defaultOrderTiming` by default. */
+	/** The timing of the deliveries; `defaultOrderDeliveryTiming` by default. */
 	readonly timing?: OrderDeliveryTiming;
 };
 
@@ -38,8 +39,8 @@
 export class OrderExecutor {
 	readonly #options: OrderExecutorOptions;
 	readonly #timing: OrderDeliveryTiming;
-	readonly #runs = new Map<ServerId, OrderDelivery>();
-	/** Step numbers are unique over all runs, so that a late reply to a step of an earlier run never matches a step of a later one. */
+	readonly #deliveries = new Map<ServerId, OrderDelivery>();
+	/** Step numbers are unique over all deliveries, so that a late reply to a step of an earlier delivery never matches a step of a later one. */
 	#lastStep = 0;
 	#leadingSince = 0;
 	#lastLeaseEnd = 0;
@@ -53,28 +54,29 @@
 	tick(): void {
 		const leadership = this.#leadership();
 		if (leadership === undefined) {
-			this.#runs.clear();
+			this.#deliveries.clear();
 			return;
 		}
 
 		const oldest = this.#oldestOrders();
-		for (const server of new Set([...oldest.keys(), ...this.#runs.keys()])) {
+		for (const server of new Set([...oldest.keys(), ...this.#deliveries.keys()])) {
 			this.#step(server, {event: {type: 'tick'}, order: oldest.get(server)});
 		}
 	}
 
 	#step(server: ServerId, {event, order}: {readonly event: OrderDeliveryEvent; readonly order: OrderRecord | undefined}): void {
-		const current = this.#runs.get(server);
+		const current = this.#deliveries.get(server);
 		if (current === undefined && event.type !== 'tick') {
 			return;
 		}
 
-		const {delivery: run, action} = stepOrderDelivery({...current ?? idleOrderDelivery, ...(current === undefined && {step: this.#lastStep})}, {event, context: this.#context(server, order)});
-		this.#lastStep = Math.max(this.#lastStep, run.step);
+		const previous = current ?? {...idleOrderDelivery, step: this.#lastStep};
+		const {delivery, action} = stepOrderDelivery(previous, {event, context: this.#context(server, order)});
+		this.#lastStep = Math.max(this.#lastStep, delivery.step);
 		if (order === undefined) {
-			this.#runs.delete(server);
+			this.#deliveries.delete(server);
 		} else {
-			this.#runs.set(server, run);
+			this.#deliveries.set(server, delivery);
 		}
 
 		if (action !== undefined) {
--- a/packages/daemon/src/control/rollouts/leader-evidence.ts
+++ b/packages/daemon/src/control/rollouts/leader-evidence.ts
@@ -27,7 +27,7 @@
 */
 export class LeaderEvidence {
 	readonly #options: LeaderEvidenceOptions;
-	#aggregator: EvidenceCollector | undefined;
+	#collector: EvidenceCollector | undefined;
 	#prunedAt = 0;
 
 	constructor(options: LeaderEvidenceOptions) {
@@ -58,29 +58,29 @@
 	/** Removes decayed entries, and all evidence if this instance is no longer the leader. */
 	prune(): void {
 		const {base: {clock}, control} = this.#options;
-		const aggregator = this.#current();
+		const collector = this.#current();
 		const effective = control.state()?.effective;
 		const now = clock.monotonic();
-		if (aggregator !== undefined && effective !== undefined && now - this.#prunedAt > pruneMilliseconds) {
+		if (collector !== undefined && effective !== undefined && now - this.#prunedAt > pruneMilliseconds) {
 			this.#prunedAt = now;
-			aggregator.prune(effective);
+			collector.prune(effective);
 		}
 	}
 
 	#current(): EvidenceCollector | undefined {
 		const {base: {clock, settings}, control, onAlarm} = this.#options;
 		if (!control.isLeader()) {
-			this.#aggregator = undefined;
+			this.#collector = undefined;
 			return undefined;
 		}
 
-		this.#aggregator ??= new EvidenceCollector({
+		this.#collector ??= new EvidenceCollector({
 			instance: settings.instance,
 			startedAt: clock.now().getTime(),
 			now: () => clock.now().getTime(),
 			badVersions: badVersionSettingsOf(settings),
 			onAlarm,
 		});
-		return this.#aggregator;
+		return this.#collector;
 	}
 }
--- a/packages/daemon/src/control/start-control.ts
+++ b/packages/daemon/src/control/start-control.ts
@@ -32,7 +32,7 @@
 	readonly catchUp: () => Promise<boolean>;
 	/** Returns the end of the leader lease, in milliseconds of the monotonic clock; no other instance can lead before that. Undefined if this instance has no lease. */
 	readonly leaseValidUntil: () => number | undefined;
-	/** Returns the leader, if this instance knows one. */
+	/** Returns the leader, if known to this instance. */
 	readonly leader: () => InstanceId | undefined;
 	/** Returns the control state as applied on this instance; undefined without the control role. */
 	readonly state: () => ControlState | undefined;
--- a/packages/daemon/src/distribution/create-registry.ts
+++ b/packages/daemon/src/distribution/create-registry.ts
@@ -13,7 +13,7 @@
 /**
 Creates the registry of backend servers from the settings.
 
-@param base The state shared by all parts.
+@param base The dependencies that all components share.
 @param options The digests and the callbacks.
 @returns The registry.
 @example
--- a/packages/daemon/src/distribution/distribution-node.ts
+++ b/packages/daemon/src/distribution/distribution-node.ts
@@ -25,7 +25,7 @@
 	readonly base: DaemonBase;
 	readonly control: ControlPart;
 	readonly relay: ConfigurationRelay;
-	/** When this process started, in milliseconds since the Unix epoch. */
+	/** When this process started, as Unix time in milliseconds. */
 	readonly startedAt: number;
 	/** A positive number that identifies this process in exchanges. */
 	readonly incarnation: number;
@@ -37,7 +37,7 @@
 const otherZoneLoadMilliseconds = 60_000;
 
 /**
-Connects the components of the distribution part of one instance and runs its timers.
+Connects the objects of the distribution component of one instance and runs its timers.
 
 @example
 ```ts
--- a/packages/daemon/src/distribution/lost-instance-notifier.ts
+++ b/packages/daemon/src/distribution/lost-instance-notifier.ts
@@ -5,7 +5,7 @@
 export type LostInstance = {
 	readonly instance: InstanceId;
 	readonly zone: ZoneId;
-	/** When the lost process of the instance started, in milliseconds since the Unix epoch. */
+	/** When the lost process of the instance started, as Unix time in milliseconds. */
 	readonly startedAt: number;
 };
 
--- a/packages/daemon/src/distribution/member-monitor.ts
+++ b/packages/daemon/src/distribution/member-monitor.ts
@@ -19,7 +19,7 @@
 	readonly onChange: () => void;
 };
 
-const periodsToSuspicion = 4;
+const suspectPeriods = 4;
 const periodsToLoss = 4;
 const forgetMilliseconds = 3_600_000;
 
@@ -42,7 +42,7 @@
 		this.#options = options;
 		this.#self = options.self;
 		this.#detector = new FailureDetector({
-			suspectMilliseconds: periodsToSuspicion * options.periodMilliseconds,
+			suspectMilliseconds: suspectPeriods * options.periodMilliseconds,
 			lostMilliseconds: periodsToLoss * options.periodMilliseconds,
 		});
 		this.#publish(this.#self);
@@ -114,7 +114,7 @@
 		}
 	}
 
-	/** Publishes the members that became suspect, lost or alive again, and forgets members that have been lost for an hour. */
+	/** Publishes the members that became suspect, lost or alive again, and removes members that have been lost for an hour. */
 	detectFailures(): void {
 		const now = this.#options.clock.monotonic();
 		const {members} = this;
--- a/packages/daemon/src/distribution/query-in-force.ts
+++ b/packages/daemon/src/distribution/query-in-force.ts
@@ -5,7 +5,7 @@
 /**
 Queries the other control instances, the leader first, whether the newest revision is in force on all instances.
 
-@param base The state shared by all parts.
+@param base The dependencies that all components share.
 @param leader The leader, if known.
 @returns The answer of the leader, or undefined if there is no leader or it does not reply.
 @example
--- a/packages/daemon/src/distribution/relay-node.ts
+++ b/packages/daemon/src/distribution/relay-node.ts
@@ -170,10 +170,10 @@
 	}
 
 	#linkTo(peer: InstanceId, now: number): Link {
-		const known = this.#links.get(peer);
-		if (known !== undefined) {
-			known.usedAt = now;
-			return known;
+		const existing = this.#links.get(peer);
+		if (existing !== undefined) {
+			existing.usedAt = now;
+			return existing;
 		}
 
 		const {records, loads, incarnation} = this.#options;
--- a/packages/daemon/src/distribution/start-distribution.ts
+++ b/packages/daemon/src/distribution/start-distribution.ts
@@ -13,7 +13,7 @@
 import {type LostInstance} from './lost-instance-notifier.js';
 import {type DistributionMessage} from './messages.js';
 
-/** The part of the daemon that distributes the configuration, the members and the backend servers. */
+/** The component of the daemon that distributes the configuration, the members and the backend servers. */
 export type DistributionPart = {
 	readonly servers: ServerTable;
 	/** Returns the configuration for serving requests, and whether it is isolated; undefined until the first is activated. */
@@ -42,9 +42,9 @@
 /**
 Starts the distribution of configuration, leases, members and servers.
 
-@param base The state shared by all parts.
-@param control The control part.
-@returns The part.
+@param base The dependencies that all components share.
+@param control The control component.
+@returns The component.
 @example
 ```ts
 const distribution = startDistribution(base, control);
--- a/packages/daemon/src/entry/bills/bill-copy-store.ts
+++ b/packages/daemon/src/entry/bills/bill-copy-store.ts
@@ -119,7 +119,7 @@
 	}
 
 	/**
-	Applies the reply of a silent owner. An owner that has restarted does not know its earlier bills, so they are settled here.
+	Applies the reply of a silent owner. An owner that has restarted does not have its earlier bills, so they are settled here.
 
 	@param asked The owner and the requests it was asked about.
 	@param reply The reply of the owner.
@@ -145,9 +145,9 @@
 	}
 
 	#ownerOf({owner: instance, start}: HoldBillsMessage): Owner {
-		const known = this.#owners.get(instance);
-		if (known?.start === start) {
-			return known;
+		const existing = this.#owners.get(instance);
+		if (existing?.start === start) {
+			return existing;
 		}
 
 		this.#settleAll(instance);
--- a/packages/daemon/src/entry/bills/bill-store.ts
+++ b/packages/daemon/src/entry/bills/bill-store.ts
@@ -16,7 +16,7 @@
 	readonly self: Member;
 	/** Identifies the process of this instance; a restart changes it. */
 	readonly runId: string;
-	/** When this instance started, in milliseconds since the Unix epoch. */
+	/** When this instance started, as Unix time in milliseconds. */
 	readonly startedAt: number;
 	readonly clock: Clock;
 	readonly outbox: LedgerOutbox;
@@ -212,8 +212,8 @@
 			return undefined;
 		}
 
-		const known = this.#replicators.get(holder.instance);
-		return known === undefined || known.failed ? this.#createReplicator(holder) : known;
+		const existing = this.#replicators.get(holder.instance);
+		return existing === undefined || existing.failed ? this.#createReplicator(holder) : existing;
 	}
 
 	#createReplicator(holder: Member): CopyReplicator {
--- a/packages/daemon/src/entry/bills/start-run-heartbeat.ts
+++ b/packages/daemon/src/entry/bills/start-run-heartbeat.ts
@@ -4,7 +4,7 @@
 
 /** Options of {@linkcode startRunHeartbeat}. */
 export type RunHeartbeatOptions = {
-	/** How long the ledger remembers a run without a report, in milliseconds. */
+	/** How long the ledger keeps a run without a report, in milliseconds. */
 	readonly retentionMilliseconds: number;
 	/** Reports to the ledger that a run continues. */
 	readonly report: (running: InstanceRun) => Promise<Either<Failure, unknown>>;
@@ -13,11 +13,11 @@
 };
 
 const maximumIntervalMilliseconds = 3_600_000;
-/** Reports per period that the ledger remembers a run, so that some of them may be lost. */
+/** Reports per period for which the ledger keeps a run, so that some of them may be lost. */
 const reportsPerRetention = 4;
 
 /**
-Reports a run to the ledger now and then at least hourly, since the ledger refuses bills of a run that it has forgotten.
+Reports a run to the ledger now and then at least hourly, since the ledger refuses bills of a run that it has evicted.
 
 @param running The run.
 @param options How to report the run.
--- a/packages/daemon/src/entry/checked-answer.ts
+++ b/packages/daemon/src/entry/checked-answer.ts
@@ -22,7 +22,7 @@
 @returns The properties; empty values if the body is not a chat completion.
 @example
 ```ts
-escalationSign(readCheckedAnswer(answer), rule.escalation);
+findEscalationSign(readCheckedAnswer(answer), rule.escalation);
 ```
 */
 export function readCheckedAnswer({head, pieces}: CompleteAnswer): CheckedAnswer {
--- a/packages/daemon/src/entry/handle-caller.ts
+++ b/packages/daemon/src/entry/handle-caller.ts
@@ -20,7 +20,7 @@
 
 @param request The request.
 @param response The response.
-@param context The shared state of the entry part.
+@param context The shared state of the entry component.
 @example
 ```ts
 await handleCaller(request, response, context);
--- a/packages/daemon/src/entry/handle-chat.ts
+++ b/packages/daemon/src/entry/handle-chat.ts
@@ -18,7 +18,7 @@
 
 const expectedOutputTokens = 200;
 /** The interval at which a request that may have run looks for an available server again, since its caller cannot safely resend it. */
-const comeBackMilliseconds = 1000;
+const serverRetryMilliseconds = 1000;
 
 /** An authenticated request from a caller. */
 export type AuthenticatedCall = {
@@ -36,7 +36,7 @@
 Handles a chat completion, from reading the body to settling the bill.
 
 @param call The request.
-@param context The shared state of the entry part.
+@param context The shared state of the entry component.
 @example
 ```ts
 await handleChat(call, context);
@@ -67,18 +67,18 @@
 	}).run();
 	end();
 	if (answeredBy?.type === 'version') {
-		rememberForRating(adapter.plan, {answeredBy, ranAt, context});
+		storeForRating(adapter.plan, {answeredBy, ranAt, context});
 	}
 }
 
-type RememberOptions = {
+type ServedChat = {
 	readonly answeredBy: VersionTarget;
 	readonly ranAt: number;
 	readonly context: EntryContext;
 };
 
-/** Remembers which version answered, since a rating arrives later and refers to the request by its id only. */
-function rememberForRating({requestId, workspace, rule, escalatesTo, model: first}: ChatPlan, {answeredBy: {model, version}, ranAt, context}: RememberOptions): void {
+/** Stores which version answered, since a rating arrives later and refers to the request by its id only. */
+function storeForRating({requestId, workspace, rule, escalatesTo, model: first}: ChatPlan, {answeredBy: {model, version}, ranAt, context}: ServedChat): void {
 	const isAccepted = escalatesTo !== undefined && model === first;
 	context.ratings.addServedRequest({
 		requestId, workspace, rule: rule.name, model, version, ranAt, measure: isAccepted ? 'accepted-rating' : 'rating',
@@ -144,7 +144,7 @@
 		judged: escalatesTo !== undefined,
 		deadline: arrivedAt + Math.min(rule.deadlineMilliseconds, headers.deadlineMilliseconds ?? rule.deadlineMilliseconds),
 		promptTokens: facts.promptTokens,
-		serverRetryMilliseconds: comeBackMilliseconds,
+		serverRetryMilliseconds,
 		...(hedge !== undefined && {hedge}),
 	};
 }
--- a/packages/daemon/src/entry/handle-service.ts
+++ b/packages/daemon/src/entry/handle-service.ts
@@ -21,7 +21,7 @@
 Handles a call to a plain service.
 
 @param call The request.
-@param context The shared state of the entry part.
+@param context The shared state of the entry component.
 @example
 ```ts
 await handleService(call, context);
--- a/packages/daemon/src/entry/messages.ts
+++ b/packages/daemon/src/entry/messages.ts
@@ -6,7 +6,7 @@
 export type OpenBill = {
 	readonly workspace: WorkspaceId;
 	readonly request: RequestId;
-	/** When the bill was opened, in milliseconds since the Unix epoch. */
+	/** When the bill was opened, as Unix time in milliseconds. */
 	readonly openedAt: number;
 	/** The identifier of the bill in the ledger. */
 	readonly origin?: BillOrigin | undefined;
--- a/packages/daemon/src/entry/plan-chat.ts
+++ b/packages/daemon/src/entry/plan-chat.ts
@@ -51,7 +51,7 @@
 Matches a chat request to a policy rule and chooses its model and version.
 
 @param request The request.
-@param context The shared state of the entry part.
+@param context The shared state of the entry component.
 @returns The plan, or the failure to report to the caller.
 @example
 ```ts
--- a/packages/daemon/src/entry/refuse.ts
+++ b/packages/daemon/src/entry/refuse.ts
@@ -14,7 +14,7 @@
 
 @param call The call.
 @param failed The failure.
-@param context The shared state of the entry part.
+@param context The shared state of the entry component.
 @example
 ```ts
 refuse(call, failure('unauthenticated', 'Missing API key'), context);
--- a/packages/daemon/src/entry/service-adapter.ts
+++ b/packages/daemon/src/entry/service-adapter.ts
@@ -37,7 +37,7 @@
 Creates the request adapter for a call to a plain service.
 
 @param plan The call.
-@param options The shared state of the entry part, and the deadline.
+@param options The shared state of the entry component, and the deadline.
 @returns The adapter.
 @example
 ```ts
--- a/packages/daemon/src/entry/start-entry.ts
+++ b/packages/daemon/src/entry/start-entry.ts
@@ -21,14 +21,14 @@
 import {AdmissionPools} from './traffic/admission-pools.js';
 import {ServerSelector} from './traffic/server-selector.js';
 
-/** The other parts of the daemon that the entry part uses. */
+/** The other components of the daemon that the entry component uses. */
 export type StartEntryOptions = {
 	readonly control: ControlClient;
 	readonly distribution: DistributionPart;
 	readonly ratings: RatingsTracker;
 };
 
-/** The part of the daemon that serves callers. */
+/** The component of the daemon that serves callers. */
 export type EntryPart = {
 	readonly context: EntryContext;
 	/** Handles a message from another daemon and returns the reply. */
@@ -47,11 +47,11 @@
 const admissionMilliseconds = 250;
 
 /**
-Starts the part of the daemon that serves callers.
+Starts the component of the daemon that serves callers.
 
-@param base The state shared by all parts.
-@param options The parts that the entry part uses.
-@returns The part.
+@param base The dependencies that all components share.
+@param options The components that the entry component uses.
+@returns The component.
 @example
 ```ts
 const entry = startEntry(base, {control: control.client, distribution, ratings});
--- a/packages/daemon/src/entry/traffic/admission-pools.ts
+++ b/packages/daemon/src/entry/traffic/admission-pools.ts
@@ -157,9 +157,9 @@
 
 	#poolFor({target, cost}: AdmissionDemand): Pool {
 		const key = target.type === 'version' ? versionKey(target.model, target.version) : target.service;
-		const known = this.#pools.get(key);
-		if (known !== undefined) {
-			return known;
+		const existing = this.#pools.get(key);
+		if (existing !== undefined) {
+			return existing;
 		}
 
 		const pool: Pool = {
--- a/packages/daemon/src/ratings/evidence-collector.ts
+++ b/packages/daemon/src/ratings/evidence-collector.ts
@@ -4,12 +4,12 @@
 } from '@valehitch/policy';
 import {type RatingSummary, type RatingSummaryReply} from './rating-summary.js';
 
-/** The dependencies of an `EvidenceAggregator`. */
+/** The dependencies of an `EvidenceCollector`. */
 export type EvidenceCollectorOptions = {
 	readonly instance: InstanceId;
-	/** When the instance became leader, in milliseconds since the Unix epoch. */
+	/** When the instance became leader, as Unix time in milliseconds. */
 	readonly startedAt: number;
-	/** Returns the current time, in milliseconds since the Unix epoch. */
+	/** Returns the current Unix time in milliseconds. */
 	readonly now: () => number;
 	/** Called with each version that the evidence of all instances shows to be bad; should lead to a `stop-version` command. */
 	readonly onAlarm: (alarm: BadVersionAlarm) => void;
@@ -20,22 +20,22 @@
 const maximumEntries = 100_000;
 
 /**
-Aggregates the rating summaries of all instances on the leader and detects bad versions from the sums. A new leader starts with an empty aggregator.
+Aggregates the rating summaries of all instances on the leader and detects bad versions from the sums. A new leader starts with an empty collector.
 
 @example
 ```ts
-const reply = aggregator.mergeSummary(summary);
-aggregator.table.evidence(target, progress.stageStartedAt).ratings;
+const reply = collector.mergeSummary(summary);
+collector.table.evidence(target, progress.stageStartedAt).ratings;
 ```
 */
 export class EvidenceCollector {
 	readonly table: EvidenceAggregator;
 	readonly #options: EvidenceCollectorOptions;
-	readonly #book: QualityStore;
+	readonly #qualityStore: QualityStore;
 
 	constructor(options: EvidenceCollectorOptions) {
 		this.#options = options;
-		this.#book = new QualityStore({instance: toId<InstanceId>(`${options.instance}/evidence`), startedAt: options.startedAt, maximumEntries});
+		this.#qualityStore = new QualityStore({instance: toId<InstanceId>(`${options.instance}/evidence`), startedAt: options.startedAt, maximumEntries});
 		this.table = new EvidenceAggregator(options.badVersions);
 	}
 
@@ -47,7 +47,7 @@
 	*/
 	mergeSummary(summary: RatingSummary): RatingSummaryReply {
 		const {onAlarm, now} = this.#options;
-		this.#book.merge(summary);
+		this.#qualityStore.merge(summary);
 		for (const report of summary.evidence) {
 			const alarm = this.table.merge(report);
 			if (alarm !== undefined) {
@@ -55,7 +55,7 @@
 			}
 		}
 
-		return {others: this.#book.aggregateExcept([...summary.entries, ...summary.asked], {except: summary, now: now()})};
+		return {others: this.#qualityStore.aggregateExcept([...summary.entries, ...summary.asked], {except: summary, now: now()})};
 	}
 
 	/**
@@ -64,7 +64,7 @@
 	@param configuration The current configuration.
 	*/
 	prune(configuration: EffectiveConfiguration): void {
-		this.#book.evictDecayed(this.#options.now());
+		this.#qualityStore.evictDecayed(this.#options.now());
 		this.table.retain(configuration);
 	}
 }
--- a/packages/daemon/src/ratings/rating.ts
+++ b/packages/daemon/src/ratings/rating.ts
@@ -13,7 +13,7 @@
 	readonly class: string;
 	/** From 0 (useless) to 1 (perfect). */
 	readonly rating: number;
-	/** Milliseconds since the Unix epoch. */
+	/** Unix time in milliseconds. */
 	readonly ratedAt: number;
 };
 
--- a/packages/daemon/src/ratings/ratings-tracker.ts
+++ b/packages/daemon/src/ratings/ratings-tracker.ts
@@ -14,11 +14,11 @@
 /** The dependencies of a `RatingsTracker`. */
 export type RatingsTrackerOptions = {
 	readonly instance: InstanceId;
-	/** When the instance started, in milliseconds since the Unix epoch. */
+	/** When the instance started, as Unix time in milliseconds. */
 	readonly startedAt: number;
-	/** Returns the current time, in milliseconds since the Unix epoch. */
+	/** Returns the current Unix time in milliseconds. */
 	readonly now: () => number;
-	/** Returns the newest configuration that this instance knows. */
+	/** Returns the newest configuration on this instance. */
 	readonly configuration: () => EffectiveConfiguration;
 	/** Called with each version that this instance stops. */
 	readonly onAlarm: (alarm: BadVersionAlarm) => void;
@@ -33,7 +33,7 @@
 	readonly workspace: WorkspaceId;
 	/** The name of the policy rule that applied to the request. */
 	readonly rule: string;
-	/** When the request ran, in milliseconds since the Unix epoch. */
+	/** When the request ran, as Unix time in milliseconds. */
 	readonly ranAt: number;
 };
 
@@ -56,7 +56,7 @@
 */
 export class RatingsTracker {
 	readonly #options: RatingsTrackerOptions;
-	readonly #book: QualityStore;
+	readonly #qualityStore: QualityStore;
 	readonly #monitor: BadVersionMonitor;
 	readonly #stops = new LocalStops();
 	readonly #servedRequests: ServedRequestCache;
@@ -68,9 +68,9 @@
 	constructor(options: RatingsTrackerOptions) {
 		const {instance, startedAt, remembered = defaultServedRequestCapacity, badVersions} = options;
 		this.#options = options;
-		this.#book = new QualityStore({instance, startedAt});
+		this.#qualityStore = new QualityStore({instance, startedAt});
 		this.#monitor = new BadVersionMonitor({
-			instance, startedAt, qualityStore: this.#book, ...(badVersions !== undefined && {settings: badVersions}),
+			instance, startedAt, qualityStore: this.#qualityStore, ...(badVersions !== undefined && {settings: badVersions}),
 		});
 		this.#servedRequests = new ServedRequestCache(remembered);
 	}
@@ -83,10 +83,10 @@
 	/** Estimates a quality, failure share or escalation share; passed to `chooseVersion`. */
 	readonly quality = (key: QualityKey, prior: Prior): Estimate => {
 		this.#qualityKeys.addIfAbsent(formatQualityKey(key), key);
-		return this.#book.estimate(key, {prior, now: this.#options.now()});
+		return this.#qualityStore.estimate(key, {prior, now: this.#options.now()});
 	};
 
-	/** Returns whether this instance has stopped a version locally; passed to `chooseVersion` and `mayDispatch`. */
+	/** Returns whether this instance has stopped a version locally; passed to `chooseVersion` and `checkDispatch`. */
 	readonly isStoppedHere = (target: VersionTarget): boolean => this.#stops.isStopped(target);
 
 	/**
@@ -148,7 +148,7 @@
 		this.#monitor.retain(configuration);
 
 		const keys = this.#qualityKeys.next(entriesPerSummary);
-		const digest = this.#book.digest(keys);
+		const digest = this.#qualityStore.digest(keys);
 		const included = new Set(digest.entries.map(entry => formatQualityKey(entry)));
 		const selected = new Set(this.#reportQueue.next(reportsPerSummary));
 		for (const suspect of this.#monitor.suspects().slice(0, suspectsPerSummary)) {
@@ -171,7 +171,7 @@
 		const suspects = new Set(this.#monitor.suspects().slice(0, suspectsPerSummary).map(suspect => formatReportKey(suspect)));
 		const evidence = this.#monitor.reports().filter(report => suspects.has(formatReportKey(report)) && this.#reportedCounts.get(formatReportKey(report)) !== report.count);
 		this.#markReported(evidence);
-		return evidence.length === 0 ? undefined : {...this.#book.digest([]), asked: [], evidence};
+		return evidence.length === 0 ? undefined : {...this.#qualityStore.digest([]), asked: [], evidence};
 	}
 
 	/**
@@ -180,7 +180,7 @@
 	@param reply The sums over the other instances.
 	*/
 	applyReply({others}: RatingSummaryReply): void {
-		this.#book.replaceAggregate(others, this.#options.now());
+		this.#qualityStore.replaceAggregate(others, this.#options.now());
 	}
 
 	#markReported(evidence: readonly EvidenceReport[]): void {
--- a/packages/daemon/src/ratings/served-request-cache.ts
+++ b/packages/daemon/src/ratings/served-request-cache.ts
@@ -9,7 +9,7 @@
 	readonly rule: string;
 	/** `accepted-rating` if a cascade accepted the answer of its first version, `rating` otherwise. */
 	readonly measure: Extract<QualityMeasure, 'rating' | 'accepted-rating'>;
-	/** When it ran, in milliseconds since the Unix epoch. */
+	/** When it ran, as Unix time in milliseconds. */
 	readonly ranAt: number;
 };
 
--- a/packages/daemon/src/ratings/start-ratings.ts
+++ b/packages/daemon/src/ratings/start-ratings.ts
@@ -8,9 +8,9 @@
 
 /** The dependencies of the ratings component. */
 export type StartRatingsOptions = {
-	/** Returns the newest configuration that this instance knows. */
+	/** Returns the newest configuration on this instance. */
 	readonly configuration: () => EffectiveConfiguration;
-	/** Sends a summary to the leader of the control replicas, which passes it to `EvidenceAggregator.mergeSummary`. Returns the reply, or undefined if there is none. */
+	/** Sends a summary to the leader of the control replicas, which passes it to `EvidenceCollector.mergeSummary`. Returns the reply, or undefined if there is none. */
 	readonly exchange: (summary: RatingSummary) => Promise<RatingSummaryReply | undefined>;
 };
 
