--- a/packages/cli/src/_operator-client.ts
+++ b/packages/cli/src/_operator-client.ts
@@ -200,8 +200,8 @@
 	return failure('internal', `Got HTTP status ${status} without problem details, wanted 200 or problem details`);
 }
 
-function unexpectedResponse(wanted: string): Failure {
-	return failure('internal', `Got a response of an unexpected shape, wanted ${wanted}`);
+function unexpectedResponse(expected: string): Failure {
+	return failure('internal', `Got a response of an unexpected shape, wanted ${expected}`);
 }
 
 async function send(url: URL, apiRequest: ApiRequest): Promise<Either<Failure, ApiResponse>> {
--- a/packages/cli/src/timeline/_filter-events.ts
+++ b/packages/cli/src/timeline/_filter-events.ts
@@ -22,6 +22,6 @@
 		&& (filter.event === undefined || filter.event.includes(event.event)));
 }
 
-function matchesAny(wanted: string | undefined, found: ReadonlyArray<string | undefined>): boolean {
-	return wanted === undefined || found.includes(wanted);
+function matchesAny(expected: string | undefined, found: ReadonlyArray<string | undefined>): boolean {
+	return expected === undefined || found.includes(expected);
 }
--- a/packages/consensus/src/_replication.ts
+++ b/packages/consensus/src/_replication.ts
@@ -77,8 +77,8 @@
 		return;
 	}
 
-	const ackedAt = maximumDefined(progress.ackedRoundSentAt, role.rounds.find(({round}) => round === reply.round)?.sentAt);
-	const updated = {...progress, ackedAt, inFlight: Math.max(0, progress.inFlight - 1)};
+	const ackedRoundSentAt = maximumDefined(progress.ackedRoundSentAt, role.rounds.find(({round}) => round === reply.round)?.sentAt);
+	const updated = {...progress, ackedRoundSentAt, inFlight: Math.max(0, progress.inFlight - 1)};
 	setProgress(draft, from, reply.success ? advanceProgress(updated, reply) : rewindProgress(updated, reply));
 	if (reply.success) {
 		commitReplicatedEntries(draft);
--- a/packages/control/src/order-delivery.test.ts
+++ b/packages/control/src/order-delivery.test.ts
@@ -11,7 +11,7 @@
 
 const seed = Number(process.env.VALEHITCH_FUZZ_SEED ?? 20_261_203);
 const runs = Number(process.env.VALEHITCH_FUZZ_RUNS ?? 2000);
-const timing = {...defaultOrderDeliveryTiming, resendMilliseconds: 10_000, giveUpMilliseconds: Number.MAX_SAFE_INTEGER};
+const timing = {...defaultOrderDeliveryTiming, resendDelayMilliseconds: 10_000, orderTimeoutMilliseconds: Number.MAX_SAFE_INTEGER};
 const tickMilliseconds = 100;
 const leaseMilliseconds = 1000;
 /** The connection of a call breaks after the request was sent if the delay is a multiple of this number. */
--- a/packages/daemon/src/control/nonvoting-replicas.ts
+++ b/packages/daemon/src/control/nonvoting-replicas.ts
@@ -41,8 +41,8 @@
 	@returns The replicas that can be added as a learner or promoted.
 	*/
 	eligible(learners: readonly ReplicaId[], billsArchivedUpTo: number): readonly ReplicaId[] {
-		const lacking = new Set([...this.#joins.values()].filter(({billsHeldUpTo}) => billsHeldUpTo < billsArchivedUpTo).map(({replica}) => replica));
-		return this.live.filter(replica => !learners.includes(replica) || !lacking.has(replica));
+		const lackingBills = new Set([...this.#joins.values()].filter(({billsHeldUpTo}) => billsHeldUpTo < billsArchivedUpTo).map(({replica}) => replica));
+		return this.live.filter(replica => !learners.includes(replica) || !lackingBills.has(replica));
 	}
 
 	/**
--- a/packages/daemon/src/distribution/distribution-node.ts
+++ b/packages/daemon/src/distribution/distribution-node.ts
@@ -32,7 +32,7 @@
 };
 
 const exchangesPerLease = 8;
-const periodsToForgetChild = 4;
+const childExpiryPeriods = 4;
 const ownZoneLoadMilliseconds = 5000;
 const otherZoneLoadMilliseconds = 60_000;
 
@@ -137,27 +137,27 @@
 	}
 
 	#tick(): void {
-		const leads = this.#refresh();
+		const isLeader = this.#refresh();
 		this.memberMonitor.detectFailures();
 		this.registry.expire();
 		this.#relayNode.prune(this.#clock.monotonic());
 		this.#leaseMonitor.check();
-		if (leads) {
+		if (isLeader) {
 			this.lostInstances.update(this.memberMonitor.members);
 		}
 	}
 
-	/** Applies the configuration committed by the control role; returns whether this instance leads. */
+	/** Applies the configuration committed by the control role; returns whether this instance is the leader. */
 	#refresh(): boolean {
 		const {relay} = this.#options;
 		const before = relay.revision;
-		const leads = this.leaderView.refresh();
+		const isLeader = this.leaderView.refresh();
 		this.configurations.activateNewest({granted: false});
 		if (relay.revision !== before) {
 			this.#propagate();
 		}
 
-		return leads;
+		return isLeader;
 	}
 
 	/** Propagates updates: notifies the children and starts an exchange with the parent. */
@@ -216,7 +216,7 @@
 	#createChildNotifier(): ChildNotifier {
 		return new ChildNotifier({
 			clock: this.#clock,
-			forgetMilliseconds: this.#periodMilliseconds * periodsToForgetChild,
+			forgetMilliseconds: this.#periodMilliseconds * childExpiryPeriods,
 			send: child => {
 				const address = this.#memberRecord(child);
 				if (address !== undefined) {
--- a/packages/daemon/src/distribution/exchange-loop.ts
+++ b/packages/daemon/src/distribution/exchange-loop.ts
@@ -26,8 +26,8 @@
 
 /** The minimum interval between exchanges, regardless of the number of updates. */
 const minimumIntervalMilliseconds = 50;
-const periodsToTimeout = 2;
-const periodsToAvoid = 8;
+const timeoutPeriods = 2;
+const avoidancePeriods = 8;
 const exchangesPerAlternative = 4;
 
 /**
@@ -114,11 +114,11 @@
 		const answer = await network.request(
 			parent,
 			{scope: 'distribution', type: 'exchange', body: encodeExchange(pending.exchange)},
-			{timeoutMilliseconds: periodMilliseconds * periodsToTimeout},
+			{timeoutMilliseconds: periodMilliseconds * timeoutPeriods},
 		);
 		const tuple = answer.toMaybe().extractNullable() as ReplyTuple | undefined;
 		if (tuple === null || tuple === undefined) {
-			this.#avoidedUntil.set(instance, clock.monotonic() + (periodMilliseconds * periodsToAvoid));
+			this.#avoidedUntil.set(instance, clock.monotonic() + (periodMilliseconds * avoidancePeriods));
 			onNoReply(instance);
 			return true;
 		}
@@ -136,7 +136,7 @@
 			return await this.#exchangeWith(parent);
 		} catch (error) {
 			const {clock, periodMilliseconds, onError} = this.#options;
-			this.#avoidedUntil.set(parent.instance, clock.monotonic() + (periodMilliseconds * periodsToAvoid));
+			this.#avoidedUntil.set(parent.instance, clock.monotonic() + (periodMilliseconds * avoidancePeriods));
 			onError(error);
 			return true;
 		}
--- a/packages/daemon/src/distribution/member-monitor.ts
+++ b/packages/daemon/src/distribution/member-monitor.ts
@@ -20,8 +20,8 @@
 };
 
 const suspectPeriods = 4;
-const periodsToLoss = 4;
-const forgetMilliseconds = 3_600_000;
+const lostPeriods = 4;
+const lostRetentionMilliseconds = 3_600_000;
 
 /**
 Maintains this instance's member record, and detects failures of the members that it monitors: its children, its parent and, as the leader or the root of a zone, members whose parent is lost or unknown.
@@ -43,7 +43,7 @@
 		this.#self = options.self;
 		this.#detector = new FailureDetector({
 			suspectMilliseconds: suspectPeriods * options.periodMilliseconds,
-			lostMilliseconds: periodsToLoss * options.periodMilliseconds,
+			lostMilliseconds: lostPeriods * options.periodMilliseconds,
 		});
 		this.#publish(this.#self);
 	}
@@ -164,7 +164,7 @@
 
 			const since = this.#lostSince.get(instance) ?? now;
 			this.#lostSince.set(instance, since);
-			if (now - since > forgetMilliseconds) {
+			if (now - since > lostRetentionMilliseconds) {
 				this.#options.records.delete(memberKey(instance));
 				this.#lostSince.delete(instance);
 			}
--- a/packages/daemon/src/distribution/relay-node.ts
+++ b/packages/daemon/src/distribution/relay-node.ts
@@ -134,9 +134,9 @@
 			this.#activateNewest(peer, {granted: false});
 		}
 
-		const news = link.records.receive(parts.records);
-		if (news.length > 0) {
-			onRecords(news, peer);
+		const changedKeys = link.records.receive(parts.records);
+		if (changedKeys.length > 0) {
+			onRecords(changedKeys, peer);
 		}
 
 		if (parts.loads !== undefined) {
--- a/packages/daemon/src/distribution/server-registry.ts
+++ b/packages/daemon/src/distribution/server-registry.ts
@@ -20,7 +20,7 @@
 
 const loadIntervalMilliseconds = 5000;
 const millisecondsPerSecond = 1000;
-const forgetMilliseconds = 3_600_000;
+const lostRetentionMilliseconds = 3_600_000;
 
 /**
 The registry of backend servers: accepts announcements made to this instance, publishes changes in the digests, and applies the changes of other instances.
@@ -167,7 +167,7 @@
 
 			const since = this.#lostSince.get(server) ?? now;
 			this.#lostSince.set(server, since);
-			if (now - since > forgetMilliseconds) {
+			if (now - since > lostRetentionMilliseconds) {
 				records.delete(key);
 				loads.delete(server);
 				this.servers.delete(server);
--- a/packages/daemon/src/entry/bills/ledger-outbox.ts
+++ b/packages/daemon/src/entry/bills/ledger-outbox.ts
@@ -5,7 +5,7 @@
 /** Options of a {@linkcode LedgerOutbox}. */
 export type LedgerOutboxOptions = {
 	readonly propose: (command: Command) => Promise<Either<Failure, CommandResponse>>;
-	/** Waits for the batching delay or the retry delay. */
+	/** Waits for the batching delay, so that bills share a command, or for the retry delay, so that a failed command is not sent again at once. */
 	readonly wait: (milliseconds: number) => Promise<void>;
 	/** How long bills are collected for one command, in milliseconds; 100 by default. */
 	readonly batchMilliseconds?: number;
--- a/packages/daemon/src/entry/service-call.ts
+++ b/packages/daemon/src/entry/service-call.ts
@@ -112,14 +112,14 @@
 	};
 }
 
-function pick(headers: IncomingHttpHeaders, names: readonly string[]): Record<string, string> {
-	const picked: Record<string, string> = {};
+function selectHeaders(headers: IncomingHttpHeaders, names: readonly string[]): Record<string, string> {
+	const selected: Record<string, string> = {};
 	for (const name of names) {
 		const value = headers[name];
 		if (typeof value === 'string') {
-			picked[name] = value;
+			selected[name] = value;
 		}
 	}
 
-	return picked;
+	return selected;
 }
--- a/packages/daemon/src/entry/traffic/admission-pools.ts
+++ b/packages/daemon/src/entry/traffic/admission-pools.ts
@@ -163,7 +163,14 @@
 		}
 
 		const pool: Pool = {
-			admission: new AdmissionController({capacity: 0}), target, meanCost: cost, meanEstimate: cost, meanMilliseconds: 0, sampleCount: 0, refreshedAt: Number.NEGATIVE_INFINITY, beganAt: new Map(),
+			admission: new AdmissionController({capacity: 0}),
+			target,
+			meanCost: cost,
+			meanEstimate: cost,
+			meanMilliseconds: 0,
+			sampleCount: 0,
+			refreshedAt: Number.NEGATIVE_INFINITY,
+			beganAt: new Map(),
 		};
 		this.#pools.set(key, pool);
 		return pool;
--- a/packages/transport/src/peer-network.test.ts
+++ b/packages/transport/src/peer-network.test.ts
@@ -104,7 +104,14 @@
 	await once(silent, 'listening');
 	const {port} = silent.address() as AddressInfo;
 	const left = await PeerNetwork.listen<Message>({
-		self: toId<InstanceId>('left'), key: 'a-key-that-all-share', host: '127.0.0.1', port: 0, pingMilliseconds: 50, onMessage: doNothing, onRequest: async () => undefined, onHandlerError: doNothing,
+		self: toId<InstanceId>('left'),
+		key: 'a-key-that-all-share',
+		host: '127.0.0.1',
+		port: 0,
+		pingMilliseconds: 50,
+		onMessage: doNothing,
+		onRequest: async () => undefined,
+		onHandlerError: doNothing,
 	});
 	const to = {instance: toId<InstanceId>('silent'), host: '127.0.0.1', port};
 	left.send(to, {text: 'first'});
