--- a/packages/daemon/src/entry/service-call.ts
+++ b/packages/daemon/src/entry/service-call.ts
@@ -101,12 +101,12 @@
 }
 
 function headOf({status, headers}: HttpResponse, length: number): AnswerHead {
-	return {status, headers: {...pick(headers, headersToCaller), ...(length > 0 && {'content-length': String(length)})}};
+	return {status, headers: {...selectHeaders(headers, headersToCaller), ...(length > 0 && {'content-length': String(length)})}};
 }
 
 function headersOf({headers, requestId, attempt}: ServiceCall): OutgoingHttpHeaders {
 	return {
-		...pick(headers, headersToService),
+		...selectHeaders(headers, headersToService),
 		'valehitch-request-id': requestId,
 		'valehitch-attempt': String(attempt),
 	};
