--- a/packages/settings/src/_describe-issue.ts
+++ b/packages/settings/src/_describe-issue.ts
@@ -21,10 +21,10 @@
 	const path = toFieldPath(issue.path);
 	return match(issue)
 		.with({code: 'unrecognized_keys'}, ({keys}) => keys.map(key => ({
-			path: [...path, key], got: `the key ${JSON.stringify(key)}`, wanted: 'a known key', atKey: true,
+			path: [...path, key], got: `the key ${JSON.stringify(key)}`, wanted: 'a known key', concernsKey: true,
 		})))
 		.with({code: 'invalid_key'}, ({issues}) => [{
-			path, got: `the key ${JSON.stringify(String(path.at(-1)))}`, wanted: issues[0] ? describeWanted(issues[0]) : 'another key', atKey: true,
+			path, got: `the key ${JSON.stringify(String(path.at(-1)))}`, wanted: issues[0] ? describeWanted(issues[0]) : 'another key', concernsKey: true,
 		}])
 		.otherwise(other => [{path, got: describeValue(other.input, path), wanted: describeWanted(other)}]);
 }
