--- a/packages/policy/src/_create-alarm.ts
+++ b/packages/policy/src/_create-alarm.ts
@@ -20,12 +20,12 @@
 @returns The alarm with a reason for operators.
 @example
 ```ts
-alarmOf({...target, measure: 'ratings', detector, badness: 30, count: 60, source: 'this instance'}).reason;
+createAlarm({...target, measure: 'ratings', detector, badness: 30, count: 60, source: 'this instance'}).reason;
 ```
 */
 export function createAlarm({model, version, measure, detector, badness, count, source}: AlarmDetails): BadVersionAlarm {
 	const {evidence, threshold} = detector;
-	const measureName = measure === 'failures' ? 'failure share' : 'mean rating loss';
+	const measureName = measure === 'failures' ? 'a share of failures' : 'a mean loss of rating';
 	const mean = (badness / count).toFixed(3);
 	return {
 		model,
@@ -34,6 +34,6 @@
 		count: detector.count,
 		evidence,
 		threshold,
-		reason: `The ${measureName} of ${mean} over ${count} observations of ${source} exceeds the limit (evidence ${evidence.toPrecision(3)}, threshold ${threshold})`,
+		reason: `Got ${measureName} of ${mean} over ${count} observations of ${source}, worse than allowed (evidence ${evidence.toPrecision(3)}, threshold ${threshold})`,
 	};
 }
--- a/packages/policy/src/_evaluate-candidates.ts
+++ b/packages/policy/src/_evaluate-candidates.ts
@@ -145,9 +145,9 @@
 	};
 	const denial = match(checkDispatch(configuration, check))
 		.with('allowed', () => undefined)
-		.with('not-allowed', () => 'not allowed for the workspace')
+		.with('not-allowed', () => 'the workspace may not use it')
 		.with('version-withdrawn', () => 'withdrawn')
-		.with('version-stopped', () => 'stopped, or its rollout is not running')
+		.with('version-stopped', () => 'stopped, or its roll-out is not running')
 		.with('isolated', () => 'this instance is isolated and the version is not settled')
 		.exhaustive();
 	if (denial !== undefined) {
@@ -172,9 +172,9 @@
 function exposureExclusion(verdict: ReturnType<typeof decideExposure>): Exclusion | undefined {
 	return match(verdict)
 		.with('exposed', () => undefined)
-		.with('not-running', () => ({status: 'excluded' as const, verdict: 'its rollout is not running'}))
-		.with('outside-share', () => ({status: 'excluded' as const, verdict: 'outside the traffic share of its rollout'}))
-		.with('at-limit', () => ({status: 'excluded' as const, verdict: 'its rollout stage has reached its limit of requests in progress'}))
+		.with('not-running', () => ({status: 'excluded' as const, verdict: 'its roll-out is not running'}))
+		.with('outside-share', () => ({status: 'excluded' as const, verdict: 'outside the share of its roll-out'}))
+		.with('at-limit', () => ({status: 'excluded' as const, verdict: 'its roll-out has as many requests in progress as the stage allows'}))
 		.exhaustive();
 }
 
--- a/packages/policy/src/choose-version.ts
+++ b/packages/policy/src/choose-version.ts
@@ -75,7 +75,7 @@
 	}
 
 	return versions.map(candidate => candidate.status === 'eligible' && replaced.has(candidateKey(candidate))
-		? {...candidate, status: 'excluded', verdict: 'replaced by its version in rollout'}
+		? {...candidate, status: 'excluded', verdict: 'gives way to the version in roll-out that replaces it'}
 		: candidate);
 }
 
@@ -115,21 +115,21 @@
 
 function describeVerdict(evaluated: EvaluatedCandidate, chosen: EvaluatedCandidate): string {
 	if (evaluated === chosen) {
-		return evaluated.status === 'eligible' ? 'chosen' : `chosen as the best available: ${evaluated.verdict}`;
+		return evaluated.status === 'eligible' ? 'chosen' : `chosen as the best there is: ${evaluated.verdict}`;
 	}
 
 	return evaluated.status === 'eligible' ? describeRejection(evaluated.candidate, chosen.candidate) : evaluated.verdict;
 }
 
 function describeRejection(rejected: Candidate, chosen: Candidate): string {
-	const expected = `expected cost ${rejected.expectedCost} compared with ${chosen.expectedCost} millionths`;
+	const expected = `expected cost ${rejected.expectedCost} against ${chosen.expectedCost} millionths`;
 	if (rejected.expectedCost > chosen.expectedCost) {
-		return `more expensive: ${expected}`;
+		return `dearer: ${expected}`;
 	}
 
 	return rejected.expectedCost === chosen.expectedCost && rejected.expectedMilliseconds <= chosen.expectedMilliseconds
-		? `same cost, later in the rule's order: ${expected}`
-		: `slower at nearly equal cost: ${rejected.expectedMilliseconds} ms compared with ${chosen.expectedMilliseconds} ms`;
+		? `as good, later in the rule's order: ${expected}`
+		: `slower at nearly equal cost: ${rejected.expectedMilliseconds} against ${chosen.expectedMilliseconds} ms`;
 }
 
 function noVersionFailure(request: ModelRequest, evaluated: readonly EvaluatedCandidate[]): Failure {
