--- a/packages/gateway/src/entry/authorize-at-startup.ts
+++ b/packages/gateway/src/entry/authorize-at-startup.ts
@@ -23,7 +23,7 @@
 @returns The route and the workspace, or the reason why the request may not be sent.
 @example
 ```ts
-const authorized = await authorizeAtStart(request, {context, arrivedAt});
+const authorized = await authorizeAtStartup(request, {context, arrivedAt});
 ```
 */
 export async function authorizeAtStartup(request: GatewayRequest, {context, arrivedAt}: AuthorizeAtStartupOptions): Promise<Either<Failure, AuthorizedRequest>> {
--- a/packages/gateway/src/entry/choose-next-model.ts
+++ b/packages/gateway/src/entry/choose-next-model.ts
@@ -28,7 +28,7 @@
 @returns The model, or undefined if the answer is good enough or there is no time for another one.
 @example
 ```ts
-chooseNextModel({sizes, current, confidence: 31, leastConfidence: 50, timeLeft: 1800, expectedTime: 700});
+chooseNextModel({sizes, current, confidence: 31, minimumConfidence: 50, timeLeft: 1800, expectedLatency: 700});
 ```
 */
 export function chooseNextModel({sizes, current, confidence, minimumConfidence, timeLeft, expectedLatency}: ChooseNextModelOptions): ModelId | undefined {
--- a/packages/gateway/src/entry/configuration-lease.ts
+++ b/packages/gateway/src/entry/configuration-lease.ts
@@ -17,7 +17,7 @@
 
 @example
 ```ts
-const lease = new ConfigurationLease({duration: 4500, suspension, onDoubt});
+const lease = new ConfigurationLease({duration: 4500, suspension, onSuspension});
 lease.confirm(now - 120);
 lease.isValid(now);
 ```
--- a/packages/gateway/src/entry/connection-pool.ts
+++ b/packages/gateway/src/entry/connection-pool.ts
@@ -23,7 +23,7 @@
 @param server The server.
 @example
 ```ts
-dropStaleConnections(server);
+closeStaleConnections(server);
 ```
 */
 export function closeStaleConnections(server: ServerRecord): void {
@@ -41,7 +41,7 @@
 @param server The server.
 @example
 ```ts
-dropIdleConnections(server);
+closeIdleConnections(server);
 ```
 */
 export function closeIdleConnections(server: ServerRecord): void {
--- a/packages/gateway/src/entry/decision-shapes.test.ts
+++ b/packages/gateway/src/entry/decision-shapes.test.ts
@@ -54,7 +54,7 @@
 function chooseId(entryServers: EntryServers, subject?: string): ServerId | undefined {
 	const found = entryServers.choose({
 		service: testServer().service, isAcceptable: () => true, excluded: new Set(), now,
-		promptKey: subject === undefined ? undefined : {name: subject, homeScope: 'all'},
+		promptKey: subject === undefined ? undefined : {name: subject, affinityScope: 'all'},
 	});
 	return found?.id;
 }
--- a/packages/gateway/src/entry/entry-servers.ts
+++ b/packages/gateway/src/entry/entry-servers.ts
@@ -2,7 +2,7 @@
 	type InstanceId, type ServerId, type ServiceId,
 } from '@valehitch/core';
 import {
-	chooseServer, OutlierEjection, prefixHash, type ServerView, ZoneFailureDetector,
+	chooseServer, OutlierEjection, prefixHash, type ServerChoiceOptions, type ServerCriteria, type ServerView, ZoneFailureDetector,
 } from '@valehitch/routing';
 import {type LoadMessage} from '../control/peer-message.js';
 import {compareStartTimes} from '../servers/compare-start-times.js';
@@ -21,7 +21,7 @@
 /** The maximum load of a server relative to the mean load. Engines batch requests, so even twice the mean load costs less than processing a prompt without its cached prefix. */
 const loadBound = 1.5;
 /** The number of servers that are sampled and compared. Since the loads of all instances are known, a larger sample costs only the comparison. */
-const samples = 4;
+const sampleCount = 4;
 /** How much busier the local zone must be, as a share of its slots, before servers of another zone are used. */
 const zonePenalty = 0.1;
 /** The backoff after a failed connection; doubles with each further failure up to the maximum. */
@@ -37,9 +37,9 @@
 
 @example
 ```ts
-const servers = new EntryServers({zone, random, share, onReplaced});
-servers.take(records, {source, now});
-servers.find({service, isWanted: () => true, excluded: new Set(), subject: undefined, now});
+const servers = new EntryServers({zone, random, loads, onReplaced});
+servers.applyRecords(records, {source, now});
+servers.choose({service, isAcceptable: () => true, excluded: new Set(), promptKey: undefined, now});
 ```
 */
 export class EntryServers {
@@ -105,10 +105,10 @@
 			views.push(this.#viewOf(tracked, now));
 		}
 
-		const criteria = {
-			target: service, excluded, zone: this.#options.zone, random: this.#options.random, zonePenalty, samples, loadBound,
+		const criteria: ServerCriteria & ServerChoiceOptions = {
+			target: service, excluded, zone: this.#options.zone, random: this.#options.random, zonePenalty, sampleCount, loadBound,
 			prefix: promptKey === undefined ? undefined : prefixHash(promptKey.name),
-			homeScope: promptKey?.homeScope ?? 'none',
+			affinityScope: promptKey?.affinityScope ?? 'none',
 		};
 		// If every server is expired or ejected, use one of them rather than none.
 		const choice = chooseServer(views, criteria).altLazy(() => chooseServer(views.map(view => ({...view, expired: false, ejected: false})), criteria));
--- a/packages/gateway/src/entry/entry-suspects.ts
+++ b/packages/gateway/src/entry/entry-suspects.ts
@@ -39,8 +39,8 @@
 
 @example
 ```ts
-const suspects = new EntrySuspects({clock, log, servers, confirmEnd: confirmServerEnd, onLearned});
-const finding = await suspects.noteLoss({fingerprint, request: 'a1', server});
+const suspects = new EntrySuspects({clock, log, servers, hasEnded: hasServerEnded, onChanged});
+const finding = await suspects.recordLoss({fingerprint, request: 'a1', server});
 suspects.standing(fingerprint); // 'suspect' if the server's process has ended
 ```
 */
--- a/packages/gateway/src/entry/find-server-options.ts
+++ b/packages/gateway/src/entry/find-server-options.ts
@@ -4,7 +4,7 @@
 /** The cache key of a prompt, and the scope in which its home server is chosen. */
 export type PromptKey = {
 	readonly name: string;
-	readonly homeScope: AffinityScope;
+	readonly affinityScope: AffinityScope;
 };
 
 /** The criteria for choosing a server. */
--- a/packages/gateway/src/entry/has-server-ended.ts
+++ b/packages/gateway/src/entry/has-server-ended.ts
@@ -13,7 +13,7 @@
 @returns Whether the process has certainly ended.
 @example
 ```ts
-const hasEnded = await confirmServerEnd({host: '10.0.0.7', port: 8740});
+const hasEnded = await hasServerEnded({host: '10.0.0.7', port: 8740});
 ```
 */
 export async function hasServerEnded(server: Pick<ServerRecord, 'host' | 'port'>): Promise<boolean> {
--- a/packages/gateway/src/entry/placement.ts
+++ b/packages/gateway/src/entry/placement.ts
@@ -39,7 +39,7 @@
 	readonly #route: Route;
 	readonly #excluded = new Set<ServerId>();
 	readonly #shared: readonly PromptPart[];
-	readonly #homeScope: AffinityScope;
+	readonly #affinityScope: AffinityScope;
 	#startedVersion: VersionId | undefined;
 
 	constructor(context: PlacementContext, {request, route, bytes}: PlacementOptions) {
@@ -48,7 +48,7 @@
 		this.#route = route;
 		this.service = chooseService(route, context.random);
 		this.#shared = route.usesPromptCache ? sharedParts(request.promptParts) : [];
-		this.#homeScope = this.#chooseHomeScope(bytes);
+		this.#affinityScope = this.#chooseAffinityScope(bytes);
 	}
 
 	/**
@@ -105,7 +105,7 @@
 		this.#startedVersion = version;
 	}
 
-	#chooseHomeScope(bytes: number): AffinityScope {
+	#chooseAffinityScope(bytes: number): AffinityScope {
 		const lastShared = this.#shared.at(-1);
 		if (lastShared === undefined) {
 			return 'none';
@@ -121,7 +121,7 @@
 	/** Returns the cache key of the prompt. It includes the model, since each model has its own cache. */
 	#promptKey(model: ModelId | undefined): PromptKey | undefined {
 		const lastShared = this.#shared.at(-1);
-		return lastShared === undefined ? undefined : {name: `${lastShared.id} ${model ?? ''}`, homeScope: this.#homeScope};
+		return lastShared === undefined ? undefined : {name: `${lastShared.id} ${model ?? ''}`, affinityScope: this.#affinityScope};
 	}
 
 	/** Returns predicates for the acceptable versions, in order of preference. */
--- a/packages/gateway/src/entry/relay-stream.ts
+++ b/packages/gateway/src/entry/relay-stream.ts
@@ -29,7 +29,7 @@
 @returns How the stream ended. The caller's response is left open.
 @example
 ```ts
-const end = await relayStream({message, isWhole, response, events, stallTimeout: 1500, canGoOnElsewhere, onHeard, onFirstEvent});
+const end = await relayStream({message, isComplete, response, events, stallTimeout: 1500, canResumeElsewhere, onData, onFirstEvent});
 ```
 */
 export async function relayStream(options: RelayStreamOptions): Promise<RelayEnd> {
--- a/packages/gateway/src/entry/send-attempt.ts
+++ b/packages/gateway/src/entry/send-attempt.ts
@@ -66,7 +66,7 @@
 @returns The send in progress.
 @example
 ```ts
-const {outcome, cancel} = sendAttempt({server, method: 'GET', target: '/x/', headers: [], body, mayReuse: true, connectTimeout: 400, silence: undefined, processEnd});
+const {outcome, cancel} = sendAttempt({server, method: 'GET', target: '/x/', headers: [], body, mayReuseConnection: true, connectTimeout: 400, headTimeouts: undefined, processEnd});
 ```
 */
 export function sendAttempt(options: SendAttemptOptions): SentAttempt {
--- a/packages/gateway/src/servers/saved-list.ts
+++ b/packages/gateway/src/servers/saved-list.ts
@@ -27,7 +27,7 @@
 @returns The saved list.
 @example
 ```ts
-const saved = createSavedList({list: 'servers', file: new SmallFile('data/servers.json'), log, schema: serverRecordSchema});
+const saved = createSavedList({list: 'servers', file: new AtomicFile('data/servers.json'), log, schema: serverRecordSchema});
 ```
 */
 export function createSavedList<Item>({list, file, log, schema}: SavedListOptions<Item>): SavedList<Item> {
--- a/packages/routing/src/server-choice.ts
+++ b/packages/routing/src/server-choice.ts
@@ -20,7 +20,7 @@
 	/** The share of this instance's requests that have the prefix, from 0 to 1; 0 by default. */
 	readonly prefixShare?: number;
 	/** The servers among which the preferred ones of the prefix are found; by default `zone`, the servers that would be chosen from without a prefix. */
-	readonly homeScope?: AffinityScope;
+	readonly affinityScope?: AffinityScope;
 };
 
 /** How a server is chosen. */
@@ -33,7 +33,7 @@
 	/** The maximum load of a preferred server of a prefix, relative to the mean load; 1.25 by default. */
 	readonly loadBound?: number;
 	/** How many randomly drawn servers are compared; 2 by default. */
-	readonly samples?: number;
+	readonly sampleCount?: number;
 };
 
 /** The chosen server, and the verdicts on the servers that were considered. */
@@ -93,7 +93,7 @@
 		return Left(failure('no-server', `No server is available for ${options.target} (${reasons || 'no server has it loaded'})`, {retryAfterMilliseconds}));
 	}
 
-	const chosen = choosePreferredServer(options.homeScope === 'all' ? eligible : pool, options) ?? chooseLeastLoadedSample(pool, options);
+	const chosen = choosePreferredServer(options.affinityScope === 'all' ? eligible : pool, options) ?? chooseLeastLoadedSample(pool, options);
 	for (const {server} of eligible) {
 		addVerdict(considered, server, verdictFor(server, {chosen, pool}));
 	}
@@ -114,8 +114,8 @@
 
 /** Chooses among the preferred servers of the prefix, which are those with the highest rendezvous scores whose load is within the bound. */
 function choosePreferredServer(pool: readonly Candidate[], options: ServerCriteria & ServerChoiceOptions): Candidate | undefined {
-	const {prefix, prefixShare = 0, loadBound = 1.25, homeScope = 'zone'} = options;
-	if (prefix === undefined || homeScope === 'none') {
+	const {prefix, prefixShare = 0, loadBound = 1.25, affinityScope = 'zone'} = options;
+	if (prefix === undefined || affinityScope === 'none') {
 		return undefined;
 	}
 
@@ -134,9 +134,9 @@
 	return chosen.length === 0 ? undefined : chooseLeastLoadedSample(chosen, options);
 }
 
-function chooseLeastLoadedSample(pool: readonly Candidate[], {random, samples = 2}: ServerChoiceOptions): Candidate {
+function chooseLeastLoadedSample(pool: readonly Candidate[], {random, sampleCount = 2}: ServerChoiceOptions): Candidate {
 	let best = sampleByCapacity(pool, random);
-	for (let drawn = 1; drawn < samples; drawn++) {
+	for (let drawn = 1; drawn < sampleCount; drawn++) {
 		const other = sampleByCapacity(pool, random);
 		if (relativeLoad(other) < relativeLoad(best)) {
 			best = other;
--- a/packages/testing/src/_bench-server-choice.ts
+++ b/packages/testing/src/_bench-server-choice.ts
@@ -92,7 +92,7 @@
 		const hash = prefixHash(`prompt ${prefix}`);
 		const share = shares[instance]!.count(hash);
 		const choice = chooseServer(views, {
-			target, excluded, zone, random, samples, loadBound, reportDecayMilliseconds: fadeMilliseconds,
+			target, excluded, zone, random, sampleCount: samples, loadBound, reportDecayMilliseconds: fadeMilliseconds,
 			...(affinity && {prefix: hash, prefixShare: spread ? share : 0}),
 		});
 		const id = choice.map(({server}) => server).toMaybe().extract();
--- a/packages/testing/src/emulator/simulate-load.ts
+++ b/packages/testing/src/emulator/simulate-load.ts
@@ -197,7 +197,7 @@
 		}
 
 		const record = servers.choose({
-			service: emulatedService, isAcceptable: () => true, excluded, now, promptKey: homeScope === undefined ? undefined : {name: `${promptKey} ${model.id}`, homeScope},
+			service: emulatedService, isAcceptable: () => true, excluded, now, promptKey: homeScope === undefined ? undefined : {name: `${promptKey} ${model.id}`, affinityScope: homeScope},
 		});
 		const engine = this.#engines.find(({id}) => id === record?.id);
 		if (engine === undefined) {
