--- a/packages/gateway/src/control/bootstrap-replica-set.ts
+++ b/packages/gateway/src/control/bootstrap-replica-set.ts
@@ -26,14 +26,14 @@
 bootstrapReplicaSet({self, replica, isFounding: true, initialMembers, replies});
 ```
 */
-export function bootstrapReplicaSet({self, replica, isFounding, initialMembers: founders, replies}: BootstrapReplicaSetOptions): ReplicaSet | undefined {
+export function bootstrapReplicaSet({self, replica, isFounding, initialMembers, replies}: BootstrapReplicaSetOptions): ReplicaSet | undefined {
 	const reported = replies.find(({initial}) => initial?.voters.includes(replica))?.initial;
-	if (reported !== undefined || !isFounding || !founders.includes(self)) {
+	if (reported !== undefined || !isFounding || !initialMembers.includes(self)) {
 		return reported;
 	}
 
 	const others: ReplicaId[] = [];
-	for (const member of founders) {
+	for (const member of initialMembers) {
 		const emptyReply = replies.find(reply => reply.isEmpty && instanceOf(reply.replica) === member);
 		if (member !== self && (emptyReply === undefined || member < self)) {
 			return undefined;
--- a/packages/gateway/src/control/control-replica-supervisor.ts
+++ b/packages/gateway/src/control/control-replica-supervisor.ts
@@ -66,7 +66,7 @@
 	}
 
 	async #open(lastAcknowledgedAt: number): Promise<void> {
-		const {openFolder, log, createReplica: createGroup} = this.#options;
+		const {openFolder, log, createReplica} = this.#options;
 		const opened = await openFolder();
 		if (this.#isStopped) {
 			return;
@@ -78,7 +78,7 @@
 			},
 			Right: folder => {
 				log('storage-opened', {warnings: folder.warnings});
-				this.#current = createGroup({
+				this.#current = createReplica({
 					folder, lastAcknowledgedAt, onFailure: failed => {
 						this.#reopenLater(failed);
 					},
--- a/packages/gateway/src/control/control-replica.ts
+++ b/packages/gateway/src/control/control-replica.ts
@@ -251,9 +251,9 @@
 		}
 
 		this.#isRequestingToJoin = true;
-		const {self, peers, requestJoin: join, isFounding, initialMembers: founders} = this.#options;
+		const {self, peers, requestJoin, isFounding, initialMembers} = this.#options;
 		const others = peers().filter(peer => peer !== self);
-		const replies = await Promise.all(others.map(async peer => join(peer, {type: 'join', replica: this.#self, isFounding})));
+		const replies = await Promise.all(others.map(async peer => requestJoin(peer, {type: 'join', replica: this.#self, isFounding})));
 		this.#isRequestingToJoin = false;
 		const received = replies.flatMap(reply => reply === undefined ? [] : [reply]);
 		if (this.#isStopped || this.#driver.state.replicas !== undefined) {
@@ -261,7 +261,7 @@
 		}
 
 		const initial = bootstrapReplicaSet({
-			self, replica: this.#self, isFounding: isFounding && this.#isEmpty(), initialMembers: founders, replies: received,
+			self, replica: this.#self, isFounding: isFounding && this.#isEmpty(), initialMembers, replies: received,
 		});
 		if (initial !== undefined) {
 			this.#isBootstrapped = true;
--- a/packages/gateway/src/control/entry-watches.ts
+++ b/packages/gateway/src/control/entry-watches.ts
@@ -68,7 +68,7 @@
 	@returns The changes since that state.
 	*/
 	async answer(from: InstanceId, watch: WatchMessage): Promise<WatchReply> {
-		const {clock, run, directory, suspects, currentUpdate: news} = this.#options;
+		const {clock, run, directory, suspects, currentUpdate} = this.#options;
 		const receivedAt = clock.monotonic();
 		const entry = {instance: from, zone: watch.zone};
 		this.#entries.set(from, {...entry, at: receivedAt});
@@ -77,7 +77,7 @@
 		}
 
 		const now = clock.monotonic();
-		const {configuration, rollouts, confirmedAt, hosts} = news();
+		const {configuration, rollouts, confirmedAt, hosts} = currentUpdate();
 		return {
 			run,
 			cursor: directory.cursor,
@@ -95,8 +95,8 @@
 	}
 
 	#hasUpdate(watch: WatchMessage): boolean {
-		const {run, directory, suspects, currentUpdate: news} = this.#options;
-		const {configuration, rollouts} = news();
+		const {run, directory, suspects, currentUpdate} = this.#options;
+		const {configuration, rollouts} = currentUpdate();
 		return watch.run !== run
 			|| watch.cursor < directory.cursor
 			|| watch.suspectCursor < suspects.cursor
--- a/packages/gateway/src/control/state-confirmation.ts
+++ b/packages/gateway/src/control/state-confirmation.ts
@@ -54,7 +54,7 @@
 
 	/** Requests the commit index from the leader once, and waits until it is applied locally. */
 	async confirm(): Promise<void> {
-		const {clock, suspension, onReconfirmed: onRegained} = this.#options;
+		const {clock, suspension, onReconfirmed} = this.#options;
 		const startedAt = clock.monotonic();
 		if (await this.#waitForCatchUp(startedAt + applyTimeoutMilliseconds) === undefined || startedAt < suspension.lastWake()) {
 			return;
@@ -63,7 +63,7 @@
 		const isAfterGap = this.#confirmedAt === undefined || startedAt - this.#confirmedAt > confirmationGapMilliseconds;
 		this.#confirmedAt = Math.max(startedAt, this.#confirmedAt ?? startedAt);
 		if (isAfterGap) {
-			onRegained();
+			onReconfirmed();
 		}
 	}
 
@@ -83,9 +83,9 @@
 
 	/** Resolves to the replica once it has applied the leader's commit index, or to `undefined` if it has not done so by the deadline on the monotonic clock. */
 	async #waitForCatchUp(deadline: number): Promise<ControlReplica | undefined> {
-		const {replica: group, readIndex: newestIndex} = this.#options;
+		const {replica: group, readIndex} = this.#options;
 		const replica = group();
-		const index = await newestIndex();
+		const index = await readIndex();
 		return replica !== undefined && index !== undefined && await replica.applied(index, deadline) ? replica : undefined;
 	}
 }
--- a/packages/gateway/src/entry/end-expired.ts
+++ b/packages/gateway/src/entry/end-expired.ts
@@ -24,7 +24,7 @@
 @param options The send and what is reported to the caller.
 @example
 ```ts
-endExpired(end, {sent, verdicts, model, waited: 800, retryAfter: 250});
+endExpired(end, {sent, results, model, waited: 800, retryAfter: 250});
 ```
 */
 export function endExpired(end: RequestEnd, {sent, results, model, waited, retryAfter}: EndExpiredOptions): void {
--- a/packages/gateway/src/entry/entry-servers.ts
+++ b/packages/gateway/src/entry/entry-servers.ts
@@ -118,9 +118,9 @@
 	/** The load of this instance at each server where it has requests in flight. */
 	get loads(): LoadMessage['loads'] {
 		const loads: Array<readonly [ServerId, number]> = [];
-		for (const [id, {inFlight, load: work}] of this.#servers) {
+		for (const [id, {inFlight, load}] of this.#servers) {
 			if (inFlight > 0) {
-				loads.push([id, work]);
+				loads.push([id, load]);
 			}
 		}
 
--- a/packages/gateway/src/entry/evidence-counter.ts
+++ b/packages/gateway/src/entry/evidence-counter.ts
@@ -24,7 +24,7 @@
 @example
 ```ts
 const counter = new EvidenceCounter({entry: instance, run});
-counter.note(seen);
+counter.record(answer);
 ```
 */
 export class EvidenceCounter {
@@ -38,7 +38,7 @@
 	/**
 	Records an answer.
 
-	@param seen The answer.
+	@param answer The answer.
 	*/
 	record({service, version, route, model = '' as ModelId, isFailure, latency = 0}: ObservedAnswer): void {
 		const key = [service, version, route, model].join(' ');
--- a/packages/gateway/src/entry/handle-outcome.ts
+++ b/packages/gateway/src/entry/handle-outcome.ts
@@ -145,14 +145,14 @@
 	return unknownOutcome(`${server.id} answered request ${requestId ?? '(no id)'}; expected a signed answer to request ${request.id}`);
 }
 
-function handleNotRun(message: IncomingMessage, {status, isFromOtherServer: isOtherServer}: AnswerHead, {context, request, results, server}: HandleOutcomeOptions): OutcomeStep {
+function handleNotRun(message: IncomingMessage, {status, isFromOtherServer}: AnswerHead, {context, request, results, server}: HandleOutcomeOptions): OutcomeStep {
 	message.resume();
-	if (isOtherServer) {
+	if (isFromOtherServer) {
 		results.record(server, 'gone');
 	}
 
 	context.log('request-attempt-ended', {
-		request: request.id, server: server.id, result: 'not-run', status, isOtherServer,
+		request: request.id, server: server.id, result: 'not-run', status, isOtherServer: isFromOtherServer,
 	}, 'warn');
 	return {type: 'not-run', failed: failure('overloaded', `${server.id} answered ${status} without running the request`)};
 }
@@ -226,7 +226,7 @@
 /**
 Forwards a fallback stream, because no better answer has started.
 
-@param spare The stream.
+@param fallback The stream.
 @param options The request and the server.
 @returns The next step of the request.
 @example
--- a/packages/gateway/src/entry/repeat-tracker.ts
+++ b/packages/gateway/src/entry/repeat-tracker.ts
@@ -11,7 +11,7 @@
 @example
 ```ts
 const repeats = new RepeatTracker();
-repeats.forRoute(route.id).note('5c1e07a2', now);
+repeats.forRoute(route.id).record('5c1e07a2', now);
 ```
 */
 export class RepeatTracker {
--- a/packages/gateway/src/entry/request-end.ts
+++ b/packages/gateway/src/entry/request-end.ts
@@ -34,7 +34,7 @@
 @example
 ```ts
 const end = new RequestEnd(context, {request: 'a1', route, service, arrivedAt, answer, allowance, models});
-end.giveUp(failure('no-server', 'No server is available'));
+end.fail(failure('no-server', 'No server is available'));
 ```
 */
 export class RequestEnd {
--- a/packages/gateway/src/entry/send-allowance.ts
+++ b/packages/gateway/src/entry/send-allowance.ts
@@ -19,7 +19,7 @@
 @example
 ```ts
 const allowance = new SendAllowance({route, service, budget, clock});
-allowance.begin();
+allowance.countSend();
 allowance.tryRetry();
 ```
 */
--- a/packages/gateway/src/entry/tracked-server.ts
+++ b/packages/gateway/src/entry/tracked-server.ts
@@ -84,11 +84,11 @@
 	#inFlight = 0;
 	#load = 0;
 
-	constructor(record: ServerRecord, {now, onLoadChange: onWork}: TrackedServerOptions) {
+	constructor(record: ServerRecord, {now, onLoadChange}: TrackedServerOptions) {
 		this.record = record;
 		this.addedAt = now;
 		this.reportedAt = now;
-		this.#onWork = onWork;
+		this.#onWork = onLoadChange;
 		// Each send in progress adds a listener; hundreds at a time are normal.
 		setMaxListeners(0, this.#processEnd.signal);
 	}
@@ -154,7 +154,7 @@
 	@param conditions What else is known about the server.
 	@returns The view.
 	*/
-	view({now, othersLoad, isSilent, isZoneUnreachable: isBehindCut, isEjected}: ServerConditions): ServerView {
+	view({now, othersLoad, isSilent, isZoneUnreachable, isEjected}: ServerConditions): ServerView {
 		const {id, zone, slots, service} = this.record;
 		return {
 			id,
@@ -165,7 +165,7 @@
 			reportAge: 0,
 			ownInFlight: this.#load,
 			draining: false,
-			expired: isSilent || this.backoffUntil > now || isBehindCut,
+			expired: isSilent || this.backoffUntil > now || isZoneUnreachable,
 			ejected: isEjected,
 			// These servers warm up within milliseconds, so a slow start would only unbalance the load.
 			uptime: Math.max(warmMilliseconds, now - this.addedAt),
--- a/packages/gateway/src/rollouts/assign-cohort.ts
+++ b/packages/gateway/src/rollouts/assign-cohort.ts
@@ -36,12 +36,12 @@
 assignCohort(rollout, {hashKey: 'crew-7', hasSession: true, pinnedVersion: undefined, canaryShare: 0.1});
 ```
 */
-export function assignCohort({target, duration, stage, age}: RolloutWithAge, {hashKey: subject, hasSession, pinnedVersion: pinned, canaryShare}: AssignCohortOptions): RolloutCohort {
+export function assignCohort({target, duration, stage, age}: RolloutWithAge, {hashKey, hasSession, pinnedVersion, canaryShare}: AssignCohortOptions): RolloutCohort {
 	if (stage === 'rolled-back') {
 		return 'others';
 	}
 
-	if (stage === 'completed' || pinned === target) {
+	if (stage === 'completed' || pinnedVersion === target) {
 		return 'target';
 	}
 
@@ -49,5 +49,5 @@
 	// The session may have been started on the old version by another instance, and only a pin to the target rules that out.
 	const keepsOldVersion = hasSession && progress < sessionStartShare;
 	const share = stage === 'canary' ? canaryShare : Math.max(canaryShare, (progress - shiftStartShare) / (shiftEndShare - shiftStartShare));
-	return !keepsOldVersion && prefixHash(subject) < share * hashRange ? 'target' : 'others';
+	return !keepsOldVersion && prefixHash(hashKey) < share * hashRange ? 'target' : 'others';
 }
--- a/packages/gateway/src/servers/server-directory.ts
+++ b/packages/gateway/src/servers/server-directory.ts
@@ -145,7 +145,7 @@
 	@returns The records that were marked silent.
 	*/
 	sweep(now: number): readonly ServerRecord[] {
-		const {silentMilliseconds, retentionMilliseconds: forgetMilliseconds} = this.#options;
+		const {silentMilliseconds, retentionMilliseconds} = this.#options;
 		const silenced: ServerRecord[] = [];
 		for (const [id, at] of this.#endedUnknown) {
 			if (now - at >= this.#endedRetentionMilliseconds) {
@@ -155,7 +155,7 @@
 
 		for (const [id, entry] of this.#servers) {
 			const elapsed = now - entry.lastHeardAt;
-			const isExpired = entry.endedAt === undefined ? elapsed >= forgetMilliseconds : now - entry.endedAt >= this.#endedRetentionMilliseconds;
+			const isExpired = entry.endedAt === undefined ? elapsed >= retentionMilliseconds : now - entry.endedAt >= this.#endedRetentionMilliseconds;
 			if (isExpired) {
 				this.#servers.delete(id);
 				continue;
--- a/packages/membership/src/configuration-relay.test.ts
+++ b/packages/membership/src/configuration-relay.test.ts
@@ -41,16 +41,16 @@
 }
 
 function createSteps({
-	maximumNode: mostNode, maximumRequestDelay: mostThere, maximumResponseDelay: mostBack, maximumWait: mostWait, adopts, lost, size, suspends,
+	maximumNode, maximumRequestDelay, maximumResponseDelay, maximumWait, adopts, lost, size, suspends,
 }: StepsOptions) {
-	const nodeIndex = fc.nat(mostNode);
+	const nodeIndex = fc.nat(maximumNode);
 	return fc.array(fc.oneof(
 		{
 			weight: 8, arbitrary: fc.record({
-				type: fc.constant('exchange' as const), child: nodeIndex, parent: nodeIndex, requestDelay: fc.nat(mostThere), responseDelay: fc.nat(mostBack), lost, adopts,
+				type: fc.constant('exchange' as const), child: nodeIndex, parent: nodeIndex, requestDelay: fc.nat(maximumRequestDelay), responseDelay: fc.nat(maximumResponseDelay), lost, adopts,
 			}),
 		},
-		{weight: 4, arbitrary: fc.record({type: fc.constant('wait' as const), milliseconds: fc.nat(mostWait)})},
+		{weight: 4, arbitrary: fc.record({type: fc.constant('wait' as const), milliseconds: fc.nat(maximumWait)})},
 		{weight: 2, arbitrary: fc.record({type: fc.constant('commit' as const)})},
 		{weight: 3, arbitrary: fc.record({type: fc.constant('renew-leader' as const)})},
 		{weight: 1, arbitrary: fc.record({type: fc.constant('elect' as const), node: nodeIndex})},
--- a/packages/platform/src/start-process.ts
+++ b/packages/platform/src/start-process.ts
@@ -198,7 +198,7 @@
 
 async function startEntryPart(context: ProcessContext, listen: ListenAddress) {
 	const {settings} = context;
-	const {instance, zone, revocationTimeout, canaryShare: canaryLimit, retryRatio, retryWindow, sessionTimeout, gracePeriod, readiness} = settings();
+	const {instance, zone, revocationTimeout, canaryShare, retryRatio, retryWindow, sessionTimeout, gracePeriod, readiness} = settings();
 	const entry = new EntryInstance({
 		...context,
 		self: instance,
@@ -207,7 +207,7 @@
 		clock,
 		random: Math.random,
 		dialect: platformDialect,
-		bounds: {canaryShare: usedCanaryShare * canaryLimit, minimumConfidence},
+		bounds: {canaryShare: usedCanaryShare * canaryShare, minimumConfidence},
 		leaseMilliseconds: Math.min(revocationTimeout - leaseMarginMilliseconds, leaseShare * revocationTimeout),
 		sessionMilliseconds: sessionTimeout,
 		retryShare: usedRetryShare * retryRatio,
--- a/packages/policy/src/compile-policy.ts
+++ b/packages/policy/src/compile-policy.ts
@@ -45,8 +45,8 @@
 }
 
 function firstMatchingRule(rules: readonly CompiledRule[], facts: RequestFacts): PolicyRule | undefined {
-	for (const {rule, matches: holds} of rules) {
-		if (holds(facts)) {
+	for (const {rule, matches} of rules) {
+		if (matches(facts)) {
 			return rule;
 		}
 	}
--- a/packages/routing/src/_end-request.ts
+++ b/packages/routing/src/_end-request.ts
@@ -125,13 +125,13 @@
 }
 
 function clearTimers(transition: RequestTransition): void {
-	const {plan, serverRetryScheduled: comingBack} = transition.state;
+	const {plan, serverRetryScheduled} = transition.state;
 	transition.emit({type: 'clear-timer', timer: 'deadline'});
 	if (plan.hedge !== undefined) {
 		transition.emit({type: 'clear-timer', timer: 'hedge'});
 	}
 
-	if (comingBack) {
+	if (serverRetryScheduled) {
 		transition.emit({type: 'clear-timer', timer: 'come-back'});
 	}
 }
--- a/packages/routing/src/_handle-attempt-event.ts
+++ b/packages/routing/src/_handle-attempt-event.ts
@@ -81,14 +81,14 @@
 }
 
 function handleServerChosen(transition: RequestTransition, {attempt, event: {server}}: AttemptWithEvent<'server-chosen'>): void {
-	const {excludedServers: draining, plan, stopping, freshConnection} = transition.state;
+	const {excludedServers, plan, stopping, freshConnection} = transition.state;
 	if (transition.isTargetDisallowed) {
 		transition.removeAttempt(attempt.number);
 		abandonTarget(transition);
 		return;
 	}
 
-	if (draining.includes(server)) {
+	if (excludedServers.includes(server)) {
 		// The budget was charged when the first server was requested.
 		chooseServer(transition, {...attempt, budgeted: false});
 		return;
@@ -236,8 +236,8 @@
 }
 
 function handleVerdict(transition: RequestTransition, event: EventOf<'attempt-judged'>): void {
-	const {stage, answeringAttempt: leader} = transition.state;
-	if (stage !== 'judging' || event.attempt !== leader) {
+	const {stage, answeringAttempt} = transition.state;
+	if (stage !== 'judging' || event.attempt !== answeringAttempt) {
 		return;
 	}
 
--- a/packages/routing/src/_handle-external-event.ts
+++ b/packages/routing/src/_handle-external-event.ts
@@ -117,14 +117,14 @@
 
 /** Completes the answer once the bill is settled. */
 function finishAnswer(transition: RequestTransition): void {
-	const {stage, answeringAttempt: leader} = transition.state;
-	if (stage !== 'settling' || leader === undefined) {
+	const {stage, answeringAttempt} = transition.state;
+	if (stage !== 'settling' || answeringAttempt === undefined) {
 		return;
 	}
 
 	if (transition.buffersAnswer) {
-		transition.emitToCaller({type: 'forward-held', attempt: leader});
+		transition.emitToCaller({type: 'forward-held', attempt: answeringAttempt});
 	}
 
-	endRequest(transition, {outcome: 'answered', finalAction: {type: 'finish-answer', attempt: leader}});
+	endRequest(transition, {outcome: 'answered', finalAction: {type: 'finish-answer', attempt: answeringAttempt}});
 }
--- a/packages/routing/src/_request-transition.ts
+++ b/packages/routing/src/_request-transition.ts
@@ -32,13 +32,13 @@
 
 	/** The live attempts that are not stalled. */
 	get activeAttempts(): AttemptState[] {
-		return this.liveAttempts.filter(({stalled: silent}) => !silent);
+		return this.liveAttempts.filter(({stalled}) => !stalled);
 	}
 
 	/** Whether new attempts on the current target are disallowed. */
 	get isTargetDisallowed(): boolean {
-		const {disallowedTargets: lost, target} = this.#state;
-		return lost.some(other => isSameTarget(other, target));
+		const {disallowedTargets, target} = this.#state;
+		return disallowedTargets.some(other => isSameTarget(other, target));
 	}
 
 	/** Whether pieces are buffered until the answer is complete and accepted, instead of being forwarded as they arrive. */
@@ -82,17 +82,17 @@
 
 	/** Disallows new attempts on a target. */
 	disallowTarget(target: RequestTarget): void {
-		const {disallowedTargets: lost} = this.#state;
-		if (!lost.some(other => isSameTarget(other, target))) {
-			this.update({disallowedTargets: [...lost, target]});
+		const {disallowedTargets} = this.#state;
+		if (!disallowedTargets.some(other => isSameTarget(other, target))) {
+			this.update({disallowedTargets: [...disallowedTargets, target]});
 		}
 	}
 
 	/** Excludes a server that is shutting down or gone from further attempts. */
 	excludeServer(server: ServerId): void {
-		const {excludedServers: draining} = this.#state;
-		if (draining.length < maximumExcludedServers && !draining.includes(server)) {
-			this.update({excludedServers: [...draining, server]});
+		const {excludedServers} = this.#state;
+		if (excludedServers.length < maximumExcludedServers && !excludedServers.includes(server)) {
+			this.update({excludedServers: [...excludedServers, server]});
 		}
 	}
 
--- a/packages/routing/src/_start-attempt.ts
+++ b/packages/routing/src/_start-attempt.ts
@@ -24,9 +24,9 @@
 		return;
 	}
 
-	const {nextAttemptNumber: nextAttempt, target, attempts, deliveredBytes: delivered} = transition.state;
+	const {nextAttemptNumber, target, attempts, deliveredBytes} = transition.state;
 	const attempt: AttemptState = {
-		number: nextAttempt,
+		number: nextAttemptNumber,
 		purpose,
 		budgeted,
 		target,
@@ -35,12 +35,12 @@
 		stalled: false,
 		neverSent: false,
 		server: undefined,
-		resumeFrom: delivered,
-		received: delivered,
+		resumeFrom: deliveredBytes,
+		received: deliveredBytes,
 		lastProgressAt: transition.now,
 		usage: noUsage,
 	};
-	transition.update({nextAttemptNumber: nextAttempt + 1, attempts: [...attempts, attempt]});
+	transition.update({nextAttemptNumber: nextAttemptNumber + 1, attempts: [...attempts, attempt]});
 	chooseServer(transition, attempt);
 }
 
@@ -116,7 +116,7 @@
 		return;
 	}
 
-	const {plan, serverRetryScheduled: comingBack, stopping} = transition.state;
+	const {plan, serverRetryScheduled, stopping} = transition.state;
 	const hasLiveAttempt = transition.liveAttempts.length > 0;
 	const wait = Math.min(plan.serverRetryMilliseconds ?? 0, options.retryAfterMilliseconds);
 	const fitsDeadline = wait > 0 && transition.now + wait < plan.deadline;
@@ -129,7 +129,7 @@
 	}
 
 	transition.update({stage: hasLiveAttempt ? 'running' : 'waiting'});
-	if (!comingBack) {
+	if (!serverRetryScheduled) {
 		transition.update({serverRetryScheduled: true});
 		transition.emit({type: 'set-timer', timer: 'come-back', at: transition.now + wait});
 	}
@@ -138,8 +138,8 @@
 /**
 Tells whether the request gains anything by waiting for a server. A request that did not run is refused at once, since its caller can retry it safely. One that a server has reported as failed would fail again.
 */
-function isWorthWaiting({state: {attempts, deliveredBytes: delivered, reportedFailure}}: RequestTransition): boolean {
-	return delivered > 0 || (!reportedFailure && outcomeOfAttempts(attempts) !== 'notRun');
+function isWorthWaiting({state: {attempts, deliveredBytes, reportedFailure}}: RequestTransition): boolean {
+	return deliveredBytes > 0 || (!reportedFailure && outcomeOfAttempts(attempts) !== 'notRun');
 }
 
 /**
@@ -202,8 +202,8 @@
 }
 
 /** Tells whether as many connections have failed to open as the attempt limit allows, which bounds how many unreachable servers are tried before the request waits or is refused. */
-function hasReachedConnectionLimit({state: {plan, connectionFailures: unreachable}}: RequestTransition): boolean {
-	return unreachable >= maximumAttemptsOf(plan);
+function hasReachedConnectionLimit({state: {plan, connectionFailures}}: RequestTransition): boolean {
+	return connectionFailures >= maximumAttemptsOf(plan);
 }
 
 function maximumAttemptsOf({maximumAttempts = defaultMaximumAttempts}: RequestPlan): number {
@@ -211,7 +211,7 @@
 }
 
 function mayRetry(transition: RequestTransition): boolean {
-	const {plan, target, attempts, deliveredBytes: delivered} = transition.state;
+	const {plan, target, attempts, deliveredBytes} = transition.state;
 	if (!hasAttemptsLeft(transition) || transition.now >= plan.deadline) {
 		return false;
 	}
@@ -220,7 +220,7 @@
 		return outcomeOfAttempts(attempts) === 'notRun';
 	}
 
-	return delivered === 0 || target.type === 'version';
+	return deliveredBytes === 0 || target.type === 'version';
 }
 
 function nextPurpose({state}: RequestTransition): AttemptPurpose {
--- a/packages/routing/src/_test-answer.ts
+++ b/packages/routing/src/_test-answer.ts
@@ -16,10 +16,10 @@
 const stallOdds = 8;
 
 /** Returns the events of an attempt that a backend server runs: the head, pieces of random length, and the end. */
-export function answerMessages({attempt, target, resumeFrom}: Dispatch, {isComplete: isSound, next}: AnswerOptions): PendingMessage[] {
+export function answerMessages({attempt, target, resumeFrom}: Dispatch, {isComplete, next}: AnswerOptions): PendingMessage[] {
 	const text = textOf(target);
 	const messages: PendingMessage[] = [{event: {type: 'attempt-head', attempt}}];
-	const end = isSound ? text.length : Math.min(text.length, resumeFrom + (next() % maximumTruncatedLength));
+	const end = isComplete ? text.length : Math.min(text.length, resumeFrom + (next() % maximumTruncatedLength));
 	for (let offset = resumeFrom; offset < end;) {
 		const bytes = text.slice(offset, Math.min(end, offset + 1 + (next() % maximumPieceLength)));
 		const event = {
@@ -40,7 +40,7 @@
 		// No event: the server has accepted the request and stalls.
 		undefined,
 	];
-	const last = isSound ? complete : faults[next() % faults.length];
+	const last = isComplete ? complete : faults[next() % faults.length];
 	const whole = last === undefined ? messages : [...messages, {event: last}];
 	return next() % stallOdds === 0 ? whole.toSpliced(next() % (whole.length + 1), 0, {event: {type: 'attempt-silent', attempt}}) : whole;
 }
--- a/packages/routing/src/admission-controller.ts
+++ b/packages/routing/src/admission-controller.ts
@@ -44,9 +44,9 @@
 	#virtualTime = 0;
 	#lastArrival = 0;
 
-	constructor({capacity, maximumQueueLength: maximumWaiting = 1024}: AdmissionControllerOptions) {
+	constructor({capacity, maximumQueueLength = 1024}: AdmissionControllerOptions) {
 		this.#capacity = capacity;
-		this.#maximumWaiting = maximumWaiting;
+		this.#maximumWaiting = maximumQueueLength;
 	}
 
 	/** The number of queued requests. */
--- a/packages/routing/src/choose-affinity-scope.ts
+++ b/packages/routing/src/choose-affinity-scope.ts
@@ -27,6 +27,6 @@
 chooseAffinityScope({sharedTokens: 5400, repeatRate: 0.3, bytes: 12_000}); // 'all'
 ```
 */
-export function chooseAffinityScope({sharedTokens, repeatRate: repeatShare, bytes, bytesPerToken = 20}: ChooseAffinityScopeOptions): AffinityScope {
-	return sharedTokens * repeatShare * bytesPerToken > bytes ? 'all' : 'none';
+export function chooseAffinityScope({sharedTokens, repeatRate, bytes, bytesPerToken = 20}: ChooseAffinityScopeOptions): AffinityScope {
+	return sharedTokens * repeatRate * bytesPerToken > bytes ? 'all' : 'none';
 }
--- a/packages/routing/src/hedge-policy.ts
+++ b/packages/routing/src/hedge-policy.ts
@@ -41,16 +41,16 @@
 ```
 */
 export function hedgeDelays(request: HedgedRequest, options: HedgeDelaysOptions): HedgeDelays | undefined {
-	const {history, quantile: share = 0.95, minimumMilliseconds = 20} = options;
+	const {history, quantile = 0.95, minimumMilliseconds = 20} = options;
 	const stage: AttemptStage = request.streamed ? 'prefill' : 'whole';
 	const key = stageKey(request);
-	const slowPrefill = history.quantile(key, {stage, quantile: share});
+	const slowPrefill = history.quantile(key, {stage, quantile});
 	if (slowPrefill === undefined) {
 		return undefined;
 	}
 
 	const prefillMilliseconds = Math.max(minimumMilliseconds, slowPrefill);
-	const gap = history.quantile(key, {stage: 'decode', quantile: gapQuantile(share)}) ?? 0;
+	const gap = history.quantile(key, {stage: 'decode', quantile: gapQuantile(quantile)}) ?? 0;
 	// A hedge has to process the whole prompt again before it can take over.
 	return {prefillMilliseconds, decodeMilliseconds: Math.max(prefillMilliseconds, decodeFactor * gap)};
 }
--- a/packages/routing/src/retry-budget.ts
+++ b/packages/routing/src/retry-budget.ts
@@ -76,10 +76,10 @@
 	}
 
 	#bucketOf(key: string, now: number): Bucket {
-		const {minimumPerSecond: floorPerSecond, burst} = this.#options;
+		const {minimumPerSecond, burst} = this.#options;
 		const bucket = this.#buckets.getOrCreate(key, () => ({tokens: 1, filledAt: now}));
 		const elapsed = Math.max(0, now - bucket.filledAt);
-		bucket.tokens = Math.min(burst, bucket.tokens + (floorPerSecond * elapsed / millisecondsPerSecond));
+		bucket.tokens = Math.min(burst, bucket.tokens + (minimumPerSecond * elapsed / millisecondsPerSecond));
 		bucket.filledAt = Math.max(bucket.filledAt, now);
 		return bucket;
 	}
--- a/packages/routing/src/server-load.ts
+++ b/packages/routing/src/server-load.ts
@@ -25,9 +25,9 @@
 serverLoad(server); // 8, for 5 requests of other instances by the report and 3 of this one
 ```
 */
-export function serverLoad(server: ServerView, {reportDecayMilliseconds: fadeMilliseconds = 150, meanOtherLoad: meanOthers = 0}: ServerLoadOptions = {}): number {
-	const reportWeight = Math.exp(-server.reportAge / fadeMilliseconds);
-	return server.ownInFlight + (reportedOtherLoad(server) * reportWeight) + (meanOthers * server.capacity * (1 - reportWeight));
+export function serverLoad(server: ServerView, {reportDecayMilliseconds = 150, meanOtherLoad = 0}: ServerLoadOptions = {}): number {
+	const reportWeight = Math.exp(-server.reportAge / reportDecayMilliseconds);
+	return server.ownInFlight + (reportedOtherLoad(server) * reportWeight) + (meanOtherLoad * server.capacity * (1 - reportWeight));
 }
 
 /**
--- a/packages/routing/src/windowed-retry-budget.ts
+++ b/packages/routing/src/windowed-retry-budget.ts
@@ -90,7 +90,7 @@
 	}
 
 	#allowsAdditional(key: string, current: TimeSlot): boolean {
-		const {ratio: share, minimumPerWindow: slack} = this.#options;
+		const {ratio, minimumPerWindow} = this.#options;
 		let initial = 0;
 		let additional = 0;
 		for (const slot of this.#slotsByKey.peek(key) ?? []) {
@@ -98,7 +98,7 @@
 			additional += slot.additional;
 		}
 
-		return additional + 1 <= (share * initial) + slack;
+		return additional + 1 <= (ratio * initial) + minimumPerWindow;
 	}
 
 	/** Returns the current slot, creating it if needed, and deletes slots that no window covers any more. */
--- a/packages/routing/src/zone-failure-detector.ts
+++ b/packages/routing/src/zone-failure-detector.ts
@@ -46,15 +46,15 @@
 	@param options The server, and the time in milliseconds on the monotonic clock.
 	*/
 	recordUnreachable(zone: ZoneId, {server, now}: {readonly server: ServerId; readonly now: number}): void {
-		const {minimumServers: leastServers, initialMilliseconds: firstMilliseconds, maximumMilliseconds: longestMilliseconds} = this.#options;
+		const {minimumServers, initialMilliseconds, maximumMilliseconds} = this.#options;
 		const health = this.#zones.get(zone) ?? {unreachable: new Set(), suspectUntil: 0, suspicionCount: 0};
 		this.#zones.set(zone, health);
 		health.unreachable.add(server);
-		if (health.unreachable.size < leastServers || health.suspectUntil > now) {
+		if (health.unreachable.size < minimumServers || health.suspectUntil > now) {
 			return;
 		}
 
-		health.suspectUntil = now + Math.min(longestMilliseconds, firstMilliseconds * (2 ** health.suspicionCount));
+		health.suspectUntil = now + Math.min(maximumMilliseconds, initialMilliseconds * (2 ** health.suspicionCount));
 		health.suspicionCount++;
 	}
 
