--- a/packages/gateway/src/control/leader-client.ts
+++ b/packages/gateway/src/control/leader-client.ts
@@ -54,8 +54,8 @@
 	@returns The result; the `outcome` of a `no-quorum` failure says whether the command may still be committed.
 	*/
 	async propose(command: GatewayCommand): Promise<Either<Failure, GatewayCommandResult>> {
-		const {self, ask, metrics, replica: group} = this.#options;
-		const leader = group()?.leader;
+		const {self, ask, metrics, replica} = this.#options;
+		const leader = replica()?.leader;
 		if (leader === undefined) {
 			return Left(noLeaderFailure());
 		}
@@ -93,10 +93,10 @@
 
 	/** Requests the commit index at the time of the call; resolves to `undefined` if no leader could confirm it. */
 	async readIndex(): Promise<number | undefined> {
-		const {self, ask, replica: group} = this.#options;
-		const leader = group()?.leader;
+		const {self, ask, replica} = this.#options;
+		const leader = replica()?.leader;
 		if (leader === undefined || leader === self) {
-			return group()?.readIndex();
+			return replica()?.readIndex();
 		}
 
 		const reply = await ask(leader, {type: 'confirm', evidence: this.#changedEvidence(leader)}, confirmTimeoutMilliseconds) as ConfirmReply | undefined;
--- a/packages/gateway/src/control/state-confirmation.ts
+++ b/packages/gateway/src/control/state-confirmation.ts
@@ -83,8 +83,8 @@
 
 	/** Resolves to the replica once it has applied the leader's commit index, or to `undefined` if it has not done so by the deadline on the monotonic clock. */
 	async #waitForCatchUp(deadline: number): Promise<ControlReplica | undefined> {
-		const {replica: group, readIndex} = this.#options;
-		const replica = group();
+		const {replica: currentReplica, readIndex} = this.#options;
+		const replica = currentReplica();
 		const index = await readIndex();
 		return replica !== undefined && index !== undefined && await replica.applied(index, deadline) ? replica : undefined;
 	}
--- a/packages/gateway/src/entry/control-watch.ts
+++ b/packages/gateway/src/entry/control-watch.ts
@@ -25,7 +25,7 @@
 	readonly watchFields: (host: InstanceId) => Pick<WatchMessage, 'zone' | 'configurationVersion' | 'rolloutDigest' | 'evidence'>;
 	/** Sends a watch request to a control instance; resolves to undefined if no reply arrived within the timeout in milliseconds. */
 	readonly ask: (to: InstanceId, message: WatchMessage, timeout: number) => Promise<WatchReply | undefined>;
-	readonly onUpdate: (news: ControlUpdate) => void;
+	readonly onUpdate: (update: ControlUpdate) => void;
 	/** Called when a control instance stops replying. */
 	readonly onLost: (source: InstanceId) => void;
 	/** Waits for a number of milliseconds. */
--- a/packages/gateway/src/entry/entry-instance.ts
+++ b/packages/gateway/src/entry/entry-instance.ts
@@ -117,8 +117,8 @@
 			...options,
 			suspension,
 			watchFields: host => this.#watchFields(host),
-			onUpdate: news => {
-				this.#applyReply(news, clock.monotonic());
+			onUpdate: update => {
+				this.#applyReply(update, clock.monotonic());
 			},
 			onLost(source) {
 				servers.markSourceLost(source);
--- a/packages/gateway/src/entry/entry-servers-options.ts
+++ b/packages/gateway/src/entry/entry-servers-options.ts
@@ -9,7 +9,7 @@
 	/** The loads of the other entry instances at each server. */
 	readonly loads: Pick<LoadExchange, 'peerLoadAt' | 'recordChange' | 'discardServer'>;
 	/** Called when a control instance sends a record that is older than the known state of the process. */
-	readonly onOutdated?: (told: ServerRecord, options: {readonly held: ServerRecord; readonly source: InstanceId}) => void;
+	readonly onOutdated?: (record: ServerRecord, options: {readonly held: ServerRecord; readonly source: InstanceId}) => void;
 	/** Called when a process is replaced by another one with the same address or id. */
 	readonly onReplaced: (record: ServerRecord) => void;
 };
--- a/packages/gateway/src/entry/entry-servers.test.ts
+++ b/packages/gateway/src/entry/entry-servers.test.ts
@@ -54,8 +54,8 @@
 		random: () => 0.5,
 		loads: {peerLoadAt: () => 0, recordChange: ignore, discardServer: ignore},
 		onReplaced: ignore,
-		onOutdated(told, {held: {state}, source}) {
-			outdated.push([told.state, state, source]);
+		onOutdated(record, {held: {state}, source}) {
+			outdated.push([record.state, state, source]);
 		},
 	});
 	servers.applyRecords([testServer({state: 'draining'})], {source: one, now});
--- a/packages/gateway/src/entry/request-end.ts
+++ b/packages/gateway/src/entry/request-end.ts
@@ -43,7 +43,7 @@
 	readonly #context: Pick<EntryContext, 'clock' | 'log' | 'metrics'>;
 	readonly #options: RequestEndOptions;
 	#mayHaveRun = false;
-	#isOver = false;
+	#hasEnded = false;
 	#failedAnswer: CompleteAnswer | undefined;
 
 	constructor(context: Pick<EntryContext, 'clock' | 'log' | 'metrics'>, options: RequestEndOptions) {
@@ -52,7 +52,7 @@
 	}
 
 	get hasEnded(): boolean {
-		return this.#isOver;
+		return this.#hasEnded;
 	}
 
 	/** Whether any server may have run the request. */
@@ -81,7 +81,7 @@
 	@returns That the request has ended.
 	*/
 	forward(whole: CompleteAnswer): NextStep {
-		if (this.#isOver) {
+		if (this.#hasEnded) {
 			return 'ended';
 		}
 
@@ -96,7 +96,7 @@
 	@returns That the request has ended.
 	*/
 	fail(failed: Failure): NextStep {
-		if (this.#isOver) {
+		if (this.#hasEnded) {
 			return 'ended';
 		}
 
@@ -123,11 +123,11 @@
 	@returns That the request has ended.
 	*/
 	recordEnd(outcome: 'answered' | 'broken-off' | 'refused' | 'caller-left', fields: EndFields): NextStep {
-		if (this.#isOver) {
+		if (this.#hasEnded) {
 			return 'ended';
 		}
 
-		this.#isOver = true;
+		this.#hasEnded = true;
 		const {request, route, service, arrivedAt, answer, allowance, models} = this.#options;
 		const {metrics, log, clock} = this.#context;
 		const milliseconds = clock.monotonic() - arrivedAt;
--- a/packages/gateway/src/entry/tracked-server.ts
+++ b/packages/gateway/src/entry/tracked-server.ts
@@ -79,7 +79,7 @@
 	wasDraining = false;
 	/** The number of consecutive connection failures. */
 	connectionFailures = 0;
-	readonly #onWork: TrackedServerOptions['onLoadChange'];
+	readonly #onLoadChange: TrackedServerOptions['onLoadChange'];
 	readonly #processEnd = new AbortController();
 	#inFlight = 0;
 	#load = 0;
@@ -88,7 +88,7 @@
 		this.record = record;
 		this.addedAt = now;
 		this.reportedAt = now;
-		this.#onWork = onLoadChange;
+		this.#onLoadChange = onLoadChange;
 		// Each send in progress adds a listener; hundreds at a time are normal.
 		setMaxListeners(0, this.#processEnd.signal);
 	}
@@ -191,6 +191,6 @@
 	#adjust(requests: number, work: number): void {
 		this.#inFlight += requests;
 		this.#load = this.#inFlight === 0 ? 0 : this.#load + work;
-		this.#onWork(work);
+		this.#onLoadChange(work);
 	}
 }
--- a/packages/routing/src/_handle-attempt-event.ts
+++ b/packages/routing/src/_handle-attempt-event.ts
@@ -198,13 +198,13 @@
 		return;
 	}
 
-	const ran = runningOutcome(transition, attempt);
+	const updated = runningOutcome(transition, attempt);
 	transition.updateAttempt(number, {
-		...ran,
+		...updated,
 		received: offset + length,
 		lastProgressAt: transition.now,
 		stalled: false,
-		usage: {input: ran.usage.input, output: ran.usage.output + tokens},
+		usage: {input: updated.usage.input, output: updated.usage.output + tokens},
 	});
 	if (transition.buffersAnswer) {
 		transition.emit({type: 'hold-piece', attempt: number, offset});
--- a/packages/routing/src/admission-controller.ts
+++ b/packages/routing/src/admission-controller.ts
@@ -31,7 +31,7 @@
 ```
 */
 export class AdmissionController {
-	readonly #maximumWaiting: number;
+	readonly #maximumQueueLength: number;
 	readonly #queues = new Map<WorkspaceId, WorkspaceQueue>();
 	readonly #waiting = new Map<RequestId, AdmissionRequest>();
 	readonly #admitted = new Map<RequestId, AdmittedRequest>();
@@ -46,7 +46,7 @@
 
 	constructor({capacity, maximumQueueLength = 1024}: AdmissionControllerOptions) {
 		this.#capacity = capacity;
-		this.#maximumWaiting = maximumQueueLength;
+		this.#maximumQueueLength = maximumQueueLength;
 	}
 
 	/** The number of queued requests. */
@@ -73,7 +73,7 @@
 	*/
 	offer(request: AdmissionRequest, now: number): AdmissionDecision {
 		const queue = this.#getQueue(request);
-		const freeSlots = this.#maximumWaiting - this.#waiting.size;
+		const freeSlots = this.#maximumQueueLength - this.#waiting.size;
 		this.#enqueue(queue, request);
 		// The new request can overtake a queued one that is too large for the remaining capacity.
 		if (this.#admitWhileCapacityLasts().length > 0) {
--- a/packages/routing/src/server-choice.ts
+++ b/packages/routing/src/server-choice.ts
@@ -83,9 +83,9 @@
 		}
 	}
 
-	const meanOthers = meanOtherLoadOf(views);
+	const meanOtherLoad = meanOtherLoadOf(views);
 	const eligible = views.map(server => ({
-		server, load: serverLoad(server, {meanOtherLoad: meanOthers, ...options}), capacity: effectiveCapacity(server, options),
+		server, load: serverLoad(server, {meanOtherLoad, ...options}), capacity: effectiveCapacity(server, options),
 	}));
 	const pool = selectZonePool(eligible, options);
 	if (pool.length === 0) {
@@ -103,13 +103,13 @@
 
 /** Returns the servers of the own zone, or those of the other zones if it has none or is much busier than they are. */
 function selectZonePool(eligible: readonly Candidate[], {zone, zonePenalty = 0.5}: ServerChoiceOptions): readonly Candidate[] {
-	const own = eligible.filter(({server}) => server.zone === zone);
-	if (own.length === 0 || own.length === eligible.length) {
+	const localServers = eligible.filter(({server}) => server.zone === zone);
+	if (localServers.length === 0 || localServers.length === eligible.length) {
 		return eligible;
 	}
 
-	const others = eligible.filter(({server}) => server.zone !== zone);
-	return utilisation(own) > utilisation(others) + zonePenalty ? others : own;
+	const remoteServers = eligible.filter(({server}) => server.zone !== zone);
+	return utilisation(localServers) > utilisation(remoteServers) + zonePenalty ? remoteServers : localServers;
 }
 
 /** Chooses among the preferred servers of the prefix, which are those with the highest rendezvous scores whose load is within the bound. */
--- a/packages/routing/src/stage-history.ts
+++ b/packages/routing/src/stage-history.ts
@@ -76,10 +76,10 @@
 			return undefined;
 		}
 
-		let seen = 0;
+		let cumulativeCount = 0;
 		for (const [bucket, count] of sketch.counts.entries()) {
-			seen += count;
-			if (seen >= share * sketch.total) {
+			cumulativeCount += count;
+			if (cumulativeCount >= share * sketch.total) {
 				return bucketMidpoint(bucket);
 			}
 		}
