--- a/packages/core/src/hybrid-clock.test.ts
+++ b/packages/core/src/hybrid-clock.test.ts
@@ -5,7 +5,7 @@
 	return new HybridClock({now: () => new Date(times.shift() ?? 0), monotonic: () => 0});
 }
 
-test('timestamps increase while the wall clock stands still or goes back', t => {
+test('timestamps increase while the wall clock stops or is set back', t => {
 	const clock = createClock([5, 5, 3]);
 	const timestamps = [clock.next(), clock.next(), clock.next()];
 	t.deepEqual(timestamps, [{wall: 5, counter: 0}, {wall: 5, counter: 1}, {wall: 5, counter: 2}]);
--- a/packages/core/src/suspension-detector.ts
+++ b/packages/core/src/suspension-detector.ts
@@ -13,7 +13,7 @@
 const maximumReadingAttempts = 3;
 
 /**
-Detects when the machine may last have been suspended. During a suspension the monotonic clock stands still while the wall clock advances, so a lease that relies on the monotonic clock alone looks valid after it has expired.
+Detects when the machine may last have been suspended. During a suspension the monotonic clock stops while the wall clock advances, so a lease that relies on the monotonic clock alone looks valid after it has expired.
 
 The runtime offers no clock that includes suspended time and cannot be set. Setting the wall clock forward looks the same as a suspension, so a false detection must cost the caller no more than what one confirmation restores.
 
--- a/packages/gateway/src/control/control-replica.ts
+++ b/packages/gateway/src/control/control-replica.ts
@@ -107,7 +107,7 @@
 		return this.#machine.appliedIndex;
 	}
 
-	/** The instance of the leader that this replica knows, if any. */
+	/** The instance of the leader, if known to this replica. */
 	get leader(): InstanceId | undefined {
 		const leader = this.#isStopped ? undefined : knownLeader(this.#driver.state);
 		return leader === undefined ? undefined : toId<InstanceId>(instanceOf(leader));
@@ -155,7 +155,7 @@
 	Waits until an index is applied locally.
 
 	@param index The index.
-	@param deadline The time after which to give up, in milliseconds on the monotonic clock.
+	@param deadline The time until which to wait, in milliseconds on the monotonic clock.
 	@returns Whether the index is applied.
 	*/
 	async applied(index: number, deadline: number): Promise<boolean> {
--- a/packages/gateway/src/control/peer-message.ts
+++ b/packages/gateway/src/control/peer-message.ts
@@ -33,7 +33,7 @@
 	readonly isEmpty: boolean;
 	/** The replica set with which the group was bootstrapped, until its log is first compacted. */
 	readonly initial: ReplicaSet | undefined;
-	/** The hosts of the control instances that the replica knows. */
+	/** The hosts of the control instances known to the replica. */
 	readonly hosts: readonly string[];
 };
 
@@ -67,7 +67,7 @@
 	readonly records: readonly ServerRecord[];
 };
 
-/** All backend servers that a control instance knows. */
+/** All backend servers known to a control instance. */
 export type AllServersReply = ServersMessage & {
 	/** How long the instance has been receiving announcements, in milliseconds. */
 	readonly listenedFor: number;
@@ -79,13 +79,13 @@
 	readonly run: string;
 };
 
-/** Reports that a backend server has stopped, whether or not the receiver knows the server. */
+/** Reports that a backend server has stopped, even if the receiver has no record of the server. */
 export type ServerEndedMessage = {
 	readonly type: 'server-ended';
 	readonly server: ServerId;
 };
 
-/** Requests all backend servers that a control instance knows. */
+/** Requests all backend servers known to a control instance. */
 export type AllServersMessage = {
 	readonly type: 'all-servers';
 };
--- a/packages/gateway/src/control/server-directory-sync.ts
+++ b/packages/gateway/src/control/server-directory-sync.ts
@@ -86,7 +86,7 @@
 		return {type: 'servers', records: this.directory.records, listenedFor: this.#options.clock.monotonic() - this.#startedAt};
 	}
 
-	/** Starts the periodic tasks, restores the servers that the previous run saved, and requests the servers that the other instances know; resolves once the saved servers are restored. */
+	/** Starts the periodic tasks, restores the servers that the previous run saved, and requests the servers known to the other instances; resolves once the saved servers are restored. */
 	async start(): Promise<void> {
 		// A round marks silent servers, so it must run after pending input, which may contain their announcements, has been read.
 		this.#stopSyncTimer = setIntervalAfterPoll(syncMilliseconds, () => {
@@ -132,7 +132,7 @@
 	}
 
 	/**
-	Handles the notice that a server is stopping, and forwards it before returning even if the server is unknown: other instances may know a server that this instance, having just started, does not.
+	Handles the notice that a server is stopping, and forwards it before returning even if the server is unknown: other instances may have a record of a server from which this instance, having just started, has not received an announcement.
 
 	@param server The server.
 	*/
@@ -256,7 +256,7 @@
 		}));
 	}
 
-	/** Marks restored servers that another instance does not list as silent, provided that instance has been receiving announcements long enough to know every running server. */
+	/** Marks restored servers that another instance does not list as silent, provided that instance has been receiving announcements long enough to have received one from every running server. */
 	#silenceUnconfirmed({records, listenedFor}: AllServersReply): void {
 		const unconfirmed = listenedFor >= this.#silentMilliseconds ? this.directory.silenceUnconfirmed(records) : [];
 		if (unconfirmed.length > 0) {
--- a/packages/gateway/src/entry/entry-servers.ts
+++ b/packages/gateway/src/entry/entry-servers.ts
@@ -29,7 +29,7 @@
 const maximumBackoffMilliseconds = 8000;
 /** The end of a server is remembered for longer than a control instance that missed it keeps reporting the server. */
 const forgetEndedMilliseconds = 2 * defaultRetentionMilliseconds;
-/** Silent servers are forgotten here before the control instances forget them, so that the end of a server still reaches every instance that knows it. */
+/** Silent servers are forgotten here before the control instances forget them, so that the end of a server still reaches every instance that has a record of it. */
 const forgetSilentMilliseconds = defaultRetentionMilliseconds / 2;
 
 /**
--- a/packages/gateway/src/entry/is-server-reachable.ts
+++ b/packages/gateway/src/entry/is-server-reachable.ts
@@ -2,7 +2,7 @@
 import {probeServer} from './_probe-server.js';
 
 /**
-Checks whether a server accepts a new connection. A server that is busy with long prompts does; one that lost power or is partitioned does not.
+Checks whether a server accepts a new connection. A server that is processing long prompts does; a server that lost power or is behind a network partition does not.
 
 No request is sent, so the check does not occupy a slot of the server.
 
--- a/packages/gateway/src/entry/placement.ts
+++ b/packages/gateway/src/entry/placement.ts
@@ -55,7 +55,7 @@
 	Chooses a server.
 
 	@param model The model; undefined if the caller chose it or the request needs none.
-	@param options `isSuspect`: whether a server process ended during the request. A suspect request does not use the home server of its prompt. Otherwise the requests that were in flight with it would meet it again at the next server, and could not be told apart from it.
+	@param options `isSuspect`: whether a server process ended during the request. A suspect request does not use the home server of its prompt. If it did, the requests that were in flight on the same server would again share a server with it, and the cause of a second crash could not be told apart from them.
 	@returns The server, or undefined if none is available.
 	*/
 	choose(model: ModelId | undefined, {isSuspect = false}: {readonly isSuspect?: boolean} = {}): ServerRecord | undefined {
--- a/packages/gateway/src/entry/send-attempt.ts
+++ b/packages/gateway/src/entry/send-attempt.ts
@@ -23,9 +23,9 @@
 
 /** The timeouts for the head of an answer. */
 export type HeadTimeouts = {
-	/** The time after which the send is given up, in milliseconds, if the server sent no data on other connections either and accepts no new one. */
+	/** The time after which the send is abandoned, in milliseconds, if the server sent no data on other connections either and accepts no new one. */
 	readonly checkAfter: number;
-	/** The time after which the send is given up in any case, in milliseconds. */
+	/** The time after which the send is abandoned in any case, in milliseconds. */
 	readonly maximum: number;
 	/** The same for a send on a reused connection. */
 	readonly maximumOnReused: number;
--- a/packages/gateway/src/entry/server-liveness-table.ts
+++ b/packages/gateway/src/entry/server-liveness-table.ts
@@ -23,7 +23,7 @@
 	Records the report of a control instance about a server.
 
 	@param server The server.
-	@param report The control instance, and whether as far as it knows the server has not announced itself to any control instance for long.
+	@param report The control instance, and whether, according to it, no control instance has received an announcement of the server for a long time.
 	*/
 	report(server: ServerId, {source, isSilent}: {readonly source: InstanceId; readonly isSilent: boolean}): void {
 		const reports = this.#reports.get(server) ?? new Map<InstanceId, boolean>();
@@ -69,7 +69,7 @@
 	Returns the combined report of the responding control instances about a server.
 
 	@param server The server.
-	@returns `alive` if any of them reports it as alive, and `silent` if all that report it do so as silent.
+	@returns `alive` if any of them reports it as alive, and `silent` if all control instances that report it consider it silent.
 	*/
 	of(server: ServerId): ServerLiveness {
 		let standing: ServerLiveness = 'unknown';
--- a/packages/gateway/src/entry/start-send.ts
+++ b/packages/gateway/src/entry/start-send.ts
@@ -30,7 +30,7 @@
 const connectTimeoutMilliseconds = 400;
 /** The timeout of a reachability check, in milliseconds. A busy server accepts a connection within a few milliseconds, and a lost SYN packet is retransmitted only after a second. */
 const reachabilityTimeoutMilliseconds = 200;
-/** The time that is subtracted from the forwarded deadline for the way back of the answer, in milliseconds. */
+/** The time that is subtracted from the forwarded deadline for the transmission of the answer, in milliseconds. */
 const returnMilliseconds = 5;
 /** The highest urgency number, for the least urgent requests, that servers accept. */
 const maximumUrgency = 9;
--- a/packages/gateway/src/entry/suspect-reporter.ts
+++ b/packages/gateway/src/entry/suspect-reporter.ts
@@ -15,7 +15,7 @@
 	isSending: boolean;
 };
 
-/** The timeout of a report, in milliseconds. Control instances acknowledge reports immediately; one that does not gets the full report again when it is next heard from. */
+/** The timeout of a report, in milliseconds. Control instances acknowledge reports immediately; if one does not, it gets the full report again after its next reply to a watch request. */
 const reportTimeoutMilliseconds = 600;
 
 /**
--- a/packages/gateway/src/entry/tracked-server.ts
+++ b/packages/gateway/src/entry/tracked-server.ts
@@ -16,7 +16,7 @@
 /** The state of one process of a server: the state it announced, or whether it was replaced by a later one or is unknown. */
 export type ProcessState = ServerState | 'replaced' | 'unknown';
 
-/** What an entry instance knows about a server apart from its own requests in flight. */
+/** The state of a server from sources other than this instance's own requests in flight. */
 export type ServerConditions = {
 	/** Milliseconds on the monotonic clock. */
 	readonly now: number;
--- a/packages/gateway/src/rollouts/known-rollouts.ts
+++ b/packages/gateway/src/rollouts/known-rollouts.ts
@@ -23,7 +23,7 @@
 };
 
 /**
-The rollouts that an entry instance knows. Replies confirmed earlier than the current state are ignored, because a control instance that lags behind may report an earlier stage.
+The rollouts known to an entry instance. Replies confirmed earlier than the current state are ignored, because a control instance that lags behind may report an earlier stage.
 
 @example
 ```ts
--- a/packages/membership/src/configuration-relay.test.ts
+++ b/packages/membership/src/configuration-relay.test.ts
@@ -177,7 +177,7 @@
 		});
 	}
 
-	/** Returns the monotonic clock of a node. It has its own origin, runs up to 0.4 % slower or faster, and stands still while the machine is suspended. */
+	/** Returns the monotonic clock of a node. It has its own origin, runs up to 0.4 % slower or faster, and stops while the machine is suspended. */
 	#clock(index: number, at: number = this.now): number {
 		return (1000 * index) + ((at - (this.#suspendedMilliseconds[index] ?? 0)) * (1 + ((index - 2.5) * 0.0016)));
 	}
--- a/packages/membership/src/configuration-relay.ts
+++ b/packages/membership/src/configuration-relay.ts
@@ -58,7 +58,7 @@
 	readonly incarnation: number;
 	/** The duration of a lease that the leader grants. */
 	readonly leaseMilliseconds: number;
-	/** Detects suspensions of the machine, during which the monotonic clock stands still but leases expire. */
+	/** Detects suspensions of the machine, during which the monotonic clock stops but leases expire. */
 	readonly suspension: Pick<SuspensionDetector, 'lastWake'>;
 };
 
--- a/packages/membership/src/in-force-tracker.ts
+++ b/packages/membership/src/in-force-tracker.ts
@@ -20,7 +20,7 @@
 /**
 Tracks, on the leader, which revision is in force on every instance that may still serve new work.
 
-A new leader does not know the leases that its predecessor granted, so it waits until all of them have expired.
+A new leader has no record of the leases that its predecessor granted, so it waits until all of them have expired.
 
 @example
 ```ts
--- a/packages/membership/src/parent-candidates.ts
+++ b/packages/membership/src/parent-candidates.ts
@@ -25,7 +25,7 @@
 
 Within a zone, these are the ancestors of the instance in the zone's relay tree. They are followed by the leader, the other control
 instances and the roots of other zones, which serve the root and any instance whose ancestors all fail. Control instances are ordered
-by own zone and then own region, and other roots by own region. The leader itself is not part of its zone's tree.
+with those of the instance's zone first and then those of its region, and other roots with those of its region first. The leader itself is not part of its zone's tree.
 
 @param options The instance's own record and the known state of the others.
 @returns The instances, without duplicates and without the instance itself.
--- a/packages/membership/src/server-table.ts
+++ b/packages/membership/src/server-table.ts
@@ -157,7 +157,7 @@
 	}
 
 	/**
-	Chooses the engine with the least work relative to its capacity, preferring the instance's own zone.
+	Chooses the engine with the least work relative to its capacity, preferring engines in this instance's zone.
 
 	@param target The version.
 	@param excluded The servers that were already tried.
--- a/packages/routing/src/_request-transition.ts
+++ b/packages/routing/src/_request-transition.ts
@@ -57,7 +57,7 @@
 		this.#actions.push(action);
 	}
 
-	/** Appends an action that writes to the caller, unless the caller has left. */
+	/** Appends an action that writes to the caller, unless the caller has disconnected. */
 	emitToCaller(action: CallerAction): void {
 		if (!this.#state.callerLeft) {
 			this.#actions.push(action);
--- a/packages/routing/src/_start-attempt.ts
+++ b/packages/routing/src/_start-attempt.ts
@@ -78,7 +78,7 @@
 };
 
 /**
-Starts another attempt after one failed or stalled, if a retry is allowed and safe; otherwise waits for a server or gives up.
+Starts another attempt after one failed or stalled, if a retry is allowed and safe; otherwise waits for a server or ends the request.
 
 Does nothing while another attempt is active.
 
@@ -104,9 +104,9 @@
 }
 
 /**
-Schedules another server selection if the caller could not obtain the answer with a retry of its own; otherwise gives up.
+Schedules another server selection if the caller could not obtain the answer by sending the request again; otherwise ends the request.
 
-Does nothing while an attempt is active, and does not give up while a stalled attempt may still continue.
+Does nothing while an attempt is active, and does not end the request while a stalled attempt may still continue.
 
 @param transition The transition in progress.
 @param options How the request is refused.
@@ -136,7 +136,7 @@
 }
 
 /**
-Tells whether the request gains anything by waiting for a server. A request that did not run is refused at once, since its caller can retry it safely. One that a server has reported as failed would fail again.
+Checks whether waiting for a server can help the request. A request that did not run is refused at once, since its caller can retry it safely. A request that a server has reported as failed would fail again.
 */
 function isWorthWaiting({state: {attempts, deliveredBytes, reportedFailure}}: RequestTransition): boolean {
 	return deliveredBytes > 0 || (!reportedFailure && outcomeOfAttempts(attempts) !== 'notRun');
@@ -190,7 +190,7 @@
 }
 
 /**
-Tells whether the attempt limit allows another attempt on the current target. Attempts whose connection never opened do not count.
+Checks whether the attempt limit allows another attempt on the current target. Attempts whose connection never opened do not count.
 
 @param transition The transition in progress.
 @returns Whether another attempt is allowed.
@@ -201,7 +201,7 @@
 	return attemptCount < maximumAttemptsOf(plan);
 }
 
-/** Tells whether as many connections have failed to open as the attempt limit allows, which bounds how many unreachable servers are tried before the request waits or is refused. */
+/** Checks whether as many connections have failed to open as the attempt limit allows, which bounds how many unreachable servers are tried before the request waits or is refused. */
 function hasReachedConnectionLimit({state: {plan, connectionFailures}}: RequestTransition): boolean {
 	return connectionFailures >= maximumAttemptsOf(plan);
 }
--- a/packages/routing/src/admission-controller.ts
+++ b/packages/routing/src/admission-controller.ts
@@ -121,7 +121,7 @@
 	}
 
 	/**
-	Removes a queued request, since its caller left or its deadline passed.
+	Removes a queued request whose caller has disconnected or whose deadline has passed.
 
 	@param id The request.
 	@returns The queued requests that it was blocking and that are admitted now, in order.
@@ -144,7 +144,7 @@
 	}
 
 	/**
-	Changes the capacity, after servers joined or left.
+	Changes the capacity, for example after servers were added or removed.
 
 	@param capacity The tokens that may be in progress at once.
 	@returns The requests that are admitted now, in order.
@@ -182,7 +182,7 @@
 		return known;
 	}
 
-	/** Tells whether a request fits into the remaining capacity. One larger than the total capacity runs alone. */
+	/** Checks whether a request fits into the remaining capacity. One larger than the total capacity runs alone. */
 	#hasRoomFor(cost: number): boolean {
 		return this.#inProgress === 0 ? this.#capacity > 0 : this.#inProgress + cost <= this.#capacity;
 	}
--- a/packages/routing/src/choose-affinity-scope.ts
+++ b/packages/routing/src/choose-affinity-scope.ts
@@ -1,4 +1,4 @@
-/** The servers among which a prompt prefix has its preferred servers: none, those of the own availability zone, or all. */
+/** The servers among which a prompt prefix has its preferred servers: none, those of the local availability zone, or all. */
 export type AffinityScope = 'none' | 'zone' | 'all';
 
 /** The options of `chooseAffinityScope`. */
--- a/packages/routing/src/outlier-ejection.ts
+++ b/packages/routing/src/outlier-ejection.ts
@@ -77,7 +77,7 @@
 	}
 
 	/**
-	Tells whether a server is ejected.
+	Checks whether a server is ejected.
 
 	@param server The server.
 	@param now Milliseconds on the monotonic clock.
--- a/packages/routing/src/request-action.ts
+++ b/packages/routing/src/request-action.ts
@@ -60,7 +60,7 @@
 		/** Answered by `attempt-judged`. */
 		| {readonly type: 'judge-attempt'; readonly attempt: number};
 
-/** The actions that write to the caller. The final one is `finish-answer`, `replay-answer` or `refuse`; there is none if the caller has left. */
+/** The actions that write to the caller. The final one is `finish-answer`, `replay-answer` or `refuse`; there is none if the caller has disconnected. */
 export type CallerAction
 	/** Writes the piece of the current event to the caller. */
 	= | {readonly type: 'forward-piece'; readonly attempt: number; readonly offset: number}
--- a/packages/routing/src/request-plan.ts
+++ b/packages/routing/src/request-plan.ts
@@ -35,8 +35,8 @@
 	readonly hedge?: HedgeDelays;
 	/** The maximum number of attempts per target whose connection opened, hedges and resumes included, and of connections that fail to open between two server retries; 4 by default. */
 	readonly maximumAttempts?: number;
-	/** The longest wait, in milliseconds, before servers are tried again when none is left and the request may have run; 0, the default, gives up at once. */
+	/** The longest wait, in milliseconds, before servers are tried again when none is left and the request may have run; 0, the default, ends the request immediately. */
 	readonly serverRetryMilliseconds?: number;
-	/** Whether an attempt continues after the caller has left, so that the claim can store its answer; false by default. */
+	/** Whether an attempt continues after the caller has disconnected, so that the claim can store its answer; false by default. */
 	readonly finishAfterCallerLeaves?: boolean;
 };
--- a/packages/routing/src/server-choice.ts
+++ b/packages/routing/src/server-choice.ts
@@ -28,7 +28,7 @@
 	/** The zone of this instance. */
 	readonly zone: ZoneId;
 	readonly random: RandomSource;
-	/** By how much the utilisation of the own zone must exceed that of the others before they are used; 0.5 by default. */
+	/** By how much the utilisation of the local zone must exceed that of the other zones before their servers are used; 0.5 by default. */
 	readonly zonePenalty?: number;
 	/** The maximum load of a preferred server of a prefix, relative to the mean load; 1.25 by default. */
 	readonly loadBound?: number;
@@ -101,7 +101,7 @@
 	return Right({server: chosen.server.id, considered});
 }
 
-/** Returns the servers of the own zone, or those of the other zones if it has none or is much busier than they are. */
+/** Returns the servers of the local zone, or those of the other zones if the local zone has none or is much busier. */
 function selectZonePool(eligible: readonly Candidate[], {zone, zonePenalty = 0.5}: ServerChoiceOptions): readonly Candidate[] {
 	const localServers = eligible.filter(({server}) => server.zone === zone);
 	if (localServers.length === 0 || localServers.length === eligible.length) {
--- a/packages/routing/src/windowed-retry-budget.ts
+++ b/packages/routing/src/windowed-retry-budget.ts
@@ -79,7 +79,7 @@
 	}
 
 	/**
-	Tells whether an additional attempt is allowed, without recording it.
+	Checks whether an additional attempt is allowed, without recording it.
 
 	@param key The key of the budget, such as a model.
 	@param now Milliseconds on the monotonic clock.
--- a/packages/routing/src/zone-failure-detector.ts
+++ b/packages/routing/src/zone-failure-detector.ts
@@ -18,7 +18,7 @@
 };
 
 /**
-Detects availability zones that are partitioned off, so that their servers are avoided all at once.
+Detects availability zones that are unreachable because of a network partition, so that all their servers are avoided together.
 
 Otherwise each unreachable server is discovered on its own, at the cost of a connection timeout: in a zone partition of 6 s, 240 attempts of a deployment with 13 engines waited 400 ms each for unreachable servers.
 
@@ -59,7 +59,7 @@
 	}
 
 	/**
-	Records contact with a server of a zone, which shows that the zone is not partitioned off.
+	Records contact with a server of a zone, which shows that the zone is reachable.
 
 	@param zone The zone.
 	*/
@@ -78,7 +78,7 @@
 	}
 
 	/**
-	Tells whether a zone is suspected.
+	Checks whether a zone is suspected.
 
 	@param zone The zone.
 	@param now Milliseconds on the monotonic clock.
