--- a/packages/gateway/src/entry/tracked-server.ts
+++ b/packages/gateway/src/entry/tracked-server.ts
@@ -40,7 +40,7 @@
 /** The load of a request whose answer has started, in units of a short request. An engine generates the answers of a batch in parallel, but processes prompts one at a time. */
 const streamingLoad = 1;
 
-/** The uptime from which the load balancer gives a server its full share, in milliseconds. */
+/** The uptime from which the server choice gives a server its full share, in milliseconds. */
 const warmMilliseconds = 30_000;
 
 /** The load of a send to a server that is no longer known; it has no effect. */
@@ -149,7 +149,7 @@
 	}
 
 	/**
-	Returns the view of the server that the load balancer uses.
+	Returns the view of the server that the server choice uses.
 
 	@param conditions What else is known about the server.
 	@returns The view.
@@ -167,7 +167,7 @@
 			draining: false,
 			expired: isSilent || this.backoffUntil > now || isZoneUnreachable,
 			ejected: isEjected,
-			// These servers warm up within milliseconds, so a slow start would only unbalance the load.
+			// These servers warm up within milliseconds, so a slow start, as used for cold replicas, would only unbalance the load.
 			uptime: Math.max(warmMilliseconds, now - this.addedAt),
 			loaded: new Set([service]),
 		};
