--- a/packages/gateway/src/control/server-directory-sync.test.ts
+++ b/packages/gateway/src/control/server-directory-sync.test.ts
@@ -16,14 +16,14 @@
 
 /** Starts two control instances that exchange messages without delay. */
 function startPair(saved: readonly ServerRecord[] = [], isDiskTaking: () => boolean | Promise<boolean> = () => true) {
-	const news = new Map<InstanceId, ServerDirectorySync>();
+	const syncs = new Map<InstanceId, ServerDirectorySync>();
 	const written: Array<readonly ServerRecord[]> = [];
 	const lines: Array<Readonly<Record<string, unknown>>> = [];
 	const link = {isPartitioned: false, run: 'one'};
 	const sent: PeerMessage[] = [];
 	const time = {now: 1000};
 	const start = ({self, other, saved: records = []}: Side): ServerDirectorySync => {
-		const made = new ServerDirectorySync({
+		const sync = new ServerDirectorySync({
 			clock: {now: () => new Date(0), monotonic: () => time.now},
 			log(kind, fields) {
 				lines.push({...fields, line: kind});
@@ -33,7 +33,7 @@
 			others: () => [other],
 			async ask(to, message) {
 				sent.push(message);
-				return link.isPartitioned ? undefined : answer(news.get(to), message, link.run);
+				return link.isPartitioned ? undefined : answer(syncs.get(to), message, link.run);
 			},
 			onChange: doNothing,
 			saved: {
@@ -44,8 +44,8 @@
 				},
 			},
 		});
-		news.set(self, made);
-		return made;
+		syncs.set(self, sync);
+		return sync;
 	};
 
 	return {
@@ -53,18 +53,18 @@
 	};
 }
 
-async function answer(news: ServerDirectorySync | undefined, message: PeerMessage, run: string): Promise<unknown> {
+async function answer(sync: ServerDirectorySync | undefined, message: PeerMessage, run: string): Promise<unknown> {
 	if (message.type === 'server-ended') {
-		news?.markEnded(message.server);
+		sync?.markEnded(message.server);
 		return true;
 	}
 
 	if (message.type === 'servers') {
-		news?.receive(message);
+		sync?.receive(message);
 		return {run};
 	}
 
-	return message.type === 'all-servers' ? news?.allServersReply : undefined;
+	return message.type === 'all-servers' ? sync?.allServersReply : undefined;
 }
 
 function doNothing(): void {
--- a/packages/gateway/src/control/suspect-sync.test.ts
+++ b/packages/gateway/src/control/suspect-sync.test.ts
@@ -11,18 +11,18 @@
 	return {fingerprint, ends: processes.map(process => ({process, at: 0, isCleared: false}))};
 }
 
-type NewsOptions = {
+type SyncOptions = {
 	readonly saved?: readonly SuspectRecord[];
 	readonly known?: readonly SuspectRecord[];
 	/** Whether writes to the disk succeed. */
 	readonly isWritable?: boolean;
 };
 
-function startNews({saved = [], known = [], isWritable = true}: NewsOptions = {}) {
+function startSync({saved = [], known = [], isWritable = true}: SyncOptions = {}) {
 	const sent: PeerMessage[] = [];
 	const written: Array<readonly SuspectRecord[]> = [];
 	const changes = {count: 0};
-	const news = new SuspectSync({
+	const sync = new SuspectSync({
 		clock: {now: () => new Date(0)},
 		log: doNothing,
 		others: () => [peer],
@@ -42,7 +42,7 @@
 		},
 	});
 	return {
-		news, sent, written, changes,
+		sync, sent, written, changes,
 	};
 }
 
@@ -57,79 +57,79 @@
 }
 
 test('reports of entry instances are relayed in one message, and relayed records are not relayed again', async t => {
-	const {news, sent} = startNews();
-	news.receive({type: 'suspects', records: [record(['a'])], isRelayed: false});
-	news.receive({type: 'suspects', records: [record(['b'])], isRelayed: false});
-	news.receive({type: 'suspects', records: [record(['c'])], isRelayed: true});
+	const {sync, sent} = startSync();
+	sync.receive({type: 'suspects', records: [record(['a'])], isRelayed: false});
+	sync.receive({type: 'suspects', records: [record(['b'])], isRelayed: false});
+	sync.receive({type: 'suspects', records: [record(['c'])], isRelayed: true});
 	await delay(60);
 	t.deepEqual(sent.map(message => message.type === 'suspects' && message.records.map(({ends}) => ends.length)), [[3]]);
-	t.is(news.book.status(fingerprint, 0), 'quarantined');
-	news.receive({type: 'suspects', records: [record(['a'])], isRelayed: false});
+	t.is(sync.book.status(fingerprint, 0), 'quarantined');
+	sync.receive({type: 'suspects', records: [record(['a'])], isRelayed: false});
 	await delay(60);
 	t.is(sent.length, 1);
-	news.stop();
+	sync.stop();
 });
 
 test('waiting entry instances are notified only of records that are shared with them', t => {
-	const {news, changes} = startNews();
-	news.receive({type: 'suspects', records: [record(['a'])], isRelayed: true});
+	const {sync, changes} = startSync();
+	sync.receive({type: 'suspects', records: [record(['a'])], isRelayed: true});
 	t.is(changes.count, 0);
-	news.receive({type: 'suspects', records: [record(['b'])], isRelayed: true});
+	sync.receive({type: 'suspects', records: [record(['b'])], isRelayed: true});
 	t.is(changes.count, 1);
 });
 
 test('a restarted instance has its saved records and those of the other instances', async t => {
-	const {news} = startNews({saved: [record(['a', 'b'])], known: [record(['c'])]});
-	await news.start();
+	const {sync} = startSync({saved: [record(['a', 'b'])], known: [record(['c'])]});
+	await sync.start();
 	await delay(20);
-	t.is(news.book.status(fingerprint, 0), 'quarantined');
-	news.stop();
+	t.is(sync.book.status(fingerprint, 0), 'quarantined');
+	sync.stop();
 });
 
 test('shared records are saved only when they change', async t => {
-	const {news, written} = startNews();
-	news.receive({type: 'suspects', records: [record(['a'])], isRelayed: true});
-	await news.save();
-	news.receive({type: 'suspects', records: [record(['b'])], isRelayed: true});
-	await news.save();
-	await news.save();
+	const {sync, written} = startSync();
+	sync.receive({type: 'suspects', records: [record(['a'])], isRelayed: true});
+	await sync.save();
+	sync.receive({type: 'suspects', records: [record(['b'])], isRelayed: true});
+	await sync.save();
+	await sync.save();
 	t.deepEqual(written, [[record(['a', 'b'])]]);
 });
 
 test('lifting a quarantine applies to all instances, and an unknown request is reported as such', async t => {
-	const {news, sent} = startNews();
-	t.is(await news.liftQuarantine(fingerprint), undefined);
-	news.receive({type: 'suspects', records: [record(['a', 'b', 'c'])], isRelayed: true});
-	t.deepEqual(await news.liftQuarantine(fingerprint), {isSaved: true});
-	t.is(news.book.status(fingerprint, 0), 'unknown');
+	const {sync, sent} = startSync();
+	t.is(await sync.liftQuarantine(fingerprint), undefined);
+	sync.receive({type: 'suspects', records: [record(['a', 'b', 'c'])], isRelayed: true});
+	t.deepEqual(await sync.liftQuarantine(fingerprint), {isSaved: true});
+	t.is(sync.book.status(fingerprint, 0), 'unknown');
 	await delay(60);
 	t.true(sent.some(message => message.type === 'suspects' && message.records.every(({ends}) => ends.every(({isCleared}) => isCleared))));
-	news.stop();
+	sync.stop();
 });
 
 test('a crash reported while the list is being saved is saved immediately afterwards', async t => {
-	const {news, written} = startNews();
-	news.receive({type: 'suspects', records: [record(['a', 'b'])], isRelayed: true});
-	news.receive({type: 'suspects', records: [record(['c'])], isRelayed: true});
+	const {sync, written} = startSync();
+	sync.receive({type: 'suspects', records: [record(['a', 'b'])], isRelayed: true});
+	sync.receive({type: 'suspects', records: [record(['c'])], isRelayed: true});
 	await delay(20);
 	t.deepEqual(written.map(([saved]) => saved?.ends.length), [2, 3]);
 });
 
 test('records are listed after they are saved, and those that could not be saved are marked', async t => {
-	const taken = startNews();
-	taken.news.receive({type: 'suspects', records: [record(['a', 'b'])], isRelayed: true});
-	taken.news.receive({type: 'suspects', records: [record(['c'])], isRelayed: true});
-	t.deepEqual(await taken.news.list(), [{...record(['a', 'b', 'c']), isSaved: true}]);
-	t.deepEqual(taken.written.at(-1), [record(['a', 'b', 'c'])]);
-	const refused = startNews({isWritable: false});
-	refused.news.receive({type: 'suspects', records: [record(['a', 'b'])], isRelayed: true});
-	t.deepEqual(await refused.news.list(), [{...record(['a', 'b']), isSaved: false}]);
-	t.deepEqual(await refused.news.liftQuarantine(fingerprint), {isSaved: false});
+	const started = startSync();
+	started.sync.receive({type: 'suspects', records: [record(['a', 'b'])], isRelayed: true});
+	started.sync.receive({type: 'suspects', records: [record(['c'])], isRelayed: true});
+	t.deepEqual(await started.sync.list(), [{...record(['a', 'b', 'c']), isSaved: true}]);
+	t.deepEqual(started.written.at(-1), [record(['a', 'b', 'c'])]);
+	const refused = startSync({isWritable: false});
+	refused.sync.receive({type: 'suspects', records: [record(['a', 'b'])], isRelayed: true});
+	t.deepEqual(await refused.sync.list(), [{...record(['a', 'b']), isSaved: false}]);
+	t.deepEqual(await refused.sync.liftQuarantine(fingerprint), {isSaved: false});
 });
 
 test('a starting instance sends its saved records to the others, which may have lost their disks', async t => {
-	const {news, sent} = startNews({saved: [record(['a', 'b', 'c'])]});
-	await news.start();
+	const {sync, sent} = startSync({saved: [record(['a', 'b', 'c'])]});
+	await sync.start();
 	t.deepEqual(sent.filter(({type}) => type === 'suspects'), [{type: 'suspects', records: [record(['a', 'b', 'c'])], isRelayed: true}]);
-	news.stop();
+	sync.stop();
 });
--- a/packages/gateway/src/entry/entry-servers.ts
+++ b/packages/gateway/src/entry/entry-servers.ts
@@ -131,11 +131,11 @@
 	Counts a request sent to a server.
 
 	@param id The server.
-	@param work The load of the request until its answer starts, in units of a short request.
+	@param load The load of the request until its answer starts, in units of a short request.
 	@returns The load of the send, to be reduced as the request progresses.
 	*/
-	beginSend(id: ServerId, work: number): SendLoad {
-		return this.#servers.get(id)?.beginSend(work) ?? noOpLoad;
+	beginSend(id: ServerId, load: number): SendLoad {
+		return this.#servers.get(id)?.beginSend(load) ?? noOpLoad;
 	}
 
 	/**
--- a/packages/gateway/src/entry/placement.ts
+++ b/packages/gateway/src/entry/placement.ts
@@ -127,14 +127,14 @@
 	/** Returns predicates for the acceptable versions, in order of preference. */
 	#versionPreferences(now: number): readonly VersionPredicate[] {
 		const target = this.#context.rolloutOf(this.service)?.target;
-		const side = this.#side(now);
-		const matchesSide: VersionPredicate = version => side === 'any' || (side === 'target') === (version === target);
+		const cohort = this.#cohort(now);
+		const matchesCohort: VersionPredicate = version => cohort === 'any' || (cohort === 'target') === (version === target);
 		const startedVersion = this.#startedVersion;
-		const preferences = startedVersion === undefined ? [matchesSide] : [(version: VersionId) => version === startedVersion, matchesSide];
-		return side === 'target' ? [...preferences, () => true] : preferences;
+		const preferences = startedVersion === undefined ? [matchesCohort] : [(version: VersionId) => version === startedVersion, matchesCohort];
+		return cohort === 'target' ? [...preferences, () => true] : preferences;
 	}
 
-	#side(now: number): RolloutCohort {
+	#cohort(now: number): RolloutCohort {
 		const rollout = this.#context.rolloutOf(this.service);
 		if (rollout === undefined) {
 			return 'any';
--- a/packages/gateway/src/entry/request-end.ts
+++ b/packages/gateway/src/entry/request-end.ts
@@ -77,16 +77,16 @@
 	/**
 	Forwards the complete answer of a backend server.
 
-	@param whole The answer.
+	@param answer The answer.
 	@returns That the request has ended.
 	*/
-	forward(whole: CompleteAnswer): NextStep {
+	forward(answer: CompleteAnswer): NextStep {
 		if (this.#hasEnded) {
 			return 'ended';
 		}
 
-		this.#options.answer.forward(whole);
-		return this.recordEnd('answered', {status: whole.status});
+		this.#options.answer.forward(answer);
+		return this.recordEnd('answered', {status: answer.status});
 	}
 
 	/**
--- a/packages/gateway/src/entry/server-liveness-table.ts
+++ b/packages/gateway/src/entry/server-liveness-table.ts
@@ -72,7 +72,7 @@
 	@returns `alive` if any of them reports it as alive, and `silent` if all control instances that report it consider it silent.
 	*/
 	of(server: ServerId): ServerLiveness {
-		let standing: ServerLiveness = 'unknown';
+		let liveness: ServerLiveness = 'unknown';
 		for (const [source, isSilent] of this.#reports.get(server) ?? []) {
 			if (this.#unresponsive.has(source)) {
 				continue;
@@ -82,10 +82,10 @@
 				return 'alive';
 			}
 
-			standing = 'silent';
+			liveness = 'silent';
 		}
 
-		return standing;
+		return liveness;
 	}
 
 	/**
--- a/packages/gateway/src/entry/tracked-server.ts
+++ b/packages/gateway/src/entry/tracked-server.ts
@@ -111,12 +111,12 @@
 	/**
 	Counts a request sent to the server.
 
-	@param work The load of the request until its answer starts, in units of a short request.
+	@param load The load of the request until its answer starts, in units of a short request.
 	@returns The load of the send, to be reduced as the request progresses.
 	*/
-	beginSend(work: number): SendLoad {
-		this.#adjust(1, work);
-		let remaining = work;
+	beginSend(load: number): SendLoad {
+		this.#adjust(1, load);
+		let remaining = load;
 		return {
 			markAnswerStarted: () => {
 				const reduction = Math.max(0, remaining - streamingLoad);
@@ -188,9 +188,9 @@
 		this.#processEnd.abort();
 	}
 
-	#adjust(requests: number, work: number): void {
+	#adjust(requests: number, loadChange: number): void {
 		this.#inFlight += requests;
-		this.#load = this.#inFlight === 0 ? 0 : this.#load + work;
-		this.#onLoadChange(work);
+		this.#load = this.#inFlight === 0 ? 0 : this.#load + loadChange;
+		this.#onLoadChange(loadChange);
 	}
 }
--- a/packages/routing/src/_request-transition.ts
+++ b/packages/routing/src/_request-transition.ts
@@ -97,9 +97,9 @@
 	}
 
 	/** Cancels all live attempts except the given one. */
-	cancelOthers(kept?: number): void {
+	cancelOthers(keptAttempt?: number): void {
 		for (const attempt of this.liveAttempts) {
-			if (attempt.number !== kept) {
+			if (attempt.number !== keptAttempt) {
 				this.#cancel(attempt);
 			}
 		}
--- a/packages/routing/src/_test-request-audit.ts
+++ b/packages/routing/src/_test-request-audit.ts
@@ -141,9 +141,9 @@
 		run!.cancelled = true;
 	}
 
-	tell(action: CallerAction, bytes: string): void {
+	recordCallerAction(action: CallerAction, bytes: string): void {
 		assertInvariant(this.ending === 'none' && !(this.callerLeft && action.type.startsWith('forward')), 'emitted a caller action after the end');
-		const held = 'attempt' in action ? this.#held.get(action.attempt) ?? '' : '';
+		const buffered = 'attempt' in action ? this.#held.get(action.attempt) ?? '' : '';
 		switch (action.type) {
 			case 'forward-piece': {
 				assertInvariant(this.runOf(action.attempt)?.cancelled === false, 'forwarded a piece of a cancelled attempt');
@@ -152,12 +152,12 @@
 			}
 
 			case 'hold-piece': {
-				this.#held.set(action.attempt, held + bytes);
+				this.#held.set(action.attempt, buffered + bytes);
 				break;
 			}
 
 			case 'forward-held': {
-				this.#delivered += held;
+				this.#delivered += buffered;
 				break;
 			}
 
--- a/packages/routing/src/_test-simulated-world.ts
+++ b/packages/routing/src/_test-simulated-world.ts
@@ -193,8 +193,8 @@
 			.with({type: 'judge-attempt'}, ({attempt}) => {
 				this.#judge(attempt);
 			})
-			.otherwise(told => {
-				this.audit.tell(told, this.#bytes);
+			.otherwise(action => {
+				this.audit.recordCallerAction(action, this.#bytes);
 			});
 	}
 
--- a/packages/routing/src/prefix-frequencies.ts
+++ b/packages/routing/src/prefix-frequencies.ts
@@ -57,17 +57,17 @@
 			return 0;
 		}
 
-		let least = Number.POSITIVE_INFINITY;
+		let minimumCount = Number.POSITIVE_INFINITY;
 		let leastPrefix = 0;
 		for (const [prefix, count] of this.#counts) {
-			if (count < least) {
-				least = count;
+			if (count < minimumCount) {
+				minimumCount = count;
 				leastPrefix = prefix;
 			}
 		}
 
 		this.#counts.delete(leastPrefix);
-		return least;
+		return minimumCount;
 	}
 
 	#halve(): void {
--- a/packages/routing/src/server-choice.test.ts
+++ b/packages/routing/src/server-choice.test.ts
@@ -111,10 +111,10 @@
 });
 
 test('stays in its own zone unless that is empty or much busier than the others', t => {
-	const own = [viewOf(1, {ownInFlight: 3}), viewOf(2, {ownInFlight: 3})];
+	const local = [viewOf(1, {ownInFlight: 3}), viewOf(2, {ownInFlight: 3})];
 	const other = [viewOf(3, {zone: zones[1]!})];
-	t.not(choose([...own, ...other]), 'engine-3');
-	t.is(choose([...own.map(server => ({...server, ownInFlight: 8})), ...other]), 'engine-3');
+	t.not(choose([...local, ...other]), 'engine-3');
+	t.is(choose([...local.map(server => ({...server, ownInFlight: 8})), ...other]), 'engine-3');
 	t.is(choose(other), 'engine-3');
 });
 
--- a/packages/routing/src/suspect-registry.ts
+++ b/packages/routing/src/suspect-registry.ts
@@ -174,8 +174,8 @@
 		}
 	}
 
-	#store(record: SuspectRecord, held: Entry | undefined): SuspectRecord {
-		const isShared = held?.changedAt !== undefined || record.ends.length >= sharingThreshold;
+	#store(record: SuspectRecord, previous: Entry | undefined): SuspectRecord {
+		const isShared = previous?.changedAt !== undefined || record.ends.length >= sharingThreshold;
 		this.#entries.set(record.fingerprint, {record, changedAt: isShared ? this.#nextChange() : undefined});
 		if (this.#entries.size > this.#capacity) {
 			this.#evictLeastEvidence();
