--- a/packages/soak/src/run-soak.ts
+++ b/packages/soak/src/run-soak.ts
@@ -64,7 +64,7 @@
 	const network = new SoakNetwork();
 	const deployment = await PlatformDeployment.prepare({
 		controlCount: controls, entryCount: entries, revocationMilliseconds, environment: ({ip, folder}) => ({
-			NODE_OPTIONS: `--import ${fileURLToPath(new URL('preload/misbehave.js', import.meta.url))}`, [addressVariable]: ip, [dataFolderVariable]: folder,
+			NODE_OPTIONS: `--import ${fileURLToPath(new URL('preload/inject-faults.js', import.meta.url))}`, [addressVariable]: ip, [dataFolderVariable]: folder,
 		}),
 	});
 	const controlAddresses = deployment.controls.map(({address}) => address);
--- a/packages/testing/src/_distribution-trial.ts
+++ b/packages/testing/src/_distribution-trial.ts
@@ -6,7 +6,7 @@
 	type DaemonPlan, type Deployment, type RunningDaemon, startDeployment,
 } from './deployment.js';
 import {callOperator} from './http-client.js';
-import {waitUntil} from './wait-until.js';
+import {waitUntil, type WaitOptions} from './wait-until.js';
 import {trialConfiguration} from './_zone-trial.js';
 
 /** Measurements for one deployment size; rates are per daemon and second. */
@@ -46,7 +46,7 @@
 const capacity = 16;
 const settleMilliseconds = 10_000;
 const changes = 5;
-const waitOptions = {timeoutMilliseconds: 120_000, everyMilliseconds: 20};
+const waitOptions: Omit<WaitOptions, 'description'> = {timeoutMilliseconds: 120_000, intervalMilliseconds: 20};
 
 /** Starts the given number of daemons, announces engines with changing loads, and measures the otherwise idle deployment. */
 export async function measureDistribution(daemons: number, seconds: number): Promise<DistributionMeasurements> {
--- a/packages/testing/src/wait-until.ts
+++ b/packages/testing/src/wait-until.ts
@@ -19,7 +19,7 @@
 @throws On timeout, with the last error as the cause. Its message is also part of this error's message, since not every test reporter shows causes.
 @example
 ```ts
-await waitUntil(async () => await isHealthy() || undefined, {what: 'a healthy daemon'});
+await waitUntil(async () => await isHealthy() || undefined, {description: 'a healthy daemon'});
 ```
 */
 export async function waitUntil<Value>(poll: () => Promise<Value | undefined>, options: WaitOptions): Promise<Value> {
