--- a/packages/platform/src/decode-announcement.ts
+++ b/packages/platform/src/decode-announcement.ts
@@ -12,7 +12,7 @@
 // Any client can send requests to this address. An invalid announcement must not create a server, so no field has a default.
 const announcementSchema = z.object({
 	service: z.string().min(1),
-	address: z.string().regex(/^[^\s:]+:\d{1,5}$/v, 'Expected a host and a port').refine(isPortInRange, 'Expected a port from 1 to 65535'),
+	address: z.string().regex(/^[^\s:]+:\d{1,5}$/v, 'Wanted a host and a port').refine(isPortInRange, 'Expected a port from 1 to 65535'),
 	zone: z.string().min(1),
 	version: z.string().min(1),
 	slots: z.int().positive(),
--- a/packages/platform/src/decode-configuration.ts
+++ b/packages/platform/src/decode-configuration.ts
@@ -15,7 +15,7 @@
 	host: z.string(),
 	pathPrefix: z.string(),
 	kind: z.enum(kinds),
-	timeoutMs: z.number().positive('Expected a timeout above 0'),
+	timeoutMs: z.number().positive('Wanted a timeout above 0'),
 	targetLatencyMs: z.number().positive().optional(),
 	targetGapMs: z.number().positive().optional(),
 	priority: z.number().default(0),
--- a/packages/platform/src/platform-settings.ts
+++ b/packages/platform/src/platform-settings.ts
@@ -47,7 +47,8 @@
 	return schema.nullish().transform(value => value ?? undefined);
 }
 
-const address = z.string().regex(/^\d+\.\d+\.\d+\.\d+:\d+$/v, 'Expected an address such as 10.1.0.40:8227');
+// The settings package removes the prefix "Wanted " and states the rest as the expected value.
+const address = z.string().regex(/^\d+\.\d+\.\d+\.\d+:\d+$/v, 'Wanted an address such as 10.1.0.40:8227');
 
 const fileSchema = z.object({
 	node: z.string(),
