--- a/packages/soak/src/bin/soak.ts
+++ b/packages/soak/src/bin/soak.ts
@@ -23,22 +23,22 @@
 let failedRuns = 0;
 for (let run = 0; run < runs && performance.now() < deadline; run++) {
 	const seed = firstSeed + run;
-	const {faults, record, violations: foundViolations} = await runSoak({
+	const {faults, record, violations} = await runSoak({
 		seed,
 		length: Number(values.seconds) * millisecondsPerSecond,
 		gap: Number(values.gap),
 		controls: Number(values.controls),
 		entries: Number(values.entries),
 	});
-	const servedCount = record.requests.filter(({status, isComplete: isWhole}) => status === 200 && isWhole).length;
-	const counts = `${faults.length} faults, ${record.requests.length} requests, ${servedCount} served whole, ${record.configurations.length} configurations`;
-	process.stdout.write(`seed ${seed}: ${counts}, ${foundViolations.length} broken\n`);
-	for (const line of foundViolations) {
+	const servedCount = record.requests.filter(({status, isComplete}) => status === 200 && isComplete).length;
+	const counts = `${faults.length} faults, ${record.requests.length} requests, ${servedCount} served completely, ${record.configurations.length} configurations`;
+	process.stdout.write(`seed ${seed}: ${counts}, ${violations.length} violations\n`);
+	for (const line of violations) {
 		process.stdout.write(`  ${line}\n`);
 	}
 
-	failedRuns += foundViolations.length === 0 ? 0 : 1;
+	failedRuns += violations.length === 0 ? 0 : 1;
 }
 
-process.stdout.write(`${failedRuns === 0 ? 'all promises held' : `${failedRuns} runs broke a promise`}\n`);
+process.stdout.write(`${failedRuns === 0 ? 'no guarantee violated' : `${failedRuns} runs violated a guarantee`}\n`);
 process.exit(failedRuns === 0 ? 0 : 1);
--- a/packages/soak/src/find-violations.test.ts
+++ b/packages/soak/src/find-violations.test.ts
@@ -21,12 +21,12 @@
 	t.deepEqual(findViolations({...validRecord, shutdowns: [shutdown], disturbances: [cutOff]}, limits), []);
 });
 
-const violatingRecords: ReadonlyArray<readonly [what: string, record: SoakRecord]> = [
+const violatingRecords: ReadonlyArray<readonly [guarantee: string, record: SoakRecord]> = [
 	['at most once', {...validRecord, runs: [run, {...run, server: 'i-2'}]}],
 	['not run', {...validRecord, requests: [{...request, status: 503, text: ''}]}],
-	['whole answers', {...validRecord, requests: [{...request, text: 'done'}]}],
-	['own answers', {...validRecord, requests: [{...request, text: 'done 1-2', isComplete: false}]}],
-	['keys taken away', {...validRecord, requests: [{...request, sentAt: 4000}], revocations: [{key: 'key-1', acknowledgedAt: 1400}]}],
+	['complete responses', {...validRecord, requests: [{...request, text: 'done'}]}],
+	['matching responses', {...validRecord, requests: [{...request, text: 'done 1-2', isComplete: false}]}],
+	['revoked keys', {...validRecord, requests: [{...request, sentAt: 4000}], revocations: [{key: 'key-1', acknowledgedAt: 1400}]}],
 	['shutdown of servers', {...validRecord, shutdowns: [shutdown]}],
 	['shutdown of servers', {...validRecord, shutdowns: [shutdown], disturbances: [{ip: 'front-2', from: -2500, to: 500}]}],
 	['configuration', {...validRecord, reads: [{version: 0, askedAt: 3000, control: 'core-1'}]}],
@@ -35,10 +35,10 @@
 	['processes', {...validRecord, unexpectedExits: ['front-1 does not run at the end']}],
 ];
 
-for (const [index, [what, record]] of violatingRecords.entries()) {
-	test(`a violation is found: ${what} (${index})`, t => {
+for (const [index, [guarantee, record]] of violatingRecords.entries()) {
+	test(`a violation is found: ${guarantee} (${index})`, t => {
 		const violations = findViolations(record, limits);
 		t.is(violations.length, 1);
-		t.true(violations[0]?.startsWith(`${what}:`));
+		t.true(violations[0]?.startsWith(`${guarantee}:`));
 	});
 }
--- a/packages/soak/src/find-violations.ts
+++ b/packages/soak/src/find-violations.ts
@@ -37,7 +37,7 @@
 	];
 }
 
-/** An unsafe request runs at most once, and does not run at all if it was refused with a status that says so. */
+/** An unsafe request is executed at most once, and not at all if it was refused with a status that excludes an execution. */
 function findRunViolations({requests, runs}: SoakRecord): readonly string[] {
 	const runCounts = new Map<string, number>();
 	for (const {id} of runs) {
@@ -62,16 +62,16 @@
 /** A complete response with status 200 is the expected response to this very request, and an incomplete one a prefix of it. */
 function findResponseViolations({requests}: SoakRecord): readonly string[] {
 	const violations: string[] = [];
-	for (const {id, kind, status, text, isComplete: isWhole, entry} of requests) {
+	for (const {id, kind, status, text, isComplete, entry} of requests) {
 		const expected = completeResponse(id, kind);
 		if (status !== successStatus) {
 			continue;
 		}
 
-		if (isWhole && text !== expected) {
-			violations.push(`whole answers: ${id} got ${JSON.stringify(text.slice(0, 120))} as complete (${entry})`);
-		} else if (!isWhole && !expected.startsWith(text)) {
-			violations.push(`own answers: ${id} got ${JSON.stringify(text.slice(0, 120))} (${entry})`);
+		if (isComplete && text !== expected) {
+			violations.push(`complete responses: ${id} got ${JSON.stringify(text.slice(0, 120))} as complete (${entry})`);
+		} else if (!isComplete && !expected.startsWith(text)) {
+			violations.push(`matching responses: ${id} got ${JSON.stringify(text.slice(0, 120))} (${entry})`);
 		}
 	}
 
@@ -84,7 +84,7 @@
 	for (const {key, acknowledgedAt} of revocations) {
 		for (const request of requests) {
 			if (request.key === key && request.sentAt > acknowledgedAt + revocation && executedIds.has(request.id)) {
-				violations.push(`keys taken away: ${request.id} ran with ${key}, sent ${Math.round(request.sentAt - acknowledgedAt)} ms after the acknowledgement (${request.entry})`);
+				violations.push(`revoked keys: ${request.id} ran with ${key}, sent ${Math.round(request.sentAt - acknowledgedAt)} ms after the acknowledgement (${request.entry})`);
 			}
 		}
 	}
@@ -92,7 +92,7 @@
 	return violations;
 }
 
-/** An instance that is partitioned can't learn of a shutdown, so a run is a violation only if both instances were reachable from before the acknowledgement until the run. */
+/** A partitioned instance can't receive an announcement of a shutdown, so a run is a violation only if both instances were reachable from before the acknowledgement until the run. */
 function findShutdownViolations({requests, runs, shutdowns, disturbances}: SoakRecord, {shutdown}: GuaranteeLimits): readonly string[] {
 	const entryByRequest = new Map(requests.map(({id, entry}) => [id, entry]));
 	const violations: string[] = [];
@@ -126,7 +126,7 @@
 	for (const {version, askedAt, control} of reads) {
 		const newest = newestVersion(configurations.filter(({acknowledgedAt}) => acknowledgedAt + configuration < askedAt));
 		if (version < newest) {
-			violations.push(`configuration: ${control} told version ${version}, ${newest} was acknowledged`);
+			violations.push(`configuration: ${control} returned version ${version} after ${newest} was acknowledged`);
 		}
 	}
 
@@ -138,10 +138,10 @@
 	return violations;
 }
 
-function findRecoveryViolations({unrecovered, unexpectedExits: exits}: SoakRecord): readonly string[] {
+function findRecoveryViolations({unrecovered, unexpectedExits}: SoakRecord): readonly string[] {
 	return [
 		...unrecovered.map(entry => `recovery: ${entry} did not serve again`),
-		...exits.map(end => `processes: ${end}`),
+		...unexpectedExits.map(exit => `processes: ${exit}`),
 	];
 }
 
--- a/packages/soak/src/inject-fault.ts
+++ b/packages/soak/src/inject-fault.ts
@@ -20,7 +20,7 @@
 	readonly record: SoakRecord;
 };
 
-/** Faults after which a process may learn late what the others know. */
+/** Faults after which a process may receive shared state later than the others. */
 const disturbingFaults: ReadonlySet<FaultKind> = new Set(['kill', 'kill-all-controls', 'stop', 'pause', 'wipe', 'silence', 'silence-one-way', 'delay', 'reset', 'disk-full', 'disk-slow']);
 
 const controlFaults: ReadonlySet<FaultKind> = new Set(['wipe', 'disk-full', 'disk-slow']);
@@ -43,21 +43,21 @@
 export async function injectFault(fault: Fault, options: InjectFaultOptions): Promise<void> {
 	const {kind, duration, pick} = fault;
 	const {deployment, network, servers, operator, serverHost, record} = options;
-	const member = pickItem(deployment.instances, pick);
+	const instance = pickItem(deployment.instances, pick);
 	const control = pickItem(deployment.controls, pick);
 	const entry = pickItem(deployment.entries, pick);
 	const from = performance.now();
 	await match(kind)
-		.with('kill', async () => killAndRestart([member], duration))
+		.with('kill', async () => killAndRestart([instance], duration))
 		.with('kill-all-controls', async () => killAndRestart(deployment.controls, duration))
 		.with('stop', async () => {
-			await member.process.kill('SIGTERM');
-			await restart(member);
+			await instance.process.kill('SIGTERM');
+			await restart(instance);
 		})
 		.with('pause', async () => {
-			member.process.signal('SIGSTOP');
+			instance.process.signal('SIGSTOP');
 			await sleep(duration);
-			member.process.signal('SIGCONT');
+			instance.process.signal('SIGCONT');
 		})
 		.with('wipe', async () => {
 			await control.process.kill('SIGKILL');
@@ -65,31 +65,31 @@
 			await sleep(duration);
 			await restart(control);
 		})
-		.with('silence', async () => disruptLinks(network, {links: [{from: member.ip, to: undefined}, {from: undefined, to: member.ip}], duration}))
-		.with('silence-one-way', async () => disruptLinks(network, {links: [{from: member.ip, to: undefined}], duration}))
+		.with('silence', async () => disruptLinks(network, {links: [{from: instance.ip, to: undefined}, {from: undefined, to: instance.ip}], duration}))
+		.with('silence-one-way', async () => disruptLinks(network, {links: [{from: instance.ip, to: undefined}], duration}))
 		.with('server-silence', async () => disruptLinks(network, {links: [{from: serverHost, to: entry.ip}], duration}))
-		.with('delay', async () => disruptLinks(network, {links: [{from: undefined, to: member.ip}], duration, delay: delayMilliseconds}))
+		.with('delay', async () => disruptLinks(network, {links: [{from: undefined, to: instance.ip}], duration, delay: delayMilliseconds}))
 		.with('reset', () => {
-			network.reset(member.ip);
+			network.reset(instance.ip);
 		})
 		.with(P.union('disk-full', 'disk-slow'), async () => writeFaultFile(faultFile(control.folder, 'disk'), {text: kind === 'disk-full' ? 'full' : 'slow', duration}))
-		.with('clock-step', async () => writeFaultFile(faultFile(member.folder, 'clock'), {text: '', duration}))
+		.with('clock-step', async () => writeFaultFile(faultFile(instance.folder, 'clock'), {text: '', duration}))
 		.with('settings', async () => {
-			await member.writeSettings({isFounding: false, seeds: [control.address]});
-			await reloadSettings(member);
+			await instance.writeSettings({isFounding: false, seeds: [control.address]});
+			await reloadSettings(instance);
 			await sleep(duration);
-			await member.writeSettings({isFounding: false});
+			await instance.writeSettings({isFounding: false});
 		})
 		.with('settings-missing', async () => {
-			if (member.process.uptimeMilliseconds < startupMilliseconds) {
+			if (instance.process.uptimeMilliseconds < startupMilliseconds) {
 				// A process can't start without settings, and the platform guarantees that they exist at startup.
 				return;
 			}
 
-			await member.removeSettings();
-			await reloadSettings(member);
+			await instance.removeSettings();
+			await reloadSettings(instance);
 			await sleep(duration);
-			await member.writeSettings({isFounding: false});
+			await instance.writeSettings({isFounding: false});
 		})
 		.with('server-shutdown', async () => servers.shutDown(pick))
 		.with('server-crash', async () => servers.crash(pick))
@@ -97,17 +97,17 @@
 		.with('revoke', async () => operator.revokeOldestKey())
 		.exhaustive();
 	if (disturbingFaults.has(kind)) {
-		record.disturbances.push(...affectedMembers(fault, deployment).map(({ip}) => ({ip, from, to: performance.now()})));
+		record.disturbances.push(...affectedInstances(fault, deployment).map(({ip}) => ({ip, from, to: performance.now()})));
 	}
 }
 
 /** Returns the processes that a fault affects. */
-function affectedMembers({kind, pick}: Fault, {controls, instances: members}: PlatformDeployment): readonly PlatformInstance[] {
+function affectedInstances({kind, pick}: Fault, {controls, instances}: PlatformDeployment): readonly PlatformInstance[] {
 	if (kind === 'kill-all-controls') {
 		return controls;
 	}
 
-	return [pickItem(controlFaults.has(kind) ? controls : members, pick)];
+	return [pickItem(controlFaults.has(kind) ? controls : instances, pick)];
 }
 
 async function writeFaultFile(file: string, {text, duration}: {readonly text: string; readonly duration: number}): Promise<void> {
@@ -116,10 +116,10 @@
 	await rm(file, {force: true});
 }
 
-async function killAndRestart(members: readonly PlatformInstance[], duration: number): Promise<void> {
-	await Promise.all(members.map(async ({process}) => process.kill('SIGKILL')));
+async function killAndRestart(instances: readonly PlatformInstance[], duration: number): Promise<void> {
+	await Promise.all(instances.map(async ({process}) => process.kill('SIGKILL')));
 	await sleep(duration);
-	await Promise.all(members.map(async member => restart(member)));
+	await Promise.all(instances.map(async instance => restart(instance)));
 }
 
 async function restart({process, writeSettings}: PlatformInstance): Promise<void> {
@@ -130,7 +130,8 @@
 /**
 Sends SIGHUP to a process, so that it reloads its settings, as soon as it has a handler for the signal.
 
-While the runtime starts, before any code of the program runs, there is no handler and the signal terminates the process. At a load average of 45 on 8 cores, this lasted 0.5 to 0.7 s. start-signals.test.ts checks that the program installs its handler before it loads anything else.
+While the runtime starts, before any code of the program runs, there is no handler and the signal terminates the process. At a load average of 45 on 8 cores, this lasted 0.5 to 0.7 s.
+start-signals.test.ts checks that the program installs its handler before it loads anything else.
 */
 async function reloadSettings({process}: PlatformInstance): Promise<void> {
 	while (process.pid !== undefined && !(await catchesSignal(process.pid, 'SIGHUP'))) {
--- a/packages/soak/src/loopback-proxy.ts
+++ b/packages/soak/src/loopback-proxy.ts
@@ -17,7 +17,7 @@
 
 /** A fault of the link from one address to another. */
 export type LinkRule = {
-	/** Whether bytes are held back. They are delivered afterwards, as TCP would. */
+	/** Whether the proxy holds bytes back. It delivers them after the fault, as TCP retransmits after a partition. */
 	readonly isSilent: boolean;
 	/** The delay of each chunk, in milliseconds. */
 	readonly delay: number;
@@ -88,7 +88,7 @@
 		forwardDirection(outgoing, incoming, () => ruleOf(target.host, from));
 	}
 
-	/** Resets one side of a connection when the other fails. */
+	/** Resets the other side of a connection when this one fails. */
 	#propagateReset(socket: Socket, other: Socket): void {
 		this.#sockets.add(socket);
 		socket.on('error', () => {
--- a/packages/soak/src/plan-faults.ts
+++ b/packages/soak/src/plan-faults.ts
@@ -51,7 +51,7 @@
 	revoke: 3,
 };
 const kinds = Object.entries(weights) as ReadonlyArray<readonly [kind: FaultKind, weight: number]>;
-/** Partitions must outlast the lease on keys, or they wouldn't test it. */
+/** Partitions must last longer than the lease on keys; shorter ones would not test its expiry. */
 const partitions: ReadonlySet<FaultKind> = new Set(['silence', 'silence-one-way']);
 const partitionDurationFactor = 2.5;
 const minimumDurationMilliseconds = 300;
@@ -74,7 +74,7 @@
 	let at = 0;
 	let wipedAt = Number.NEGATIVE_INFINITY;
 	while (true) {
-		// A uniform distribution from 0 to twice the gap has the gap as its mean and lets some faults follow closely.
+		// A uniform distribution from 0 to twice the gap has the gap as its mean and also produces faults in close succession.
 		at += 2 * random() * gap;
 		if (at >= length) {
 			return faults;
--- a/packages/soak/src/run-soak.test.ts
+++ b/packages/soak/src/run-soak.test.ts
@@ -32,6 +32,6 @@
 	test.serial(`seed ${seed} violates no guarantee: ${cause}`, async t => {
 		const {output, errors} = await runSoakProcess(['--seed', String(seed), '--seconds', String(seconds)]);
 		t.log(output);
-		t.regex(output, /all promises held/v, `Got no result that all promises held: ${errors}`);
+		t.regex(output, /no guarantee violated/v, `Expected a run without violations: ${errors}`);
 	});
 }
--- a/packages/soak/src/run-soak.ts
+++ b/packages/soak/src/run-soak.ts
@@ -84,7 +84,7 @@
 		await operator.submitConfiguration();
 		await servers.start();
 		await waitUntilServing({callers, operator, entries: deployment.entries}, entry => {
-			throw new Error(`Got no successful response from ${entry}, wanted one before the faults start`);
+			throw new Error(`Expected a successful response from ${entry} before the faults start`);
 		});
 		callers.start();
 		const polling = pollConfigurations({operator, controls: controlAddresses, until: now() + length});
@@ -104,7 +104,7 @@
 			record.unrecovered.push(entry);
 		});
 		record.finalVersion = await readFinalVersion(operator, controlAddresses);
-		record.unexpectedExits.push(...deployment.instances.filter(({process}) => !process.isRunning).map(member => describeExit(member)));
+		record.unexpectedExits.push(...deployment.instances.filter(({process}) => !process.isRunning).map(instance => describeExit(instance)));
 	} finally {
 		callers.close();
 		servers.close();
@@ -115,14 +115,14 @@
 	return {faults, record, violations: findViolations(record, limits)};
 }
 
-/** Describes the exit of a process that should be running. The signal distinguishes a fault that has not restarted it yet from an exit of its own. */
-function describeExit({name, process: {lastExit: lastEnd}}: PlatformInstance): string {
-	const {code, signal, runMilliseconds: runtime} = lastEnd ?? {};
-	return `${name} does not run at the end: ended by ${signal ?? `code ${code ?? 'unknown'}`} after ${Math.round(runtime ?? 0)} ms`;
+/** Describes the exit of a process that should be running. The signal distinguishes a process that a fault killed and has not restarted yet from one that exited by itself. */
+function describeExit({name, process: {lastExit}}: PlatformInstance): string {
+	const {code, signal, runMilliseconds} = lastExit ?? {};
+	return `${name} is not running at the end: terminated by ${signal ?? `code ${code ?? 'unknown'}`} after ${Math.round(runMilliseconds ?? 0)} ms`;
 }
 
-async function addProxies(members: readonly PlatformInstance[], network: SoakNetwork): Promise<void> {
-	for (const {ip} of members) {
+async function addProxies(instances: readonly PlatformInstance[], network: SoakNetwork): Promise<void> {
+	for (const {ip} of instances) {
 		await network.addProxy({host: ip, port: proxyPorts.proxied, target: {host: ip, port: proxyPorts.peers}});
 	}
 }
--- a/packages/soak/src/soak-callers.ts
+++ b/packages/soak/src/soak-callers.ts
@@ -77,7 +77,7 @@
 		const {record, now, seed} = this.#options;
 		const id = `${seed}-${++this.#sentCount}`;
 		const sentAt = now();
-		const {status, text, isComplete: isWhole} = await sendForResponse({
+		const {status, text, isComplete} = await sendForResponse({
 			method: kind === 'safe' ? 'GET' : 'POST',
 			address: entry,
 			path: requestPath(kind),
@@ -92,7 +92,7 @@
 			},
 		});
 		record.requests.push({
-			id, kind, key, entry, sentAt, status, text, isComplete: isWhole,
+			id, kind, key, entry, sentAt, status, text, isComplete,
 		});
 		return status;
 	}
--- a/packages/soak/src/soak-environment.ts
+++ b/packages/soak/src/soak-environment.ts
@@ -1,4 +1,4 @@
-/** The environment variable with the address of the process that the preloaded module runs in. */
+/** The environment variable with the IP address of the process that loads the preloaded module. */
 export const addressVariable = 'SOAK_SELF';
 
 /** The environment variable with the data folder of the process. Files next to the folder turn faults on. */
@@ -8,15 +8,15 @@
 Returns the path of the file that turns a fault on. The file is next to the data folder rather than in it, because a fault may remove the folder.
 
 @param folder The data folder.
-@param what The faulty part.
+@param part The part that fails.
 @returns The path; the fault is on while the file exists.
 @example
 ```ts
 faultFile('/tmp/soak/core-1', 'disk');
 ```
 */
-export function faultFile(folder: string, what: 'disk' | 'clock'): string {
-	return `${folder}.${what}`;
+export function faultFile(folder: string, part: 'disk' | 'clock'): string {
+	return `${folder}.${part}`;
 }
 
 /** The port on which instances listen for their peers, and the port of the proxy in front of it. */
--- a/packages/soak/src/soak-operator.ts
+++ b/packages/soak/src/soak-operator.ts
@@ -55,7 +55,7 @@
 		return this.#pendingTasks === 0;
 	}
 
-	/** Submits the next configuration, after any that is still unacknowledged. */
+	/** Submits the next configuration once all earlier ones are acknowledged. */
 	async submitConfiguration(): Promise<void> {
 		return this.#enqueue(async () => this.#submit(this.#keys));
 	}
@@ -81,10 +81,10 @@
 	async readConfiguration(control: string): Promise<number | undefined> {
 		const {record, now} = this.#options;
 		const askedAt = now();
-		const {status, text, isComplete: isWhole} = await sendForResponse({
+		const {status, text, isComplete} = await sendForResponse({
 			method: 'GET', address: control, path: '/-/config', headers: {}, timeout: callTimeoutMilliseconds,
 		});
-		if (status !== acknowledgedStatus || !isWhole) {
+		if (status !== acknowledgedStatus || !isComplete) {
 			return undefined;
 		}
 
--- a/packages/soak/src/soak-record.ts
+++ b/packages/soak/src/soak-record.ts
@@ -54,7 +54,7 @@
 	readonly revocations: Array<{readonly key: string; readonly acknowledgedAt: number}>;
 	/** The backend servers that announced a shutdown, and when each announcement was acknowledged. */
 	readonly shutdowns: Array<{readonly server: string; readonly acknowledgedAt: number; readonly control: string}>;
-	/** When faults disturbed which process. The limit on shutdowns holds for undisturbed processes only. */
+	/** When faults disturbed which process. The limit on shutdowns applies only to undisturbed processes. */
 	readonly disturbances: Disturbance[];
 	/** What did not recover in time after the last fault: entry instances that did not serve, or an operator whose change was not acknowledged. */
 	readonly unrecovered: string[];
--- a/packages/testing/src/crashing-requests.test.ts
+++ b/packages/testing/src/crashing-requests.test.ts
@@ -179,8 +179,8 @@
 	// All instances serve other requests again: each of twelve, but on a busy machine not necessarily at the first try.
 	const exits = servers.exits.length;
 	await Promise.all(Array.from({length: 12}, async (_, entry) => waitUntil(async () => {
-		const {status, isComplete: isWhole} = await sendDraft(deployment, {entry, path: `/drafts/${entry}`});
-		return (status === 200 && isWhole) || undefined;
+		const {status, isComplete} = await sendDraft(deployment, {entry, path: `/drafts/${entry}`});
+		return (status === 200 && isComplete) || undefined;
 	}, {description: `a response to request ${entry}`})));
 	t.is(servers.exits.length, exits);
 });
@@ -188,7 +188,7 @@
 test('a request sent in many concurrent copies stays quarantined when all processes restart, until an operator lifts the quarantine', async t => {
 	const {deployment, servers} = await start(t);
 	const copies = await sendCopies(deployment);
-	t.true(copies.every(({status, isComplete: isWhole}) => status !== 200 || !isWhole));
+	t.true(copies.every(({status, isComplete}) => status !== 200 || !isComplete));
 	await waitUntilListedByAll(deployment);
 	// Saving starts when the request is listed, and takes two syncs.
 	await sleep(saveMilliseconds);
