--- a/packages/testing/src/_bad-version-trial.ts
+++ b/packages/testing/src/_bad-version-trial.ts
@@ -6,7 +6,7 @@
 } from '@valehitch/policy';
 import {seededRandom} from './_seeded-random.js';
 
-/** Parameters of a simulated roll-out in which the new version may degrade. */
+/** Parameters of a simulated rollout in which the new version may degrade. */
 export type BadVersionTrial = {
 	readonly seed: number;
 	/** Mean rating of the new version after the degradation; 0.85 means no degradation. */
@@ -57,12 +57,14 @@
 	readonly name: string;
 	/** Processes an observation; returns whether the version is stopped on all instances. */
 	readonly observe: (observation: Observation) => boolean;
-	/** Whether an instance has stopped the version by itself. */
+	/** Whether an instance has stopped the version locally. */
 	readonly hasStopped: (instance: number) => boolean;
 };
 
 /**
-Simulates one roll-out with all detectors at once: 25 requests per second on 7 instances for 20 minutes, 10 % of them on the new version and 10 % of all rated 10 to 60 seconds later. The new version degrades after 5 minutes.
+Simulates one rollout with all detectors at once.
+
+The load is 25 requests per second on 7 instances for 20 minutes. The new version serves 10 % of the requests and degrades after 5 minutes. Of all requests, 10 % are rated, 10 to 60 seconds later.
 
 @param trial The seed and the quality after the degradation.
 @returns The requests that the new version served after its degradation, by detector.
--- a/packages/testing/src/_bench-hedge.ts
+++ b/packages/testing/src/_bench-hedge.ts
@@ -77,11 +77,11 @@
 	return `class ${Math.floor(Math.log(promptTokens) / Math.log(4))}`;
 }
 
-function sizeClassRule(name: string, {share = 0.95, medianFactor = 0}: {readonly share?: number; readonly medianFactor?: number}): HedgeRule {
+function sizeClassRule(name: string, {quantile = 0.95, medianFactor = 0}: {readonly quantile?: number; readonly medianFactor?: number}): HedgeRule {
 	return {
 		name: `${name}, prompts of like size`,
 		delays(promptTokens, history) {
-			const late = history.quantile(sizeClassOf(promptTokens), {stage: 'prefill', quantile: share});
+			const late = history.quantile(sizeClassOf(promptTokens), {stage: 'prefill', quantile});
 			const median = history.quantile(sizeClassOf(promptTokens), {stage: 'prefill', quantile: 0.5});
 			const delay = Math.max(20, late ?? 0, medianFactor * (median ?? 0));
 			return late === undefined ? undefined : {prefillMilliseconds: delay, decodeMilliseconds: delay};
@@ -102,15 +102,15 @@
 	},
 	{name: 'p95 of the stage, as shipped', delays: (_, history) => hedgeDelays({...version, streamed: true}, {history})},
 	sizeClassRule('p95 of the stage', {}),
-	sizeClassRule('p99 of the stage', {share: 0.99}),
+	sizeClassRule('p99 of the stage', {quantile: 0.99}),
 	sizeClassRule('p95 and 2 medians of the stage', {medianFactor: 2}),
 	sizeClassRule('p95 and 3 medians of the stage', {medianFactor: 3}),
 ];
 
-function simulateRule(seed: number, rule: HedgeRule, share: number): string {
+function simulateRule(seed: number, rule: HedgeRule, budgetRatio: number): string {
 	const random = seededRandom(seed);
 	const history = new StageHistory();
-	const budget = new RetryBudget({ratio: share, burst: 20});
+	const budget = new RetryBudget({ratio: budgetRatio, burst: 20});
 	const firsts: number[] = [];
 	const lasts: number[] = [];
 	let hedges = 0;
--- a/packages/testing/src/_zone-trial.ts
+++ b/packages/testing/src/_zone-trial.ts
@@ -80,11 +80,11 @@
 	readonly deployment: Deployment;
 	/** The token of a session on the version that is being rolled out. */
 	readonly session: string;
-	/** The revision of the configuration that started the roll-out. */
+	/** The revision of the configuration that started the rollout. */
 	readonly revision: number;
 };
 
-/** Starts 7 daemons in 3 zones, waits until all hold a lease, starts a session, and begins a roll-out of its version. */
+/** Starts 7 daemons in 3 zones, waits until all hold a lease, starts a session, and starts a rollout of its version. */
 export async function startZoneTrial({leaseMilliseconds, serve = 'settled'}: ZoneTrialOptions): Promise<ZoneTrial> {
 	const deployment = await startDeployment({
 		daemons: trialDaemons,
--- a/packages/testing/src/announcer.ts
+++ b/packages/testing/src/announcer.ts
@@ -45,7 +45,10 @@
 @returns The running announcer.
 @example
 ```ts
-const announcer = startAnnouncer({daemons: ['http://127.0.0.1:8081'], key: 'backend-key', server: 'engine-1', zone: 'prairie-south-a', address: engine.address, models: ['tag-small@1.0'], capacity: 8, active: engine.active});
+const announcer = startAnnouncer({
+	daemons: ['http://127.0.0.1:8081'], key: 'backend-key', server: 'engine-1', zone: 'prairie-south-a',
+	address: engine.address, models: ['tag-small@1.0'], capacity: 8, active: engine.active,
+});
 await announcer.stop();
 ```
 */
--- a/packages/testing/src/behaviour.ts
+++ b/packages/testing/src/behaviour.ts
@@ -6,7 +6,7 @@
 	firstTokenMilliseconds: number;
 	/** Milliseconds before each further token. */
 	tokenMilliseconds: number;
-	/** The HTTP status of a failure reported after the request ran; undefined for none. */
+	/** The HTTP status of a failure reported after the request was executed; undefined for none. */
 	failStatus: number | undefined;
 	/** Whether requests are refused with the outcome `notRun`. */
 	refuseNotRun: boolean;
--- a/packages/testing/src/bin/bench-state.ts
+++ b/packages/testing/src/bin/bench-state.ts
@@ -8,7 +8,7 @@
 	type Bill, type InstanceId, type Micros, type ModelId, type RequestId, type ServerId, toId, type VersionId, type WorkspaceId,
 } from '@valehitch/core';
 
-type Subject = {
+type BenchmarkCase = {
 	readonly name: string;
 	readonly commands: (index: number) => readonly Command[];
 	/** Whether bills are archived immediately, which leaves only the duplicate detection in memory. */
@@ -65,7 +65,7 @@
 
 const recordBill = (index: number, hasOrigin: boolean): readonly Command[] => [{type: 'record-bills', bills: [structuredClone(billOf(index, hasOrigin))]}];
 
-const subjects: readonly Subject[] = [
+const cases: readonly BenchmarkCase[] = [
 	{name: 'open claim', commands: index => [takeClaim(index)]},
 	{name: 'settled claim, digest only', commands: index => [takeClaim(index), settleClaim(index, undefined)]},
 	{name: `settled claim, body of ${bodyBytes} bytes`, commands: index => [takeClaim(index), settleClaim(index, new Uint8Array(bodyBytes))]},
@@ -74,17 +74,17 @@
 	{name: 'bill archived, known by the window', commands: index => recordBill(index, false), archives: true},
 ];
 
-function measure(subject: Subject, count: number): Sample {
+function measure(benchmarkCase: BenchmarkCase, count: number): Sample {
 	globalThis.gc?.();
 	const before = usedBytes();
-	const state = fill(subject, count);
+	const state = fill(benchmarkCase, count);
 	globalThis.gc?.();
 	const heapBytes = usedBytes() - before;
 	// Using the state after the measurement prevents its garbage collection before.
 	return {count, heapBytes, snapshotBytes: state.toSnapshot().byteLength};
 }
 
-function fill({commands, archives}: Subject, count: number): ControlState {
+function fill({commands, archives}: BenchmarkCase, count: number): ControlState {
 	const state = new ControlState();
 	let position = 1;
 	state.apply({type: 'set-limits', limits: unbounded}, {term: 1, index: position});
@@ -124,11 +124,11 @@
 	process.stderr.write('warning: memory figures are unreliable without node --expose-gc\n');
 }
 
-const results = subjects.map(subject => {
-	measure(subject, 1000);
-	const samples = counts.map(count => measure(subject, count));
+const results = cases.map(benchmarkCase => {
+	measure(benchmarkCase, 1000);
+	const samples = counts.map(count => measure(benchmarkCase, count));
 	return {
-		subject: subject.name,
+		subject: benchmarkCase.name,
 		memoryBytesEach: Math.round(slopeOf(samples, ({heapBytes}) => heapBytes)),
 		snapshotBytesEach: Math.round(slopeOf(samples, ({snapshotBytes}) => snapshotBytes) * 10) / 10,
 		samples,
--- a/packages/testing/src/bin/zone-cut.ts
+++ b/packages/testing/src/bin/zone-cut.ts
@@ -1,6 +1,7 @@
 /**
-Simulates a network partition between zones. Preloaded with `node --import` into the daemons and fakes of a measurement, it rereads the partition on SIGUSR2 and blocks outgoing connections to partitioned zones, which it identifies by port.
+Simulates a network partition between zones.
 
+Preloaded with `node --import` into the daemons and fakes of a measurement, it rereads the partition on SIGUSR2 and blocks outgoing connections to partitioned zones, which it identifies by port.
 An open connection is destroyed and a new one never connects, as when a firewall drops the packets.
 
 @module
--- a/packages/testing/src/crashing-requests.test.ts
+++ b/packages/testing/src/crashing-requests.test.ts
@@ -12,7 +12,7 @@
 const restartDelayMilliseconds = 400;
 /** Number of server exits after which the request counts as identified. */
 const identifyingExits = 3;
-/** Milliseconds within which all instances must have learned of it, and the number of sends still allowed afterwards. */
+/** Milliseconds within which all instances must quarantine the request, and the number of sends still allowed afterwards. */
 const windowMilliseconds = 3000;
 const allowedSends = 3;
 const saveMilliseconds = 300;
--- a/packages/testing/src/distribution.test.ts
+++ b/packages/testing/src/distribution.test.ts
@@ -95,7 +95,7 @@
 	t.is(await sendChatRequest(suspended, session), 'refused');
 });
 
-test.serial('an isolated zone serves settled versions, refuses the version in roll-out, and catches up without revisions going back', async t => {
+test.serial('an isolated zone serves settled versions, refuses the version in rollout, and catches up without revisions going back', async t => {
 	const {deployment, session, revision: before} = await startTrial(t, {leaseMilliseconds: 4000});
 	const leader = findDaemon(deployment, 'control-a');
 	const isolatedDaemon = findDaemon(deployment, 'entry-c');
--- a/packages/testing/src/emulator/emulated-entry.ts
+++ b/packages/testing/src/emulator/emulated-entry.ts
@@ -31,7 +31,7 @@
 const source = toId<InstanceId>('control');
 
 /**
-Creates an entry instance that knows all engines.
+Creates an entry instance whose server list contains all engines.
 
 @param options The instance's zone, engines and sources of time and randomness.
 @returns The instance.
--- a/packages/testing/src/emulator/simulate-load.ts
+++ b/packages/testing/src/emulator/simulate-load.ts
@@ -48,7 +48,7 @@
 const minimumConfidence = 50;
 /** The interval at which loads are published. */
 const publishIntervalMilliseconds = 40;
-/** The product's silence timeout: a server is abandoned after 8 times its expected latency, and after 500 ms at the earliest. */
+/** The product's silence timeout: a request is moved to another server after 8 times its expected latency, and after 500 ms at the earliest. */
 const silenceFactor = 8;
 const minimumSilenceMilliseconds = 500;
 const bytesPerToken = 4;
--- a/packages/testing/src/entry-failures.test.ts
+++ b/packages/testing/src/entry-failures.test.ts
@@ -44,16 +44,16 @@
 		t.true(result.done ? result.text === expected : isExplicit && result.problem !== undefined, `${index}: ${JSON.stringify(result)}`);
 	}
 
-	const whole = results.filter(({done}) => done);
-	t.true(whole.length > 0);
+	const completed = results.filter(({done}) => done);
+	t.true(completed.length > 0);
 	// Requests that provably did not run have no bill; all others have one.
-	const ran = results.filter(({problem}) => problem?.outcome !== 'notRun');
-	const requests = ran.map(({requestId, problem}) => requestId === '' ? String(problem?.requestId) : requestId);
+	const executed = results.filter(({problem}) => problem?.outcome !== 'notRun');
+	const requests = executed.map(({requestId, problem}) => requestId === '' ? String(problem?.requestId) : requestId);
 	const bills = await entry.bills(requests);
 	t.deepEqual(sorted(bills.map(({request}) => request)), sorted(requests));
 	const resumed = bills.filter(({lines}) => (lines as ReadonlyArray<{readonly purpose: string}>).some(({purpose}) => purpose === 'resume'));
 	t.true(resumed.length > 0);
-	for (const {usage} of whole) {
+	for (const {usage} of completed) {
 		t.is(usage?.completionTokens, tokens);
 	}
 });
--- a/packages/testing/src/entry-requests.test.ts
+++ b/packages/testing/src/entry-requests.test.ts
@@ -50,7 +50,7 @@
 		name: 'another scheme', status: 401, kind: 'unauthenticated', headers: {authorization: 'Basic eWFyZDp5YXJk'},
 	},
 	{
-		name: 'a session token that nobody issued', status: 422, kind: 'session-invalid', headers: {'Valehitch-Session': 'k1~e30~AAAA'},
+		name: 'a session token that no instance issued', status: 422, kind: 'session-invalid', headers: {'Valehitch-Session': 'k1~e30~AAAA'},
 	},
 	{name: 'a session token with a space', ...malformed, headers: {'Valehitch-Session': 'a b'}},
 	{name: 'an idempotency key with a space', ...malformed, headers: {'Idempotency-Key': 'print 7'}},
@@ -101,10 +101,10 @@
 	const token = String(issued.headers['valehitch-session']);
 	const stolen = await requestChat(entry.callers(2), {key: callerKeys.mill, messages: [{role: 'user', content: 'Go on'}], headers: {'Valehitch-Session': token}});
 	t.deepEqual([stolen.status, stolen.problem?.kind, stolen.problem?.outcome], [422, 'session-invalid', 'notRun']);
-	const own = await requestChat(entry.callers(2), {key: callerKeys.yard, messages: [{role: 'user', content: 'Go on'}], headers: {'Valehitch-Session': token}});
-	t.is(own.status, 200);
+	const resumed = await requestChat(entry.callers(2), {key: callerKeys.yard, messages: [{role: 'user', content: 'Go on'}], headers: {'Valehitch-Session': token}});
+	t.is(resumed.status, 200);
 	const runs = [...await entry.runs('engine-1'), ...await entry.runs('labels-1')];
-	t.deepEqual(runs.map(({requestId}) => requestId), [issued.requestId, own.requestId]);
+	t.deepEqual(runs.map(({requestId}) => requestId), [issued.requestId, resumed.requestId]);
 });
 
 async function sendRaw(port: number, headers: readonly string[]): Promise<string> {
--- a/packages/testing/src/fake-engine-types.ts
+++ b/packages/testing/src/fake-engine-types.ts
@@ -13,7 +13,7 @@
 	readonly behaviour?: Partial<Behaviour>;
 };
 
-/** A request that the engine ran, as seen by the backend server. */
+/** A request that the engine executed. */
 export type EngineRun = {
 	readonly requestId: string;
 	readonly attempt: string;
--- a/packages/testing/src/fake-engine.test.ts
+++ b/packages/testing/src/fake-engine.test.ts
@@ -14,12 +14,12 @@
 	const engine = await startFakeEngine({models: [version]});
 	t.teardown(engine.kill);
 	const streamed = await requestChatStream(engine.address, {...chat, headers: {'Valehitch-Request-Id': 'r1', 'Valehitch-Attempt': '1'}});
-	const whole = await requestChat(engine.address, chat);
+	const unstreamed = await requestChat(engine.address, chat);
 	t.is(streamed.text, expected);
 	t.true(streamed.done);
 	t.deepEqual(streamed.usage, {promptTokens: 6, completionTokens: 16});
-	t.is(whole.text, expected);
-	t.deepEqual(whole.usage, streamed.usage);
+	t.is(unstreamed.text, expected);
+	t.deepEqual(unstreamed.usage, streamed.usage);
 	t.deepEqual(engine.runs, [
 		{
 			requestId: 'r1', attempt: '1', model: 'tag-small', version: '1.0', streamed: true, completed: true, cancelled: false,
--- a/packages/testing/src/fake-service.ts
+++ b/packages/testing/src/fake-service.ts
@@ -13,7 +13,7 @@
 	readonly behaviour?: Partial<Behaviour>;
 };
 
-/** A call that the service ran, as seen by the backend server. */
+/** A call that the service executed. */
 export type ServiceRun = {
 	readonly requestId: string;
 	readonly attempt: string;
--- a/packages/testing/src/free-ports.ts
+++ b/packages/testing/src/free-ports.ts
@@ -9,13 +9,13 @@
 const blockCount = Math.floor((firstEphemeralPort - lowestPort) / portsPerBlock);
 const host = '127.0.0.1';
 
-/** Ports that this process may still hand out, from the blockCount that it has reserved. */
+/** Ports that this process may still hand out, from the blocks that it has reserved. */
 const reserved: number[] = [];
 
 /**
 Finds unused ports on 127.0.0.1 below the ephemeral port range.
 
-The ports come from blockCount. This process reserves a block by listening on its first port until the process exits, so that concurrent processes never hand out the same port.
+The range is divided into blocks. This process reserves a block by listening on its first port until the process exits, so that concurrent processes never hand out the same port.
 
 @param count The number of ports.
 @returns Distinct ports that this process has not handed out before.
--- a/packages/testing/src/measure/cell-metrics.ts
+++ b/packages/testing/src/measure/cell-metrics.ts
@@ -18,7 +18,7 @@
 	readonly answered: number;
 	/** Responses within the deadline from a version that was not degraded and meets the quality target. */
 	readonly metTarget: number;
-	/** Cost of all runs per responsesPerCostUnit responses that met the target, in units of account. */
+	/** Cost of all runs per 1000 responses that met the target, in units of account. */
 	readonly costPerThousand: number;
 	readonly firstToken: Percentiles;
 	readonly wholeAnswer: Percentiles;
@@ -32,9 +32,9 @@
 	readonly resends: number;
 	/** Runs of chat requests after the first one of each request. */
 	readonly extraRuns: number;
-	/** Non-repeatable runCounts that ran more than once. */
+	/** Non-repeatable calls that were executed more than once. */
 	readonly doubledCalls: number;
-	/** Calls that got a response but never ran; the runs of a killed service are unknown. */
+	/** Calls that got a response but were never executed; the runs of a killed service are unknown. */
 	readonly phantomCalls: number;
 	/** Refusals as not executed of requests that did run. */
 	readonly falseRefusals: number;
@@ -139,8 +139,8 @@
 	return {p50: percentile(histogram, 50), p95: percentile(histogram, 95), p99: percentile(histogram, 99)};
 }
 
-function percentile(histogram: Histogram, share: number): number {
-	return histogram.getValueAtPercentile(share) / microsecondsInMillisecond;
+function percentile(histogram: Histogram, rank: number): number {
+	return histogram.getValueAtPercentile(rank) / microsecondsInMillisecond;
 }
 
 function sumOf(values: readonly number[]): number {
--- a/packages/testing/src/measure/rater.ts
+++ b/packages/testing/src/measure/rater.ts
@@ -32,7 +32,7 @@
 /**
 Starts a simulated rating service. It rates 30 % of the complete responses, 0.3 to 1.5 seconds after they arrive, with noise.
 
-@param system The system; each rating goes to one of its entry instances, and to none if the instance takes no ratings.
+@param system The system; each rating goes to one of its entry instances, and to none if the instance accepts no ratings.
 @param workload The workload, for the true qualities.
 @returns The rater.
 @example
--- a/packages/testing/src/measure/schedule.ts
+++ b/packages/testing/src/measure/schedule.ts
@@ -72,7 +72,7 @@
 
 	const last = items.at(-1);
 	if (last === undefined) {
-		throw new RangeError('cannot draw from an empty list');
+		throw new RangeError('Cannot draw from an empty list');
 	}
 
 	return last;
--- a/packages/testing/src/measure/system.ts
+++ b/packages/testing/src/measure/system.ts
@@ -14,7 +14,7 @@
 /** An entry instance of the system under test. */
 export type SystemEntry = DaemonPlan & {
 	readonly callers: string;
-	/** The URL for ratings; undefined for a router that takes none. */
+	/** The URL for ratings; undefined for a router that accepts none. */
 	readonly ratingsUrl?: string;
 	readonly process: ManagedProcess;
 };
@@ -56,7 +56,7 @@
 export async function startValehitch(workload: Workload, folder: string): Promise<System> {
 	const cutFile = await preloadZoneCut(folder);
 	const deployment = await startDeployment({...workload, folder, startTimeoutMilliseconds});
-	const entries = deployment.daemons.map(daemon => ({...daemon, ratings: `http://127.0.0.1:${daemon.ports.backends}/v1/ratings`}));
+	const entries = deployment.daemons.map((daemon): SystemEntry => ({...daemon, ratingsUrl: `http://127.0.0.1:${daemon.ports.backends}/v1/ratings`}));
 	const ports = deployment.daemons.flatMap(({ports, zone}) => Object.values(ports).map(port => [String(port), zone] as const));
 	return waitUntilReady({
 		name: 'valehitch', workload, entries, backends: deployment.backends, cutFile, ports,
--- a/packages/testing/src/naive-router.ts
+++ b/packages/testing/src/naive-router.ts
@@ -67,7 +67,9 @@
 const servicePathPattern = /^\/services\/(?<service>[^\/]+)(?<path>\/.*)$/v;
 
 /**
-Starts the naive router that is the baseline for measurements of valehitch. It uses the first allowed version whose listed quality meets the target, selects servers round-robin, retries on any error, and has no limits and keeps no state.
+Starts the naive router that is the baseline for measurements of valehitch.
+
+It uses the first allowed version whose listed quality meets the target, selects servers round-robin, and retries on any error. It has no limits and keeps no state.
 
 @param options The configuration, the servers and the port.
 @returns The running router.
--- a/packages/testing/src/platform/fake-backend-server.ts
+++ b/packages/testing/src/platform/fake-backend-server.ts
@@ -41,9 +41,9 @@
 	readonly answer: (run: ExecutedRequest) => FakeBackendResponse;
 	/** The port to listen on; a free port by default. */
 	readonly port?: number;
-	/** The process start time to announce, in milliseconds since the epoch; not announced by default. */
+	/** The process start time to announce, as Unix time in milliseconds; not announced by default. */
 	readonly startedAt?: number;
-	/** Returns the port to announce instead of its own, such as that of a proxy in front of the server. */
+	/** Returns the port to announce instead of the port that the server listens on, such as that of a proxy in front of the server. */
 	readonly announcedPort?: () => number;
 };
 
@@ -160,9 +160,9 @@
 			await delay(firstEventDelay);
 		}
 
-		const first = Number(run.lastEventId ?? 0);
+		const resumeIndex = Number(run.lastEventId ?? 0);
 		for (const [index, event] of events.entries()) {
-			if (index < first) {
+			if (index < resumeIndex) {
 				continue;
 			}
 
@@ -188,7 +188,7 @@
 	readonly address: string;
 	readonly path: string;
 	readonly body?: unknown;
-	/** The agent that pools connections; by default each request opens its own. */
+	/** The agent that pools connections; by default each request opens a new connection. */
 	readonly agent?: Agent;
 	/** The timeout in milliseconds; none by default. */
 	readonly timeout?: number;
--- a/packages/testing/src/platform/reserve-loopback-subnet.ts
+++ b/packages/testing/src/platform/reserve-loopback-subnet.ts
@@ -20,7 +20,8 @@
 /**
 Reserves a loopback subnet for a deployment whose processes all use the same ports.
 
-A listener on one of the addresses holds the reservation until it is released or this process exits. Addresses derived from the process id would collide, because two ids can differ by a multiple of the number of subnets.
+A listener on one of the addresses holds the reservation until it is released or this process exits.
+Addresses derived from the process id would collide, because two ids can differ by a multiple of the number of subnets.
 
 @returns The subnet.
 @throws If no subnet is free.
@@ -45,7 +46,7 @@
 		}
 	}
 
-	throw new Error(`none of the ${subnetCount} loopback subnets is free`);
+	throw new Error(`None of the ${subnetCount} loopback subnets is free`);
 }
 
 async function listenOn(address: string): Promise<Server | undefined> {
--- a/packages/testing/src/rollout-operator.test.ts
+++ b/packages/testing/src/rollout-operator.test.ts
@@ -19,7 +19,7 @@
 	},
 };
 
-test('an operator advances a roll-out by one stage, then stops the version', async t => {
+test('an operator advances a rollout by one stage, then stops the version', async t => {
 	const deployment = await startDeployment({
 		daemons: [{instance: 'alone', zone: 'zone-a', roles: ['control', 'entry']}], backends: [], configuration, startTimeoutMilliseconds: 60_000,
 	});
@@ -45,6 +45,6 @@
 		const {body} = await callOperator(`${operators}/v1/configuration`, {key: deploymentKeys.operators});
 		const {rollouts} = body as {readonly rollouts: Readonly<Record<string, {readonly status: string; readonly stage: number}>>};
 		return rollouts['small@v2']?.status === 'stopped' ? rollouts['small@v2'] : undefined;
-	}, {description: 'the stopped roll-out in force', timeoutMilliseconds: 60_000});
+	}, {description: 'the stopped rollout in force', timeoutMilliseconds: 60_000});
 	t.is(progress.stage, 1);
 });
--- a/packages/testing/src/rollouts-and-orders.test.ts
+++ b/packages/testing/src/rollouts-and-orders.test.ts
@@ -81,7 +81,7 @@
 	return executedSchema.parse(JSON.parse(body));
 }
 
-test.serial('a roll-out continues from its current stage when the leader is killed', async t => {
+test.serial('a rollout continues from its current stage when the leader is killed', async t => {
 	const deployment = await startDeployment({daemons, backends, configuration});
 	t.teardown(async () => deployment.stop());
 	const leader = await findLeader(deployment);
@@ -98,7 +98,7 @@
 		const progress = found.rollouts[rolloutKey];
 		stages.push(progress?.stage ?? -1);
 		return progress?.status === 'completed' ? found : undefined;
-	}, {description: 'the end of the roll-out', ...waitOptions});
+	}, {description: 'the end of the rollout', ...waitOptions});
 	t.deepEqual(stages, stages.toSorted((left, right) => left - right), 'the stage never decreases');
 	t.is(stages[0], 1);
 	t.is(last.document.models['tag-small']?.versions.v2?.state, 'settled');
