--- a/packages/testing/src/_bad-version-trial.ts
+++ b/packages/testing/src/_bad-version-trial.ts
@@ -192,10 +192,10 @@
 }
 
 function monitorRule(name: string, combinesEvidence: boolean): DetectorRule {
-	const book = new QualityStore({instance: toId<InstanceId>('all'), startedAt: 0});
-	const table = new EvidenceAggregator();
+	const qualityStore = new QualityStore({instance: toId<InstanceId>('all'), startedAt: 0});
+	const evidence = new EvidenceAggregator();
 	const stopped = new Set<number>();
-	const monitors = Array.from({length: instances}, (_, index) => new BadVersionMonitor({instance: toId<InstanceId>(`i${index}`), startedAt: 0, qualityStore: book}));
+	const monitors = Array.from({length: instances}, (_, index) => new BadVersionMonitor({instance: toId<InstanceId>(`i${index}`), startedAt: 0, qualityStore}));
 	return {
 		name,
 		hasStopped: instance => stopped.has(instance),
@@ -210,7 +210,7 @@
 
 			let isBad = false;
 			for (const report of combinesEvidence && isNewVersion ? monitor?.reports() ?? [] : []) {
-				isBad ||= table.merge(report) !== undefined && report.version === newVersion.version;
+				isBad ||= evidence.merge(report) !== undefined && report.version === newVersion.version;
 			}
 
 			return isBad;
--- a/packages/testing/src/_bench-server-choice.ts
+++ b/packages/testing/src/_bench-server-choice.ts
@@ -38,7 +38,7 @@
 	readonly affinity: boolean;
 	readonly loadBound: number;
 	readonly spread?: boolean;
-	readonly fadeMilliseconds?: number;
+	readonly reportDecayMilliseconds?: number;
 };
 
 function viewOf(engine: Engine, {instance, now}: {readonly instance: number; readonly now: number}): ServerView {
@@ -59,16 +59,16 @@
 }
 
 function simulate({seed, engines, instances}: Size & {readonly seed: number}, {
-	samples, affinity, loadBound, spread = true, fadeMilliseconds = 150,
+	samples, affinity, loadBound, spread = true, reportDecayMilliseconds = 150,
 }: Rule): string {
 	const requestsPerSecond = utilization * engines * capacity / meanServiceMilliseconds * 1000;
 	const random = seededRandom(seed);
-	const all: Engine[] = Array.from({length: engines}, (_, index) => ({
+	const allEngines: Engine[] = Array.from({length: engines}, (_, index) => ({
 		id: toId<ServerId>(`engine-${index}`), active: 0, reportedActive: 0, reportedAt: 0,
 		ownInFlight: Array.from({length: instances}, () => 0), ownAtReport: Array.from({length: instances}, () => 0), cache: new Set(),
 	}));
 	const ends: Array<{at: number; engine: Engine; instance: number}> = [];
-	const shares = Array.from({length: instances}, () => new PrefixFrequencies());
+	const frequencies = Array.from({length: instances}, () => new PrefixFrequencies());
 	const loads: number[] = [];
 	let hits = 0;
 	for (let now = 0; now < simulatedMilliseconds; now += sampleExponential(1000 / requestsPerSecond, random)) {
@@ -78,7 +78,7 @@
 			engine.ownInFlight[instance] = engine.ownInFlight[instance]! - 1;
 		}
 
-		for (const engine of all) {
+		for (const engine of allEngines) {
 			if (now - engine.reportedAt >= reportMilliseconds) {
 				engine.reportedActive = engine.active;
 				engine.reportedAt = now;
@@ -88,15 +88,15 @@
 
 		const instance = Math.floor(random() * instances);
 		const prefix = Math.floor(prefixes * (random() ** 3));
-		const views = all.map(engine => viewOf(engine, {instance, now}));
+		const views = allEngines.map(engine => viewOf(engine, {instance, now}));
 		const hash = prefixHash(`prompt ${prefix}`);
-		const share = shares[instance]!.count(hash);
+		const share = frequencies[instance]!.count(hash);
 		const choice = chooseServer(views, {
-			target, excluded, zone, random, sampleCount: samples, loadBound, reportDecayMilliseconds: fadeMilliseconds,
+			target, excluded, zone, random, sampleCount: samples, loadBound, reportDecayMilliseconds,
 			...(affinity && {prefix: hash, prefixShare: spread ? share : 0}),
 		});
 		const id = choice.map(({server}) => server).toMaybe().extract();
-		const engine = all.find(candidate => candidate.id === id)!;
+		const engine = allEngines.find(candidate => candidate.id === id)!;
 		engine.active++;
 		engine.ownInFlight[instance] = engine.ownInFlight[instance]! + 1;
 		loads.push(engine.active);
@@ -131,13 +131,13 @@
 		['one at random', {samples: 1, affinity: false, loadBound: 1.25}],
 		['best of 2', {samples: 2, affinity: false, loadBound: 1.25}],
 		['best of 2, reports not taken', {
-			samples: 2, affinity: false, loadBound: 1.25, fadeMilliseconds: 1,
+			samples: 2, affinity: false, loadBound: 1.25, reportDecayMilliseconds: 1,
 		}],
 		['best of 2, reports fade in 500 ms', {
-			samples: 2, affinity: false, loadBound: 1.25, fadeMilliseconds: 500,
+			samples: 2, affinity: false, loadBound: 1.25, reportDecayMilliseconds: 500,
 		}],
 		['best of 2, reports taken as new', {
-			samples: 2, affinity: false, loadBound: 1.25, fadeMilliseconds: 1e9,
+			samples: 2, affinity: false, loadBound: 1.25, reportDecayMilliseconds: 1e9,
 		}],
 		['best of 3', {samples: 3, affinity: false, loadBound: 1.25}],
 		['best of all', {samples: 400, affinity: false, loadBound: 1.25}],
--- a/packages/testing/src/_bench-tools.ts
+++ b/packages/testing/src/_bench-tools.ts
@@ -7,16 +7,16 @@
 Returns a quantile of the values.
 
 @param values The values.
-@param share The quantile, from 0 to 1.
+@param quantile The quantile, from 0 to 1.
 @returns The quantile, or 0 if there are no values.
 @example
 ```ts
 quantileOf([1, 2, 3], 0.5); // 2
 ```
 */
-export function quantileOf(values: readonly number[], share: number): number {
+export function quantileOf(values: readonly number[], quantile: number): number {
 	const sorted = values.toSorted((one, other) => one - other);
-	return sorted[Math.min(sorted.length - 1, Math.floor(share * sorted.length))] ?? 0;
+	return sorted[Math.min(sorted.length - 1, Math.floor(quantile * sorted.length))] ?? 0;
 }
 
 /**
--- a/packages/testing/src/_demo-report.ts
+++ b/packages/testing/src/_demo-report.ts
@@ -37,9 +37,9 @@
 
 /** Formats the table that the demo prints. */
 export function formatDemoReport(results: readonly DemoResult[], bills: readonly LedgerBill[]): DemoReport {
-	const whole = results.filter(({isWhole}) => isWhole);
+	const completed = results.filter(({isWhole}) => isWhole);
 	const match = compareBills(results, bills);
-	const latencies = latenciesOf(whole);
+	const latencies = latenciesOf(completed);
 	let cost = 0;
 	for (const {total} of bills) {
 		cost += total;
@@ -47,12 +47,12 @@
 
 	const lines = [
 		formatRow('requests', results.length),
-		formatRow('whole answers', whole.length),
+		formatRow('whole answers', completed.length),
 		formatRow('bills', bills.length),
 		formatRow('cost in units of account', (cost / microsInUnit).toFixed(6)),
 		formatRow('latency p50 in milliseconds', percentile(latencies, 50)),
 		formatRow('latency p95 in milliseconds', percentile(latencies, 95)),
-		...countRows('requests to', whole.map(result => targetOf(result))),
+		...countRows('requests to', completed.map(result => targetOf(result))),
 		...countRows('refused or failed:', results.filter(({isWhole}) => !isWhole).map(result => reasonOf(result))),
 		formatRow('answers without a bill', match.unbilled.length),
 		formatRow('bills without an answer', match.unanswered.length),
@@ -104,6 +104,6 @@
 	return histogram;
 }
 
-function percentile(histogram: Histogram, share: number): string {
-	return (histogram.getValueAtPercentile(share) / microsecondsInMillisecond).toFixed(1);
+function percentile(histogram: Histogram, rank: number): string {
+	return (histogram.getValueAtPercentile(rank) / microsecondsInMillisecond).toFixed(1);
 }
--- a/packages/testing/src/bin/bench-bad-version.ts
+++ b/packages/testing/src/bin/bench-bad-version.ts
@@ -15,8 +15,8 @@
 	{name: 'failures rise from 1 % to 30 %', degradesTo: {rating: 0.85, failureShare: 0.3}},
 ];
 
-function quantile(sorted: readonly number[], share: number): string {
-	return String(sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))] ?? '-');
+function quantile(sorted: readonly number[], fraction: number): string {
+	return String(sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * fraction))] ?? '-');
 }
 
 console.log(`Requests served by the degraded version before each rule stopped it, ${seeds} seeds from ${firstSeed}`);
--- a/packages/testing/src/bin/zone-cut.ts
+++ b/packages/testing/src/bin/zone-cut.ts
@@ -38,7 +38,7 @@
 		partition = JSON.parse(readFileSync(process.env[zoneCutVariable] ?? '', 'utf8')) as ZoneCut;
 		for (const {port, socket} of connections) {
 			if (isPartitioned(port)) {
-				socket.destroy(new Error('connection blocked by a simulated zone partition'));
+				socket.destroy(new Error('Connection blocked by a simulated zone partition'));
 			}
 		}
 	});
--- a/packages/testing/src/crashing-requests.test.ts
+++ b/packages/testing/src/crashing-requests.test.ts
@@ -254,10 +254,10 @@
 
 /** Kills all processes at once, restarts them, and waits until each entry instance serves requests. */
 async function restartAll(deployment: PlatformDeployment): Promise<void> {
-	await Promise.all(deployment.instances.map(async member => member.process.kill('SIGKILL')));
-	for (const member of deployment.instances) {
-		await member.writeSettings({isFounding: false});
-		member.process.start();
+	await Promise.all(deployment.instances.map(async instance => instance.process.kill('SIGKILL')));
+	for (const instance of deployment.instances) {
+		await instance.writeSettings({isFounding: false});
+		instance.process.start();
 	}
 
 	await waitUntil(async () => {
--- a/packages/testing/src/emulator/shared-loads.ts
+++ b/packages/testing/src/emulator/shared-loads.ts
@@ -36,14 +36,14 @@
 
 	/** Publishes the current loads. */
 	publish(): void {
-		const own = new Map<EntryServers, PublishedLoads>();
+		const loadsByEntry = new Map<EntryServers, PublishedLoads>();
 		for (const servers of this.#entries.keys()) {
-			own.set(servers, new Map(servers.loads));
+			loadsByEntry.set(servers, new Map(servers.loads));
 		}
 
 		this.#peerLoads = new Map();
 		for (const [servers, sources] of this.#sources) {
-			this.#peerLoads.set(servers, sumOf(sources.map(source => own.get(source)!)));
+			this.#peerLoads.set(servers, sumOf(sources.map(source => loadsByEntry.get(source)!)));
 		}
 	}
 
@@ -62,8 +62,8 @@
 function sumOf(all: readonly PublishedLoads[]): PublishedLoads {
 	const sum = new Map<ServerId, number>();
 	for (const loads of all) {
-		for (const [server, work] of loads) {
-			sum.set(server, (sum.get(server) ?? 0) + work);
+		for (const [server, load] of loads) {
+			sum.set(server, (sum.get(server) ?? 0) + load);
 		}
 	}
 
--- a/packages/testing/src/measure/router-overhead.ts
+++ b/packages/testing/src/measure/router-overhead.ts
@@ -52,7 +52,7 @@
 @throws If a process does not start.
 @example
 ```ts
-await measureRouterOverhead(workload, {folder: 'measure-output/own', requests: 1000});
+await measureRouterOverhead(workload, {folder: 'measure-output/overhead', requests: 1000});
 ```
 */
 export async function measureRouterOverhead(workload: Workload, {folder, requests}: RouterOverheadOptions): Promise<readonly RouterOverhead[]> {
@@ -103,7 +103,7 @@
 
 function routerOf({name, entries: [entry]}: System): Router {
 	if (entry === undefined) {
-		throw new RangeError('the system has no entry instance');
+		throw new RangeError('The system has no entry instance');
 	}
 
 	return {
--- a/packages/testing/src/measure/run-cell.ts
+++ b/packages/testing/src/measure/run-cell.ts
@@ -16,7 +16,7 @@
 	readonly start: StartSystem;
 };
 
-/** The records of a cell that callers and backend servers made. */
+/** The records that callers and backend servers made during a cell. */
 export type CellRecords = {
 	readonly system: string;
 	readonly callers: readonly CallerRecord[];
--- a/packages/testing/src/platform-path.test.ts
+++ b/packages/testing/src/platform-path.test.ts
@@ -128,18 +128,18 @@
 	const events = ['one', 'two', 'three', 'four'];
 	const broken = {id: 'i-1', service: 'models', answer: () => ({confidence: 90, events, breakAfter: 2})};
 	const {deployment, backends} = await start(t, {servers: [labels, broken, {...broken, id: 'i-2'}]});
-	const whole = events.map((event, index) => `id: ${index + 1}\ndata: ${event}\n\n`).join('');
+	const completeText = events.map((event, index) => `id: ${index + 1}\ndata: ${event}\n\n`).join('');
 	const first = await send(deployment, '/drafts/7');
 	// Both servers break after two events, so the second one, which resumes after the second event, breaks at once.
-	t.is(first.text, whole.slice(0, first.text.length));
+	t.is(first.text, completeText.slice(0, first.text.length));
 	t.false(first.isComplete);
 	const last = backends.flatMap(({runs}) => runs).find(({lastEventId}) => lastEventId !== undefined);
 	t.is(last?.lastEventId, '2');
 });
 
 test('an unsafe request that was sent is never resent, and its outcome is not reported as not run', async t => {
-	const cut = {id: 'i-labels', service: 'labels', answer: ({path}: {readonly path: string}) => path.startsWith('/print/') ? {breakAfter: 0} : {}};
-	const {deployment, backends} = await start(t, {servers: [cut, {...cut, id: 'i-other'}]});
+	const broken = {id: 'i-labels', service: 'labels', answer: ({path}: {readonly path: string}) => path.startsWith('/print/') ? {breakAfter: 0} : {}};
+	const {deployment, backends} = await start(t, {servers: [broken, {...broken, id: 'i-other'}]});
 	const answer = await send(deployment, '/print/7');
 	t.is(answer.status, 502);
 	t.is(backends.flatMap(({runs}) => runs).filter(({path}) => path.startsWith('/print/')).length, 1);
@@ -179,8 +179,7 @@
 });
 
 test('a revoked key stops working, even at an entry instance without contact to control, while public routes keep working', async t => {
-	const revocation = 2000;
-	const {deployment, backends} = await start(t, {servers: [labels], revocationMilliseconds: revocation});
+	const {deployment, backends} = await start(t, {servers: [labels], revocationMilliseconds: 2000});
 	await put(deployment, configuration(2, ['k2']));
 	const refused = await waitUntil(async () => {
 		const answer = await send(deployment, '/look/7');
@@ -247,8 +246,8 @@
 	caller.once('data', () => {
 		caller.destroy();
 	});
-	const abandoned = await waitUntil(async () => backends[1]!.abortedRequests[0], {description: 'the cancellation at the server'});
-	t.is(abandoned, 'leaving');
+	const aborted = await waitUntil(async () => backends[1]!.abortedRequests[0], {description: 'the cancellation at the server'});
+	t.is(aborted, 'leaving');
 });
 
 test('an invalid message from another instance crashes no process, even when repeated', async t => {
@@ -257,7 +256,7 @@
 	const network = await PeerNetwork.listen<unknown>({
 		self: 'other' as InstanceId, key: 'valehitch', host: ip.replace(/\d+$/v, '99'), port: 0, onMessage: () => undefined, onRequest: async () => undefined, onHandlerError: () => undefined,
 	});
-	const targets = deployment.instances.map(member => ({instance: member.ip as InstanceId, host: member.ip, port: 7340}));
+	const targets = deployment.instances.map(({ip: host}) => ({instance: host as InstanceId, host, port: 7340}));
 	for (const message of [{type: 'of a later version'}, {type: 'suspects', records: 'none'}, {type: 'watch'}, undefined, 7]) {
 		for (const target of targets) {
 			network.send(target, message);
--- a/packages/testing/src/platform/slow-saves.ts
+++ b/packages/testing/src/platform/slow-saves.ts
@@ -1,10 +1,14 @@
+/**
+Preloaded into a process with `--import`: delays each rename to a file of the configured name, and each sync.
+
+@module
+*/
 import fileSystem, {open} from 'node:fs/promises';
 import {syncBuiltinESMExports} from 'node:module';
 import path from 'node:path';
 import process from 'node:process';
 import {setTimeout} from 'node:timers/promises';
 
-/** Preloaded into a process with `--import`: delays each rename to a file of the configured name, and each sync. */
 const {SLOW_FILE: slowFile, SLOW_FILE_MILLISECONDS: fileMilliseconds = '0', SLOW_SYNC_MILLISECONDS: syncMilliseconds = '0'} = process.env;
 const {rename} = fileSystem;
 
