--- a/packages/testing/src/deployment.ts
+++ b/packages/testing/src/deployment.ts
@@ -56,7 +56,7 @@
 	const daemons = await Promise.all(placed.map(async daemon => prepareDaemon(daemon, {placed, folder, options})));
 	const backends = await prepareBackends({daemons, folder, plans: options.backends});
 	const deployment = new Deployment({
-		folder, daemons, backends, startMilliseconds: options.startTimeoutMilliseconds,
+		folder, daemons, backends, startTimeoutMilliseconds: options.startTimeoutMilliseconds,
 	});
 	try {
 		await deployment.start(options.configuration);
@@ -80,12 +80,12 @@
 		readonly folder: string;
 		readonly daemons: readonly RunningDaemon[];
 		readonly backends: readonly RunningBackend[];
-		readonly startMilliseconds?: number | undefined;
+		readonly startTimeoutMilliseconds?: number | undefined;
 	}) {
 		this.folder = parts.folder;
 		this.daemons = parts.daemons;
 		this.backends = parts.backends;
-		this.#timeoutMilliseconds = parts.startMilliseconds;
+		this.#timeoutMilliseconds = parts.startTimeoutMilliseconds;
 	}
 
 	/** All processes, daemons first. */
@@ -172,7 +172,7 @@
 			}
 
 			return true;
-		}, this.#waitOptions(`${daemon.instance} to know revision ${expected.revision}, all servers and members`));
+		}, this.#waitOptions(`${daemon.instance} to report revision ${expected.revision}, all servers and members`));
 	}
 
 	/**
--- a/packages/testing/src/http-client.ts
+++ b/packages/testing/src/http-client.ts
@@ -89,7 +89,7 @@
 @returns The result; a failed connection does not throw.
 @example
 ```ts
-const {text} = await chatWhole('http://127.0.0.1:8080', {key: 'yard-key', messages: [{role: 'user', content: 'Tag this'}]});
+const {text} = await requestChat('http://127.0.0.1:8080', {key: 'yard-key', messages: [{role: 'user', content: 'Tag this'}]});
 ```
 */
 export async function requestChat(address: string, options: ChatOptions): Promise<CallResult> {
@@ -104,7 +104,7 @@
 @returns The result; an interrupted stream has `done` set to false.
 @example
 ```ts
-const {done} = await chatStreamed('http://127.0.0.1:8080', {key: 'yard-key', messages: [{role: 'user', content: 'Tag this'}]});
+const {done} = await requestChatStream('http://127.0.0.1:8080', {key: 'yard-key', messages: [{role: 'user', content: 'Tag this'}]});
 ```
 */
 export async function requestChatStream(address: string, options: ChatOptions): Promise<CallResult> {
