--- a/packages/testing/src/_bench-request-lifecycle.ts
+++ b/packages/testing/src/_bench-request-lifecycle.ts
@@ -55,7 +55,7 @@
 @returns The lines of the report.
 @example
 ```ts
-console.log(benchLife().join('\n'));
+console.log(benchRequestLifecycle().join('\n'));
 ```
 */
 export function benchRequestLifecycle(): string[] {
--- a/packages/testing/src/_bench-tools.ts
+++ b/packages/testing/src/_bench-tools.ts
@@ -41,7 +41,7 @@
 @returns The retained bytes.
 @example
 ```ts
-heapOf(() => Array.from({length: 1000}, () => ({})));
+measureHeapBytes(() => Array.from({length: 1000}, () => ({})));
 ```
 */
 export function measureHeapBytes(make: () => unknown): number {
--- a/packages/testing/src/error-table.ts
+++ b/packages/testing/src/error-table.ts
@@ -11,7 +11,7 @@
 @returns The table with one row per kind, sorted by status.
 @example
 ```ts
-const table = errorTable();
+const table = formatErrorTable();
 ```
 */
 export function formatErrorTable(): string {
@@ -29,7 +29,7 @@
 @throws {RangeError} If a marker is missing.
 @example
 ```ts
-const page = withErrorTable(await readFile('docs/API.md', 'utf8'));
+const page = replaceErrorTable(await readFile('docs/API.md', 'utf8'));
 ```
 */
 export function replaceErrorTable(page: string): string {
--- a/packages/testing/src/fake-answer.ts
+++ b/packages/testing/src/fake-answer.ts
@@ -29,7 +29,7 @@
 @returns The tokens, whose concatenation is the response text.
 @example
 ```ts
-fakeAnswer({version: 'tag-small@1.0', messages: [{role: 'user', content: 'Tag this'}], tokens: 3}).join('');
+generateFakeTokens({version: 'tag-small@1.0', messages: [{role: 'user', content: 'Tag this'}], tokens: 3}).join('');
 ```
 */
 export function generateFakeTokens(options: FakeResponseOptions): readonly string[] {
--- a/packages/testing/src/process-usage.ts
+++ b/packages/testing/src/process-usage.ts
@@ -19,7 +19,7 @@
 @throws If there is no such process, or no /proc.
 @example
 ```ts
-const {memoryBytes} = await readUsage(process.pid);
+const {memoryBytes} = await readProcessUsage(process.pid);
 ```
 */
 export async function readProcessUsage(pid: number): Promise<ProcessUsage> {
